--- a/balancer/src/main/java/junctionhead/Balance.java
+++ b/balancer/src/main/java/junctionhead/Balance.java
@@ -28,28 +28,45 @@
     // Mechanism. D, A: the paper's defaults. Counts fade so that a slowed server loses its rank in seconds.
     private static final int D = 4;
     private static final int A = 2;
-    private static final double QUICK = 2e6;            // µs, the same for the rate of answers
-    private static final double STALE = 2;              // usual latencies, time constant of trust in a report
-    private static final double CROSSING = 10;          // part that a far queue seems longer, per price
+    // µs, the same for the rate of answers
+    private static final double QUICK = 2e6;
+    // Usual latencies, time constant of trust in a report
+    private static final double STALE = 2;
+    // Part that a far queue seems longer, per price
+    private static final double CROSSING = 10;
     // The subset of a balancer, or of a key: as few as sampling needs, more where traffic keeps them in view.
     private static final int SUBSET = 6;
-    private static final double SUBSET_VISITS = 1.5;    // s between a balancer's requests to one server
-    private static final double DEAR_VISITS = 0.5;      // the same where new connections have a price
-    private static final int KEY_SUBSET = 4;            // D: a key's servers are all sampled
-    private static final int REACH = 4;                 // times as many where only the own zone's count
-    private static final double KEY_SPREAD = 2;         // times the part of the fleet that a hot key needs
-    private static final double FULL_STRAIN = 1.5;      // that an attempt turned away counts as
-    private static final double TIMEOUT_STRAIN = 1.2;   // and one that took too long
-    private static final long RETRY_AFTER = 2_000_000;  // µs, for as long as strain lasts
+    // s between a balancer's requests to one server
+    private static final double SUBSET_VISITS = 1.5;
+    // The same where new connections have a price
+    private static final double DEAR_VISITS = 0.5;
+    // D: a key's servers are all sampled
+    private static final int KEY_SUBSET = 4;
+    // Times as many where only the own zone's count
+    private static final int REACH = 4;
+    // Times the part of the fleet that a hot key needs
+    private static final double KEY_SPREAD = 2;
+    // That an attempt turned away counts as
+    private static final double FULL_STRAIN = 1.5;
+    // And one that took too long
+    private static final double TIMEOUT_STRAIN = 1.2;
+    // µs, for as long as strain lasts
+    private static final long RETRY_AFTER = 2_000_000;
     // Further attempts after failures that may have run, per first attempt.
     private static final double RETRY_SHARE = 0.2;
     private static final double BUDGET_MOST = 10;
-    private static final double HEDGE_FULL = 0.02;      // hedges rest while a larger part is turned away
-    private static final double HEDGE_LEAST = 4;        // what hedges leave of that budget to retries
-    private static final double HINTED = 0.7;           // part of the latency that goes with hinted work
-    private static final double LATE_WORTH = 0.5;       // a late answer that earns less is given up
-    private static final long TICK_MOST = 20_000;       // µs between sweeps while anything is open
-    private static final long REFRESH = 100_000;        // µs between looks at all servers
+    // Hedges rest while a larger part is turned away
+    private static final double HEDGE_FULL = 0.02;
+    // What hedges leave of that budget to retries
+    private static final double HEDGE_LEAST = 4;
+    // Part of the latency that goes with hinted work
+    private static final double HINTED = 0.7;
+    // A late answer that earns less is given up
+    private static final double LATE_WORTH = 0.5;
+    // µs between sweeps while anything is open
+    private static final long TICK_MOST = 20_000;
+    // µs between looks at all servers
+    private static final long REFRESH = 100_000;
 
     private static final Comparator<Node> BY_ACCOMPLISHMENT =
         Comparator.<Node>comparingDouble(n -> -n.count).thenComparingInt(n -> n.order);
@@ -58,8 +75,10 @@
     private final SplittableRandom random;
     private final long tick;
     private final long shortestAim;
-    private final boolean anySafe;                      // whether any class may simply be repeated
-    private final boolean[] allFail;                    // most rest for this class: the fault is elsewhere
+    // Whether any class may simply be repeated
+    private final boolean anySafe;
+    // Most rest for this class: the fault is elsewhere
+    private final boolean[] allFail;
     private int walk;
     private final Map<String, Request> open = new LinkedHashMap<>();
     private final Counts counts = new Counts();
@@ -70,14 +89,16 @@
     private final Warming warming;
     private final Refusal refusal;
     private final Zones zones = new Zones();
-    private final boolean judgesZones;                  // else all are whole
+    // Else all are whole
+    private final boolean judgesZones;
     private final Latencies latencies;
     private final Subscription subscription;
     private final Shares shares;
     private final Peers peers;
     private final Capacity capacity;
     private int silentPeers;
-    private double ownMean;                             // moving mean of own attempts in flight
+    // Moving mean of own attempts in flight
+    private double ownMean;
     private int inFlight;
     private double retryBudget = BUDGET_MOST;
     private long refreshAt;
@@ -364,7 +385,8 @@
                     i.remove();
                 } else if (r.attempts.isEmpty() && r.turn == null && r.kind.zones().isEmpty()
                         && r.kind.machineKinds().isEmpty()) {
-                    return;         // any server would do for this one: none is free
+                    // Any server would do for this one: none is free
+                    return;
                 }
             }
         }
@@ -373,7 +395,8 @@
     private void finish(Request r, long now, Actions out) {
         r.closed = true;
         if (r.mayComeAgain()) {
-            out.refuse(r.id, Math.min(RETRY_AFTER, settings.limits().retryAfterMax()));    // strain lasts
+            // Strain lasts
+            out.refuse(r.id, Math.min(RETRY_AFTER, settings.limits().retryAfterMax()));
         } else {
             out.fail(r.id);
         }
@@ -517,8 +540,10 @@
                 exclusion.served(n, () -> remarks.say(now, "recovered " + n.server.id(), out));
                 refusal.strained(latency / (double) kind.aim(), now);
             }
-            case CANCELLED -> {         // the copy came first, or the client left
-                if (latency > 2 * usually) {    // its server may well be at it still
+            case CANCELLED -> {
+                // The copy came first, or the client left
+                if (latency > 2 * usually) {
+                    // Its server may well be at it still
                     failed(n, 0, (long) (2 * latencies.usual(number)), now, out);
                     n.slowed(Math.max(n.slowness(now), latency / usually), now);
                 }
@@ -536,7 +561,8 @@
                 refusal.strained(TIMEOUT_STRAIN, now);
                 failed(n, 0.5, (long) (2 * latencies.usual(number)), now, out);
             }
-            case ERROR -> {             // it runs and answers: that tells of this class only
+            case ERROR -> {
+                // It runs and answers: that tells of this class only
                 failed(n, 0, (long) (2 * latencies.usual(number)), now, out);
                 a.health.failed(now, random, length -> remarks.say(now, "ejected " + n.server.id() + " for "
                     + length / 1000 + " ms after failures of class " + number, out));
@@ -577,7 +603,8 @@
     @Override
     public void wake(long now, Actions out) {
         if (now < wakeAt) {
-            return;                     // asked for before an earlier one was
+            // Asked for before an earlier one was
+            return;
         }
         wakeAt = Long.MAX_VALUE;
         long elapsed = counts.sinceFaded(now);
--- a/balancer/src/main/java/junctionhead/Books.java
+++ b/balancer/src/main/java/junctionhead/Books.java
@@ -13,44 +13,72 @@
 
     /** A server, as this balancer sees it. */
     static final class Node {
-        private static final double REPORT_MOST = 1e6;  // requests in hand that a report may name
-        private static final double SLOW_FADE = 10e6;   // µs, time constant of the memory of slowness
-        private static final double SLOW_SMOOTH = 0.25; // weight of one answer in it
-        private static final double SLOW_MOST = 4;      // one answer counts no more than this
+        // Requests in hand that a report may name
+        private static final double REPORT_MOST = 1e6;
+        // µs, time constant of the memory of slowness
+        private static final double SLOW_FADE = 10e6;
+        // Weight of one answer in it
+        private static final double SLOW_SMOOTH = 0.25;
+        // One answer counts no more than this
+        private static final double SLOW_MOST = 4;
 
         Server server;
-        Server counted;                                 // as listed() and its sums have it; null: they don't
-        final Watched watched;                          // hears of what is out of the ordinary
+        // As listed() and its sums have it; null: they don't
+        Server counted;
+        // Hears of what is out of the ordinary
+        final Watched watched;
         boolean isWatched;
-        final OfClass[] classes;                        // by the number of the class
-        long place;                                     // in the order of listed servers
-        int named;                                      // the last list that named it
-        Node before;                                    // its neighbours among those of its weight
+        // By the number of the class
+        final OfClass[] classes;
+        // In the order of listed servers
+        long place;
+        // The last list that named it
+        int named;
+        // Its neighbours among those of its weight
+        Node before;
         Node after;
         final long hash;
-        final int order;                                // seeded shuffle: breaks ties of equal counts
-        double count;                                   // accomplishment: faded dispatches
-        int points;                                     // that it has on the ring
-        int near;                                       // the last walk from home that met it
-        int walk;                                       // the last walk over the ring that met it
+        // Seeded shuffle: breaks ties of equal counts
+        final int order;
+        // Accomplishment: faded dispatches
+        double count;
+        // That it has on the ring
+        int points;
+        // The last walk from home that met it
+        int near;
+        // The last walk over the ring that met it
+        int walk;
         int inFlight;
-        double reported;                                // requests in hand, by its last report
-        long reportedAt;                                // 0 = none yet
-        private double slowness = 1;                    // moving mean of latency / usual latency
+        // Requests in hand, by its last report
+        double reported;
+        // 0 = none yet
+        long reportedAt;
+        // Moving mean of latency / usual latency
+        private double slowness = 1;
         private long slownessAt;
-        private ArrayDeque<Attempt> sent;               // oldest first; null: none yet, as for most
-        private ArrayDeque<Long> penalties;             // until when failed attempts keep slots, or null
-        double oks;                                     // faded
-        double fails;                                   // faded
+        // Oldest first; null: none yet, as for most
+        private ArrayDeque<Attempt> sent;
+        // Until when failed attempts keep slots, or null
+        private ArrayDeque<Long> penalties;
+        // Faded
+        double oks;
+        // Faded
+        double fails;
         long lastOk;
-        int fulls;                                      // attempts turned away since one was served
-        int unreached;                                  // failed connects since one came up
-        boolean saidLost;                               // by another balancer, not found so by this one
+        // Attempts turned away since one was served
+        int fulls;
+        // Failed connects since one came up
+        int unreached;
+        // By another balancer, not found so by this one
+        boolean saidLost;
         long ejectedUntil;
         int ejections;
-        long fullUntil;                                 // turned an attempt away: rests for a moment
-        int trial;                                      // successes still wanted, 0 = not on trial
-        double tokens;                                  // cold budget, in attempts
+        // Turned an attempt away: rests for a moment
+        long fullUntil;
+        // Successes still wanted, 0 = not on trial
+        int trial;
+        // Cold budget, in attempts
+        double tokens;
         long tokensAt;
 
         Node(Server server, int order, int classes) {
@@ -178,13 +206,19 @@
     /** A zone, as this balancer sees it. */
     static final class Zone {
         Zones.State state = Zones.State.WHOLE;
-        long since;                                     // of the state, or of its part
-        long calmUntil;                                 // it is not doubted before
+        // Of the state, or of its part
+        long since;
+        // It is not doubted before
+        long calmUntil;
         long triedAt;
-        int times;                                      // that it was left, of late
-        double part = 1;                                // of the requests that may meet it
-        int good;                                       // answers since then
-        int bad;                                        // attempts since then that found nobody
+        // That it was left, of late
+        int times;
+        // Of the requests that may meet it
+        double part = 1;
+        // Answers since then
+        int good;
+        // Attempts since then that found nobody
+        int bad;
 
         /** A state, or a part, begins. */
         void begins(long now) {
@@ -197,12 +231,15 @@
     /** One send of a request to a server. */
     static final class Attempt {
         final Node node;
-        final Server server;                            // as listed at the send: its zone and cell
+        // As listed at the send: its zone and cell
+        final Server server;
         final Request request;
         long at;
-        final Health health;                            // of its server, for its class
+        // Of its server, for its class
+        final Health health;
         boolean out = true;
-        boolean mayHaveRun = true;                      // until its outcome proves otherwise
+        // Until its outcome proves otherwise
+        boolean mayHaveRun = true;
 
         Attempt(Node node, Request request, long at) {
             this.node = node;
@@ -229,7 +266,8 @@
             mayHaveRun = mayHaveRunThen;
             request.out--;
             node.inFlight--;
-            node.oldest();                              // lets go of those that have ended
+            // Lets go of those that have ended
+            node.oldest();
             health.ended();
         }
     }
@@ -237,7 +275,8 @@
     /** Requests with one key of classes that are served in order: only the first of the line is sent. */
     static final class Turn {
         final ArrayDeque<Request> line = new ArrayDeque<>();
-        long restUntil;                                 // attempts of the last one may still run until then
+        // Attempts of the last one may still run until then
+        long restUntil;
     }
 
     /** A request that is owed an answer, or has attempts out. */
@@ -249,15 +288,19 @@
         long arrived;
         long deadline;
         long aimAt;
-        boolean uploading;                              // still coming in
-        double size = 1;                                // usual latencies that its hint promises
-        final boolean last;                             // over its tenant's share, or late already
+        // Still coming in
+        boolean uploading;
+        // Usual latencies that its hint promises
+        double size = 1;
+        // Over its tenant's share, or late already
+        final boolean last;
         final List<Attempt> attempts = new ArrayList<>(2);
         int out;
         boolean closed;
         boolean held;
         boolean streaming;
-        Turn turn;                                      // null where no order is asked for
+        // Null where no order is asked for
+        Turn turn;
 
         Request(String id, int number, RequestClass kind, long key, long arrived, long timeLeft, long aimAt,
                 boolean overShare) {
--- a/balancer/src/main/java/junctionhead/Capacity.java
+++ b/balancer/src/main/java/junctionhead/Capacity.java
@@ -8,14 +8,21 @@
  * It only bounds what strain bids: how fast servers really are, only answers tell.
  */
 final class Capacity {
-    private static final double NEWS = 1e6;             // µs, time constant of the rate of requests
-    private static final double PROMISED_LEAST = 0.8;   // tenants' shares, of what the whole fleet can do
-    private static final double USED_LEAST = 0.6;       // of what is promised, however late answers are
-
-    private final double promised;                      // requests per second, of the whole fleet
-    private int whole;                                  // servers of the fleet when first listed
-    private double came;                                // faded requests
-    private double part = 1;                            // of the whole fleet, in reach and warm
+    // µs, time constant of the rate of requests
+    private static final double NEWS = 1e6;
+    // Tenants' shares, of what the whole fleet can do
+    private static final double PROMISED_LEAST = 0.8;
+    // Of what is promised, however late answers are
+    private static final double USED_LEAST = 0.6;
+
+    // Requests per second, of the whole fleet
+    private final double promised;
+    // Servers of the fleet when first listed
+    private int whole;
+    // Faded requests
+    private double came;
+    // Of the whole fleet, in reach and warm
+    private double part = 1;
 
     Capacity(Policy.Settings settings) {
         promised = settings.tenants().stream().mapToDouble(Policy.Tenant::allowancePerSecond).sum();
--- a/balancer/src/main/java/junctionhead/Census.java
+++ b/balancer/src/main/java/junctionhead/Census.java
@@ -16,7 +16,8 @@
         int servers;
         private BigDecimal exact = BigDecimal.ZERO;
         private double weight;
-        private boolean known = true;                       // the weight, since it last changed
+        // The weight, since it last changed
+        private boolean known = true;
 
         void add(Server s, boolean comes) {
             BigDecimal one = Double.isFinite(s.weight()) ? BigDecimal.valueOf(s.weight()) : BigDecimal.ZERO;
@@ -36,7 +37,8 @@
     private final Map<Integer, Sum> kinds = new TreeMap<>();
     private final TreeMap<Integer, Sum> zones = new TreeMap<>();
     private double fastShare = 0.5;
-    private boolean known = true;                           // that share, since the last change
+    // That share, since the last change
+    private boolean known = true;
 
     /** A server comes, or goes. */
     void count(Server s, boolean comes) {
--- a/balancer/src/main/java/junctionhead/Counts.java
+++ b/balancer/src/main/java/junctionhead/Counts.java
@@ -11,13 +11,18 @@
     /** µs, time constant of them all. */
     static final double FADE = 10e6;
 
-    private static final double YOUNG = 2e6;            // µs that a rate is taken over at least
-    private static final double SCALE_MOST = 1e60;      // counts are brought back to scale above it
+    // µs that a rate is taken over at least
+    private static final double YOUNG = 2e6;
+    // Counts are brought back to scale above it
+    private static final double SCALE_MOST = 1e60;
 
-    private final Map<Long, Double> keys = new HashMap<>(); // requests of each key
+    // Requests of each key
+    private final Map<Long, Double> keys = new HashMap<>();
     private double arrivals;
-    private double turnedAway;                          // attempts that no server took
-    private double scale = 1;                           // what one more counts for
+    // Attempts that no server took
+    private double turnedAway;
+    // What one more counts for
+    private double scale = 1;
     private long startedAt;
     private long fadedAt;
 
--- a/balancer/src/main/java/junctionhead/Exclusion.java
+++ b/balancer/src/main/java/junctionhead/Exclusion.java
@@ -13,20 +13,30 @@
  * comparison. Two failures within some ten recent attempts are far beyond any sane base rate.
  */
 final class Exclusion {
-    private static final double FAIL_COUNT = 1.6;       // faded failures before a server can be ejected
-    private static final double FAIL_SHARE = 0.15;      // and their share of its recent attempts
-    private static final long EJECT_FIRST = 1_000_000;  // µs, first ejection; doubles each time
-    private static final int EJECT_DOUBLINGS = 4;       // up to 16 s
-    static final int TRIALS_OK = 3;                     // successes in a row, one at a time, that end a trial
-    private static final int FULL_DOUBLINGS = 3;        // of the rest of a server that turns away
-    private static final int CUT_OFF = 2;               // failed connects in a row that say so
-    private static final double SILENCE = 3; // silent for this multiple of the usual latency: stalled
+    // Faded failures before a server can be ejected
+    private static final double FAIL_COUNT = 1.6;
+    // And their share of its recent attempts
+    private static final double FAIL_SHARE = 0.15;
+    // µs, first ejection; doubles each time
+    private static final long EJECT_FIRST = 1_000_000;
+    // Up to 16 s
+    private static final int EJECT_DOUBLINGS = 4;
+    // Successes in a row, one at a time, that end a trial
+    static final int TRIALS_OK = 3;
+    // Of the rest of a server that turns away
+    private static final int FULL_DOUBLINGS = 3;
+    // Failed connects in a row that say so
+    private static final int CUT_OFF = 2;
+    // Silent for this multiple of the usual latency: stalled
+    private static final double SILENCE = 3;
 
     private final SplittableRandom random;
     private final Latencies latencies;
     private final long tick;
-    private boolean allLookBad;                         // or most of them: the fault is elsewhere
-    private boolean noneReached;                        // every server is cut off, or so it seems
+    // Or most of them: the fault is elsewhere
+    private boolean allLookBad;
+    // Every server is cut off, or so it seems
+    private boolean noneReached;
 
     Exclusion(SplittableRandom random, Latencies latencies, long tick) {
         this.random = random;
--- a/balancer/src/main/java/junctionhead/Health.java
+++ b/balancer/src/main/java/junctionhead/Health.java
@@ -10,18 +10,26 @@
  * attempts, not by time: against seconds of good answers a busy server had to fail dozens first.
  */
 final class Health {
-    private static final double RECENT = 0.1;           // weight of one attempt in the share that fails
-    private static final double SHARE = 0.15;           // at which it rests: two failures in some five
-    private static final long REST_FIRST = 1_000_000;   // µs; doubles each time
-    private static final int REST_DOUBLINGS = 4;        // up to 16 s
-    private static final long AFTER_FINDER = 1_000_000; // µs that one waits for who found it failing
-    private static final int TRIALS_OK = 3;             // successes in a row that end a trial
+    // Weight of one attempt in the share that fails
+    private static final double RECENT = 0.1;
+    // At which it rests: two failures in some five
+    private static final double SHARE = 0.15;
+    // µs; doubles each time
+    private static final long REST_FIRST = 1_000_000;
+    // Up to 16 s
+    private static final int REST_DOUBLINGS = 4;
+    // µs that one waits for who found it failing
+    private static final long AFTER_FINDER = 1_000_000;
+    // Successes in a row that end a trial
+    private static final int TRIALS_OK = 3;
 
     private double failing;
     private long restsUntil;
-    private long foundUntil;                            // the same, where this balancer found it failing
+    // The same, where this balancer found it failing
+    private long foundUntil;
     private int rests;
-    private int trial;                                  // successes still wanted, 0 = not on trial
+    // Successes still wanted, 0 = not on trial
+    private int trial;
     private int out;
 
     boolean resting(long now) {
--- a/balancer/src/main/java/junctionhead/Held.java
+++ b/balancer/src/main/java/junctionhead/Held.java
@@ -30,7 +30,8 @@
         List<Request> queue = queues.get(r.last ? 1 : 0);
         int i = queue.size();
         while (i > 0 && latestStart.applyAsLong(queue.get(i - 1)) > latestStart.applyAsLong(r)) {
-            i--;                        // the most urgent first: short aims ran out in the queue
+            // The most urgent first: short aims ran out in the queue
+            i--;
         }
         queue.add(i, r);
     }
--- a/balancer/src/main/java/junctionhead/Latencies.java
+++ b/balancer/src/main/java/junctionhead/Latencies.java
@@ -8,15 +8,21 @@
  * be.
  */
 final class Latencies {
-    private static final double SMOOTH = 0.03;          // weight of one answer, and of one hint
+    // Weight of one answer, and of one hint
+    private static final double SMOOTH = 0.03;
 
-    private static final double TRUST = 60e6;           // µs, time constant of trust in what was kept
+    // µs, time constant of trust in what was kept
+    private static final double TRUST = 60e6;
 
     private final List<Policy.RequestClass> classes;
-    private final double[] usual;                       // µs, moving mean latency
-    private final double[] meanWork;                    // moving mean of hints
-    private final long[] firstTry;                      // µs, most time of a first try
-    private double shortest; // µs, the least of the usual ones, as of the last look
+    // µs, moving mean latency
+    private final double[] usual;
+    // Moving mean of hints
+    private final double[] meanWork;
+    // µs, most time of a first try
+    private final long[] firstTry;
+    // µs, the least of the usual ones, as of the last look
+    private double shortest;
 
     Latencies(List<Policy.RequestClass> classes) {
         this.classes = classes;
--- a/balancer/src/main/java/junctionhead/LoadReport.java
+++ b/balancer/src/main/java/junctionhead/LoadReport.java
@@ -47,7 +47,8 @@
                     values[slot] = Double.parseDouble(pair.substring(at + 1).strip());
                     any = true;
                 } catch (NumberFormatException e) {
-                    continue;       // one odd value does not spoil the others
+                    // One odd value does not spoil the others
+                    continue;
                 }
             }
         }
--- a/balancer/src/main/java/junctionhead/PeerMessage.java
+++ b/balancer/src/main/java/junctionhead/PeerMessage.java
@@ -26,7 +26,8 @@
     private static final int HEAD = 6;
     private static final int COUNT_BITS = 3;
     private static final int COUNT_MOST = (1 << COUNT_BITS) - 1;
-    private static final long REST_UNIT = 100_000;      // µs
+    // µs
+    private static final long REST_UNIT = 100_000;
 
     /** Attempts that the sender has out at a server; more than seven are told as seven. */
     record Queue(int code, int count) { }
--- a/balancer/src/main/java/junctionhead/Peers.java
+++ b/balancer/src/main/java/junctionhead/Peers.java
@@ -27,25 +27,37 @@
  * had 400 KB a second to take in.
  */
 final class Peers {
-    private static final long EVERY_LEAST = 50_000;     // µs between messages, at the price's bidding
+    // µs between messages, at the price's bidding
+    private static final long EVERY_LEAST = 50_000;
     private static final long EVERY_MOST = 1_000_000;
-    private static final long FORGET = 1_500_000;       // µs after a balancer's last message
-    private static final double COST = 0.005;           // of the goal that messages may cost
+    // µs after a balancer's last message
+    private static final long FORGET = 1_500_000;
+    // Of the goal that messages may cost
+    private static final double COST = 0.005;
     // On each side; those of the own block are among them.
     private static final int NEIGHBOURS = Blocks.SIZE;
-    private static final int BYTES_MOST = 48;           // of a neighbour's message
-    private static final double BYTES_PER_SECOND = 1536; // to all neighbours
+    // Of a neighbour's message
+    private static final int BYTES_MOST = 48;
+    // To all neighbours
+    private static final double BYTES_PER_SECOND = 1536;
 
     private final Policy.Settings settings;
-    private final int[] elsewhere = new int[PeerMessage.CODES]; // by code, what is held of all balancers
-    private final Map<Integer, Heard> held = new HashMap<>(); // by the balancer's number
-    private final BlockSums sums;                       // null where all tell all, or there are too many
+    // By code, what is held of all balancers
+    private final int[] elsewhere = new int[PeerMessage.CODES];
+    // By the balancer's number
+    private final Map<Integer, Heard> held = new HashMap<>();
+    // Null where all tell all, or there are too many
+    private final BlockSums sums;
     private final boolean tellsAll;
-    private int bytes;                                  // of the last message sent
+    // Of the last message sent
+    private int bytes;
     private long tellAt;
-    private double ownRate;                             // as last told
-    private double summed;                              // requests a second that the others get
-    private int turn;                                   // messages sent: in which order servers are told
+    // As last told
+    private double ownRate;
+    // Requests a second that the others get
+    private double summed;
+    // Messages sent: in which order servers are told
+    private int turn;
 
     private record Heard(PeerMessage message, long at) { }
 
--- a/balancer/src/main/java/junctionhead/Points.java
+++ b/balancer/src/main/java/junctionhead/Points.java
@@ -9,9 +9,11 @@
  * their servers moved.
  */
 final class Points {
-    private static final int MEAN = 8;                      // of a server of mean weight
+    // Of a server of mean weight
+    private static final int MEAN = 8;
     private static final int MOST = 8 * MEAN;
-    private static final double MARGIN = 1e-9;              // for what rounding may do to a bound
+    // For what rounding may do to a bound
+    private static final double MARGIN = 1e-9;
 
     /** Listed servers of one weight, chained. */
     private static final class Group {
--- a/balancer/src/main/java/junctionhead/Refusal.java
+++ b/balancer/src/main/java/junctionhead/Refusal.java
@@ -12,24 +12,40 @@
  * of a calm day.
  */
 final class Refusal {
-    private static final double STRAIN_CHEAP = 0.40;    // above it the cheapest requests are turned away
-    private static final double STRAIN_DEAR = 0.60;     // and above it the most valuable too
-    private static final double STRAIN_MOST = 1.2;      // one answer counts no more than this
-    private static final double GAIN = 0.5;             // share of arrivals, per second and unit of strain
-    private static final double RETURN = 3;             // times as fast calm lets requests in again
-    private static final double SHARE_LEAST = 0.1;      // of arrivals that a tier is taken for at least
-    private static final double CHEAP = 0.3;            // over-share worth: at a start turned away
-    private static final int KNOWN = 8;                 // answers that the strain is a mean of at least
-    private static final double QUICK = 2e6;            // µs, time constant of the strain
-    private static final double FORGET = 2e6;           // µs without news after which strain is forgotten
+    // Above it the cheapest requests are turned away
+    private static final double STRAIN_CHEAP = 0.40;
+    // And above it the most valuable too
+    private static final double STRAIN_DEAR = 0.60;
+    // One answer counts no more than this
+    private static final double STRAIN_MOST = 1.2;
+    // Share of arrivals, per second and unit of strain
+    private static final double GAIN = 0.5;
+    // Times as fast calm lets requests in again
+    private static final double RETURN = 3;
+    // Of arrivals that a tier is taken for at least
+    private static final double SHARE_LEAST = 0.1;
+    // Over-share worth: at a start turned away
+    private static final double CHEAP = 0.3;
+    // Answers that the strain is a mean of at least
+    private static final int KNOWN = 8;
+    // µs, time constant of the strain
+    private static final double QUICK = 2e6;
+    // µs without news after which strain is forgotten
+    private static final double FORGET = 2e6;
 
     private final Policy.Settings settings;
-    private final double[] tiers;                       // the distinct worths of requests, ascending
-    private final double[] asked;                       // faded arrivals of each tier
-    private final double hedgeLevel;                    // above it requests within their share are refused
-    private final double startLevel;                    // what a start turns away
-    private double level;                               // tiers turned away, the last of them in part
-    private double strain;                              // moving mean of latency / aim
+    // The distinct worths of requests, ascending
+    private final double[] tiers;
+    // Faded arrivals of each tier
+    private final double[] asked;
+    // Above it requests within their share are refused
+    private final double hedgeLevel;
+    // What a start turns away
+    private final double startLevel;
+    // Tiers turned away, the last of them in part
+    private double level;
+    // Moving mean of latency / aim
+    private double strain;
     private int answers;
     private long strainAt;
 
--- a/balancer/src/main/java/junctionhead/Remarks.java
+++ b/balancer/src/main/java/junctionhead/Remarks.java
@@ -4,7 +4,8 @@
 
 /** The module's lines for the operators, at most one a second. */
 final class Remarks {
-    private static final long EVERY = 1_000_000;        // µs
+    // µs
+    private static final long EVERY = 1_000_000;
 
     private long next;
 
--- a/balancer/src/main/java/junctionhead/Ring.java
+++ b/balancer/src/main/java/junctionhead/Ring.java
@@ -12,25 +12,34 @@
  * as a tree it took half a kilobyte for each server.
  */
 final class Ring {
-    private static final int PART_MOST = 32;            // points in a part, as a mean
+    // Points in a part, as a mean
+    private static final int PART_MOST = 32;
     private static final int PART_LEAST = 4;
-    private static final int SPARE = 4;                 // places that a full part grows by
-    private static final int AHEAD = 16;                // servers that a walk from home looks ahead, at least
+    // Places that a full part grows by
+    private static final int SPARE = 4;
+    // Servers that a walk from home looks ahead, at least
+    private static final int AHEAD = 16;
 
-    private final long home;                            // where this balancer's subset starts
+    // Where this balancer's subset starts
+    private final long home;
     private long[][] at = {{}};
     private Node[][] servers = {{}};
-    private int[] held = {0};                           // points of each part
-    private int bits;                                   // of a point that name its part
+    // Points of each part
+    private int[] held = {0};
+    // Of a point that name its part
+    private int bits;
     private int points;
     private long moves;
 
     // Each server once, from home on, as far as walks have gone: what changes beyond does not concern it.
     private Node[] near = new Node[AHEAD];
     private int met;
-    private long seen;                                  // the ring behind home that this covers; unsigned
-    private boolean whole;                              // or all of it
-    private int walk = 1;                               // tells its servers' marks from those of before
+    // The ring behind home that this covers; unsigned
+    private long seen;
+    // Or all of it
+    private boolean whole;
+    // Tells its servers' marks from those of before
+    private int walk = 1;
 
     Ring(long home) {
         this.home = home;
@@ -196,7 +205,8 @@
         while (round.hasNext() && met < enough) {
             long distance = round.nextPoint() - home;
             if (met > 0 && Long.compareUnsigned(distance, seen) <= 0) {
-                break;                                      // round
+                // Round
+                break;
             }
             Node n = round.next();
             seen = distance;
--- a/balancer/src/main/java/junctionhead/Roster.java
+++ b/balancer/src/main/java/junctionhead/Roster.java
@@ -29,20 +29,27 @@
     static final int MOST = 20_000;
 
     private static final Comparator<Node> BY_PLACE = Comparator.comparingLong(n -> n.place);
-    private static final int MANY = 64;             // that come or go at once: then sorted
+    // That come or go at once: then sorted
+    private static final int MANY = 64;
 
     private final SplittableRandom random;
     private final int classes;
     private final Map<String, Node> nodes = new HashMap<>();
-    private final Set<Node> gone = new LinkedHashSet<>(); // gone with work: held until that has ended
-    private final Ring ring;                            // of the listed servers, more points by weight
+    // Gone with work: held until that has ended
+    private final Set<Node> gone = new LinkedHashSet<>();
+    // Of the listed servers, more points by weight
+    private final Ring ring;
     private final Points points;
-    private final Census census = new Census();         // of the listed servers
+    // Of the listed servers
+    private final Census census = new Census();
     private final Watched watched = new Watched();
-    private final List<Node> listed = new ArrayList<>(); // up, in the order in which they were first named
-    private double meanWeight = 1;                      // of listed servers
+    // Up, in the order in which they were first named
+    private final List<Node> listed = new ArrayList<>();
+    // Of listed servers
+    private double meanWeight = 1;
     private int lists;
-    private int held;                                   // servers, as far as the list has been read
+    // Servers, as far as the list has been read
+    private int held;
     private long places;
 
     Roster(Policy.Settings settings, SplittableRandom random) {
@@ -79,7 +86,8 @@
                 }
             }
         }
-        List<Node> moved = new ArrayList<>();           // into the list, or out of it
+        // Into the list, or out of it
+        List<Node> moved = new ArrayList<>();
         for (Node n : changed) {
             settle(n, moved);
         }
@@ -114,7 +122,8 @@
             nodes.put(s.id(), n);
             if (earlier != null) {
                 earlier.server = earlier.server.in(State.GONE);
-                changed.add(earlier);                   // first: they have one place in the order
+                // First: they have one place in the order
+                changed.add(earlier);
             }
             changed.add(n);
         } else if (!n.server.equals(s)) {
--- a/balancer/src/main/java/junctionhead/Shares.java
+++ b/balancer/src/main/java/junctionhead/Shares.java
@@ -9,15 +9,22 @@
  * others' traffic at once, and with a part learnt over ten seconds refused most of it as over its share.
  */
 final class Shares {
-    private static final double NEWS = 1e6;             // µs, time constant of what each tenant brings
-    private static final double FEW = 3;                // first tries that say little of a tenant's rate
-    private static final double BURST_LEAST = 4;        // requests of a small tenant that chance bunches
-    private static final double BURST = 1;              // s of its rate that a tenant may bring at once
+    // µs, time constant of what each tenant brings
+    private static final double NEWS = 1e6;
+    // First tries that say little of a tenant's rate
+    private static final double FEW = 3;
+    // Requests of a small tenant that chance bunches
+    private static final double BURST_LEAST = 4;
+    // s of its rate that a tenant may bring at once
+    private static final double BURST = 1;
 
     private final int balancers;
-    private final double[] allowed;                     // per second, of all balancers
-    private final double[] brought;                     // faded first tries of each tenant
-    private final double[] tokens;                      // requests each may still bring within its share
+    // Per second, of all balancers
+    private final double[] allowed;
+    // Faded first tries of each tenant
+    private final double[] brought;
+    // Requests each may still bring within its share
+    private final double[] tokens;
     private final long[] tokensAt;
 
     Shares(Policy.Settings settings, SplittableRandom random) {
--- a/balancer/src/main/java/junctionhead/Subscription.java
+++ b/balancer/src/main/java/junctionhead/Subscription.java
@@ -10,15 +10,20 @@
  * after each.
  */
 final class Subscription {
-    private static final long PAUSE_FIRST = 200_000;    // µs after a failure, at most; doubles
+    // µs after a failure, at most; doubles
+    private static final long PAUSE_FIRST = 200_000;
     private static final long PAUSE_MOST = 1_400_000;
     private static final int DOUBLINGS = 3;
-    private static final long ANSWER_MOST = 4_000_000;  // where nobody tells that a call has failed
+    // Where nobody tells that a call has failed
+    private static final long ANSWER_MOST = 4_000_000;
 
-    private final long within;                          // µs in which an answer must be had
+    // µs in which an answer must be had
+    private final long within;
     private final SplittableRandom random;
-    private long at = Long.MAX_VALUE;                   // when to ask
-    private int failures;                               // in a row
+    // When to ask
+    private long at = Long.MAX_VALUE;
+    // In a row
+    private int failures;
 
     Subscription(long within, SplittableRandom random) {
         this.within = within;
--- a/balancer/src/main/java/junctionhead/Warming.java
+++ b/balancer/src/main/java/junctionhead/Warming.java
@@ -8,8 +8,10 @@
     private static final double MARGIN = 1.6;
 
     private final Policy.Settings settings;
-    private final double least; // answers per second of a warm server, before any is known
-    private double warmRate;                            // answers per second and weight of warm servers
+    // Answers per second of a warm server, before any is known
+    private final double least;
+    // Answers per second and weight of warm servers
+    private double warmRate;
 
     Warming(Policy.Settings settings, long shortestAim) {
         this.settings = settings;
--- a/balancer/src/main/java/junctionhead/Watched.java
+++ b/balancer/src/main/java/junctionhead/Watched.java
@@ -11,9 +11,11 @@
  * what happens to it, before that can matter, and dropped when a look finds it ordinary again.
  */
 final class Watched {
-    private static final long QUIET = 12 * (long) Counts.FADE; // µs, after which answers count for nothing
+    // µs, after which answers count for nothing
+    private static final long QUIET = 12 * (long) Counts.FADE;
 
-    private final List<Node> nodes = new ArrayList<>();     // in the order of the list
+    // In the order of the list
+    private final List<Node> nodes = new ArrayList<>();
 
     /** Those watched, in the order of the list; the caller leaves them as they are. */
     List<Node> nodes() {
--- a/balancer/src/main/java/junctionhead/Zones.java
+++ b/balancer/src/main/java/junctionhead/Zones.java
@@ -15,25 +15,40 @@
  * and is met by all at once. Each balancer judges for itself; never are all zones left.
  */
 final class Zones {
-    private static final double LOST = 0.8;             // of the servers there is news of, out: the zone is
-    private static final double DOUBTED = 0.5;          // in doubt from here on
-    private static final double NEWS_LEAST = 0.2;       // of its servers, of which there must be news
-    private static final long NEWS = 1_000_000;         // µs for which an answer shows that a server serves
-    private static final long DOUBT = 200_000;          // µs of doubt before it is left
-    private static final long DOUBT_MOST = 2_000_000;   // then single servers are to blame, and it is whole
-    private static final long CALM = 5_000_000;         // µs in which it is not doubted again after that
-    private static final long HOLD = 500_000;           // µs that it is left at least; doubles each time
-    private static final int DOUBLINGS = 5;             // up to 16 s
-    private static final long FORGET = 30_000_000;      // µs whole, after which its past is forgotten
-    private static final long TRIAL = 100_000;          // µs between requests that try a zone that is left
-    private static final int TRIALS_OK = 2;             // answers that show it is back
-    private static final double FIRST = 0.25;           // part of the requests that meet it first; doubles
-    private static final long STEP = 250_000;           // µs each part lasts at least
+    // Of the servers there is news of, out: the zone is
+    private static final double LOST = 0.8;
+    // In doubt from here on
+    private static final double DOUBTED = 0.5;
+    // Of its servers, of which there must be news
+    private static final double NEWS_LEAST = 0.2;
+    // µs for which an answer shows that a server serves
+    private static final long NEWS = 1_000_000;
+    // µs of doubt before it is left
+    private static final long DOUBT = 200_000;
+    // Then single servers are to blame, and it is whole
+    private static final long DOUBT_MOST = 2_000_000;
+    // µs in which it is not doubted again after that
+    private static final long CALM = 5_000_000;
+    // µs that it is left at least; doubles each time
+    private static final long HOLD = 500_000;
+    // Up to 16 s
+    private static final int DOUBLINGS = 5;
+    // µs whole, after which its past is forgotten
+    private static final long FORGET = 30_000_000;
+    // µs between requests that try a zone that is left
+    private static final long TRIAL = 100_000;
+    // Answers that show it is back
+    private static final int TRIALS_OK = 2;
+    // Part of the requests that meet it first; doubles
+    private static final double FIRST = 0.25;
+    // µs each part lasts at least
+    private static final long STEP = 250_000;
 
     /** What a zone is to this balancer. */
     enum State { WHOLE, DOUBTED, LEFT, RETURNING }
 
-    private final List<Zone> zones = new ArrayList<>(); // by number, as servers have named them
+    // By number, as servers have named them
+    private final List<Zone> zones = new ArrayList<>();
 
     /** A zone's; servers that name none (-1) are in one that is always whole. */
     Zone of(int zone) {
--- a/balancer/src/main/java/junctionhead/aggregation/BlockSums.java
+++ b/balancer/src/main/java/junctionhead/aggregation/BlockSums.java
@@ -29,8 +29,10 @@
 
     static final int HEAD = 4;
     static final int RECORD = 5;
-    static final int RECORDS_MOST = 50;                 // in a datagram of 256 bytes
-    static final long AGE_UNIT = 50_000;                // µs
+    // In a datagram of 256 bytes
+    static final int RECORDS_MOST = 50;
+    // µs
+    static final long AGE_UNIT = 50_000;
     /** A block's mean rate counts for so many times the middle block's at most: one may talk nonsense. */
     static final double SKEW_MOST = 8;
 
@@ -41,10 +43,14 @@
 
     private final Blocks blocks;
     private final int self;
-    private final int own;                              // block
-    private final int[] rates;                          // by block, requests a second
-    private final int[] present;                        // by block, balancers heard; 0: no record yet
-    private final long[] trueAt;                        // by block, when it was so; by the own clock
+    // Block
+    private final int own;
+    // By block, requests a second
+    private final int[] rates;
+    // By block, balancers heard; 0: no record yet
+    private final int[] present;
+    // By block, when it was so; by the own clock
+    private final long[] trueAt;
     private long lastStep = Long.MIN_VALUE;
 
     /** Takes a datagram that is to be sent. */
@@ -142,7 +148,8 @@
         private final long round;
         private final Sender sender;
         private int living;
-        private int place;                              // of this one among them
+        // Of this one among them
+        private int place;
 
         Teller(IntPredicate alive, long round, Sender sender) {
             this.round = round;
--- a/balancer/src/main/java/junctionhead/duties/Claim.java
+++ b/balancer/src/main/java/junctionhead/duties/Claim.java
@@ -11,8 +11,10 @@
 
     final long epoch;
     final boolean binding;
-    private final long[] asked;                             // when each voter's newest grant was asked for
-    private long sentAt;                                    // the newest asking, whose refusals count
+    // When each voter's newest grant was asked for
+    private final long[] asked;
+    // The newest asking, whose refusals count
+    private long sentAt;
     private int refused;
 
     Claim(long epoch, boolean binding, int voters) {
--- a/balancer/src/main/java/junctionhead/duties/Duties.java
+++ b/balancer/src/main/java/junctionhead/duties/Duties.java
@@ -26,27 +26,33 @@
  * answer.
  */
 public final class Duties {
-    private static final int ROUNDS = 128;                  // askings whose answers still count, at most
-    private static final int DOUBLINGS = 4;                 // of the wait of a refused candidate
+    // Askings whose answers still count, at most
+    private static final int ROUNDS = 128;
+    // Of the wait of a refused candidate
+    private static final int DOUBLINGS = 4;
 
     private final int self;
     private final int members;
     private final Terms terms;
     private final int process;
     private final Voter voter;
-    private final long[] seen; // the highest epoch of each slot that was asked for
+    // The highest epoch of each slot that was asked for
+    private final long[] seen;
     private final Fence fence;
     private final Lease[] leases;
     private final boolean[] present;
-    private final Map<Integer, Long> rounds = new LinkedHashMap<>(); // when each asking was sent
+    // When each asking was sent
+    private final Map<Integer, Long> rounds = new LinkedHashMap<>();
     private final List<Act> acts = new ArrayList<>();
     private final Map<Integer, Map<Word.Kind, List<Word.Entry>>> letters = new LinkedHashMap<>();
     private int numbers;
     private long chance;
     private boolean viewChanged = true;
     private boolean left;
-    private boolean resting;                                // wants nothing, as operators asked
-    private long tellAt;                                    // those who may hold its slots meanwhile
+    // Wants nothing, as operators asked
+    private boolean resting;
+    // Those who may hold its slots meanwhile
+    private long tellAt;
 
     /** What the caller is to do. */
     public sealed interface Act permits Send, Keep, Taken, Given { }
@@ -70,18 +76,24 @@
     private static final class Lease {
         final int slot;
         final int[] voters;
-        Claim held;                                         // null: not held here
-        Claim asked; // asked for; beside one that is held: a higher epoch
+        // Null: not held here
+        Claim held;
+        // Asked for; beside one that is held: a higher epoch
+        Claim asked;
         long askedUntil;
         int repeats;
-        long repeatAt;                                      // to those that have not granted it yet
+        // To those that have not granted it yet
+        long repeatAt;
         long askAt;
         long renewAt;
         int refusals;
-        int best = -1;                                      // the member that should hold it
-        int resigned = -1;                                  // one that said that it does not want to
+        // The member that should hold it
+        int best = -1;
+        // One that said that it does not want to
+        int resigned = -1;
         long resignedUntil;
-        long betterSince = Long.MAX_VALUE;                  // somebody else than this holder
+        // Somebody else than this holder
+        long betterSince = Long.MAX_VALUE;
 
         Lease(int slot, int[] voters) {
             this.slot = slot;
@@ -335,7 +347,8 @@
     // holder that needs a higher epoch has its voters already.
     private void ask(Lease l, boolean binding, long now) {
         if (seen[l.slot] >= Word.EPOCH_MOST) {
-            return;                                         // told by nobody honest
+            // Told by nobody honest
+            return;
         }
         long epoch = seen[l.slot] + 1;
         seen[l.slot] = binding ? epoch : seen[l.slot];
@@ -481,7 +494,8 @@
                 continue;
             }
             if (asked == null) {
-                continue;                                   // of another process, or too late to count
+                // Of another process, or too late to count
+                continue;
             }
             if (word.kind() == Word.Kind.REFUSED) {
                 refused(l, e.epoch(), asked, now);
@@ -519,7 +533,8 @@
                 withdraw(l, now);
             }
         } else if (l.held != null && epoch > l.held.epoch && now >= l.askAt) {
-            ask(l, true, now); // a voter has forgotten, or promised more than this
+            // A voter has forgotten, or promised more than this
+            ask(l, true, now);
         }
     }
 
--- a/balancer/src/main/java/junctionhead/duties/Spread.java
+++ b/balancer/src/main/java/junctionhead/duties/Spread.java
@@ -9,7 +9,8 @@
  * that when one member goes only its own slots move.
  */
 public final class Spread {
-    private static final long VOTERS = 0x9e3779b97f4a7c15L; // voters are drawn apart from holders
+    // Voters are drawn apart from holders
+    private static final long VOTERS = 0x9e3779b97f4a7c15L;
 
     private Spread() { }
 
--- a/balancer/src/main/java/junctionhead/duties/Voter.java
+++ b/balancer/src/main/java/junctionhead/duties/Voter.java
@@ -12,17 +12,23 @@
  * never to go back.
  */
 final class Voter {
-    private static final long AGAIN = 1_000_000;            // µs after a disk that failed
+    // µs after a disk that failed
+    private static final long AGAIN = 1_000_000;
 
     private final Terms terms;
     private final Promise[] promises;
-    private final Promise[] safe;                           // the same as kept; only these are told
+    // The same as kept; only these are told
+    private final Promise[] safe;
     private final long[] until;
-    private final Waiting[] waiting; // grants that are not kept yet, one a slot at most
+    // Grants that are not kept yet, one a slot at most
+    private final Waiting[] waiting;
     private final boolean durable;
-    private Promise[] keeping;                              // under way to the disk, or null
-    private long keeps;                                     // tables given to the disk
-    private boolean changed;                                // since the last one
+    // Under way to the disk, or null
+    private Promise[] keeping;
+    // Tables given to the disk
+    private long keeps;
+    // Since the last one
+    private boolean changed;
     private long keepAt;
     private long abstains;
 
--- a/balancer/src/main/java/junctionhead/membership/Membership.java
+++ b/balancer/src/main/java/junctionhead/membership/Membership.java
@@ -27,15 +27,19 @@
  */
 public final class Membership {
     private static final int RELAYS_MOST = 64;
-    private static final int OTHERS_WAIT = 3;               // times the suspicion of who began it
+    // Times the suspicion of who began it
+    private static final int OTHERS_WAIT = 3;
     // tellings of a piece of news, times log2 of members
     private static final int REPEATS = 3;
     // times as many messages of news, if there is much
     private static final int CROWDED_MOST = 6;
-    private static final int CARRIED = 8;                   // news on the back of a question or an answer
+    // News on the back of a question or an answer
+    private static final int CARRIED = 8;
     // periods without a tick that mean: this was paused
-    private static final long YOUNG = 5_000_000;            // µs after a start, in which a process is slow
-    private static final int YOUNG_WAIT = 4;                // times as long as others, then
+    // µs after a start, in which a process is slow
+    private static final long YOUNG = 5_000_000;
+    // Times as long as others, then
+    private static final int YOUNG_WAIT = 4;
     private static final int PAUSED = 2;
     private static final long MILLI = 1000;
     private static final long GOLDEN = 0x9e3779b97f4a7c15L;
@@ -43,23 +47,32 @@
     private final int self;
     private final Timing timing;
     private final News[] known;
-    private final long[] since;                             // when each was learnt
-    private final int[] toTell;                             // times that each is still to be told
-    private final boolean[] mine;                           // suspicions that began here
+    // When each was learnt
+    private final long[] since;
+    // Times that each is still to be told
+    private final int[] toTell;
+    // Suspicions that began here
+    private final boolean[] mine;
     // when its return was learnt; this member's start at first
     private final long[] bornAt;
-    private int pending;                                    // members of whom there is news to tell
+    // Members of whom there is news to tell
+    private int pending;
     private int suspects;
     private final Map<Integer, Relay> relays = new LinkedHashMap<>();
     private final List<Act> acts = new ArrayList<>();
     private final int repeats;
-    private final long clockAhead;                          // of the wall clock before the caller's, ms
+    // Of the wall clock before the caller's, ms
+    private final long clockAhead;
     private long version;
-    private int numbers;                                    // of questions
-    private int turn;                                       // of members asked
-    private long spread;                                    // counts members told
+    // Of questions
+    private int numbers;
+    // Of members asked
+    private int turn;
+    // Counts members told
+    private long spread;
     private int page;
-    private int probed = -1;                                // who is being asked, or -1
+    // Who is being asked, or -1
+    private int probed = -1;
     private int question;
     private long askedAt;
     private boolean helped;
@@ -398,7 +411,8 @@
         suspects += (news.status() == Status.SUSPECTED ? 1 : 0) - (known[m].status() == Status.SUSPECTED ? 1
             : 0);
         known[m] = news;
-        if (!first || news.status() != Status.ALIVE) {      // that one is there, each learns from itself
+        if (!first || news.status() != Status.ALIVE) {
+            // That one is there, each learns from itself
             toldAnew(m);
         }
         if (suspicion || news.status() != Status.SUSPECTED) {
@@ -424,7 +438,8 @@
     private void send(int to, Message.Kind kind, int subject, int number) {
         List<News> carried = news(CARRIED);
         if (known[to].status() != Status.ALIVE && carried.stream().noneMatch(n -> n.member() == to)) {
-            carried.add(0, known[to]);                      // so that it can deny it
+            // So that it can deny it
+            carried.add(0, known[to]);
         }
         acts.add(new Send(to, new Message(kind, subject, number, known[self].incarnation(), carried)));
     }
--- a/balancer/src/main/java/junctionhead/net/AdminServer.java
+++ b/balancer/src/main/java/junctionhead/net/AdminServer.java
@@ -31,7 +31,8 @@
     /** Callers at one time; one more takes the place of the earliest. */
     static final int CALLERS_MOST = 12;
     static final int LINE_MOST = 128;
-    private static final long CALL_MS = 3_000;      // for a line to be whole, and for its answer to be taken
+    // For a line to be whole, and for its answer to be taken
+    private static final long CALL_MS = 3_000;
     private static final int BACKLOG = 64;
 
     /** What the door leads to; called on the door's thread. */
@@ -46,7 +47,8 @@
     private final Desk desk;
     private final NioEventLoopGroup group =
         new NioEventLoopGroup(1, new DefaultThreadFactory("admin", true));
-    private final Set<Channel> callers = new LinkedHashSet<>(); // the earliest first
+    // The earliest first
+    private final Set<Channel> callers = new LinkedHashSet<>();
 
     AdminServer(Desk desk) {
         this.desk = desk;
@@ -110,7 +112,8 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
-            if (!answered) {                        // one line to a connection: what follows is passed over
+            if (!answered) {
+                // One line to a connection: what follows is passed over
                 say(context, answer(line.toString(StandardCharsets.UTF_8).strip()));
             }
         }
--- a/balancer/src/main/java/junctionhead/net/ClientServer.java
+++ b/balancer/src/main/java/junctionhead/net/ClientServer.java
@@ -57,27 +57,38 @@
 /** The HTTP side to the clients: takes requests, turns bad ones away, and writes each one's final answer. */
 final class ClientServer {
     private static final int BACKLOG = 1024;
-    private static final int PIPELINED_MOST = 16;   // requests that a client may send ahead on a connection
-    static final int WHOLE_MOST = Relay.AHEAD;      // of a body that is handed over only when it is whole
+    // Requests that a client may send ahead on a connection
+    private static final int PIPELINED_MOST = 16;
+    // Of a body that is handed over only when it is whole
+    static final int WHOLE_MOST = Relay.AHEAD;
     static final int BODY_MOST = 32 * 1024 * 1024;
-    private static final int READ_MOST = 32 * 1024; // bytes at a time
-    private static final int READS_MOST = 4;        // in one turn: the longest whole request, and its end
-    private static final int SEND_MOST = 128 * 1024; // bytes of a long answer that the system holds
+    // Bytes at a time
+    private static final int READ_MOST = 32 * 1024;
+    // In one turn: the longest whole request, and its end
+    private static final int READS_MOST = 4;
+    // Bytes of a long answer that the system holds
+    private static final int SEND_MOST = 128 * 1024;
     // For a first request, or one that has begun, to be whole; each byte of a body gives it a little more.
     private static final long REQUEST_NS = 2_400_000_000L;
     private static final long BYTE_NS = 1_000_000_000L / 40_000;
-    private static final long ANSWER_MS = 2_200;    // for a short answer to be taken in
-    private static final long LINGER_MS = 4_000;    // for a client to take an answer in while it still sends
-    private static final long END_MS = 1_000;       // for a client to end a connection that has been shut
-    private static final long BACKLOG_MS = 2;       // between looks at who still waits to be accepted
+    // For a short answer to be taken in
+    private static final long ANSWER_MS = 2_200;
+    // For a client to take an answer in while it still sends
+    private static final long LINGER_MS = 4_000;
+    // For a client to end a connection that has been shut
+    private static final long END_MS = 1_000;
+    // Between looks at who still waits to be accepted
+    private static final long BACKLOG_MS = 2;
     private static final int BACKLOG_LOOKS = 50;
-    private static final long DRAIN_FIRST_MS = 600; // after a drain's begin, until connections at rest go
+    // After a drain's begin, until connections at rest go
+    private static final long DRAIN_FIRST_MS = 600;
     private static final long DRAIN_EVERY_MS = 400;
     // How long a newcomer that makes no progress keeps its place where there is no room: one that has sent
     // nothing at all, and one that has begun.
     private static final long GREETING_NS = 50_000_000;
     private static final long PAUSE_NS = 300_000_000;
-    private static final long AGAIN_MS = 50;        // between looks for room, while new ones wait
+    // Between looks for room, while new ones wait
+    private static final long AGAIN_MS = 50;
 
     private final EventLoop loop;
     private final OrderReader orders;
@@ -86,21 +97,31 @@
     private final BooleanSupplier shedIdleUpstream;
     private final Events events;
     private final Relay.Budget budget;
-    private final Set<Client> idle = new LinkedHashSet<>(); // the longest idle first
-    private final Set<Client> newcomers = new LinkedHashSet<>(); // no proper request yet, the stillest first
-    private final Set<Client> ending = new LinkedHashSet<>(); // shut, their clients' end awaited
+    // The longest idle first
+    private final Set<Client> idle = new LinkedHashSet<>();
+    // No proper request yet, the stillest first
+    private final Set<Client> newcomers = new LinkedHashSet<>();
+    // Shut, their clients' end awaited
+    private final Set<Client> ending = new LinkedHashSet<>();
     private Channel listener;
     private int open;
-    private Future<?> again;                        // while new ones wait for room
-    private long clients;                           // that have ever connected
+    // While new ones wait for room
+    private Future<?> again;
+    // That have ever connected
+    private long clients;
     private boolean ready;
     private boolean stopping;
-    private boolean draining;                       // told by operators, who may take it back
+    // Told by operators, who may take it back
+    private boolean draining;
     private boolean accepting;
-    private Future<?> emptying;                     // the next look at connections that a drain leaves
-    private Rehearsal rehearsal;                    // while it is on
-    private Channel inside;                         // where a rehearsal reaches this node, or null
-    private Runnable whenEmpty;                     // runs once no connection is left, after a stop
+    // The next look at connections that a drain leaves
+    private Future<?> emptying;
+    // While it is on
+    private Rehearsal rehearsal;
+    // Where a rehearsal reaches this node, or null
+    private Channel inside;
+    // Runs once no connection is left, after a stop
+    private Runnable whenEmpty;
 
     ClientServer(EventLoop loop, SettingsReader.Boot boot, Dispatcher dispatcher, Descriptors descriptors,
             BooleanSupplier shedIdleUpstream, Events events, Relay.Budget budget) {
@@ -163,7 +184,8 @@
     private static InetSocketAddress started(ChannelFuture starting) throws IOException {
         try {
             if (Thread.interrupted()) {
-                throw new InterruptedException();   // sync() looks only while the bind is still under way
+                // sync() looks only while the bind is still under way
+                throw new InterruptedException();
             }
             return (InetSocketAddress) starting.sync().channel().localAddress();
         } catch (InterruptedException e) {
@@ -234,7 +256,8 @@
     // Closes it when a look has found nobody in its backlog: those would be reset, with what they have sent.
     private void closeListener(long seen, int looks) {
         if (listener != null && listener.isOpen() && seen != clients && looks > 0) {
-            listener.config().setAutoRead(true);    // whether there is room or not: nothing new comes after
+            // Whether there is room or not: nothing new comes after
+            listener.config().setAutoRead(true);
             long now = clients;
             loop.schedule(() -> closeListener(now, looks - 1), BACKLOG_MS, TimeUnit.MILLISECONDS);
             return;
@@ -308,7 +331,8 @@
         boolean room = !descriptors.crowded(open);
         listener.config().setAutoRead(room && accepting);
         if (!room && again == null) {
-            again = loop.schedule(() -> {           // a newcomer's time may be over without any event
+            again = loop.schedule(() -> {
+                // A newcomer's time may be over without any event
                 again = null;
                 if (listener.isOpen()) {
                     makeRoom();
@@ -341,28 +365,45 @@
         private final Channel channel;
         private final Presence presence;
         private final ArrayDeque<FullHttpRequest> ahead = new ArrayDeque<>();
-        private Dispatcher.Taken taken;             // while the module owes an answer here
-        private HttpRequest head;                   // of the request that comes, null between requests
-        private ByteBuf gathered;                   // of its body, until it is whole or too long for that
-        private long bytes;                         // of its body that have come
-        private Relay upload;                       // the way that a long body goes, until it is whole
-        private boolean uploading;                  // that request has been handed over, and still comes
-        private boolean behind;                     // all of it has come while another one is busy
-        private Relay download;                     // the way that a long answer comes
-        private HttpVersion version = HttpVersion.HTTP_1_1; // of the request that is answered
-        private boolean receiving;                  // a part of a request has come
-        private boolean busy;                       // from a whole request until its answer is written
-        private boolean due;                        // the first of those ahead is handled in this turn
-        private boolean closing;                    // takes nothing more: what still comes is dropped
-        private Future<?> patience;                 // while a request is awaited that should come soon
+        // While the module owes an answer here
+        private Dispatcher.Taken taken;
+        // Of the request that comes, null between requests
+        private HttpRequest head;
+        // Of its body, until it is whole or too long for that
+        private ByteBuf gathered;
+        // Of its body that have come
+        private long bytes;
+        // The way that a long body goes, until it is whole
+        private Relay upload;
+        // That request has been handed over, and still comes
+        private boolean uploading;
+        // All of it has come while another one is busy
+        private boolean behind;
+        // The way that a long answer comes
+        private Relay download;
+        // Of the request that is answered
+        private HttpVersion version = HttpVersion.HTTP_1_1;
+        // A part of a request has come
+        private boolean receiving;
+        // From a whole request until its answer is written
+        private boolean busy;
+        // The first of those ahead is handled in this turn
+        private boolean due;
+        // Takes nothing more: what still comes is dropped
+        private boolean closing;
+        // While a request is awaited that should come soon
+        private Future<?> patience;
         private long awaitedSince;
-        private long awaitedBytes;                  // of its body, at that time
+        // Of its body, at that time
+        private long awaitedBytes;
         private long heardAt;
         private final Framing.Requests decoder = new Framing.Requests();
-        private long movedAt = System.nanoTime();   // when it came, or last sent something
+        // When it came, or last sent something
+        private long movedAt = System.nanoTime();
         private final long number = ++clients;
         private long requests;
-        private String current;                     // the id of the last request that was handled
+        // The id of the last request that was handled
+        private String current;
 
         Client(Channel channel) {
             this.channel = channel;
@@ -426,7 +467,8 @@
         private void hurry() {
             patience = null;
             if (upload != null && upload.holdsBack()) {
-                awaitRequest();                     // the client waits for this balancer
+                // The client waits for this balancer
+                awaitRequest();
                 return;
             }
             long earned = Math.min(awaitedSince + (bytes - awaitedBytes) * BYTE_NS, heardAt);
@@ -489,7 +531,8 @@
             awaitedBytes = 0;
             heardAt = System.nanoTime();
             if (!start.decoderResult().isSuccess()) {
-                whole();                            // as far as it goes: nothing can follow it
+                // As far as it goes: nothing can follow it
+                whole();
             } else if (HttpUtil.getContentLength(start, 0L) > BODY_MOST) {
                 head = null;
                 turnAway(start, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
@@ -618,7 +661,8 @@
                 handedOver();
             } else {
                 behind = true;
-                closing = true;                     // once it has been answered
+                // Once it has been answered
+                closing = true;
             }
         }
 
@@ -648,7 +692,8 @@
             if (ahead.size() < (due ? PIPELINED_MOST + 1 : PIPELINED_MOST)) {
                 ahead.add(request.retain());
             } else {
-                closing = true;                     // once those before it have been answered
+                // Once those before it have been answered
+                closing = true;
             }
         }
 
@@ -726,7 +771,8 @@
                 String value, boolean keep) {
             taken = null;
             busy = true;
-            boolean early = uploading;              // the client is still sending: it may not listen yet
+            // The client is still sending: it may not listen yet
+            boolean early = uploading;
             if (early) {
                 uploading = false;
                 upload.discard();
@@ -771,7 +817,8 @@
             } else if (ahead.isEmpty()) {
                 answered();
             } else {
-                loop.execute(this::answered);       // not from within what is handled now
+                // Not from within what is handled now
+                loop.execute(this::answered);
             }
         }
 
@@ -786,7 +833,8 @@
             }
             Future<?> end = loop.schedule(() -> channel.close(), most, TimeUnit.MILLISECONDS);
             channel.closeFuture().addListener(closed -> end.cancel(false));
-            channel.config().setAutoRead(true);     // its client's end must be seen
+            // Its client's end must be seen
+            channel.config().setAutoRead(true);
             duplex.shutdownOutput();
         }
 
@@ -808,7 +856,8 @@
                 start.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
             if (channel instanceof SocketChannel socket) {
-                socket.config().setSendBufferSize(SEND_MOST);   // else it moves in steps of many seconds
+                // Else it moves in steps of many seconds
+                socket.config().setSendBufferSize(SEND_MOST);
             }
             download = body;
             channel.write(start);
@@ -826,7 +875,8 @@
                     download = null;
                     over.accept(false);
                     if (!counted && channel instanceof SocketChannel socket) {
-                        socket.config().setSoLinger(0);     // its end would look like the answer's
+                        // Its end would look like the answer's
+                        socket.config().setSoLinger(0);
                     }
                     channel.close();
                 }
@@ -842,7 +892,8 @@
 
         private void answered() {
             if (!channel.isActive() || !ahead.isEmpty() && hasLeft()) {
-                return;                             // its client has left, and nothing is owed any more
+                // Its client has left, and nothing is owed any more
+                return;
             }
             busy = false;
             due = false;
@@ -875,7 +926,8 @@
             @Override
             public void channelRead(ChannelHandlerContext context, Object bytes) {
                 if (closing) {
-                    ReferenceCountUtil.release(bytes);      // not worth decoding
+                    // Not worth decoding
+                    ReferenceCountUtil.release(bytes);
                     return;
                 }
                 receiving = true;
--- a/balancer/src/main/java/junctionhead/net/Config.java
+++ b/balancer/src/main/java/junctionhead/net/Config.java
@@ -24,7 +24,8 @@
         Targets known, SettingsReader.Boot boot, Peers peers, InetSocketAddress admin, boolean inherited,
         OwnSettings own) {
     private static final Path LIMITS = Path.of("/proc/self/limits");
-    private static final int SOCKETS = 1024;        // assumed where neither file nor system tells
+    // Assumed where neither file nor system tells
+    private static final int SOCKETS = 1024;
 
     /** Where the balancers hear one another, by their numbers; null and empty where they may not. */
     record Peers(InetSocketAddress listen, List<InetSocketAddress> all, InetSocketAddress everyone) {
@@ -195,7 +196,8 @@
                 }
             }
         } catch (IOException | NumberFormatException e) {
-            return Integer.MAX_VALUE;       // unlimited, or not this kind of system
+            // Unlimited, or not this kind of system
+            return Integer.MAX_VALUE;
         }
         return Integer.MAX_VALUE;
     }
--- a/balancer/src/main/java/junctionhead/net/Descriptors.java
+++ b/balancer/src/main/java/junctionhead/net/Descriptors.java
@@ -7,7 +7,8 @@
  */
 final class Descriptors {
     private static final int RESERVE = 48;
-    private static final int SPARE = 8;             // beyond those that the upstreams have now
+    // Beyond those that the upstreams have now
+    private static final int SPARE = 8;
     private final int all;
     private int most;
     private int open;
--- a/balancer/src/main/java/junctionhead/net/Discovery.java
+++ b/balancer/src/main/java/junctionhead/net/Discovery.java
@@ -37,7 +37,8 @@
  * where lists are pushed, always.
  */
 final class Discovery {
-    private static final int LIST_MOST = 4 << 20;   // bytes
+    // Bytes
+    private static final int LIST_MOST = 4 << 20;
     // A line comes every 2 s. What a watch misses that has fallen silent counts as told 6 s later: by then
     // another one has to have brought it, though calls are given up or refused meanwhile, and paused after.
     private static final long SILENCE_MS = 3_000;
@@ -47,7 +48,8 @@
     private static final long FIRST_MOST_MS = 700;
     private static final long FIRST_LEAST_MS = 100;
     private static final int FIRST_PART = 4;
-    private static final int AGAIN_PART = 4;        // of that time, as a pause after a failure
+    // Of that time, as a pause after a failure
+    private static final int AGAIN_PART = 4;
 
     private final EventLoop loop;
     private InetSocketAddress address;
@@ -55,7 +57,8 @@
     private final BiConsumer<ListKind, Targets> news;
     private final Consumer<String> log;
     private final boolean pushed;
-    private final long firstMs;                     // for a call's first answer
+    // For a call's first answer
+    private final long firstMs;
     private long rev;
     private Call watch;
 
@@ -113,7 +116,8 @@
         private final boolean watching;
         private Channel channel;
         private Future<?> silence;
-        private boolean answered;                   // the module has had what its call was for
+        // The module has had what its call was for
+        private boolean answered;
         private boolean over;
         private final long openedAt = System.nanoTime();
         private final Lists objects = new Lists();
@@ -144,7 +148,8 @@
                     ask.headers().set(HttpHeaderNames.HOST,
                         address.getAddress().getHostAddress() + ":" + address.getPort());
                     channel.writeAndFlush(ask);
-                    await(firstMs);                     // the connection's time was its own
+                    // The connection's time was its own
+                    await(firstMs);
                 } else {
                     ended();
                 }
@@ -169,7 +174,8 @@
         /** A part of the answer has come; an empty line between lists says that nothing has changed. */
         void heard(ByteBuf part) {
             if (!objects.isBetween()) {
-                return;                             // a list that never ends must not pass for news
+                // A list that never ends must not pass for news
+                return;
             }
             await(SILENCE_MS);
             if (watching && !answered && !over && isBlank(part)) {
@@ -189,7 +195,8 @@
             try {
                 Targets targets = Targets.parse(list, boot);
                 if ((answered || !watching) && targets.rev() < rev) {
-                    finish();                       // older than what has been heard already
+                    // Older than what has been heard already
+                    finish();
                 } else {
                     accept(targets);
                 }
--- a/balancer/src/main/java/junctionhead/net/Dispatcher.java
+++ b/balancer/src/main/java/junctionhead/net/Dispatcher.java
@@ -60,11 +60,15 @@
         long deadline;
         final List<Attempt> attempts = new ArrayList<>(2);
         int out;
-        boolean uploading;                          // its body is still coming: its time has not begun
+        // Its body is still coming: its time has not begun
+        boolean uploading;
         boolean closed;
-        Attempt answering;                          // whose long answer is the final one, or null
-        boolean passing;                            // that answer, now
-        Relay body;                                 // the way that it goes
+        // Whose long answer is the final one, or null
+        Attempt answering;
+        // That answer, now
+        boolean passing;
+        // The way that it goes
+        Relay body;
         Future<?> guard;
 
         Exchange(String id, Order order, Reply reply, long deadline) {
@@ -255,7 +259,8 @@
     // Rule 1 where the module stays silent or has thrown: the client gets a failure while it still listens.
     private void lastResort(Exchange x) {
         if (x.uploading && x.out > 0) {
-            guard(x);                               // the client's time has not begun
+            // The client's time has not begun
+            guard(x);
         } else if (!x.closed) {
             guarded++;
             if (Long.bitCount(guarded) == 1) {
--- a/balancer/src/main/java/junctionhead/net/DutyLink.java
+++ b/balancer/src/main/java/junctionhead/net/DutyLink.java
@@ -17,7 +17,8 @@
  * request waits for it.
  */
 final class DutyLink {
-    private static final int LINES_MOST = 20;               // a second
+    // A second
+    private static final int LINES_MOST = 20;
 
     private final EventLoop loop;
     private final MemberLink.Sender sender;
--- a/balancer/src/main/java/junctionhead/net/Events.java
+++ b/balancer/src/main/java/junctionhead/net/Events.java
@@ -36,7 +36,8 @@
         }
     }
 
-    private static final int LINES = 5;             // of one kind in a second
+    // Of one kind in a second
+    private static final int LINES = 5;
     private static final long SECOND = 1_000_000_000;
     private static final int ID_MOST = 40;
 
--- a/balancer/src/main/java/junctionhead/net/FileWatch.java
+++ b/balancer/src/main/java/junctionhead/net/FileWatch.java
@@ -18,7 +18,8 @@
     boolean changed() {
         String now = look();
         boolean changed = !now.isEmpty() && !now.equals(seen);
-        seen = now.isEmpty() ? seen : now;          // between two files there may be none
+        // Between two files there may be none
+        seen = now.isEmpty() ? seen : now;
         return changed;
     }
 
--- a/balancer/src/main/java/junctionhead/net/FleetLink.java
+++ b/balancer/src/main/java/junctionhead/net/FleetLink.java
@@ -16,8 +16,10 @@
     private final EventLoop loop;
     private final StateKeeper state;
     private final MemberLink members;
-    private final DutyLink duties;                          // null where duties are off
-    private final FleetRecord record;                       // null where nothing is kept
+    // Null where duties are off
+    private final DutyLink duties;
+    // Null where nothing is kept
+    private final FleetRecord record;
     private View view;
 
     private FleetLink(EventLoop loop, Config config, StateKeeper state, MemberLink.Sender sender,
--- a/balancer/src/main/java/junctionhead/net/FleetRecord.java
+++ b/balancer/src/main/java/junctionhead/net/FleetRecord.java
@@ -25,14 +25,16 @@
     /** The duty's key. */
     static final String KEY = "fleet-record";
 
-    private static final long FILE_MOST = 256 << 10;        // bytes
+    // Bytes
+    private static final long FILE_MOST = 256 << 10;
     private static final int FILES_MOST = 8;
     private static final String NAME = "record-";
 
     private final Path folder;
     private final int self;
     private final Consumer<String> log;
-    private final AtomicBoolean waiting = new AtomicBoolean(); // a line, for a disk that takes its time
+    // A line, for a disk that takes its time
+    private final AtomicBoolean waiting = new AtomicBoolean();
     private boolean failing;
 
     FleetRecord(Path folder, int self, Consumer<String> log) {
--- a/balancer/src/main/java/junctionhead/net/Framing.java
+++ b/balancer/src/main/java/junctionhead/net/Framing.java
@@ -29,7 +29,8 @@
 
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
-            check(message);                         // the headers are whole, and none has been dropped yet
+            // The headers are whole, and none has been dropped yet
+            check(message);
             return super.isContentAlwaysEmpty(message);
         }
     }
--- a/balancer/src/main/java/junctionhead/net/KeptForm.java
+++ b/balancer/src/main/java/junctionhead/net/KeptForm.java
@@ -9,7 +9,8 @@
 /** {@link Kept} as plain maps and lists, for JSON; what is odd in them is refused as a whole. */
 final class KeptForm {
     private static final double COUNT_MOST = 1e9;
-    private static final long TIME_MOST = 60_000_000;       // µs that anything rests at most, and more
+    // µs that anything rests at most, and more
+    private static final long TIME_MOST = 60_000_000;
     private static final int FEW = 1_000_000;
 
     private KeptForm() { }
--- a/balancer/src/main/java/junctionhead/net/MemberLink.java
+++ b/balancer/src/main/java/junctionhead/net/MemberLink.java
@@ -17,7 +17,8 @@
  * and tells the log, and whoever goes by it, what has changed. Nothing of a request waits for it.
  */
 final class MemberLink {
-    private static final int LINES_MOST = 20;               // a second
+    // A second
+    private static final int LINES_MOST = 20;
 
     /** Where a datagram goes, by the peer's number. */
     interface Sender {
--- a/balancer/src/main/java/junctionhead/net/Node.java
+++ b/balancer/src/main/java/junctionhead/net/Node.java
@@ -20,12 +20,18 @@
 
 /** One real balancer: its start, its readiness and its orderly stop. */
 public final class Node {
-    private static final long LINGER_MS = 600;      // after SIGTERM: clients go on coming for a while
-    private static final long HANDOVER_S = 10;      // from readiness until the old process has ended, at most
-    private static final long WATCH_MS = 500;       // between looks at the configuration, without SIGHUP
-    private static final long PUBLISH_MS = 100;     // between figures for operators
-    private static final long PREPARE_S = 30;       // at most
-    private static final long COUNTERS_S = 5;       // between looks at the counters
+    // After SIGTERM: clients go on coming for a while
+    private static final long LINGER_MS = 600;
+    // From readiness until the old process has ended, at most
+    private static final long HANDOVER_S = 10;
+    // Between looks at the configuration, without SIGHUP
+    private static final long WATCH_MS = 500;
+    // Between figures for operators
+    private static final long PUBLISH_MS = 100;
+    // At most
+    private static final long PREPARE_S = 30;
+    // Between looks at the counters
+    private static final long COUNTERS_S = 5;
 
     private final Consumer<String> log;
     private final Events events;
@@ -35,21 +41,28 @@
     private final Upstreams upstreams;
     private final Discovery discovery;
     private final PeerLink peers;
-    private final StateKeeper state;                // null where nothing is kept
-    private final Targets known;                    // the newest list from before this start
-    private final FleetLink fleet;                  // null where membership is off
+    // Null where nothing is kept
+    private final StateKeeper state;
+    // The newest list from before this start
+    private final Targets known;
+    // Null where membership is off
+    private final FleetLink fleet;
     private final ClientServer clients;
     private final Config config;
     private final Descriptors descriptors;
     private final Metrics metrics;
-    private final AdminServer admin;                // null where operators have no door
+    // Null where operators have no door
+    private final AdminServer admin;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private InetSocketAddress doorAt;
-    private volatile boolean shared;                // the listening socket, with other processes
-    private volatile boolean failed;                // to listen
+    // The listening socket, with other processes
+    private volatile boolean shared;
+    // To listen
+    private volatile boolean failed;
     private boolean hasList;
     private boolean rehearsed;
-    private volatile Stats stats = Stats.NONE;      // as last published: all that the door's thread reads
+    // As last published: all that the door's thread reads
+    private volatile Stats stats = Stats.NONE;
 
     /** A node that is ready without a rehearsal, where {@code rehearse} is false. */
     Node(Config config, BiFunction<Policy.Settings, Long, Policy> module, boolean rehearse,
@@ -188,7 +201,8 @@
         }
         try {
             at = node.start();
-        } catch (Exception e) {     // sync() rethrows what bind failed with, whatever its type
+        } catch (Exception e) {
+            // sync() rethrows what bind failed with, whatever its type
             log.accept("can't listen on " + node.config.listen() + ": " + e.getMessage());
             node.failed = true;
             return 1;
@@ -304,7 +318,8 @@
             loop.execute(() -> discovery.move(to));
         } catch (Config.Bad e) {
             log.accept("keeping the old configuration: " + e.getMessage());
-        } catch (RuntimeException e) {              // of a file that is odd in a way not thought of
+        } catch (RuntimeException e) {
+            // Of a file that is odd in a way not thought of
             log.accept("keeping the old configuration: " + e);
         }
     }
@@ -354,7 +369,8 @@
                 fleet.leave();
             }
             if (shared) {
-                peers.close();                      // the process that takes over wants the address
+                // The process that takes over wants the address
+                peers.close();
             }
         });
         loop.schedule(() -> {
--- a/balancer/src/main/java/junctionhead/net/OrderReader.java
+++ b/balancer/src/main/java/junctionhead/net/OrderReader.java
@@ -23,7 +23,8 @@
 
     private final SettingsReader.Boot boot;
     private final Map<String, Integer> classes;
-    private final Map<String, Integer> tenants;     // some deployments have tens of thousands
+    // Some deployments have tens of thousands
+    private final Map<String, Integer> tenants;
 
     OrderReader(SettingsReader.Boot boot) {
         this.boot = boot;
--- a/balancer/src/main/java/junctionhead/net/OwnSettings.java
+++ b/balancer/src/main/java/junctionhead/net/OwnSettings.java
@@ -29,7 +29,8 @@
             "least time between two snapshots of the list");
 
         final String path;
-        final String variable;                              // null: the file only
+        // Null: the file only
+        final String variable;
         final Type type;
         final String otherwise;
         final long least;
--- a/balancer/src/main/java/junctionhead/net/PeerLink.java
+++ b/balancer/src/main/java/junctionhead/net/PeerLink.java
@@ -25,7 +25,8 @@
  */
 final class PeerLink {
     static final int MESSAGE_MOST = 256;
-    private static final long AGAIN_MS = 100;       // while a process that leaves still holds the address
+    // While a process that leaves still holds the address
+    private static final long AGAIN_MS = 100;
 
     /** Where a peer's message goes, with the peer's number. */
     interface Listener {
@@ -37,11 +38,14 @@
 
     private final EventLoop loop;
     private final Config.Peers peers;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>(); // each datagram is looked up
+    // Each datagram is looked up
+    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
     private final Listener listener;
     private final Events events;
-    private Channel channel;                        // null until bound, and where there is no peer
-    private boolean told;                           // that it can't be bound
+    // Null until bound, and where there is no peer
+    private Channel channel;
+    // That it can't be bound
+    private boolean told;
     private boolean closed;
 
     PeerLink(EventLoop loop, Config.Peers peers, Listener listener, Events events) {
@@ -129,7 +133,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             if (packet.sender().equals(peers.listen())) {
-                return;                             // to everyone was to this one too
+                // To everyone was to this one too
+                return;
             }
             Integer from = numbers.get(packet.sender());
             if (from == null || packet.content().readableBytes() > MESSAGE_MOST) {
--- a/balancer/src/main/java/junctionhead/net/Presence.java
+++ b/balancer/src/main/java/junctionhead/net/Presence.java
@@ -14,12 +14,16 @@
     // An attempt may begin for 0.1 s after its client's end: what was found that lately need not be looked
     // for again, and as a rule a request is sent on right after it was read.
     private static final long FRESH_NS = 20_000_000;
-    private static final int LOOKS_MOST = 4;        // of several reads each, where much stands before an end
+    // Of several reads each, where much stands before an end
+    private static final int LOOKS_MOST = 4;
     private final Channel channel;
     private final int readsMost;
-    private boolean reading;                        // this connection is being read further up the stack
-    private int reads;                              // of this look
-    private long emptyAt;                           // when a read last found nothing more
+    // This connection is being read further up the stack
+    private boolean reading;
+    // Of this look
+    private int reads;
+    // When a read last found nothing more
+    private long emptyAt;
 
     /** {@code readsMost}: after so many the loop turns to other connections, whether more is there or not. */
     Presence(Channel channel, int readsMost) {
--- a/balancer/src/main/java/junctionhead/net/Rehearsal.java
+++ b/balancer/src/main/java/junctionhead/net/Rehearsal.java
@@ -32,11 +32,15 @@
     // Where clients are at work already, this balancer is missing: the first ones load and link.
     private static final int REQUESTS_HURRIED = 40;
     private static final int AT_ONCE = 8;
-    private static final int AT_ONCE_HURRIED = 2;   // real requests, where they come already, go between
-    private static final int DECLINED = 3;          // every third is turned away in the last part
+    // Real requests, where they come already, go between
+    private static final int AT_ONCE_HURRIED = 2;
+    // Every third is turned away in the last part
+    private static final int DECLINED = 3;
     private static final int SERVERS = 8;
-    private static final long MOST_MS = 4_000;      // where the machine is busy
-    private static final long WAIT = 1_000_000;     // µs for one request
+    // Where the machine is busy
+    private static final long MOST_MS = 4_000;
+    // µs for one request
+    private static final long WAIT = 1_000_000;
 
     private final EventLoop loop;
     private final SettingsReader.Boot boot;
--- a/balancer/src/main/java/junctionhead/net/Relay.java
+++ b/balancer/src/main/java/junctionhead/net/Relay.java
@@ -16,12 +16,15 @@
 final class Relay {
     /** Bytes that may wait before there is a sink: a body up to that length is no matter for a relay. */
     static final int AHEAD = 64 * 1024;
-    private static final long STILL_NS = 10_000_000_000L; // without a byte moved: one side stands still
+    // Without a byte moved: one side stands still
+    private static final long STILL_NS = 10_000_000_000L;
     private static final long LOOK_MS = 1_000;
-    private static final int PART = 128;            // bytes of overhead that a part is counted for
+    // Bytes of overhead that a part is counted for
+    private static final int PART = 128;
     // Between looks for the end of a client whose body waits: a little is read, for it stands behind that.
     private static final long END_LOOK_MS = 100;
-    private static final int END_MOST = 4 * AHEAD;  // held at most for that
+    // Held at most for that
+    private static final int END_MOST = 4 * AHEAD;
 
     /** What the relays of a process hold together. Guards against many at a time that each hold little. */
     static final class Budget {
@@ -47,13 +50,18 @@
     private final Runnable unwanted;
     private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
     private final Future<?> looking;
-    private final Future<?> lookingForEnd;          // null where the source's end is no news
-    private Channel sink;                           // null until there is one
+    // Null where the source's end is no news
+    private final Future<?> lookingForEnd;
+    // Null until there is one
+    private Channel sink;
     private Sink listener;
-    private long held;                              // waiting, or written and not yet taken by the system
+    // Waiting, or written and not yet taken by the system
+    private long held;
     private long moved = System.nanoTime();
-    private boolean ended;                          // the source has given all
-    private ByteBuf last;                           // of it, held back until the source has been looked at
+    // The source has given all
+    private boolean ended;
+    // Of it, held back until the source has been looked at
+    private ByteBuf last;
     private boolean lastWritten;
     private boolean flowing;
     private boolean over;
@@ -173,7 +181,8 @@
         listener = then;
         moved = System.nanoTime();
         if (over) {
-            then.cut();                             // the source broke off before
+            // The source broke off before
+            then.cut();
         } else {
             flow();
         }
@@ -204,7 +213,8 @@
                 sink.write(new DefaultHttpContent(part)).addListener(done -> taken(size, done.isSuccess()));
                 wrote = true;
                 if (!sink.isWritable()) {
-                    sink.flush();                   // may make room at once
+                    // May make room at once
+                    sink.flush();
                     wrote = false;
                 }
             }
@@ -228,7 +238,8 @@
         hold(-size);
         moved = System.nanoTime();
         if (!written) {
-            sink.close();                           // whose it is learns of it there
+            // Whose it is learns of it there
+            sink.close();
         } else if (!flowing) {
             pace();
         }
--- a/balancer/src/main/java/junctionhead/net/StateKeeper.java
+++ b/balancer/src/main/java/junctionhead/net/StateKeeper.java
@@ -30,9 +30,12 @@
  * another that finds it taken serves without.
  */
 final class StateKeeper {
-    private static final long OLD_MS = 30_000;              // knowledge of servers that is worth nothing
-    private static final int REST = 100; // times what a snapshot took, from one to the next
-    private static final long END_MS = 1_000;               // for what is on its way to the disk
+    // Knowledge of servers that is worth nothing
+    private static final long OLD_MS = 30_000;
+    // Times what a snapshot took, from one to the next
+    private static final int REST = 100;
+    // For what is on its way to the disk
+    private static final long END_MS = 1_000;
 
     private final Path folder;
     private final long everyMs;
@@ -43,8 +46,10 @@
     private final Snapshots promises;
     private final Snapshot promised;
     private final long incarnation;
-    private final long startedAt;                           // ms of the wall clock
-    private final FileChannel lock;                         // held until the process ends
+    // ms of the wall clock
+    private final long startedAt;
+    // Held until the process ends
+    private final FileChannel lock;
     private final Map<String, Targets.Target> list = new LinkedHashMap<>();
     private final ExecutorService thread = Executors.newSingleThreadExecutor(work -> {
         Thread t = new Thread(work, "state");
@@ -52,10 +57,12 @@
         return t;
     });
     private long rev;
-    private final AtomicBoolean waiting = new AtomicBoolean(); // a snapshot, for a disk that takes its time
+    // A snapshot, for a disk that takes its time
+    private final AtomicBoolean waiting = new AtomicBoolean();
     // by which a large state costs as little as a small one
     private volatile long restsUntil = System.nanoTime();
-    private boolean failing;                                // the state's thread's own
+    // The state's thread's own
+    private boolean failing;
 
     private StateKeeper(Path folder, String owner, SettingsReader.Boot boot, long everyMs,
         Consumer<String> log,
@@ -117,7 +124,8 @@
                 lock.close();
             }
         } catch (IOException e) {
-            return;                                         // it held nothing
+            // It held nothing
+            return;
         }
     }
 
@@ -144,7 +152,8 @@
         try {
             thread.execute(work);
         } catch (RejectedExecutionException e) {
-            return;                                         // it ends
+            // It ends
+            return;
         }
     }
 
@@ -236,7 +245,8 @@
         try {
             kept(snapshots, JSON.std.asBytes(content));
         } catch (IOException e) {
-            throw new UncheckedIOException(e);              // of bytes in memory
+            // Of bytes in memory
+            throw new UncheckedIOException(e);
         }
     }
 
--- a/balancer/src/main/java/junctionhead/net/Targets.java
+++ b/balancer/src/main/java/junctionhead/net/Targets.java
@@ -67,7 +67,8 @@
 
     private static List<Target> entries(JsonParser in, SettingsReader.Boot boot) throws IOException {
         List<Target> list = new ArrayList<>();
-        Map<String, Object> entry = new HashMap<>();        // one for all: it is emptied between them
+        // One for all: it is emptied between them
+        Map<String, Object> entry = new HashMap<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             entry.clear();
             while (in.currentToken() == JsonToken.START_OBJECT && in.nextToken() == JsonToken.FIELD_NAME
@@ -84,7 +85,8 @@
     }
 
     private static void put(Map<String, Object> fields, String name, Object value) {
-        require(!fields.containsKey(name), "not JSON");     // as the same name came twice
+        // As the same name came twice
+        require(!fields.containsKey(name), "not JSON");
         fields.put(name, value);
     }
 
--- a/balancer/src/main/java/junctionhead/net/Upstreams.java
+++ b/balancer/src/main/java/junctionhead/net/Upstreams.java
@@ -50,14 +50,22 @@
 
 /** The connections to the upstreams, one request at a time on each, and what becomes of each request. */
 final class Upstreams {
-    private static final int WHOLE_MOST = 64 * 1024; // of an answer that is passed on only when it is whole
-    private static final int READ_MOST = 32 * 1024; // bytes at a time
-    private static final long GATHER_MS = 100;      // for an answer of unknown length to be whole
-    private static final long REST = 10_000;        // µs after an answer in which another one is better
-    private static final double IDLE_SHARE = 0.5;   // of the time after which upstreams close an idle one
-    private static final long DRAIN_MARGIN = 50_000; // µs before the grace is over: the clock is not shared
-    private static final long FORGET = 60_000_000;  // µs after its grace that a stopped upstream is kept
-    private static final int CONNECT_MS = 1_000;    // where the settings give no limit
+    // Of an answer that is passed on only when it is whole
+    private static final int WHOLE_MOST = 64 * 1024;
+    // Bytes at a time
+    private static final int READ_MOST = 32 * 1024;
+    // For an answer of unknown length to be whole
+    private static final long GATHER_MS = 100;
+    // µs after an answer in which another one is better
+    private static final long REST = 10_000;
+    // Of the time after which upstreams close an idle one
+    private static final double IDLE_SHARE = 0.5;
+    // µs before the grace is over: the clock is not shared
+    private static final long DRAIN_MARGIN = 50_000;
+    // µs after its grace that a stopped upstream is kept
+    private static final long FORGET = 60_000_000;
+    // Where the settings give no limit
+    private static final int CONNECT_MS = 1_000;
 
     /** How a request to an upstream ended; {@code answer} is null but for OK, and the caller's to release. */
     interface Listener {
@@ -83,8 +91,10 @@
     private static final class Upstream {
         final String id;
         InetSocketAddress endpoint;
-        long stopAt = Long.MAX_VALUE;               // when the grace of its drain is over
-        final ArrayDeque<Connection> idle = new ArrayDeque<>(0);    // the most recently used last
+        // When the grace of its drain is over
+        long stopAt = Long.MAX_VALUE;
+        // The most recently used last
+        final ArrayDeque<Connection> idle = new ArrayDeque<>(0);
 
         Upstream(String id) {
             this.id = id;
@@ -115,7 +125,8 @@
     private final Events events;
     private final Metrics metrics;
     private final Relay.Budget budget;
-    private final SocketAddress inside;             // where all upstreams are within this process, or null
+    // Where all upstreams are within this process, or null
+    private final SocketAddress inside;
     private final Bootstrap bootstrap;
     private final long idleMost;
     private final Map<String, Upstream> upstreams = new HashMap<>();
@@ -285,7 +296,8 @@
         }
         Call late = connection.call;
         connection.call = null;
-        connection.rest();                          // the handshake is paid for
+        // The handshake is paid for
+        connection.rest();
         if (late != null) {
             late.end(Outcome.NOT_SENT, null, null);
         }
@@ -350,7 +362,8 @@
     /** A request on its way to an upstream. */
     static final class Call {
         private final Order order;
-        private final long waitMillis;              // 0: not told to the upstream
+        // 0: not told to the upstream
+        private final long waitMillis;
         private final Listener listener;
         private Connection connection;
         private Future<?> timer;
@@ -424,17 +437,27 @@
         private final Upstream upstream;
         private Channel channel;
         private Call call;
-        private boolean begun;                      // some of the request may have been written
-        private boolean written;                    // all of it has been
+        // Some of the request may have been written
+        private boolean begun;
+        // All of it has been
+        private boolean written;
         private long idleSince;
-        private HttpResponse head;                  // of the answer that comes, null between answers
-        private ByteBuf gathered;                   // of its body, until it is whole or too long for that
-        private Future<?> gathering;                // for how long, where its length is not known
-        private Relay download;                     // or the way that it is passed on
-        private FullHttpResponse whole;             // an answer, until all that came with it has been read
-        private boolean passed;                     // a long one has ended: the same
-        private boolean more;                       // others have come behind it
-        private boolean broken;                     // nothing more that comes can be trusted
+        // Of the answer that comes, null between answers
+        private HttpResponse head;
+        // Of its body, until it is whole or too long for that
+        private ByteBuf gathered;
+        // For how long, where its length is not known
+        private Future<?> gathering;
+        // Or the way that it is passed on
+        private Relay download;
+        // An answer, until all that came with it has been read
+        private FullHttpResponse whole;
+        // A long one has ended: the same
+        private boolean passed;
+        // Others have come behind it
+        private boolean more;
+        // Nothing more that comes can be trusted
+        private boolean broken;
         private final Framing.Answers decoder = new Framing.Answers();
 
         Connection(Upstream upstream) {
@@ -461,7 +484,8 @@
 
                     @Override
                     public void cut() {
-                        close();                    // the client left: its request never was a whole one
+                        // The client left: its request never was a whole one
+                        close();
                     }
                 });
             } else {
@@ -516,7 +540,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
             if (call == null || broken) {
-                return;                             // given up meanwhile
+                // Given up meanwhile
+                return;
             }
             if (!part.decoderResult().isSuccess()) {
                 unreadable(part.decoderResult().toString());
@@ -663,7 +688,8 @@
             }
             String report = answer.headers().get("Srv-Load");
             if (report == null && answered.isProbe()) {
-                report = answer.content().toString(StandardCharsets.UTF_8);     // of a probe
+                // Of a probe
+                report = answer.content().toString(StandardCharsets.UTF_8);
             }
             answered.end(classify(answer), answer, LoadReport.parse(report));
         }
@@ -684,8 +710,10 @@
             if (!(cause instanceof IOException)) {
                 unreadable(String.valueOf(cause));
             }
-            broken = true;                          // what the end of input would make whole is not
-            close();                                // what became of the request is told in closed()
+            // What the end of input would make whole is not
+            broken = true;
+            // What became of the request is told in closed()
+            close();
         }
 
         // After the decoder has given what the end of the connection makes whole.
--- a/balancer/src/main/java/junctionhead/net/WatchedChannel.java
+++ b/balancer/src/main/java/junctionhead/net/WatchedChannel.java
@@ -18,7 +18,8 @@
         try {
             return javaChannel().read(ByteBuffer.allocate(1)) != 0;
         } catch (IOException e) {
-            return true;                            // a reset
+            // A reset
+            return true;
         }
     }
 }
--- a/balancer/src/main/java/junctionhead/state/Snapshot.java
+++ b/balancer/src/main/java/junctionhead/state/Snapshot.java
@@ -19,7 +19,8 @@
     /** Bytes at most, all told. */
     public static final int BYTES_MOST = 4 << 20;
 
-    private static final int MARK = 0x74667331;             // "tfs1"
+    // "tfs1"
+    private static final int MARK = 0x74667331;
     private static final int VERSION = 1;
     private static final int HEAD = 16;
     private static final int FIXED = 28;
--- a/balancer/src/main/java/junctionhead/state/Snapshots.java
+++ b/balancer/src/main/java/junctionhead/state/Snapshots.java
@@ -86,7 +86,8 @@
      */
     public long keep(long at, long incarnation, byte[] content) throws IOException {
         long next = sequence + 1;
-        sequence = next;                                    // used up, whatever becomes of it
+        // Used up, whatever becomes of it
+        sequence = next;
         disk.write(UNFINISHED, new Snapshot(next, at, incarnation, owner, content).encode());
         disk.sync(UNFINISHED);
         disk.rename(UNFINISHED, kind + "-" + next);
--- a/balancer/src/test/java/junctionhead/ClassHealthTest.java
+++ b/balancer/src/test/java/junctionhead/ClassHealthTest.java
@@ -14,7 +14,8 @@
 
 /** Servers that fail one class of requests and serve the others. */
 class ClassHealthTest {
-    private static final int FAILING = 1;               // the number of the class
+    // The number of the class
+    private static final int FAILING = 1;
     private static final RequestClass UNSAFE = Harness.kind(Effect.UNSAFE, Scope.ALL);
 
     private final Harness harness =
@@ -40,7 +41,8 @@
     @Test
     void aServerThatFailsOneClassRestsForItAndServesTheOther() {
         Set<String> bad = Set.of("s0", "s1", "s2");
-        serve(1000, Set.of());                      // a good record of ten seconds
+        // A good record of ten seconds
+        serve(1000, Set.of());
         harness.sends.clear();
         serve(1000, bad);
         long failing = count(bad, FAILING);
--- a/balancer/src/test/java/junctionhead/DispatchTest.java
+++ b/balancer/src/test/java/junctionhead/DispatchTest.java
@@ -51,7 +51,8 @@
         for (int seed = 0; seed < 3000; seed++) {
             Harness harness = halves(seed);
             List<String> order = new ArrayList<>();
-            for (int i = 0; i < 60; i++) {      // counts come to differ
+            for (int i = 0; i < 60; i++) {
+                // Counts come to differ
                 Harness.Sent sent = harness.request("w" + i, 0);
                 harness.now += 1000;
                 harness.end(sent, Outcome.OK);
@@ -120,10 +121,12 @@
         harness.warmUp(40, 0, 50_000);
         Harness.Sent bad = harness.request("bad", 0);
         harness.now += 500;
-        harness.end(bad, Outcome.ERROR);      // the retry goes elsewhere
+        // The retry goes elsewhere
+        harness.end(bad, Outcome.ERROR);
         assertEquals(2, harness.sentFor("bad").size());
         assertTrue(!harness.sentFor("bad").get(1).server.equals(bad.server));
-        for (int i = 0; i < 2; i++) {       // two other servers are empty: the failed one's slot still counts
+        for (int i = 0; i < 2; i++) {
+            // Two other servers are empty: the failed one's slot still counts
             assertTrue(!harness.request("n" + i, 0).server.equals(bad.server));
         }
     }
--- a/balancer/src/test/java/junctionhead/FourRulesTest.java
+++ b/balancer/src/test/java/junctionhead/FourRulesTest.java
@@ -81,7 +81,8 @@
             Harness.Sent first = harness.request("r", 0);
             harness.end(first, Outcome.ERROR);
             Harness.Sent second = harness.sentFor("r").get(1);
-            if (scope != Scope.ALL) {       // cell and zone alternate over the fleet
+            if (scope != Scope.ALL) {
+                // Cell and zone alternate over the fleet
                 assertEquals(first.server.charAt(1) % 2, second.server.charAt(1) % 2);
             }
         }
@@ -92,7 +93,8 @@
     void aKeyedRequestIsNotSentAgainAfterItsWindow(Scope scope) {
         Harness harness = warm(Harness.kind(Effect.KEYED, scope));
         Harness.Sent first = harness.request("r", 0);
-        harness.pass(2_500_000);              // the window is 2 s from the first send
+        // The window is 2 s from the first send
+        harness.pass(2_500_000);
         for (Harness.Sent copy : harness.sentFor("r")) {
             assertTrue(copy.at - first.at < 2_000_000);
         }
@@ -142,7 +144,8 @@
         harness.warmUp(150, 0, 20_000);
         long sent = harness.sentTo("cold", born);
         double seconds = (harness.now - born) / 1e6;
-        double part = 0.2 + 0.8 * seconds / 20;         // at the end; less before
+        // At the end; less before
+        double part = 0.2 + 0.8 * seconds / 20;
         assertTrue(sent <= 50.0 / 4 * part * 2.5 * seconds, sent + " in " + seconds + " s");
     }
 
--- a/balancer/src/test/java/junctionhead/FurtherRulesTest.java
+++ b/balancer/src/test/java/junctionhead/FurtherRulesTest.java
@@ -105,7 +105,8 @@
     @Test
     void aBoundClassGoesNowhereElse() {
         Harness harness = fleet(SAFE, bound(Set.of(1), Set.of()), bound(Set.of(), Set.of(0)));
-        for (int i = 0; i < 40; i++) {          // zones and kinds alternate over the fleet
+        for (int i = 0; i < 40; i++) {
+            // Zones and kinds alternate over the fleet
             assertEquals(1, harness.request("z" + i, 1).server.charAt(1) % 2);
             assertEquals(0, harness.request("k" + i, 2).server.charAt(1) % 2);
             harness.pass(10_000);
--- a/balancer/src/test/java/junctionhead/Harness.java
+++ b/balancer/src/test/java/junctionhead/Harness.java
@@ -43,12 +43,14 @@
     final List<String> cancels = new ArrayList<>();
     final List<String> log = new ArrayList<>();
     final List<byte[]> told = new ArrayList<>();
-    final List<Integer> toldTo = new ArrayList<>();     // to whom each of them
+    // To whom each of them
+    final List<Integer> toldTo = new ArrayList<>();
     long now = START;
     long wakeAt = Long.MAX_VALUE;
     int watches;
     int doubleFinals;
-    double reported = Double.NaN;                       // in-flight figure that outcomes carry, if any
+    // In-flight figure that outcomes carry, if any
+    double reported = Double.NaN;
 
     Harness(Policy.Settings settings, long seed) {
         policy = new Balance(settings, seed);
--- a/balancer/src/test/java/junctionhead/KeptTest.java
+++ b/balancer/src/test/java/junctionhead/KeptTest.java
@@ -27,7 +27,8 @@
     private Harness learned(String bad) {
         Harness harness = started();
         for (int i = 0; i < 50; i++) {
-            for (int n = 0; n < 8; n++) {                   // at once: else one server would take all
+            for (int n = 0; n < 8; n++) {
+                // At once: else one server would take all
                 harness.request("r" + i + "-" + n, 0);
             }
             harness.pass(2_000);
@@ -57,7 +58,8 @@
         late.policy.recall(late.now, kept, 10_000_000);
         Kept faded = late.policy.keep(late.now);
         assertEquals(of(kept, "a").count() / Math.E, of(faded, "a").count(), 1e-6);
-        assertEquals(0, of(faded, "b").restsFor());         // its rest is over by now
+        // Its rest is over by now
+        assertEquals(0, of(faded, "b").restsFor());
     }
 
     @Test
--- a/balancer/src/test/java/junctionhead/LateWriteTest.java
+++ b/balancer/src/test/java/junctionhead/LateWriteTest.java
@@ -19,7 +19,8 @@
 
 /** What was decided while it was allowed, and is to be written when it may no longer be. */
 class LateWriteTest {
-    private static final long WINDOW = 40_000;          // shorter than a connect may take
+    // Shorter than a connect may take
+    private static final long WINDOW = 40_000;
     private static final RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
     private static final RequestClass UNSAFE = Harness.kind(Effect.UNSAFE, Scope.ALL);
 
@@ -70,7 +71,8 @@
             assertTrue(mayBegin(harness, sent));
             harness.list(ListKind.PARTIAL, List.of(now, Harness.up("s1")));
             assertFalse(mayBegin(harness, sent), now.toString());
-            harness.end(sent, Outcome.NOT_SENT);        // and goes elsewhere: it never ran
+            // And goes elsewhere: it never ran
+            harness.end(sent, Outcome.NOT_SENT);
             assertEquals("s1", harness.sentFor("r").get(1).server);
         }
     }
--- a/balancer/src/test/java/junctionhead/LearnedTest.java
+++ b/balancer/src/test/java/junctionhead/LearnedTest.java
@@ -66,7 +66,8 @@
         Harness.Sent stuck = harness.request("stuck", 0);
         harness.pass(200_000);
         long from = harness.now;
-        for (int i = 0; i < 40; i++) {          // three at a time: the third finds all queues alike
+        for (int i = 0; i < 40; i++) {
+            // Three at a time: the third finds all queues alike
             for (int j = 0; j < 3; j++) {
                 harness.request("n" + i + "/" + j, 0);
             }
@@ -94,7 +95,8 @@
         // Idle servers kept their old strain, which held the limit down for 20 s after the load had gone.
         Harness harness = harness(6, SAFE);
         serve(harness, 200, 30_000, Map.of());
-        for (int i = 0; i < 60; i++) {          // everything takes ten times as long
+        for (int i = 0; i < 60; i++) {
+            // Everything takes ten times as long
             harness.request("slow" + i, 0);
             harness.pass(50_000);
             harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= 400_000).toList()
@@ -103,7 +105,8 @@
         harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.OK));
         harness.pass(4_000_000);
         int sent = 0;
-        for (int i = 0; i < 10 * 12; i++) {     // twelve at a time
+        for (int i = 0; i < 10 * 12; i++) {
+            // Twelve at a time
             sent += harness.request("after" + i, 0) != null ? 1 : 0;
             while (i % 12 == 11 && i < 9 * 12 && harness.sends.stream().anyMatch(s -> !s.ended)) {
                 harness.pass(30_000);
@@ -122,7 +125,8 @@
             List.of(new Policy.Tenant(20), new Policy.Tenant(20)), UNSAFE), 3)
             .list(ListKind.PERSISTED, Harness.fleet(2));
         Map<Integer, int[]> served = Map.of(0, new int[2], 1, new int[2]);
-        for (int i = 0; i < 1200; i++) {        // tenant 0 brings 80 a second, tenant 1 20
+        for (int i = 0; i < 1200; i++) {
+            // Tenant 0 brings 80 a second, tenant 1 20
             int tenant = i % 5 == 4 ? 1 : 0;
             served.get(tenant)[0]++;
             harness.request(tenant + "-" + i, 0, tenant, 2_000_000);
@@ -164,7 +168,8 @@
         Harness harness = harness(6, SAFE);
         serve(harness, 20, 20_000, Map.of());
         harness.again("late", 0, Harness.DEADLINE - Harness.AIM - 200_000);
-        harness.again("quick", 0, Harness.DEADLINE - 150_000);  // this one can still be in time
+        // This one can still be in time
+        harness.again("quick", 0, Harness.DEADLINE - 150_000);
         assertEquals(1, harness.sentFor("quick").size());
         assertEquals("refused", harness.finals.get("late"));
     }
@@ -173,7 +178,8 @@
     void aNextTryThatMayBeInTimeIsServedLikeAnyOther() {
         Harness harness = harness(6, SAFE);
         serve(harness, 20, 20_000, Map.of());
-        harness.again("again", 0, Harness.DEADLINE);            // as much time as a first try: age unknown
+        // As much time as a first try: age unknown
+        harness.again("again", 0, Harness.DEADLINE);
         assertEquals(1, harness.sentFor("again").size());
     }
 
@@ -204,7 +210,8 @@
             assertTrue(harness.now - failed <= 1_510_000, "after " + (harness.now - failed) + " us");
         }
         int before = harness.watches;
-        harness.pass(4_700_000);                    // of silence: nobody tells that a call has failed
+        // Of silence: nobody tells that a call has failed
+        harness.pass(4_700_000);
         assertEquals(before + 1, harness.watches);
     }
 
@@ -213,9 +220,11 @@
         Harness harness = new Harness(Harness.settings(2, true, Discovery.ASK, List.of(), SAFE), 3)
             .list(ListKind.PERSISTED, Harness.fleet(2));
         assertEquals(1, harness.watches);
-        harness.pass(7_000_000);                  // silence: asked again within AskWithin
+        // Silence: asked again within AskWithin
+        harness.pass(7_000_000);
         assertEquals(2, harness.watches);
-        for (int i = 0; i < 20; i++) {          // 20 s of errors
+        for (int i = 0; i < 20; i++) {
+            // 20 s of errors
             harness.list(ListKind.FAILED, List.of());
             harness.pass(1_000_000);
         }
@@ -289,7 +298,8 @@
         Harness harness = new Harness(Harness.settings(10, true, Discovery.PUSH, tenants, UNSAFE), 3)
             .list(ListKind.PERSISTED, Harness.fleet(6));
         int sent = 0;
-        for (int i = 0; i < 60; i++) {          // 71 s of 270 ms each: this balancer's part of a share is 60
+        for (int i = 0; i < 60; i++) {
+            // 71 s of 270 ms each: this balancer's part of a share is 60
             sent += sentOf(harness, 3, 0, 0, 270_000);
             sentOf(harness, i % 10 < 7 ? 1 : 0, 0, 1, 270_000);
             sentOf(harness, i % 10 < 7 ? 1 : 0, 0, 2, 270_000);
@@ -466,7 +476,8 @@
         // Late answers counted twice their aim: refusal rose to 86% in seconds, fell back and rose again.
         Harness harness = harness(6, SAFE);
         sentOf(harness, 40, 0, 0, 50_000);
-        for (int i = 0; i < 20; i++) {          // two seconds of late answers, ten a second
+        for (int i = 0; i < 20; i++) {
+            // Two seconds of late answers, ten a second
             Harness.Sent sent = harness.request("late" + i, 0);
             harness.pass(100_000);
             if (sent != null) {
--- a/balancer/src/test/java/junctionhead/LibraryTest.java
+++ b/balancer/src/test/java/junctionhead/LibraryTest.java
@@ -103,7 +103,8 @@
             harness.pass(5_000);
             harness.sends.stream().filter(s -> !s.ended).toList()
                 .forEach(s -> harness.end(s, s.number % 7 == 6 ? Outcome.ERROR : Outcome.OK));
-            if (i % 50 == 0) {                  // machines come and go under new names
+            if (i % 50 == 0) {
+                // Machines come and go under new names
                 harness.list(ListKind.COMPLETE,
                     List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
                 harness.sends.clear();
--- a/balancer/src/test/java/junctionhead/ListCost.java
+++ b/balancer/src/test/java/junctionhead/ListCost.java
@@ -108,7 +108,8 @@
         harness.list(ListKind.COMPLETE, fleet);
         harness.pass(2 * REFRESH);
         long each = (live() - before) / servers;
-        harness.list(ListKind.FAILED, List.of());           // it lives until here
+        // It lives until here
+        harness.list(ListKind.FAILED, List.of());
         return each;
     }
 
@@ -119,7 +120,8 @@
     }
 
     public static void main(String[] sizes) {
-        liveEach(1_000);                                    // loads what is needed once
+        // Loads what is needed once
+        liveEach(1_000);
         for (String size : sizes) {
             int servers = Integer.parseInt(size);
             System.out.printf(Locale.ROOT, "%6d servers, live heap      %10d bytes each%n", servers,
--- a/balancer/src/test/java/junctionhead/ListCostTest.java
+++ b/balancer/src/test/java/junctionhead/ListCostTest.java
@@ -113,7 +113,8 @@
 
     @Test
     void aServerTakesFewBytesOfLiveHeap() {
-        ListCost.liveEach(SMALL);                           // loads what is needed once
+        // Loads what is needed once
+        ListCost.liveEach(SMALL);
         long each = ListCost.liveEach(LARGE);
         assertTrue(each > 0 && each <= 600, each + " bytes for each server");
     }
--- a/balancer/src/test/java/junctionhead/MainTest.java
+++ b/balancer/src/test/java/junctionhead/MainTest.java
@@ -112,7 +112,8 @@
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
             String line = err.readLine();
             assertTrue(line.startsWith("junctionhead: listening on 127.0.0.1:"), line);
-            process.destroy();                          // SIGTERM
+            // SIGTERM
+            process.destroy();
             assertEquals(0, process.waitFor());
         }
         Files.delete(config);
--- a/balancer/src/test/java/junctionhead/RandomFourRulesTest.java
+++ b/balancer/src/test/java/junctionhead/RandomFourRulesTest.java
@@ -32,7 +32,8 @@
         String answer;
         final List<Server> servers = new ArrayList<>();
         final List<Long> at = new ArrayList<>();
-        final List<Outcome> ended = new ArrayList<>();          // null while out
+        // Null while out
+        final List<Outcome> ended = new ArrayList<>();
     }
 
     /** Takes what happens in its order; each call says what rule is broken, or null. */
@@ -204,7 +205,8 @@
         Policy.Settings settings = Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL));
         Harness harness = new Harness(settings, seed).list(ListKind.PERSISTED, Harness.fleet(5));
         long started = 0;
-        for (int i = 0; i < 1500; i++) {                        // 40 answers a second from each of 5
+        for (int i = 0; i < 1500; i++) {
+            // 40 answers a second from each of 5
             if (i == 500) {
                 harness.list(ListKind.PARTIAL,
                     List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
--- a/balancer/src/test/java/junctionhead/RetryAfterTest.java
+++ b/balancer/src/test/java/junctionhead/RetryAfterTest.java
@@ -20,7 +20,8 @@
             base.prices(), false, base.discovery(), base.reports(), false,
             new Policy.Limits(limits.maxAttempts(), limits.mayDuplicate(), limits.mayCancel(),
                 limits.mayProbe(), limits.connectTimeout(), most), base.bounds(), base.tick()), 3);
-        harness.list(ListKind.PERSISTED, List.of());    // no server to send to
+        // No server to send to
+        harness.list(ListKind.PERSISTED, List.of());
         harness.request("r", 0);
         harness.pass(Harness.DEADLINE);
         assertTrue(harness.log.stream().anyMatch(l -> l.endsWith(" refuse r " + told)),
--- a/balancer/src/test/java/junctionhead/RosterTest.java
+++ b/balancer/src/test/java/junctionhead/RosterTest.java
@@ -165,7 +165,8 @@
         Harness harness = new Harness(ListCost.settings(), 1);
         Roster roster = roster();
         roster.update(ListCost.fleet(300), false, harness.now, line -> { });
-        assertEquals(300, roster.watched().size());         // until they have been looked at
+        // Until they have been looked at
+        assertEquals(300, roster.watched().size());
         roster.tidy(n -> true, harness.now);
         assertEquals(List.of(), roster.watched());
         Set<Node> odd = new HashSet<>();
@@ -193,12 +194,14 @@
         roster.update(List.of(all.get(100).server.in(State.DRAINING)), true, now, line -> { });
         assertEquals(4, roster.watched().size());
         exclusion.failed(all.get(100), 1, 1_000, 1, now, line -> { });
-        assertEquals(4, roster.watched().size());           // it is not listed
+        // It is not listed
+        assertEquals(4, roster.watched().size());
         roster.update(List.of(all.get(100).server.in(State.UP)), true, now, line -> { });
         assertEquals(5, roster.watched().size());
         all.get(8).inFlight = 0;
         roster.tidy(n -> true, now + 60_000_000);
-        assertEquals(List.of(all.get(7), all.get(250)), roster.watched()); // said lost until it is met
+        // Said lost until it is met
+        assertEquals(List.of(all.get(7), all.get(250)), roster.watched());
     }
 
     @Test
@@ -211,7 +214,8 @@
         harness.log.clear();
         List<Server> others = IntStream.range(0, Roster.MOST).mapToObj(i -> Harness.up("other-" + i))
             .toList();
-        harness.list(Policy.ListKind.COMPLETE, others);      // the ones before leave room
+        // The ones before leave room
+        harness.list(Policy.ListKind.COMPLETE, others);
         harness.list(Policy.ListKind.PARTIAL, List.of(others.get(0)));
         assertEquals(List.of(), harness.log);
         harness.list(Policy.ListKind.PARTIAL, List.of(Harness.up("one more")));
--- a/balancer/src/test/java/junctionhead/ZonesTest.java
+++ b/balancer/src/test/java/junctionhead/ZonesTest.java
@@ -66,15 +66,18 @@
     void itReturnsInStepsAndOnlyByWhatIsServed() {
         look(4, FINE, GONE);
         look(20, FINE, QUIET);
-        assertEquals(State.LEFT, zones.of(1).state);        // nobody has answered yet
+        // Nobody has answered yet
+        assertEquals(State.LEFT, zones.of(1).state);
         zones.ended(server(1), true);
         look(1, FINE, FINE);
-        assertEquals(State.LEFT, zones.of(1).state);        // one answer is little
+        // One answer is little
+        assertEquals(State.LEFT, zones.of(1).state);
         zones.ended(server(1), true);
         look(1, FINE, FINE);
         assertEquals(0.25, zones.of(1).part);
         look(10, FINE, FINE);
-        assertEquals(0.25, zones.of(1).part);               // nothing was served in this step
+        // Nothing was served in this step
+        assertEquals(0.25, zones.of(1).part);
         for (double part : new double[] {0.5, 1}) {
             zones.ended(server(1), true);
             look(3, FINE, FINE);
@@ -88,7 +91,8 @@
         look(4, FINE, GONE);
         assertEquals(State.LEFT, zones.of(1).state);
         zones.look(List.of(FINE, FINE), true, now += LOOK, remarks::add);
-        assertEquals(State.LEFT, zones.of(1).state);        // short or not, somebody has to answer
+        // Short or not, somebody has to answer
+        assertEquals(State.LEFT, zones.of(1).state);
         zones.ended(server(1), true);
         zones.look(List.of(FINE, FINE), true, now += LOOK, remarks::add);
         assertEquals(State.RETURNING, zones.of(1).state);
@@ -121,7 +125,8 @@
     @Test
     void halfAZoneAndOwnIsolationAndAZoneOfOneServer() {
         look(60, FINE, HALF);
-        assertEquals(State.WHOLE, zones.of(1).state);       // single servers are to blame
+        // Single servers are to blame
+        assertEquals(State.WHOLE, zones.of(1).state);
         look(10, GONE, GONE, GONE);
         assertTrue(states(3).stream().noneMatch(s -> s == State.LEFT), states(3).toString());
         Zones other = new Zones();
@@ -129,7 +134,8 @@
             other.look(List.of(FINE, new Tally(1, 1, 0)), false, now += LOOK, remarks::add);
         }
         assertEquals(State.LEFT, other.of(1).state);
-        assertEquals(State.WHOLE, other.of(-1).state);      // of servers that name none
+        // Of servers that name none
+        assertEquals(State.WHOLE, other.of(-1).state);
     }
 
     // ------------------------------------------------------------ all that may be seen, in any order
@@ -236,11 +242,13 @@
     void plantedFaultsAreFound() {
         assertEquals("from left to WHOLE", explore(60_000, ZonesTest::check, (z, w) -> {
             boolean returns = z.of(1).state == State.RETURNING;
-            z.of(1).state = returns ? State.WHOLE : z.of(1).state; // all at once
+            // All at once
+            z.of(1).state = returns ? State.WHOLE : z.of(1).state;
             return returns;
         }));
         assertEquals("all are left", explore(60_000, ZonesTest::check, (z, w) -> {
-            for (int i = 0; i < 3; i++) {                   // own isolation taken for the zones'
+            for (int i = 0; i < 3; i++) {
+                // Own isolation taken for the zones'
                 z.of(i).state = z.of(i).state == State.DOUBTED ? State.LEFT : z.of(i).state;
             }
             return true;
--- a/balancer/src/test/java/junctionhead/aggregation/Fleet.java
+++ b/balancer/src/test/java/junctionhead/aggregation/Fleet.java
@@ -7,16 +7,21 @@
 
 /** A fleet of {@link BlockSums} in simulated time, whose datagrams are late, lost or come twice by a seed. */
 final class Fleet {
-    static final long TICK = 50_000;                    // µs between looks
-    private static final long DELAY_MOST = 2_000;       // µs on the way
+    // µs between looks
+    static final long TICK = 50_000;
+    // µs on the way
+    private static final long DELAY_MOST = 2_000;
 
     final Blocks blocks;
     final List<BlockSums> members = new ArrayList<>();
     final int[] rates;
     final boolean[] alive;
-    final long[] skew;                                  // µs that a member's clock is ahead
-    final int[] sent;                                   // datagrams, by member
-    final long[] bytes;                                 // the same
+    // µs that a member's clock is ahead
+    final long[] skew;
+    // Datagrams, by member
+    final int[] sent;
+    // The same
+    final long[] bytes;
     double loss;
     double twice;
     long now = 1_000_000_000_000L;
--- a/balancer/src/test/java/junctionhead/duties/DutiesTest.java
+++ b/balancer/src/test/java/junctionhead/duties/DutiesTest.java
@@ -95,7 +95,8 @@
         int slot = 0;
         int before = fleet.holders(slot)[0];
         Duties.Hold hold = fleet.members[before].hold(fleet.now, slot);
-        fleet.out[before] = true;                           // it runs on, and nobody hears it
+        // It runs on, and nobody hears it
+        fleet.out[before] = true;
         fleet.seen();
         long ended = -1;
         while (fleet.holders(slot).length > 0 && fleet.holders(slot)[0] == before) {
@@ -116,7 +117,8 @@
         fleet.pass(3_000 * MS);
         int before = fleet.holders(0)[0];
         fleet.act(before, fleet.members[before].leave(fleet.now));
-        fleet.out[before] = true;                           // the others' views don't know it yet
+        // The others' views don't know it yet
+        fleet.out[before] = true;
         fleet.pass(50 * MS);
         assertArrayEquals(new int[] {Spread.holder(0, 5, m -> m != before)}, fleet.holders(0));
         assertEquals(List.of(), fleet.members[before].tick(fleet.now));
@@ -131,11 +133,13 @@
         fleet.act(before, fleet.members[before].rest(fleet.now, true));
         fleet.pass(50 * MS);
         assertArrayEquals(new int[] {next}, fleet.holders(0));
-        fleet.pass(20_000 * MS);                            // all hold it present, and nobody waits for it
+        // All hold it present, and nobody waits for it
+        fleet.pass(20_000 * MS);
         assertArrayEquals(new int[] {next}, fleet.holders(0));
         fleet.out[next] = true;
         fleet.seen();
-        fleet.pass(2 * TERMS.lease());                      // the next one dies: it still rests
+        // The next one dies: it still rests
+        fleet.pass(2 * TERMS.lease());
         assertArrayEquals(new int[] {Spread.holder(0, 5, m -> m != before && m != next)}, fleet.holders(0));
         fleet.act(before, fleet.members[before].rest(fleet.now, false));
         fleet.pass(3 * TERMS.settle());
--- a/balancer/src/test/java/junctionhead/membership/MembershipTest.java
+++ b/balancer/src/test/java/junctionhead/membership/MembershipTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class MembershipTest {
-    private static final long START = 1_000;                // ms, incarnation of all
+    // ms, incarnation of all
+    private static final long START = 1_000;
     private static final Timing T = Timing.USUAL;
 
     private final Membership member = new Membership(0, 5, T, START, 0);
@@ -59,7 +60,8 @@
 
     @Test
     void oneWhoDoesNotAnswerIsAskedThroughOthersThenSuspectedThenDead() {
-        answered(6_000_000, -1);                            // nobody is young any longer
+        // Nobody is young any longer
+        answered(6_000_000, -1);
         List<Status> seen = new ArrayList<>();
         boolean helped = false;
         for (long now = 6_000_000; status(3) != Status.DEAD && now < 9_000_000; now += 20_000) {
@@ -92,7 +94,8 @@
         hear(1_000, 1, Kind.TELL, 0, new News(0, Status.ALIVE, START + 500));
         assertEquals(START + 501, member.incarnation());
         hear(2_000, 1, Kind.TELL, 0, new News(0, Status.DEAD, START));
-        assertEquals(START + 501, member.incarnation());    // of a life that is over
+        // Of a life that is over
+        assertEquals(START + 501, member.incarnation());
     }
 
     @Test
@@ -101,7 +104,8 @@
         assertEquals(Status.LEFT, status(2));
         hear(2_000, 1, Kind.TELL, 0, new News(2, Status.ALIVE, START), new News(2, Status.DEAD, START - 1));
         assertEquals(Status.LEFT, status(2));
-        hear(3_000, 2, Kind.PING, 1);                       // a datagram of its, from before it left
+        // A datagram of its, from before it left
+        hear(3_000, 2, Kind.PING, 1);
         assertEquals(Status.LEFT, status(2));
         hear(4_000, 1, Kind.TELL, 0, new News(2, Status.ALIVE, START + 1));
         assertEquals(Status.ALIVE, status(2));
@@ -121,7 +125,8 @@
     @Test
     void whoStoodStillBlamesNobodyForIt() {
         answered(6_000_000, -1);
-        until(6_100_000);                                   // somebody is being asked
+        // Somebody is being asked
+        until(6_100_000);
         long awake = 16_000_000;
         answered(awake, member.tick(awake), -1);
         assertEquals(5, member.view().present());
@@ -140,7 +145,8 @@
         assertEquals(List.of(1, 3, 77),
             List.of(back.to(), back.message().subject(), back.message().number()));
         sent.clear();
-        hear(60_000, 3, Kind.ACK, ping.message().number());     // repeated: passed on once only
+        // Repeated: passed on once only
+        hear(60_000, 3, Kind.ACK, ping.message().number());
         assertEquals(List.of(), sent);
     }
 
--- a/balancer/src/test/java/junctionhead/net/AttemptsTest.java
+++ b/balancer/src/test/java/junctionhead/net/AttemptsTest.java
@@ -72,7 +72,8 @@
             got.answer(200, "", "r1");
             long over = System.nanoTime() + 300_000_000;
             while (System.nanoTime() < over) {
-                Thread.onSpinWait();                // until its time-out is due as well
+                // Until its time-out is due as well
+                Thread.onSpinWait();
             }
             stall.release();
             assertEquals(answerFirst ? 200 : 502, client.status());
--- a/balancer/src/test/java/junctionhead/net/DescriptorsTest.java
+++ b/balancer/src/test/java/junctionhead/net/DescriptorsTest.java
@@ -33,13 +33,15 @@
 
     @Test
     void clientsLeaveAThirdToTheUpstreamsAndMoreWhereTheseHaveMore() {
-        Descriptors descriptors = new Descriptors(198, false);      // 150 sockets
+        // 150 sockets
+        Descriptors descriptors = new Descriptors(198, false);
         assertFalse(descriptors.crowded(100));
         assertTrue(descriptors.crowded(101));
         for (int i = 0; i < 60 + 82; i++) {
             descriptors.opened();
         }
-        assertFalse(descriptors.crowded(82));                       // 60 upstreams' and 8 more
+        // 60 upstreams' and 8 more
+        assertFalse(descriptors.crowded(82));
         descriptors.opened();
         assertTrue(descriptors.crowded(83));
     }
--- a/balancer/src/test/java/junctionhead/net/DiscoveryTest.java
+++ b/balancer/src/test/java/junctionhead/net/DiscoveryTest.java
@@ -80,7 +80,8 @@
             try {
                 watch.raw(HEAD + chunk(text));
             } catch (IOException e) {
-                continue;                           // given up before
+                // Given up before
+                continue;
             }
             String heard = news.poll(2, TimeUnit.SECONDS);
             if (heard != null) {
@@ -111,7 +112,8 @@
         watchFrom(41);
         try (ClosedDoor down = new ClosedDoor()) {
             loop.execute(() -> discovery.move(Targets.address(down.address())));
-            long lost = System.nanoTime() + 1_100_000_000;      // its first packets have been dropped by then
+            // Its first packets have been dropped by then
+            long lost = System.nanoTime() + 1_100_000_000;
             while (System.nanoTime() < lost) {
                 Thread.onSpinWait();
             }
@@ -158,7 +160,8 @@
                 long silent = System.nanoTime();
                 FakeUpstream.Got next = asked.next();
                 while (!next.line().contains("from=42")) {
-                    watch = next;                   // the first was given up while the test was slow
+                    // The first was given up while the test was slow
+                    watch = next;
                     watch.raw(HEAD + chunk(list(42, true, "a") + "\n"));
                     silent = System.nanoTime();
                     next = asked.next();
@@ -168,7 +171,8 @@
                     next = asked.next();
                 }
                 next.reset();
-                asked.next();                       // answered at once, this one would tell it
+                // Answered at once, this one would tell it
+                asked.next();
                 long after = System.nanoTime() - silent;
                 assertTrue(after < 5_900_000_000L, after / 1_000_000 + " ms");
             } finally {
@@ -186,7 +190,8 @@
             try {
                 watch.raw(chunk("\n"));
             } catch (IOException e) {
-                throw new UncheckedIOException(e);  // it has been closed: this task ends
+                // It has been closed: this task ends
+                throw new UncheckedIOException(e);
             }
         }, 0, 500, TimeUnit.MILLISECONDS);
         answers(42, list(43, false, "b") + "\n", "PARTIAL 43 [b]");
@@ -204,7 +209,8 @@
 
     @Test
     void listsMayStandOnManyLinesAndComeInPieces() throws Exception {
-        FakeUpstream.Got watch = answers(41, "  \n", "PARTIAL 41 []");   // nothing has changed so far
+        // Nothing has changed so far
+        FakeUpstream.Got watch = answers(41, "  \n", "PARTIAL 41 []");
         String text = JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(
             JSON.std.mapFrom(list(42, true, "odd } \\\" {")));
         assertTrue(text.lines().count() > 3, text);
@@ -249,7 +255,8 @@
                 assertTrue(watch.closedByPeer());
             }
             moved.raw(HEAD + chunk(list(7, true, "elsewhere") + "\n"));
-            assertEquals("COMPLETE 7 [elsewhere]", heard());    // it counts for itself
+            // It counts for itself
+            assertEquals("COMPLETE 7 [elsewhere]", heard());
         }
     }
 }
--- a/balancer/src/test/java/junctionhead/net/FakeUpstream.java
+++ b/balancer/src/test/java/junctionhead/net/FakeUpstream.java
@@ -101,7 +101,8 @@
             try {
                 work.run();
             } catch (IOException e) {
-                Thread.currentThread().interrupt();     // the socket has ended, and so does its reader
+                // The socket has ended, and so does its reader
+                Thread.currentThread().interrupt();
             }
         });
         thread.setDaemon(true);
@@ -121,11 +122,13 @@
             byte[] body = got.header("Transfer-Encoding") != null ? chunks(in)
                 : in.readNBytes(length == null ? 0 : Integer.parseInt(length));
             if (length != null && body.length < Integer.parseInt(length)) {
-                return;                                 // not a whole request
+                // Not a whole request
+                return;
             }
             requests.add(new Got(head, body, socket, number));
             if (head.contains("watch=1")) {
-                return;                                 // the test reads the rest, if anything
+                // The test reads the rest, if anything
+                return;
             }
         }
     }
--- a/balancer/src/test/java/junctionhead/net/FramingTest.java
+++ b/balancer/src/test/java/junctionhead/net/FramingTest.java
@@ -178,7 +178,8 @@
             assertEquals(length, got.body().length);
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
-            upstream.next().answer(200, "", "inner");       // a request of its own
+            // A request of its own
+            upstream.next().answer(200, "", "inner");
             assertEquals(200, client.status());
         }
     }
--- a/balancer/src/test/java/junctionhead/net/LeavingTest.java
+++ b/balancer/src/test/java/junctionhead/net/LeavingTest.java
@@ -75,7 +75,8 @@
             throws Exception {
         start();
         try (Client first = new Client(at).send(request("r0"))) {
-            serves(first, "r0");                    // a connection rests: nothing is waited for
+            // A connection rests: nothing is waited for
+            serves(first, "r0");
             taken();
             assertEquals("OK closed", module.next());
         }
@@ -115,7 +116,8 @@
         FakeUpstream.Got got = upstream.next();
         Stall stall = new Stall(node.loop());
         got.answer(503, "Srv-Declined: 1\r\n", "");
-        aWhile();                                   // the answer is the first that the loop finds
+        // The answer is the first that the loop finds
+        aWhile();
         gone.close();
         aWhile();
         stall.release();
@@ -137,7 +139,8 @@
             Client gone = new Client(at).send(request("gone"));
             taken();
             for (int i = 0; i < 3; i++) {
-                node.loop().submit(() -> { }).get();    // it has begun to connect
+                // It has begun to connect
+                node.loop().submit(() -> { }).get();
             }
             Stall stall = new Stall(node.loop());
             Socket opened = door.open();
@@ -256,7 +259,8 @@
             });
             sending.start();
             assertEquals("uploading", module.next());
-            sending.join(2_000);                    // the system has taken in what it takes in
+            // The system has taken in what it takes in
+            sending.join(2_000);
             aWhile();
             aWhile();
             Socket opened = door.open();
@@ -274,7 +278,8 @@
             FakeUpstream.chunks(body);
             return true;
         } catch (SocketException | NumberFormatException e) {
-            return false;                           // it was reset, or ended amid a chunk
+            // It was reset, or ended amid a chunk
+            return false;
         } catch (IOException e) {
             assertTrue(e.getMessage().contains("amid"), e.toString());
             return false;
@@ -292,21 +297,25 @@
             default -> "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: flood\r\nReq-Kind: book\r\n"
                 + "Req-Deadline-Ms: 20000\r\nContent-Length: 30000000\r\n\r\n" + "x".repeat(1 << 20);
         };
-        module.server = null;                       // what is taken of them is held
+        // What is taken of them is held
+        module.server = null;
         for (int i = 0; i < 12; i++) {
             Client gone = new Client(at);
             try {
                 gone.send(flood);
             } catch (IOException e) {
-                assertEquals("line", kind);         // turned away before all of it was sent
+                // Turned away before all of it was sent
+                assertEquals("line", kind);
             }
             gone.close();
         }
-        try (Client proper = new Client(at)) {      // amid them
+        try (Client proper = new Client(at)) {
+            // Amid them
             assertEquals(200, proper.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
         }
         String left = "";
-        while (!left.startsWith("0 clients'")) {    // or the test's own time is over
+        while (!left.startsWith("0 clients'")) {
+            // Or the test's own time is over
             left = node.loop().submit(() -> node.clients().toString()).get();
         }
         assertEquals(0, node.loop().submit(() -> node.owed()).get());
--- a/balancer/src/test/java/junctionhead/net/LongBodiesTest.java
+++ b/balancer/src/test/java/junctionhead/net/LongBodiesTest.java
@@ -90,7 +90,8 @@
         byte[] sent = bytes(length);
         try (NodeTest.Client client = new NodeTest.Client(at)) {
             OutputStream out = client.socket.getOutputStream();
-            for (int i = 0; i < 2; i++) {                       // the connection goes on behind it
+            for (int i = 0; i < 2; i++) {
+                // The connection goes on behind it
                 client.send(POST + (chunks ? "Transfer-Encoding: chunked" : "Content-Length: " + length)
                     + "\r\n\r\n");
                 out.write(chunks ? chunked(sent, 1000) : sent);
@@ -166,7 +167,8 @@
                 got.raw(chunked(bytes(80_000), 80_000 + 1).length + "");
                 got.reset();
                 assertEquals("RESET", module.next());
-                return;                                         // nothing had been passed on
+                // Nothing had been passed on
+                return;
             }
             got.raw(bytes(80_000));
             assertEquals("OK closed", module.next());
@@ -207,7 +209,8 @@
             upstream.dropAll();
             assertEquals("CONNECT_FAILED", module.next());
             assertEquals(502, client.status());
-            client.socket.getOutputStream().write(bytes(100_000));  // nobody minds
+            // Nobody minds
+            client.socket.getOutputStream().write(bytes(100_000));
             assertNull(client.answer());
         }
         assertEquals(1, upstream.connections());
--- a/balancer/src/test/java/junctionhead/net/NodeTest.java
+++ b/balancer/src/test/java/junctionhead/net/NodeTest.java
@@ -310,7 +310,8 @@
             assertEquals(200, client.status());
             assertEquals("abc", new String(client.body, StandardCharsets.UTF_8));
         }
-        assertEquals(1, upstream.connections());    // kept and used again
+        // Kept and used again
+        assertEquals(1, upstream.connections());
     }
 
     @ParameterizedTest
@@ -476,7 +477,8 @@
         watch.raw(chunk(first.substring(0, 30)));
         watch.raw(chunk(first.substring(30)));
         assertEquals("COMPLETE [s1=UP]", module.next());
-        watch.raw(chunk("\n"));                     // nothing has changed
+        // Nothing has changed
+        watch.raw(chunk("\n"));
         watch.raw(chunk(list(44, false, "terminating")));
         assertEquals("PARTIAL [s1=DRAINING]", module.next());
         watch.raw(chunk("{not json\n"));
@@ -537,7 +539,8 @@
             discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
             assertEquals("COMPLETE []", module.next());
             String told = null;
-            while (told == null) {                  // until new attempts show that the grace is over
+            while (told == null) {
+                // Until new attempts show that the grace is over
                 clients.add(new Client(at).send(SAFE));
                 told = module.told.poll(100, TimeUnit.MILLISECONDS);
             }
@@ -600,7 +603,8 @@
 
     @Test
     void descriptorsAreKeptFreeByClosingIdleConnectionsFirst() throws IOException, InterruptedException {
-        start(Map.of(), 4);                         // a reserve of two, two for use
+        // A reserve of two, two for use
+        start(Map.of(), 4);
         try (Client client = new Client(at)) {
             client.send(SAFE);
             FakeUpstream.Got got = upstream.next();
@@ -653,7 +657,8 @@
             }
         }
         assertEquals(503, ready);
-        assertNull(idle.answer());                  // dropped at rest
+        // Dropped at rest
+        assertNull(idle.answer());
         got.answer(200, "", "late but whole");
         String head = held.answer();
         assertTrue(head.startsWith("HTTP/1.1 200"), head);
--- a/balancer/src/test/java/junctionhead/net/OperationsTest.java
+++ b/balancer/src/test/java/junctionhead/net/OperationsTest.java
@@ -152,9 +152,11 @@
                 Thread stop = new Thread(node::stop);
                 stop.start();
                 awaitReady(node, false);
-                assertNull(resting.answer());           // the old one has closed what it closes
+                // The old one has closed what it closes
+                assertNull(resting.answer());
                 for (int i = 0; i < 20; i++) {
-                    assertEquals(200, ready(at));       // the old one accepts nothing any more
+                    // The old one accepts nothing any more
+                    assertEquals(200, ready(at));
                 }
                 assertTrue(shared.isOpen());
                 got.answer(200, "", "x");
--- a/balancer/src/test/java/junctionhead/net/RealProcessTest.java
+++ b/balancer/src/test/java/junctionhead/net/RealProcessTest.java
@@ -139,14 +139,16 @@
                 List.of(own, "127.0.0.1:" + peer.getLocalPort()))).at();
             awaitReady(at);
             Map<String, Client> working = new HashMap<>();
-            for (int i = 0; i < 60; i++) {          // each with a connection to the upstream
+            for (int i = 0; i < 60; i++) {
+                // Each with a connection to the upstream
                 working.put("w" + i, new Client(at)
                     .send(NodeTest.SAFE.replace("Req-Id: r1", "Req-Id: w" + i)));
             }
             idle.addAll(working.values());
             TimeUnit.SECONDS.sleep(2);
             List<FakeUpstream.Got> underWay = new ArrayList<>();
-            while (!upstream.isEmpty()) {           // the module may have refused some
+            while (!upstream.isEmpty()) {
+                // The module may have refused some
                 underWay.add(upstream.next());
             }
             assertTrue(underWay.size() >= 30, underWay.size() + " under way");
@@ -160,9 +162,11 @@
             assertTrue(full > LIMIT - 60 && full <= LIMIT, full + " descriptors");
             peer.setSoTimeout(20_000);
             while (!agent.isEmpty()) {
-                agent.next();                       // from before
+                // From before
+                agent.next();
             }
-            for (int i = 0; i < 3; i++) {           // it goes on to ask, and to tell
+            for (int i = 0; i < 3; i++) {
+                // It goes on to ask, and to tell
                 assertTrue(agent.next().line().contains("watch=1"));
                 peer.receive(new DatagramPacket(new byte[256], 256));
             }
--- a/balancer/src/test/java/junctionhead/net/ShutdownTest.java
+++ b/balancer/src/test/java/junctionhead/net/ShutdownTest.java
@@ -43,7 +43,8 @@
             } catch (ConnectException e) {
                 return;
             } catch (SocketException e) {
-                continue;                           // it came in the very instant of the close
+                // It came in the very instant of the close
+                continue;
             }
         }
     }
@@ -62,7 +63,8 @@
         client.send(request("late"));
         stall.release();
         assertEquals(503, client.status());
-        assertNull(client.answer());                // an end, no reset
+        // An end, no reset
+        assertNull(client.answer());
         client.close();
         stop.join();
         assertTrue(module.requests.isEmpty());
--- a/balancer/src/test/java/junctionhead/net/SlowPeersTest.java
+++ b/balancer/src/test/java/junctionhead/net/SlowPeersTest.java
@@ -51,7 +51,8 @@
         start(1024);
         try (Client client = new Client(at)) {
             assertEquals(200, client.send(READY).status());
-            for (int i = 0; i < 2; i++) {           // for longer than a newcomer may be silent
+            for (int i = 0; i < 2; i++) {
+                // For longer than a newcomer may be silent
                 try (Client silent = new Client(at)) {
                     assertNull(silent.answer());
                 }
@@ -74,7 +75,8 @@
         start(1024);
         try (Client first = new Client(at); Client later = new Client(at)) {
             first.send(begun);
-            assertEquals(200, later.send(READY + begun).status());      // in one piece with a whole one
+            // In one piece with a whole one
+            assertEquals(200, later.send(READY + begun).status());
             for (Client client : List.of(first, later)) {
                 String head = client.skipContinue();
                 assertTrue(head.startsWith("HTTP/1.1 408"), head);
@@ -103,7 +105,8 @@
         try (Client client = new Client(at); Client silent = new Client(at)) {
             client.send(NodeTest.SAFE);
             FakeUpstream.Got got = upstream.next();
-            assertNull(silent.answer());            // its time is over
+            // Its time is over
+            assertNull(silent.answer());
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
         }
@@ -127,7 +130,8 @@
                 assertEquals(200, peer.status());
             }
             List<Client> clients = new ArrayList<>();
-            for (int i = 0; i < 8; i++) {           // all at once, each with a connection to the upstream
+            for (int i = 0; i < 8; i++) {
+                // All at once, each with a connection to the upstream
                 staying.add(new Client(at).send(NodeTest.SAFE));
                 clients.add(staying.get(staying.size() - 1));
             }
@@ -184,7 +188,8 @@
             for (Client client : clients.subList(0, 12)) {
                 client.send(READY);
             }
-            TimeUnit.MILLISECONDS.sleep(80);        // for longer than a newcomer may be silent
+            // For longer than a newcomer may be silent
+            TimeUnit.MILLISECONDS.sleep(80);
             stall.release();
             for (Client client : clients.subList(0, 12)) {
                 assertEquals(200, client.status());
@@ -211,7 +216,8 @@
                     still.add(new Client(at));
                     still.get(still.size() - 1).send(j == 0 ? "" : j == 1 ? "GET /" : READY);
                 }
-                TimeUnit.MILLISECONDS.sleep(40);    // the pace of the slow one, over a half-second in all
+                // The pace of the slow one, over a half-second in all
+                TimeUnit.MILLISECONDS.sleep(40);
             }
             upstream.next().answer(200, "", "ok");
             assertEquals(200, slow.status());
--- a/balancer/src/test/java/junctionhead/net/Stall.java
+++ b/balancer/src/test/java/junctionhead/net/Stall.java
@@ -15,7 +15,8 @@
         loop.execute(() -> {
             held.countDown();
             try {
-                released.await(30, TimeUnit.SECONDS);       // a test that fails meanwhile must end, too
+                // A test that fails meanwhile must end, too
+                released.await(30, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/balancer/src/test/java/junctionhead/net/TargetsTest.java
+++ b/balancer/src/test/java/junctionhead/net/TargetsTest.java
@@ -72,7 +72,8 @@
             Targets wanted;
             try {
                 wanted = Targets.of(JSON.std.anyFrom(json.toString()), BOOT);
-            } catch (IOException e) {                       // a name came twice
+            } catch (IOException e) {
+                // A name came twice
                 complaint(json.toString());
                 continue;
             } catch (IllegalArgumentException e) {
--- a/balancer/src/test/java/junctionhead/net/UpstreamsTest.java
+++ b/balancer/src/test/java/junctionhead/net/UpstreamsTest.java
@@ -77,13 +77,16 @@
         answered(b, "b");
         clock.addAndGet(1_000);
         answered(c, "c");
-        FakeUpstream.Got next = sent("d");          // all of them have just been used
+        // All of them have just been used
+        FakeUpstream.Got next = sent("d");
         assertEquals(a.connection(), next.connection());
         clock.addAndGet(9_500);
-        next = sent("e");                           // b has rested for long enough, c has not
+        // B has rested for long enough, c has not
+        next = sent("e");
         assertEquals(b.connection(), next.connection());
         answered(next, "e");
         clock.addAndGet(20_000);
-        assertEquals(b.connection(), sent("f").connection());   // the last that was used: others may close
+        // The last that was used: others may close
+        assertEquals(b.connection(), sent("f").connection());
     }
 }
--- a/balancer/src/test/java/junctionhead/state/CrashDisk.java
+++ b/balancer/src/test/java/junctionhead/state/CrashDisk.java
@@ -20,7 +20,8 @@
     /** A file's content, apart from its name: names change, contents stay. */
     private static final class Content {
         private byte[] bytes = {};
-        private byte[] safe = {};                           // as of its last sync
+        // As of its last sync
+        private byte[] safe = {};
     }
 
     private final Map<String, Content> names = new TreeMap<>();
@@ -69,8 +70,10 @@
         }
         List<byte[]> all = new ArrayList<>(List.of(c.safe, c.bytes));
         for (int cut = SECTOR; cut < c.bytes.length; cut += SECTOR) {
-            all.add(Arrays.copyOf(c.bytes, cut));           // the rest was not written
-            byte[] late = c.bytes.clone();                  // the rest was, and this was not
+            // The rest was not written
+            all.add(Arrays.copyOf(c.bytes, cut));
+            // The rest was, and this was not
+            byte[] late = c.bytes.clone();
             Arrays.fill(late, 0, cut, (byte) 0);
             all.add(late);
         }
--- a/balancer/src/test/java/junctionhead/state/SnapshotsTest.java
+++ b/balancer/src/test/java/junctionhead/state/SnapshotsTest.java
@@ -24,7 +24,8 @@
     private static final String OWNER = "site/n1";
 
     private static byte[] content(int n) {
-        byte[] bytes = new byte[2_600 + n % 50];            // some sectors
+        // Some sectors
+        byte[] bytes = new byte[2_600 + n % 50];
         java.util.Arrays.fill(bytes, (byte) n);
         return bytes;
     }
@@ -38,7 +39,8 @@
     private static final class Explorer {
         private final Keeping keeping;
         private long folders;
-        private int promised;                               // kept, said the program
+        // Kept, said the program
+        private int promised;
         private int begun;
         private String wrong;
 
@@ -98,7 +100,8 @@
             if (!mistake.equals("no sync of the folder")) {
                 disk.syncFolder();
             }
-            if (mistake.equals("written in place")) {       // as if the file were changed where it stands
+            if (mistake.equals("written in place")) {
+                // As if the file were changed where it stands
                 disk.write(name, bytes);
                 disk.syncFolder();
             }
@@ -153,7 +156,8 @@
         Snapshots.Recovered found = later.recover();
         assertEquals(2, found.newest().at());
         assertEquals(List.of("snapshot-3: " + flaw), found.dropped());
-        assertEquals(4, later.keep(4, 2, content(4)));      // never under a name that was used
+        // Never under a name that was used
+        assertEquals(4, later.keep(4, 2, content(4)));
     }
 
     @Test
--- a/lab/src/main/java/junctionhead/lab/SimCommand.java
+++ b/lab/src/main/java/junctionhead/lab/SimCommand.java
@@ -23,7 +23,8 @@
         + "by the "
         + "module, 1 one was broken, 2 wrong use.")
 final class SimCommand implements Callable<Integer> {
-    private static final double FAST = 0.5;                 // the paper's p, where nothing says more
+    // The paper's p, where nothing says more
+    private static final double FAST = 0.5;
 
     @Parameters(paramLabel = "SCENARIO", description = "A scenario file (TOML).")
     private Path file;
--- a/lab/src/main/java/junctionhead/lab/capacity/Alarm.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Alarm.java
@@ -18,7 +18,8 @@
         }
         at = when;
         host.after(Math.max(0, when - host.now()), () -> {
-            if (at == when) {                               // else an earlier one has rung in its place
+            if (at == when) {
+                // Else an earlier one has rung in its place
                 at = Long.MAX_VALUE;
                 ring.run();
             }
--- a/lab/src/main/java/junctionhead/lab/capacity/Capacity.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Capacity.java
@@ -12,8 +12,10 @@
     private static final List<String> WORST = List.of("most", "worst", "last", "unknownPairs",
         "overtakenPairs");
     private static final int SMALL = 3;
-    private static final long SHORT = 4_000_000;            // µs
-    private static final long ENTRY_BYTES = 1_300;          // of heap for an upstream of a balancer, about
+    // µs
+    private static final long SHORT = 4_000_000;
+    // Of heap for an upstream of a balancer, about
+    private static final long ENTRY_BYTES = 1_300;
 
     private final Plan plan;
     private final Drives drives;
--- a/lab/src/main/java/junctionhead/lab/capacity/CapacityRun.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/CapacityRun.java
@@ -10,7 +10,8 @@
 
 /** One call of the command, from its words to its file. */
 public final class CapacityRun {
-    private static final double LATE_MOST = 0.025;          // s, as for runs of real fleets
+    // s, as for runs of real fleets
+    private static final double LATE_MOST = 0.025;
     private static final String JAR = "lab/target/junctionhead-lab.jar";
 
     private CapacityRun() { }
@@ -27,7 +28,8 @@
             Consumer<String> progress) throws IOException {
         Plan plan = Plan.of(options);
         if (out != null) {
-            CapacityReport.prepare(out);                    // before it takes its time
+            // Before it takes its time
+            CapacityReport.prepare(out);
         }
         Capacity.Drives drives = options.sockets
             ? (site, seed) -> new SocketDrive(site, seed, plan.threads(), plan.real()) : SimulatedDrive::new;
--- a/lab/src/main/java/junctionhead/lab/capacity/FanOut.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/FanOut.java
@@ -28,10 +28,12 @@
  */
 final class FanOut implements AutoCloseable {
     private static final int LONGEST = 256;
-    private static final int BUFFER = 4 << 20;              // bytes that the system may hold for a socket
+    // Bytes that the system may hold for a socket
+    private static final int BUFFER = 4 << 20;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final InetSocketAddress[] homes;                // where each listens; known before it is heard
+    // Where each listens; known before it is heard
+    private final InetSocketAddress[] homes;
     private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
     private final Channel[] faces;
     private final Channel everyone;
--- a/lab/src/main/java/junctionhead/lab/capacity/Heap.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Heap.java
@@ -4,7 +4,8 @@
 
 /** What is live on the heap. */
 final class Heap {
-    private static final int COLLECTIONS = 3;               // what the first one frees may free more
+    // What the first one frees may free more
+    private static final int COLLECTIONS = 3;
 
     private Heap() { }
 
--- a/lab/src/main/java/junctionhead/lab/capacity/HollowBalancer.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/HollowBalancer.java
@@ -19,16 +19,19 @@
  * clients or upstreams. One process of it; a restarted one is a new object. Used by one thread.
  */
 final class HollowBalancer implements Policy.Actions {
-    private static final long LIST_AFTER = 5_000;           // µs until an asked list comes
+    // µs until an asked list comes
+    private static final long LIST_AFTER = 5_000;
     private static final long PROBE_TAKES = 2_000;
 
     private final Host host;
     private final Site site;
     private final int rank;
     private final Ledger ledger;
-    private final Policy module;                            // null: none of it
+    // Null: none of it
+    private final Policy module;
     private final Requests requests;
-    private final Membership members;                       // likewise
+    // Likewise
+    private final Membership members;
     private final Duties duties;
     private final Alarm membersAlarm;
     private final Alarm dutiesAlarm;
--- a/lab/src/main/java/junctionhead/lab/capacity/Notices.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Notices.java
@@ -14,7 +14,8 @@
 final class Notices {
     private final Awaited[] deaths;
     private final Awaited[] returns;
-    private final long[] bornAt;                            // of each observer's present process
+    // Of each observer's present process
+    private final long[] bornAt;
     private long overtaken;
     private final Histogram deathTimes = new Histogram(3);
     private final Histogram returnTimes = new Histogram(3);
--- a/lab/src/main/java/junctionhead/lab/capacity/RealBalancers.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/RealBalancers.java
@@ -21,7 +21,8 @@
 /** The last balancers of a fleet on sockets, as processes of the real program; nobody sends them requests. */
 final class RealBalancers implements AutoCloseable {
     private static final long END_S = 5;
-    private static final String LOOP = "nioEventLoop";      // how the system shows the loop's thread
+    // How the system shows the loop's thread
+    private static final String LOOP = "nioEventLoop";
 
     private final List<Process> processes = new ArrayList<>();
     private final Thread atEnd = new Thread(() -> processes.forEach(Process::destroyForcibly),
@@ -144,7 +145,8 @@
                 }
             }
         } catch (IOException e) {
-            return 0;                                       // it has ended, which figures() tells
+            // It has ended, which figures() tells
+            return 0;
         }
         return all;
     }
--- a/lab/src/main/java/junctionhead/lab/capacity/Requests.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Requests.java
@@ -12,7 +12,8 @@
  * that knows no queue. What is wanted is the rate that modules tell of, and the cost of deciding.
  */
 final class Requests {
-    private static final long TIME_LEFT = 1_500_000;        // µs
+    // µs
+    private static final long TIME_LEFT = 1_500_000;
     private static final long SERVICE_LEAST = 10_000;
     private static final long SERVICE_MOST = 30_000;
 
@@ -22,9 +23,11 @@
     private final int classes;
     private final double rate;
     private final SplittableRandom random;
-    private final Map<String, Open> open = new HashMap<>(); // those with attempts that have not ended
+    // Those with attempts that have not ended
+    private final Map<String, Open> open = new HashMap<>();
     private long number;
-    private long next;                                      // µs, when the next one comes
+    // µs, when the next one comes
+    private long next;
 
     private static final class Open {
         private final Set<Integer> running = new TreeSet<>();
--- a/lab/src/main/java/junctionhead/lab/capacity/SimulatedDrive.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/SimulatedDrive.java
@@ -15,20 +15,26 @@
 
 /** Simulated time, one thread: what happens is the same by seed, only what it cost is measured. */
 final class SimulatedDrive implements Drive {
-    private static final long DELAY_LEAST = 1_200;          // µs one way
+    // µs one way
+    private static final long DELAY_LEAST = 1_200;
     private static final long DELAY_MOST = 10_000;
-    private static final long TICK_LATE = 1_000;            // µs that timers come late at most
-    private static final long NEWS_LEAST = 200_000;         // µs until discovery's news come
+    // µs that timers come late at most
+    private static final long TICK_LATE = 1_000;
+    // µs until discovery's news come
+    private static final long NEWS_LEAST = 200_000;
     private static final long NEWS_MOST = 1_500_000;
-    private static final long EPOCH = 1_000_000_000;        // µs of a balancer's clock at time 0
-    private static final long WALL = 1_700_000_000_000L;    // ms of the wall clock then
+    // µs of a balancer's clock at time 0
+    private static final long EPOCH = 1_000_000_000;
+    // ms of the wall clock then
+    private static final long WALL = 1_700_000_000_000L;
 
     private final Site site;
     private final long seed;
     private final UniformRandomProvider random;
     private final PriorityQueue<Entry> queue = new PriorityQueue<>(1 << 14);
     private final Process[] processes;
-    private final boolean[] ran;                            // which balancers had a process before
+    // Which balancers had a process before
+    private final boolean[] ran;
     private final Ledger[] ledgers;
     private final Notices notices;
     private final Histogram listTimes = new Histogram(3);
@@ -168,7 +174,8 @@
     public void news(Supplier<List<Policy.Server>> changes) {
         long from = now;
         if (!site.parts().contains(Part.MODULE)) {
-            return;                                         // nobody has a list
+            // Nobody has a list
+            return;
         }
         for (Process p : processes) {
             if (p != null) {
--- a/lab/src/main/java/junctionhead/lab/capacity/Site.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Site.java
@@ -11,8 +11,10 @@
  * @param rate requests a second that a balancer gets on average; 0: none
  */
 record Site(int balancers, int upstreams, int zones, int classes, double rate, Set<Part> parts) {
-    private static final int CELL = 50;                     // upstreams of a cell
-    private static final int RATES = 5;                     // balancers differ in what they get
+    // Upstreams of a cell
+    private static final int CELL = 50;
+    // Balancers differ in what they get
+    private static final int RATES = 5;
 
     Site {
         parts = Set.copyOf(parts);
--- a/lab/src/main/java/junctionhead/lab/capacity/SocketDrive.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/SocketDrive.java
@@ -33,7 +33,8 @@
  * between. The last balancers of the site may be real processes.
  */
 final class SocketDrive implements Drive {
-    private static final long NEWS_LEAST = 200_000;         // µs until discovery's news come
+    // µs until discovery's news come
+    private static final long NEWS_LEAST = 200_000;
     private static final long NEWS_MOST = 1_500_000;
     private static final int DESCRIPTORS_SPARE = 200;
 
@@ -46,13 +47,15 @@
     private final Histogram lateness = new SynchronizedHistogram(3);
     private final FanOut paths;
     private final List<Seat> seats = new ArrayList<>();
-    private final Map<InetSocketAddress, Integer> faces = new HashMap<>(); // filled before any is started
+    // Filled before any is started
+    private final Map<InetSocketAddress, Integer> faces = new HashMap<>();
     private final Notices notices;
     private final Histogram listTimes = new SynchronizedHistogram(3);
     private final List<Long> threads = new ArrayList<>();
     private final ThreadMXBean bean = ManagementFactory.getThreadMXBean();
     private final SplittableRandom random;
-    private final RealBalancers real;                       // null: none
+    // Null: none
+    private final RealBalancers real;
     private long cpuFrom;
 
     /** One balancer over all its processes: its socket, its thread and its costs. On that thread only. */
@@ -61,7 +64,8 @@
         private final Ledger ledger = new Ledger();
         private final Channel channel;
         private final EventLoop loop;
-        private HollowBalancer balancer;                    // null: none runs
+        // Null: none runs
+        private HollowBalancer balancer;
         private int starts;
 
         Seat(int rank) {
@@ -139,7 +143,8 @@
         }
     }
 
-    private final boolean[] running;                        // as the player of conditions has asked for
+    // As the player of conditions has asked for
+    private final boolean[] running;
 
     /**
      * Opens all sockets and starts the real balancers.
@@ -225,7 +230,8 @@
     @Override
     public void news(Supplier<List<Policy.Server>> changes) {
         if (!site.parts().contains(Part.MODULE)) {
-            return;                                         // nobody has a list
+            // Nobody has a list
+            return;
         }
         long from = now();
         for (Seat seat : seats) {
--- a/lab/src/main/java/junctionhead/lab/capacity/Trial.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Trial.java
@@ -12,8 +12,10 @@
 
 /** One fleet under one condition: started, left to settle, played and measured. */
 final class Trial {
-    private static final long SLICE = 200_000;              // µs between two looks at what modules know
-    private static final long START = 200_000;              // µs in which balancers start, so as not in step
+    // µs between two looks at what modules know
+    private static final long SLICE = 200_000;
+    // µs in which balancers start, so as not in step
+    private static final long START = 200_000;
     private static final List<Kind> TRAFFIC = List.of(Kind.WORD, Kind.MEMBERSHIP, Kind.DUTIES);
 
     private final Site site;
--- a/lab/src/main/java/junctionhead/lab/cold/ColdCount.java
+++ b/lab/src/main/java/junctionhead/lab/cold/ColdCount.java
@@ -10,12 +10,14 @@
  * what it can do at its present warmth; it falls at more than N + 2 √N + 2. Times are µs.
  */
 final class ColdCount {
-    private static final int SLACK = 2;                     // roots of N for chance, and requests more
+    // Roots of N for chance, and requests more
+    private static final int SLACK = 2;
 
     private final double factor;
     private final long window;
     private final List<Got> all = new ArrayList<>();
-    private final Deque<Long> recent = new ArrayDeque<>();  // within the window
+    // Within the window
+    private final Deque<Long> recent = new ArrayDeque<>();
     private Peak peak = new Peak(0, 0, 0, 1);
 
     private record Got(long at, double perSecond) { }
--- a/lab/src/main/java/junctionhead/lab/cold/ColdPlay.java
+++ b/lab/src/main/java/junctionhead/lab/cold/ColdPlay.java
@@ -19,11 +19,14 @@
 public final class ColdPlay {
     private static final int SERVERS = 6;
     private static final int COLD = 2;
-    private static final long START = 6_000_000;            // µs; then some servers start anew
-    private static final long HEARD = 2_000_000;            // until all balancers know it
+    // µs; then some servers start anew
+    private static final long START = 6_000_000;
+    // Until all balancers know it
+    private static final long HEARD = 2_000_000;
     private static final long WINDOW = 3_000_000;
     private static final double FACTOR = 3;
-    private static final double BURST = 4;                  // times what both cold servers are allowed
+    // Times what both cold servers are allowed
+    private static final double BURST = 4;
     private static final long BURST_LENGTH = 1_000_000;
 
     private final Site site;
--- a/lab/src/main/java/junctionhead/lab/cost/Cost.java
+++ b/lab/src/main/java/junctionhead/lab/cost/Cost.java
@@ -31,7 +31,8 @@
     private static final int CHANGES = 100;
     private static final int CHANGE_EVERY_MS = 50;
     private static final int WARM_CHANGES = 20;
-    private static final int AFTER_MS = 2_000;              // a change's work may last
+    // A change's work may last
+    private static final int AFTER_MS = 2_000;
     private static final int DIRECT_MS = 3_000;
     private static final int ZONES = 30;
 
--- a/lab/src/main/java/junctionhead/lab/cost/CostCase.java
+++ b/lab/src/main/java/junctionhead/lab/cost/CostCase.java
@@ -14,7 +14,8 @@
 public record CostCase(int servers, int tenants, int balancers, int rate, int speakers) {
     private static final int ZONES = 30;
     private static final int MODELS = 2;
-    private static final double TENANT_RATE = 4;            // requests a second that each is promised
+    // Requests a second that each is promised
+    private static final double TENANT_RATE = 4;
 
     public CostCase {
         if (servers < 1 || tenants < 0 || balancers < 1 || rate < 0 || speakers < 0
--- a/lab/src/main/java/junctionhead/lab/cost/CostLoad.java
+++ b/lab/src/main/java/junctionhead/lab/cost/CostLoad.java
@@ -25,7 +25,8 @@
     private final IntFunction<String> tenant;
     private final int rate;
     private final Thread thread = new Thread(this::ask, "client");
-    private Histogram times = new Histogram(3);             // µs
+    // µs
+    private Histogram times = new Histogram(3);
     private long failed;
     private volatile boolean over;
 
--- a/lab/src/main/java/junctionhead/lab/cost/CostPeers.java
+++ b/lab/src/main/java/junctionhead/lab/cost/CostPeers.java
@@ -19,7 +19,8 @@
 final class CostPeers implements AutoCloseable {
     // Format 3 of balancers' messages: zone 0, 62 requests a second, three queues of one, nothing else.
     private static final byte[] WORD = {3, 0, 0, 62, 3, 0, 0x10, 1, 0x20, 1, 0x30, 1};
-    private static final int HOSTS = 250;                   // of one /24
+    // Of one /24
+    private static final int HOSTS = 250;
     private static final int MESSAGE_MOST = 1024;
     private static final long SECOND = 1_000_000_000;
 
@@ -87,7 +88,8 @@
                     .send(ByteBuffer.wrap(WORD), to);
             }
         } catch (IOException e) {
-            return;                                         // closed
+            // Closed
+            return;
         }
     }
 
@@ -107,7 +109,8 @@
                 }, 100);
             }
         } catch (IOException e) {
-            return;                                         // closed
+            // Closed
+            return;
         }
     }
 
--- a/lab/src/main/java/junctionhead/lab/cost/CostProcess.java
+++ b/lab/src/main/java/junctionhead/lab/cost/CostProcess.java
@@ -27,7 +27,8 @@
     private static final int MEMORY_MB = 192;
     private static final long READY_S = 60;
     private static final long LOOK_MS = 10;
-    private static final long END_S = 5;                    // after SIGTERM
+    // After SIGTERM
+    private static final long END_S = 5;
     private static final Path JCMD = Path.of(System.getProperty("java.home"), "bin", "jcmd");
     private static final Pattern USED =
         Pattern.compile("(?:new|tenured) generation\\s+total \\d+K, used (\\d+)K");
@@ -41,7 +42,8 @@
     private final Path log;
     private final Path collections;
     private final Path state;
-    private final Map<String, Long> threads = new HashMap<>(); // ns of each, by its number
+    // Ns of each, by its number
+    private final Map<String, Long> threads = new HashMap<>();
 
     /**
      * Starts it in a folder of its own; {@code peers} is null where it has none; {@code own}: variables that
@@ -113,7 +115,8 @@
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         } catch (IOException e) {
-            return "";                                      // not up yet, or busy
+            // Not up yet, or busy
+            return "";
         }
     }
 
@@ -125,7 +128,8 @@
                     threads.put(task.getFileName().toString(),
                         Long.parseLong(Files.readString(task.resolve("schedstat")).split(" ")[0]));
                 } catch (NoSuchFileException e) {
-                    continue;                               // it has ended meanwhile
+                    // It has ended meanwhile
+                    continue;
                 }
             }
         }
--- a/lab/src/main/java/junctionhead/lab/cost/CostStand.java
+++ b/lab/src/main/java/junctionhead/lab/cost/CostStand.java
@@ -38,7 +38,8 @@
  * entries of it lead to, which answers at once. Both live on a loop of their own.
  */
 final class CostStand implements AutoCloseable {
-    private static final long BEAT_S = 2;                   // between empty lines of a watch
+    // Between empty lines of a watch
+    private static final long BEAT_S = 2;
     private static final int REQUEST_MOST = 4 << 10;
 
     private final CostCase size;
@@ -48,7 +49,8 @@
     private final InetSocketAddress upstream;
     private final InetSocketAddress discovery;
     private long rev = 1;
-    private int next;                                       // whose entry changes next
+    // Whose entry changes next
+    private int next;
 
     CostStand(CostCase size, InetAddress at) throws IOException {
         this.size = size;
--- a/lab/src/main/java/junctionhead/lab/explore/DutiesExplorer.java
+++ b/lab/src/main/java/junctionhead/lab/explore/DutiesExplorer.java
@@ -16,13 +16,19 @@
  * the last fault there is a holder again.
  */
 public final class DutiesExplorer implements Search.Model<DutiesExplorer.World> {
-    private static final long STEP = 10_000;                // µs that time moves on by
-    private static final long WALL = 1_000_000;             // ms
-    private static final long APART = 7_200_000_000L;       // µs between members' clocks
-    private static final int[] RATES = {105, 95, 100, 97, 103}; // of clocks, in parts of 100
-    private static final int FLYING_MOST = 9; // messages under way; the oldest beyond it are lost
+    // µs that time moves on by
+    private static final long STEP = 10_000;
+    // ms
+    private static final long WALL = 1_000_000;
+    // µs between members' clocks
+    private static final long APART = 7_200_000_000L;
+    // Of clocks, in parts of 100
+    private static final int[] RATES = {105, 95, 100, 97, 103};
+    // Messages under way; the oldest beyond it are lost
+    private static final int FLYING_MOST = 9;
     private static final int SETTLE_LEASES = 12;
-    private static final int CALM_LEASES = 4; // the last of them, in which nothing changes hands
+    // The last of them, in which nothing changes hands
+    private static final int CALM_LEASES = 4;
 
     private final int members;
     private final Terms terms;
@@ -218,7 +224,8 @@
             h = h * 31 + Arrays.hashCode(w.views[m]) + w.heard[m] * 17 + (w.writing[m] == null ? 0 : 5);
             h = h * 31 + (w.kept.get(m) == null ? 0 : w.kept.get(m).hashCode());
         }
-        long flights = 0;                                   // a set: their order does not matter
+        // A set: their order does not matter
+        long flights = 0;
         for (Flight f : w.flying) {
             long one = (f.from * 31L + f.to) * 31 + f.act * 7 + (f.word == null ? 0 : f.word.hashCode());
             flights += (one ^ one >>> 17) * 0x9e3779b97f4a7c15L;
@@ -338,7 +345,8 @@
         Next crash = new Next(w).fault();
         crash.down = w.down.clone();
         crash.down[m] = true;
-        crash.writing[m] = null;                            // neither synced nor promised
+        // Neither synced nor promised
+        crash.writing[m] = null;
         crash.said[m] = false;
         next.add(crash.done("n" + m + " crashes"));
         Next pause = new Next(w).fault();
@@ -430,7 +438,8 @@
             n.play(m, n.all[m].present(clock(m, w.now), who -> true));
             n.play(m, n.all[m].rest(clock(m, w.now), false));
         }
-        long calm = -1;                                     // the epoch held while it has to stay
+        // The epoch held while it has to stay
+        long calm = -1;
         for (long end = w.now + SETTLE_LEASES * terms.lease(); n.now < end; n.now += STEP) {
             calm = end - n.now > CALM_LEASES * terms.lease() ? n.newest : calm;
             List<Flight> arriving = new ArrayList<>(n.flying);
--- a/lab/src/main/java/junctionhead/lab/explore/MembersExplorer.java
+++ b/lab/src/main/java/junctionhead/lab/explore/MembersExplorer.java
@@ -18,8 +18,10 @@
  * all live members must come to hold each other present and the others not.
  */
 public final class MembersExplorer implements Search.Model<MembersExplorer.World> {
-    private static final long STEP = 20_000;                // µs that time moves on by
-    private static final long CLOCK = 1_000_000;            // ms
+    // µs that time moves on by
+    private static final long STEP = 20_000;
+    // ms
+    private static final long CLOCK = 1_000_000;
     // messages under way; the oldest beyond it are lost
     private static final int FLYING_MOST = 6;
     // µs after the last fault in which views must agree
@@ -78,7 +80,8 @@
             h = h * 1_000_003 + (w.down[m] ? 1 : w.still[m] ? 2 + w.members[m].fingerprint(w.now)
                 : w.members[m].fingerprint(w.now));
         }
-        long flights = 0;                                   // a set: their order does not matter
+        // A set: their order does not matter
+        long flights = 0;
         for (Flight f : w.flying) {
             long one = (f.from * 31L + f.to) * 31 + f.message.hashCode();
             flights += (one ^ one >>> 17) * 0x9e3779b97f4a7c15L;
--- a/lab/src/main/java/junctionhead/lab/explore/Search.java
+++ b/lab/src/main/java/junctionhead/lab/explore/Search.java
@@ -16,7 +16,8 @@
  * @param <W> a state, which knows how it was come to
  */
 final class Search<W extends Search.State<W>> {
-    private static final int FAULT_EACH = 8;                // steps of a walk, as a mean
+    // Steps of a walk, as a mean
+    private static final int FAULT_EACH = 8;
 
     private final Model<W> model;
     private final Set<Long> seen = new HashSet<>();
--- a/lab/src/main/java/junctionhead/lab/explore/SumsExplorer.java
+++ b/lab/src/main/java/junctionhead/lab/explore/SumsExplorer.java
@@ -14,7 +14,8 @@
  * once faults end, all live balancers must come to know the sum of the live ones.
  */
 public final class SumsExplorer implements Search.Model<SumsExplorer.World> {
-    private static final long STEP = 250_000;               // µs that time moves on by
+    // µs that time moves on by
+    private static final long STEP = 250_000;
     private static final long START = 1_000_000_000L;
     // Datagrams under way; the oldest beyond it are lost.
     private static final int FLYING_MOST = 5;
@@ -101,7 +102,8 @@
         for (int m = 0; m < w.all.length; m++) {
             h = h * 1_000_003 + (w.down[m] ? 1 : w.all[m].fingerprint(w.now));
         }
-        long flights = 0;                                   // a set: their order does not matter
+        // A set: their order does not matter
+        long flights = 0;
         for (Flight f : w.flying) {
             long one = (f.from * 31L + f.to) * 31 + Arrays.hashCode(f.data);
             flights += (one ^ one >>> 17) * 0x9e3779b97f4a7c15L;
--- a/lab/src/main/java/junctionhead/lab/fleet/Balancer.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Balancer.java
@@ -19,7 +19,8 @@
  * fleet's thread starts and ends it; a thread for each process reads its log.
  */
 public final class Balancer {
-    private static final long LOG_MOST = 32L << 20;         // bytes kept of a run
+    // Bytes kept of a run
+    private static final long LOG_MOST = 32L << 20;
 
     private final int number;
     private final Path log;
@@ -72,7 +73,8 @@
                 }
             }
         } catch (IOException | UncheckedIOException e) {
-            return;                                         // killed in the midst of a line
+            // Killed in the midst of a line
+            return;
         }
     }
 
