--- a/lab/src/main/java/junctionhead/lab/fleet/Fleet.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Fleet.java
@@ -28,7 +28,8 @@
  */
 public final class Fleet implements AutoCloseable {
     private static final long MEASURE_MS = 250;
-    private static final long END_MS = 3_700;               // from SIGTERM: the longest deadline and 0.7 s
+    // From SIGTERM: the longest deadline and 0.7 s
+    private static final long END_MS = 3_700;
     private static final String STATE_VARIABLE = "TANSYFERRY_STATE_DIR";
 
     private final World world;
--- a/lab/src/main/java/junctionhead/lab/fleet/ProcFigures.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/ProcFigures.java
@@ -7,8 +7,10 @@
 
 /** What the system tells of a process; -1 where it has ended. */
 public record ProcFigures(long cpuMs, long residentKb, int descriptors) {
-    private static final long TICK_MS = 10;                 // Linux counts in hundredths of a second
-    private static final int USER = 11;                     // fields of stat behind the command's name
+    // Linux counts in hundredths of a second
+    private static final long TICK_MS = 10;
+    // Fields of stat behind the command's name
+    private static final int USER = 11;
     private static final int SYSTEM = 12;
 
     /** As it is now. */
@@ -24,7 +26,8 @@
             String[] open = new File(proc.toFile(), "fd").list();
             return new ProcFigures(ticks * TICK_MS, resident, open == null ? -1 : open.length);
         } catch (IOException e) {
-            return new ProcFigures(-1, -1, -1);             // it has ended
+            // It has ended
+            return new ProcFigures(-1, -1, -1);
         }
     }
 }
--- a/lab/src/main/java/junctionhead/lab/fleet/Run.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Run.java
@@ -35,9 +35,12 @@
 /** One run of a scenario with real processes, from the first start to the written result. */
 public final class Run {
     private static final long READY_S = 30;
-    private static final long LEAD = 300_000;               // µs between readiness and the first client
-    private static final long TAIL_S = 90;                  // past its length a run is ended by force
-    private static final double LATE_MOST = 25e3;           // µs, 99th percentile of the lab's own lateness
+    // µs between readiness and the first client
+    private static final long LEAD = 300_000;
+    // Past its length a run is ended by force
+    private static final long TAIL_S = 90;
+    // µs, 99th percentile of the lab's own lateness
+    private static final double LATE_MOST = 25e3;
     private static final int STORIES_MOST = 3;
 
     private final Plan plan;
--- a/lab/src/main/java/junctionhead/lab/fleet/StateDirs.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/StateDirs.java
@@ -85,7 +85,8 @@
         }
         List<Path> all;
         try (Stream<Path> files = Files.walk(from)) {
-            all = files.toList();                           // parents come first
+            // Parents come first
+            all = files.toList();
         }
         for (Path file : all) {
             Files.copy(file, to.resolve(from.relativize(file).toString()),
--- a/lab/src/main/java/junctionhead/lab/measure/Bootstrap.java
+++ b/lab/src/main/java/junctionhead/lab/measure/Bootstrap.java
@@ -13,7 +13,8 @@
 public record Bootstrap(double mean, double low, double high) {
     private static final int DRAWS = 10_000;
     private static final double TAIL = 0.025;
-    private static final long SEED = 1;                     // the same differences give the same interval
+    // The same differences give the same interval
+    private static final long SEED = 1;
 
     /** Of at least one difference; {@code figures} are looked at together. */
     public static Bootstrap of(List<Double> differences, int figures) {
--- a/lab/src/main/java/junctionhead/lab/measure/Windows.java
+++ b/lab/src/main/java/junctionhead/lab/measure/Windows.java
@@ -16,9 +16,12 @@
     /** µs. */
     public static final long WINDOW = 100_000;
 
-    private static final int STEADY = 10;                   // windows in a row that say that service is back
-    private static final double BACK = 0.95;                // of what it was before
-    private static final long LOOK = 5_000_000;             // µs, before and after a fault
+    // Windows in a row that say that service is back
+    private static final int STEADY = 10;
+    // Of what it was before
+    private static final double BACK = 0.95;
+    // µs, before and after a fault
+    private static final long LOOK = 5_000_000;
 
     private final Scenario scenario;
     private final List<Window> windows = new ArrayList<>();
@@ -133,7 +136,8 @@
         boolean gone = false;
         for (int i = index(at); i + STEADY <= windows.size() && (gone || i * WINDOW < at + LOOK); i++) {
             double share = servedShare(i * WINDOW, (i + STEADY) * WINDOW);
-            boolean good = !(share < BACK * before);        // where nobody came nothing is missing
+            // Where nobody came nothing is missing
+            boolean good = !(share < BACK * before);
             if (gone && good) {
                 return Math.max(0, i * WINDOW - at);
             }
--- a/lab/src/main/java/junctionhead/lab/model/ColdBudget.java
+++ b/lab/src/main/java/junctionhead/lab/model/ColdBudget.java
@@ -10,13 +10,15 @@
  * had been told of its start. Times are µs.
  */
 public final class ColdBudget {
-    private static final int SLACK = 3; // roots of N for chance, and as many requests more
+    // Roots of N for chance, and as many requests more
+    private static final int SLACK = 3;
     private static final double TOLD_PART = 2.0 / 3;
 
     private final double factor;
     private final long window;
     private final double mean;
-    private final Deque<Sent> sent = new ArrayDeque<>();    // within the window; as long as the budget allows
+    // Within the window; as long as the budget allows
+    private final Deque<Sent> sent = new ArrayDeque<>();
     private double all;
     private double told;
     private double worst;
--- a/lab/src/main/java/junctionhead/lab/model/Way.java
+++ b/lab/src/main/java/junctionhead/lab/model/Way.java
@@ -11,12 +11,14 @@
  * that several may hold at one time. Times are µs.
  */
 public final class Way {
-    private static final long RETRANSMISSION = 200_000;     // what loss costs a TCP connection
+    // What loss costs a TCP connection
+    private static final long RETRANSMISSION = 200_000;
 
     private final UniformRandomProvider random;
     private final long base;
     private final List<Trouble> troubles = new ArrayList<>(2);
-    private long freeAt;                                    // when a thin way has passed on all it took
+    // When a thin way has passed on all it took
+    private long freeAt;
 
     /** What a fault does to a way; 0 and false leave it as it is. {@code thin}: bytes a second. */
     public record Trouble(boolean cut, double loss, long delay, long spread, double repeat, double reorder,
@@ -65,7 +67,8 @@
 
     /** Whether nothing passes. */
     public boolean cut() {
-        for (Trouble t : troubles) {                        // asked for each attempt: no stream
+        for (Trouble t : troubles) {
+            // Asked for each attempt: no stream
             if (t.cut) {
                 return true;
             }
@@ -79,7 +82,8 @@
 
     /** Whether a datagram is lost. */
     public boolean loses() {
-        for (Trouble t : troubles) {                        // asked for each datagram: no stream
+        for (Trouble t : troubles) {
+            // Asked for each datagram: no stream
             if (t.cut || drawn(t.loss)) {
                 return true;
             }
--- a/lab/src/main/java/junctionhead/lab/plan/Plan.java
+++ b/lab/src/main/java/junctionhead/lab/plan/Plan.java
@@ -22,7 +22,8 @@
  */
 public final class Plan {
     private static final int KEY_LENGTH = 16;
-    private static final double FIRST_PART = 0.1;           // of the rate, at the start of a rise
+    // Of the rate, at the start of a rise
+    private static final double FIRST_PART = 0.1;
 
     private final Scenario scenario;
     private final long seed;
@@ -212,7 +213,8 @@
             sha.update((servers + " " + faults).getBytes(java.nio.charset.StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(sha.digest()).substring(0, KEY_LENGTH);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);         // every Java platform has it
+            // Every Java platform has it
+            throw new IllegalStateException(e);
         }
     }
 }
--- a/lab/src/main/java/junctionhead/lab/plan/Seeds.java
+++ b/lab/src/main/java/junctionhead/lab/plan/Seeds.java
@@ -5,7 +5,8 @@
 
 /** Streams of random numbers that depend on a seed and a purpose, not on what other purposes draw. */
 public final class Seeds {
-    private static final long SPREAD = 0xD1342543DE82EF95L;  // odd, from the LXM generators' multipliers
+    // Odd, from the LXM generators' multipliers
+    private static final long SPREAD = 0xD1342543DE82EF95L;
 
     private Seeds() { }
 
--- a/lab/src/main/java/junctionhead/lab/report/HtmlReport.java
+++ b/lab/src/main/java/junctionhead/lab/report/HtmlReport.java
@@ -33,7 +33,8 @@
     private static final int CURVE_HEIGHT = 320;
     private static final int BAR_HEIGHT = 18;
     private static final float BAR = 8f;
-    private static final int SMOOTH = 5;                    // windows that a point is the mean of
+    // Windows that a point is the mean of
+    private static final int SMOOTH = 5;
 
     private final Result result;
 
--- a/lab/src/main/java/junctionhead/lab/rules/NeverTwo.java
+++ b/lab/src/main/java/junctionhead/lab/rules/NeverTwo.java
@@ -18,7 +18,8 @@
     private final String what;
     private final Pattern takes;
     private final Pattern leaves;
-    private final Map<String, SortedSet<Integer>> holders = new HashMap<>(); // by key
+    // By key
+    private final Map<String, SortedSet<Integer>> holders = new HashMap<>();
     private final List<Breach> found = new ArrayList<>();
     private long taken;
 
@@ -77,6 +78,7 @@
     @Override
     public void end(long at, RuleBook rules, Map<String, Double> figures) {
         found.forEach(b -> rules.breach(b.rule(), b.at(), null, b.what()));
-        figures.put("taken_" + what.replace(' ', '_'), (double) taken); // 0 would prove nothing
+        // 0 would prove nothing
+        figures.put("taken_" + what.replace(' ', '_'), (double) taken);
     }
 }
--- a/lab/src/main/java/junctionhead/lab/rules/RuleBook.java
+++ b/lab/src/main/java/junctionhead/lab/rules/RuleBook.java
@@ -16,19 +16,26 @@
     public static final long LOST_AFTER = 500_000;
 
     private static final long DRAIN_GRACE = 2_500_000;
-    private static final long SLACK = 50_000;               // on sockets, on every time limit
+    // On sockets, on every time limit
+    private static final long SLACK = 50_000;
     private static final int ATTEMPTS_MOST = 4;
-    private static final double CLOSED_MOST = 1 / 200.0;    // of requests, that end with a closed connection
-    private static final int BREACHES_MOST = 100;           // kept; all are counted
+    // Of requests, that end with a closed connection
+    private static final double CLOSED_MOST = 1 / 200.0;
+    // Kept; all are counted
+    private static final int BREACHES_MOST = 100;
 
     private final Scenario scenario;
     private final List<Breach> breaches = new ArrayList<>();
-    private final Map<String, Call> calls = new HashMap<>(); // with stories, of the whole run
+    // With stories, of the whole run
+    private final Map<String, Call> calls = new HashMap<>();
     private final boolean stories;
-    private final List<Map<Integer, Long>> toldOff = new ArrayList<>(); // by balancer: server to time
+    // By balancer: server to time
+    private final List<Map<Integer, Long>> toldOff = new ArrayList<>();
     private final List<Map<Integer, Long>> toldOn = new ArrayList<>();
-    private final long[] notHeardUntil;                     // by balancer: not running, or paused, till then
-    private final List<List<long[]>> excuses = new ArrayList<>(); // by balancer: [from, to]
+    // By balancer: not running, or paused, till then
+    private final long[] notHeardUntil;
+    // By balancer: [from, to]
+    private final List<List<long[]>> excuses = new ArrayList<>();
     private final Consumer<Breach> listener;
     private long broken;
     private long taken;
--- a/lab/src/main/java/junctionhead/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/junctionhead/lab/scenario/ScenarioReader.java
@@ -18,7 +18,8 @@
 
 /** Reads and checks scenario files: what it returns can be played. */
 public final class ScenarioReader {
-    private static final int BALANCERS_MOST = 40;           // real processes
+    // Real processes
+    private static final int BALANCERS_MOST = 40;
     private static final int UPSTREAMS_MOST = 200;
     private static final int SIMULATED_BALANCERS_MOST = 1_600;
     private static final int SIMULATED_UPSTREAMS_MOST = 14_000;
--- a/lab/src/main/java/junctionhead/lab/sim/Baseline.java
+++ b/lab/src/main/java/junctionhead/lab/sim/Baseline.java
@@ -16,8 +16,10 @@
  */
 public final class Baseline implements Policy {
     private static final int ATTEMPTS_MOST = 4;
-    private static final int POLLED = 4;                    // d of the paper
-    private static final int ACCOMPLISHED = 2;              // a of the paper
+    // D of the paper
+    private static final int POLLED = 4;
+    // A of the paper
+    private static final int ACCOMPLISHED = 2;
 
     /** Which rule chooses. */
     public enum Rule { RANDOM, ROUND_ROBIN, TWO_CHOICES, LEAST_QUEUE, JSQ_DAS }
--- a/lab/src/main/java/junctionhead/lab/sim/Cost.java
+++ b/lab/src/main/java/junctionhead/lab/sim/Cost.java
@@ -10,7 +10,8 @@
 /** What this process has used since a mark: for runs whose size the machine must bear. */
 public final class Cost {
     private static final Path STATUS = Path.of("/proc/self/status");
-    private static final String HIGHEST = "VmHWM:";         // kB that were resident at most
+    // kB that were resident at most
+    private static final String HIGHEST = "VmHWM:";
 
     private final long began = System.nanoTime();
     private final long cpuBegan = cpu();
@@ -25,7 +26,8 @@
             return Files.readAllLines(STATUS).stream().filter(line -> line.startsWith(HIGHEST)).findFirst()
                 .map(line -> Long.parseLong(line.replaceAll("\\D", "")) >> 10).orElse(0L);
         } catch (IOException e) {
-            return 0;                                       // no such file outside Linux: unknown
+            // No such file outside Linux: unknown
+            return 0;
         }
     }
 
--- a/lab/src/main/java/junctionhead/lab/sim/PaperExperiment.java
+++ b/lab/src/main/java/junctionhead/lab/sim/PaperExperiment.java
@@ -20,12 +20,14 @@
  */
 public final class PaperExperiment {
     private static final int D = 4;
-    private static final int HALF = 2;                      // a, d_F and d_S
+    // A, d_F and d_S
+    private static final int HALF = 2;
     private static final double FAST_PART = 0.3;
     private static final double FAST = 1.95;
     private static final double SLOW = 0.6;
     private static final double SECOND = 1e6;
-    private static final int WARM_PART = 3;                 // the first third of the jobs is not counted
+    // The first third of the jobs is not counted
+    private static final int WARM_PART = 3;
 
     /** The policies of the paper's Figure 2, and this project's module. */
     public enum Dispatching { JSQ, JSQ_D, SED_D, JSQ_DF_DS, JSQ_DAS, MODULE }
@@ -51,7 +53,8 @@
     private record Job(long came, Runnable done) { }
 
     /** {@code load}: λ of the paper, less than 1. */
-    @SuppressWarnings({"unchecked", "rawtypes"})            // an array of queues
+    // An array of queues
+    @SuppressWarnings({"unchecked", "rawtypes"})
     public PaperExperiment(int servers, double load, int jobs, long seed) {
         this.servers = servers;
         this.fast = (int) Math.round(FAST_PART * servers);
@@ -178,7 +181,8 @@
         int[] places = new int[D];
         System.arraycopy(drawn(0, fast, HALF), 0, places, 0, HALF);
         System.arraycopy(drawn(fast, servers, D - HALF), 0, places, HALF, D - HALF);
-        Arrays.sort(places);                                // the more accomplished first: ties go to them
+        // The more accomplished first: ties go to them
+        Arrays.sort(places);
         int best = ranking[places[0]];
         for (int place : places) {
             best = queues[ranking[place]].size() < queues[best].size() ? ranking[place] : best;
--- a/lab/src/main/java/junctionhead/lab/sim/SimBalancer.java
+++ b/lab/src/main/java/junctionhead/lab/sim/SimBalancer.java
@@ -20,7 +20,8 @@
     // µs before a client's time is over, as in service
     private static final long GUARD = 6_000;
     private static final int ATTEMPTS_MOST = 4;
-    private static final long EPOCH = 1_000_000_000;        // the module's clock at the run's time 0
+    // The module's clock at the run's time 0
+    private static final long EPOCH = 1_000_000_000;
 
     private final int number;
     private final SimFleet fleet;
@@ -259,7 +260,8 @@
                 later(2 * there, () -> end(a, Policy.Outcome.CONNECT_FAILED));
                 return;
             }
-            there *= 3;                                     // a round trip for the connection
+            // A round trip for the connection
+            there *= 3;
         }
         int of = life;
         long began = time.now();
@@ -273,7 +275,8 @@
     private void arrive(Attempt a, boolean fresh, long began) {
         SimServer s = a.server;
         if (a.ended || fleet.silent(number, s)) {
-            return;                                         // its time-out tells
+            // Its time-out tells
+            return;
         }
         long back = fleet.delayTo(number, s, time.now());
         if (!s.alive()) {
--- a/lab/src/main/java/junctionhead/lab/sim/SimClients.java
+++ b/lab/src/main/java/junctionhead/lab/sim/SimClients.java
@@ -15,15 +15,18 @@
 
 /** Clients and fronts in simulated time: who gets which request, who comes again, and when one gives up. */
 final class SimClients {
-    private static final long LATE_SLACK = 70_000;          // µs past its time that an answer still counts
-    private static final long TIME_LEAST = 20_000;          // µs a further try must have
+    // µs past its time that an answer still counts
+    private static final long LATE_SLACK = 70_000;
+    // µs a further try must have
+    private static final long TIME_LEAST = 20_000;
 
     private final Timeline time;
     private final Scenario scenario;
     private final RuleBook rules;
     private final Windows windows;
     private final List<SimBalancer> balancers;
-    private final boolean[] in;                             // whom the front sends clients to
+    // Whom the front sends clients to
+    private final boolean[] in;
     private final long[] refusedSince;
     private final UniformRandomProvider ids;
     private int turn;
@@ -112,7 +115,8 @@
 
     void answered(Call call, int status, long retryAfter) {
         if (call.ended()) {
-            return;                                         // its client has left, and hears nothing
+            // Its client has left, and hears nothing
+            return;
         }
         rules.answered(call, status, true, time.now());
         if (status == 200) {
--- a/lab/src/main/java/junctionhead/lab/sim/SimDuties.java
+++ b/lab/src/main/java/junctionhead/lab/sim/SimDuties.java
@@ -17,8 +17,10 @@
  * soon a duty is passed on, whether two ever hold one, and what it costs.
  */
 public final class SimDuties implements SimMembers.Rider {
-    private static final long SYNC = 5_000;                 // µs that a disk takes
-    private static final long CLOCK = 1_700_000_000_000L;   // ms of the wall clock at time 0
+    // µs that a disk takes
+    private static final long SYNC = 5_000;
+    // ms of the wall clock at time 0
+    private static final long CLOCK = 1_700_000_000_000L;
 
     private final SimMembers fleet;
     private final Timeline time;
@@ -26,7 +28,8 @@
     private final Duties[] duties;
     private final List<List<Promise>> kept = new ArrayList<>();
     private final boolean durable;
-    private final long[] freeSince; // by slot: since its holder's end; -1: held, or never was
+    // By slot: since its holder's end; -1: held, or never was
+    private final long[] freeSince;
     private final int[] holder;
     private final long[] wakeAt;
     private final long seed;
--- a/lab/src/main/java/junctionhead/lab/sim/SimFleet.java
+++ b/lab/src/main/java/junctionhead/lab/sim/SimFleet.java
@@ -25,9 +25,12 @@
  * model, paths' troubles and rules are those of the real runs; what sockets and processors add is missing.
  */
 public final class SimFleet {
-    private static final long CONNECT_TIMEOUT = 150_000;    // µs
-    private static final long START = 1_000_000;            // µs from a process's start until it is ready
-    private static final long TAIL = 5_000_000;             // past the last arrival, for what is open
+    // µs
+    private static final long CONNECT_TIMEOUT = 150_000;
+    // µs from a process's start until it is ready
+    private static final long START = 1_000_000;
+    // Past the last arrival, for what is open
+    private static final long TAIL = 5_000_000;
 
     private final Plan plan;
     private final Scenario scenario;
@@ -40,13 +43,15 @@
     private final Map<String, SimServer> byId = new HashMap<>();
     private final SimPaths paths;
     private final SimClients clients;
-    private final int[][] delivered;                        // by who sends, once it has; by who hears
+    // By who sends, once it has; by who hears
+    private final int[][] delivered;
     private final SimLists lists;
     private final List<SimNews> news = new ArrayList<>();
     private final Map<SimServer, List<OnCrash>> crashes = new HashMap<>();
     private final int[] starts;
     private final Consumer<String> remarks;
-    private ColdWatch watch;                                // null: cold servers fall
+    // Null: cold servers fall
+    private ColdWatch watch;
 
     private record OnCrash(Runnable what, BooleanSupplier over) { }
 
--- a/lab/src/main/java/junctionhead/lab/sim/SimLists.java
+++ b/lab/src/main/java/junctionhead/lab/sim/SimLists.java
@@ -13,8 +13,10 @@
 final class SimLists {
     private final List<Policy.Server> changes = new ArrayList<>();
     private final List<Policy.Server> first;
-    private List<Policy.Server> made;                       // the list last asked for
-    private int madeOf;                                     // changes in it
+    // The list last asked for
+    private List<Policy.Server> made;
+    // Changes in it
+    private int madeOf;
 
     SimLists(List<Policy.Server> first) {
         this.first = List.copyOf(first);
--- a/lab/src/main/java/junctionhead/lab/sim/SimMembers.java
+++ b/lab/src/main/java/junctionhead/lab/sim/SimMembers.java
@@ -21,10 +21,13 @@
  * live one is ever held dead, and what it costs.
  */
 public final class SimMembers {
-    private static final long DELAY_LEAST = 1_200;          // µs one way
+    // µs one way
+    private static final long DELAY_LEAST = 1_200;
     private static final long DELAY_MOST = 10_000;
-    private static final long TICK_LATE = 1_000;            // µs that a loop's timers come late at most
-    private static final long CLOCK = 1_700_000_000_000L;   // ms of the wall clock at time 0
+    // µs that a loop's timers come late at most
+    private static final long TICK_LATE = 1_000;
+    // ms of the wall clock at time 0
+    private static final long CLOCK = 1_700_000_000_000L;
 
     private final Timeline time = new Timeline();
     private final Membership[] members;
@@ -32,14 +35,16 @@
     private final boolean[] down;
     private final long[] bytes;
     private final long[] killedAt;
-    private final BitSet[] knownBy;                         // by member: who knows of its last end
+    // By member: who knows of its last end
+    private final BitSet[] knownBy;
     // incarnations that the present processes began with
     private final long[] born;
     private final double loss;
     private final UniformRandomProvider random;
     private final Histogram known = new Histogram(3);
     private final List<String> wronged = new ArrayList<>();
-    private IntPredicate side = m -> true;                  // of a cut: messages pass within a side only
+    // Of a cut: messages pass within a side only
+    private IntPredicate side = m -> true;
     private long datagrams;
     private Rider rider;
 
@@ -155,7 +160,8 @@
             return;
         }
         if (killedAt[m] >= 0) {
-            if (!knownBy[m].get(by)) {                      // what it held first; incarnations may follow
+            if (!knownBy[m].get(by)) {
+                // What it held first; incarnations may follow
                 knownBy[m].set(by);
                 known.recordValue(time.now() - killedAt[m]);
             }
--- a/lab/src/main/java/junctionhead/lab/sim/SimNews.java
+++ b/lab/src/main/java/junctionhead/lab/sim/SimNews.java
@@ -16,8 +16,10 @@
     private long last;
     private long late;
     private int mute;
-    private int come;                                       // changes that have come to the agent
-    private int heard;                                      // of those, what it has passed on
+    // Changes that have come to the agent
+    private int come;
+    // Of those, what it has passed on
+    private int heard;
 
     /** {@code told} hears each change when the balancer does; {@code delayMs}: least and most. */
     SimNews(Timeline time, UniformRandomProvider random, List<Double> delayMs, SimLists lists,
--- a/lab/src/main/java/junctionhead/lab/sim/SimPaths.java
+++ b/lab/src/main/java/junctionhead/lab/sim/SimPaths.java
@@ -17,19 +17,25 @@
  * fault of paths, and then they are as if all faults had found them there.
  */
 final class SimPaths {
-    private static final int BITS = 32;                     // of a pair's key, for its second half
+    // Of a pair's key, for its second half
+    private static final int BITS = 32;
 
     private final List<Plan.Server> servers;
     private final UniformRandomProvider paths;
     private final UniformRandomProvider mesh;
     private final Scenario.Network network;
-    private final int[][] delays;                           // µs by balancer and server, all being well
-    private final Way plainPeer;                            // between any two balancers, likewise
+    // µs by balancer and server, all being well
+    private final int[][] delays;
+    // Between any two balancers, likewise
+    private final Way plainPeer;
     private final List<Change> ofServers = new ArrayList<>();
     private final List<Change> ofPeers = new ArrayList<>();
-    private final Map<Long, Pair> pairs = new HashMap<>();  // by balancer and server, as far as used
-    private final Map<Long, Way> peers = new HashMap<>();   // by who sends and who hears, as far as used
-    private final List<Plan.Fault> refusals = new ArrayList<>(); // that last
+    // By balancer and server, as far as used
+    private final Map<Long, Pair> pairs = new HashMap<>();
+    // By who sends and who hears, as far as used
+    private final Map<Long, Way> peers = new HashMap<>();
+    // That last
+    private final List<Plan.Fault> refusals = new ArrayList<>();
 
     /** A fault of paths began or ended. */
     private record Change(Plan.Fault fault, Way.Trouble trouble, boolean on) { }
--- a/lab/src/main/java/junctionhead/lab/sim/SimServer.java
+++ b/lab/src/main/java/junctionhead/lab/sim/SimServer.java
@@ -121,7 +121,8 @@
 
     private void end(long planned) {
         if (planned != nextAt) {
-            return;                                         // what it was planned for was cancelled
+            // What it was planned for was cancelled
+            return;
         }
         nextAt = Long.MAX_VALUE;
         for (Job job = model.ended(time.now()); job != null; job = model.ended(time.now())) {
--- a/lab/src/main/java/junctionhead/lab/stand/Agent.java
+++ b/lab/src/main/java/junctionhead/lab/stand/Agent.java
@@ -32,7 +32,8 @@
  * come. What it has been told comes late, by the scenario; what it has, it answers at once.
  */
 public final class Agent {
-    private static final long BEAT = 2_000_000;             // µs between empty lines of a watch
+    // µs between empty lines of a watch
+    private static final long BEAT = 2_000_000;
     private static final int REQUEST_MOST = 4 << 10;
 
     private final World world;
@@ -40,7 +41,8 @@
     private final UniformRandomProvider random;
     private final Function<Listing, Map<String, Object>> entry;
     private final Map<Integer, Listing> list = new LinkedHashMap<>();
-    private final List<Listing> changes = new ArrayList<>(); // change i has revision FIRST + i + 1
+    // Change i has revision FIRST + i + 1
+    private final List<Listing> changes = new ArrayList<>();
     private final List<Listing> withheld = new ArrayList<>();
     private final Set<Conversation> conversations = new LinkedHashSet<>();
     private Gate gate;
@@ -156,8 +158,10 @@
     /** One connection: whole lists on demand, or a watch from then on. */
     private final class Conversation extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final SocketChannel channel;
-        private String asked;                               // not answered yet, or null
-        private long sent = -1;                             // of a watch: the last revision written
+        // Not answered yet, or null
+        private String asked;
+        // Of a watch: the last revision written
+        private long sent = -1;
 
         Conversation(SocketChannel channel) {
             this.channel = channel;
--- a/lab/src/main/java/junctionhead/lab/stand/Clients.java
+++ b/lab/src/main/java/junctionhead/lab/stand/Clients.java
@@ -35,10 +35,13 @@
  * connection carries one request at a time, stays open, and goes to one balancer, which the front chooses.
  */
 public final class Clients {
-    private static final long TIME_LEAST = 20_000;          // µs a further try must have
-    private static final long LATE_SLACK = 70_000;          // µs past its time that an answer still counts
+    // µs a further try must have
+    private static final long TIME_LEAST = 20_000;
+    // µs past its time that an answer still counts
+    private static final long LATE_SLACK = 70_000;
     private static final int CONNECT_MS = 1_000;
-    private static final int PART = 3;                      // of a balancer's descriptors that clients hold
+    // Of a balancer's descriptors that clients hold
+    private static final int PART = 3;
     private static final int ANSWER_MOST = 1 << 20;
 
     private final World world;
@@ -134,7 +137,8 @@
     private final class Pool {
         private final int balancer;
         private final Deque<Line> idle = new ArrayDeque<>();
-        private final Deque<Call> waiting = new ArrayDeque<>(); // for room; each ends by its time
+        // For room; each ends by its time
+        private final Deque<Call> waiting = new ArrayDeque<>();
         private int count;
 
         Pool(int balancer) {
@@ -202,10 +206,12 @@
         private final Pool pool;
         private Channel channel;
         private boolean used;
-        private boolean fresh = true;                       // nothing was answered on it yet
+        // Nothing was answered on it yet
+        private boolean fresh = true;
         private Call call;
         private ScheduledFuture<?> timer;
-        private boolean begun;                              // bytes of an answer to the call have come
+        // Bytes of an answer to the call have come
+        private boolean begun;
         private final ChannelInboundHandlerAdapter first = new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext context, Object bytes) {
--- a/lab/src/main/java/junctionhead/lab/stand/Director.java
+++ b/lab/src/main/java/junctionhead/lab/stand/Director.java
@@ -44,7 +44,8 @@
             case STALE -> agents(f, a -> a.stale(on));
             case SILENT -> agents(f, a -> a.silent(on));
             case DENY -> agents(f, a -> a.deny(on));
-            case KILL, TERM, PAUSE -> { }                   // the fleet's
+            // The fleet's
+            case KILL, TERM, PAUSE -> { }
         }
     }
 
--- a/lab/src/main/java/junctionhead/lab/stand/Front.java
+++ b/lab/src/main/java/junctionhead/lab/stand/Front.java
@@ -23,7 +23,8 @@
  */
 public final class Front {
     private static final int ASK_MS = 100;
-    private static final int RARELY = 5;                    // one that is in is asked each fifth time
+    // One that is in is asked each fifth time
+    private static final int RARELY = 5;
     private static final int ANSWER_MOST = 64 << 10;
 
     private final World world;
@@ -95,7 +96,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            context.close();                                // slow to answer is not a no
+            // Slow to answer is not a no
+            context.close();
         }
     }
 
--- a/lab/src/main/java/junctionhead/lab/stand/Gate.java
+++ b/lab/src/main/java/junctionhead/lab/stand/Gate.java
@@ -98,7 +98,8 @@
             } else if (state == State.SILENT && silent == null) {
                 silent = ServerSocketChannel.open().setOption(StandardSocketOptions.SO_REUSEADDR, true)
                     .bind(address, 1);
-                for (int i = 0; i < 2; i++) {               // the system takes one more than the backlog
+                for (int i = 0; i < 2; i++) {
+                    // The system takes one more than the backlog
                     java.nio.channels.SocketChannel filler = java.nio.channels.SocketChannel.open();
                     filler.configureBlocking(false);
                     filler.connect(address);
--- a/lab/src/main/java/junctionhead/lab/stand/Mesh.java
+++ b/lab/src/main/java/junctionhead/lab/stand/Mesh.java
@@ -24,15 +24,19 @@
  */
 public final class Mesh {
     private static final int LONGEST = 256;
-    private static final long WAIT_MOST = 500_000;          // µs that a thin path holds datagrams back
+    // µs that a thin path holds datagrams back
+    private static final long WAIT_MOST = 500_000;
 
     private final World world;
     private final Addresses addresses;
     private final int count;
-    private final InetSocketAddress[] homes;                // where each balancer listens
-    private final Channel[][] sockets;                      // [i][j]: j, as i sees it
+    // Where each balancer listens
+    private final InetSocketAddress[] homes;
+    // [i][j]: j, as i sees it
+    private final Channel[][] sockets;
     private final Channel[] everyone;
-    private final Way[][] ways;                             // [i][j]: from i to j
+    // [i][j]: from i to j
+    private final Way[][] ways;
     private final long[] sent;
     private final long[] bytes;
     private final long[][] delivered;
--- a/lab/src/main/java/junctionhead/lab/stand/PathHandler.java
+++ b/lab/src/main/java/junctionhead/lab/stand/PathHandler.java
@@ -13,7 +13,8 @@
 
 /** Next to the socket of a stand-in: lets bytes pass as the path does now, in order, and never loses any. */
 final class PathHandler extends ChannelDuplexHandler {
-    private static final int HELD_MOST = 256 << 10;         // bytes; past that nothing more is read
+    // Bytes; past that nothing more is read
+    private static final int HELD_MOST = 256 << 10;
 
     private final World world;
     private final Path path;
@@ -129,7 +130,8 @@
     @Override
     public void channelInactive(ChannelHandlerContext ignored) {
         path.connections().remove(this);
-        while (!in.waiting.isEmpty()) {                     // what came before the end comes before it here
+        while (!in.waiting.isEmpty()) {
+            // What came before the end comes before it here
             in.pass(in.waiting.poll().bytes, null);
         }
         out.drop();
--- a/lab/src/main/java/junctionhead/lab/stand/Stage.java
+++ b/lab/src/main/java/junctionhead/lab/stand/Stage.java
@@ -17,7 +17,8 @@
     private final World world;
     private final Addresses addresses = new Addresses();
     private final InetSocketAddress[] balancers;
-    private final List<List<Path>> paths = new ArrayList<>();   // by server, by balancer
+    // By server, by balancer
+    private final List<List<Path>> paths = new ArrayList<>();
     private final List<ServerStand> servers = new ArrayList<>();
     private final List<Agent> agents = new ArrayList<>();
     private final Mesh mesh;
--- a/lab/src/main/java/junctionhead/lab/stand/Told.java
+++ b/lab/src/main/java/junctionhead/lab/stand/Told.java
@@ -9,7 +9,8 @@
 
 /** What a balancer is told at its start, in the platform's words. */
 public final class Told {
-    private static final double CROSS_ZONE = 0.015;         // points of the goal, as the site has them
+    // Points of the goal, as the site has them
+    private static final double CROSS_ZONE = 0.015;
     private static final double PEER = 0.03;
 
     private Told() { }
--- a/lab/src/main/java/junctionhead/lab/stand/World.java
+++ b/lab/src/main/java/junctionhead/lab/stand/World.java
@@ -14,7 +14,8 @@
  * changes is changed on this loop, so that no order of events depends on locks.
  */
 public final class World implements AutoCloseable {
-    private static final long BEAT = 5_000;                 // µs between two looks at how late the loop is
+    // µs between two looks at how late the loop is
+    private static final long BEAT = 5_000;
 
     // ns: until the run's begin is known its time is this far away, so that all before it is negative.
     private static final long BEFORE = 3_600_000_000_000L;
--- a/lab/src/test/java/junctionhead/lab/capacity/MembershipWorkTest.java
+++ b/lab/src/test/java/junctionhead/lab/capacity/MembershipWorkTest.java
@@ -11,8 +11,10 @@
 /** Counted work of membership at growing sizes, while nothing happens: the same for any number of members. */
 class MembershipWorkTest {
     private static final int[] SIZES = {50, 100, 200, 400};
-    private static final double SLOPE_MOST = 1.05;          // of the largest to the smallest; counted: 1.00
-    private static final double BYTES_MOST = 420;           // a second and member; counted: 394
+    // Of the largest to the smallest; counted: 1.00
+    private static final double SLOPE_MOST = 1.05;
+    // A second and member; counted: 394
+    private static final double BYTES_MOST = 420;
 
     @Test
     void costsTheSameWhateverTheNumberOfMembers() throws IOException {
--- a/lab/src/test/java/junctionhead/lab/capacity/NoticesTest.java
+++ b/lab/src/test/java/junctionhead/lab/capacity/NoticesTest.java
@@ -32,8 +32,10 @@
         notices.blind(2);
         notices.born(2, 200);
         notices.back(0, 300, 9, by -> true);
-        assertEquals(1, notices.overtaken());               // 3 did not know yet
-        notices.seen(1, new News(0, Status.ALIVE, 8), 310); // of its earlier life
+        // 3 did not know yet
+        assertEquals(1, notices.overtaken());
+        // Of its earlier life
+        notices.seen(1, new News(0, Status.ALIVE, 8), 310);
         assertEquals(1, notices.returnsUnknown());
         notices.seen(1, new News(0, Status.ALIVE, 9), 400);
         notices.seen(2, new News(0, Status.ALIVE, 9), 400);
--- a/lab/src/test/java/junctionhead/lab/capacity/WordWorkTest.java
+++ b/lab/src/test/java/junctionhead/lab/capacity/WordWorkTest.java
@@ -15,9 +15,12 @@
  * each: a fan-out path has to carry it.
  */
 class WordWorkTest {
-    private static final double DATAGRAMS_MOST = 64;        // a second and balancer
-    private static final double BYTES_MOST = 3_000;         // for control as a whole
-    private static final double SLOPE_MOST = 1.2;           // of 400 balancers to 200, in datagrams
+    // A second and balancer
+    private static final double DATAGRAMS_MOST = 64;
+    // For control as a whole
+    private static final double BYTES_MOST = 3_000;
+    // Of 400 balancers to 200, in datagrams
+    private static final double SLOPE_MOST = 1.2;
     // For each balancer more: a block of 16 has a record of 5 bytes, told on both ways. All to all has 5.9.
     private static final double BYTES_EACH_MOST = 0.7;
     private static final Map<Integer, Map<String, Double>> PLAYED = new TreeMap<>();
--- a/lab/src/test/java/junctionhead/lab/cold/ColdCountTest.java
+++ b/lab/src/test/java/junctionhead/lab/cold/ColdCountTest.java
@@ -19,7 +19,8 @@
         assertEquals(36, count.peak().budget(), 1e-9);
         assertEquals(50, count.peak().bound(), 1e-9);
         assertFalse(count.peak().over());
-        count.got(5_499_999, 4);                            // the first was 3 s ago, less 1 µs
+        // The first was 3 s ago, less 1 µs
+        count.got(5_499_999, 4);
         assertTrue(count.peak().over());
     }
 
@@ -36,10 +37,12 @@
     void itsFullestWindowIsTheOneNearestItsBound() {
         ColdCount count = new ColdCount(3, 3_000_000);
         for (int i = 0; i < 8; i++) {
-            count.got(i, 0.5);                              // N = 4.5: it bears 10.7
+            // N = 4.5: it bears 10.7
+            count.got(i, 0.5);
         }
         for (int i = 0; i < 30; i++) {
-            count.got(10_000_000 + i, 10);                  // N = 90: it bears 111
+            // N = 90: it bears 111
+            count.got(10_000_000 + i, 10);
         }
         assertEquals(8, count.peak().got());
         assertEquals(7, count.peak().at());
@@ -49,7 +52,8 @@
     void whatWasUsedIsAPartOfTheBudgetOfThatTime() {
         ColdCount count = new ColdCount(3, 3_000_000);
         for (int i = 0; i < 60; i++) {
-            count.got(i * 100_000L, 5);                     // 10 of 15 a second
+            // 10 of 15 a second
+            count.got(i * 100_000L, 5);
         }
         assertEquals(2.0 / 3, count.used(0, 6_000_000), 1e-9);
         assertEquals(0, count.used(7_000_000, 9_000_000));
--- a/lab/src/test/java/junctionhead/lab/cold/ColdPlayTest.java
+++ b/lab/src/test/java/junctionhead/lab/cold/ColdPlayTest.java
@@ -10,7 +10,8 @@
 
 /** Cold servers under the sum of all balancers, however many these are and whatever they hear. */
 class ColdPlayTest {
-    private static final double LEAST_USED = 1.0 / 9;       // of N: a third of what the server can do
+    // Of N: a third of what the server can do
+    private static final double LEAST_USED = 1.0 / 9;
 
     private static ColdPlay of(int balancers, double load, double loss) {
         return new ColdPlay(new ColdPlay.Site(balancers, 4, load, loss), Balance::new, 1);
--- a/lab/src/test/java/junctionhead/lab/fleet/RunTest.java
+++ b/lab/src/test/java/junctionhead/lab/fleet/RunTest.java
@@ -63,7 +63,8 @@
         assertEquals(List.of(), result.breaches(), String.join("\n", said));
         assertEquals(List.of(1, 1, 2), result.balancers().stream().map(b -> b.lives().size()).toList());
         assertTrue(result.balancers().stream().flatMap(b -> b.lives().stream()).allMatch(l -> l[1] > l[0]));
-        assertTrue(result.figures().get("served_share") > 0.2, result.figures().toString()); // on any machine
+        // On any machine
+        assertTrue(result.figures().get("served_share") > 0.2, result.figures().toString());
         assertTrue(result.balancers().stream().allMatch(b -> b.datagrams() > 0 && b.listCalls() > 0));
         // Its end was known to both others, if it was to be known before it was back.
         assertTrue(result.figures().get("members_noticed_p99_s") <= 7, result.figures().toString());
--- a/lab/src/test/java/junctionhead/lab/measure/WindowsTest.java
+++ b/lab/src/test/java/junctionhead/lab/measure/WindowsTest.java
@@ -56,7 +56,8 @@
     void serviceIsBackWhenItHasBeenForASecond() {
         serve(0, 8_000_000, Order.End.SERVED);
         serve(8_000_000, 10_000_000, Order.End.FAILED);
-        serve(10_000_000, 10_500_000, Order.End.SERVED);    // half a second is not enough
+        // Half a second is not enough
+        serve(10_000_000, 10_500_000, Order.End.SERVED);
         serve(10_500_000, 11_000_000, Order.End.FAILED);
         serve(11_000_000, 20_000_000, Order.End.SERVED);
         assertEquals(3_000_000, windows.backAfter(8_000_000));
--- a/lab/src/test/java/junctionhead/lab/model/ServerModelTest.java
+++ b/lab/src/test/java/junctionhead/lab/model/ServerModelTest.java
@@ -22,7 +22,8 @@
         assertTrue(server.arrive(0, first));
         assertTrue(server.arrive(0, second));
         assertFalse(server.arrive(0, job(10_000, 3)));
-        assertEquals(5_000, server.nextEnd());              // twice as fast as a core of speed 1
+        // Twice as fast as a core of speed 1
+        assertEquals(5_000, server.nextEnd());
         assertNull(server.ended(4_999));
         assertSame(first, server.ended(5_000));
         assertEquals(10_000, server.nextEnd());
@@ -85,7 +86,8 @@
     /** As many as the operators' page allows, and one more. */
     @Test
     void chanceIsAllowedForByTheRootOfTheBudget() {
-        int allowed = 25;                                   // 1 s of work, of 40 ms each
+        // 1 s of work, of 40 ms each
+        int allowed = 25;
         ColdBudget budget = new ColdBudget(2, 1_000_000, 40_000);
         for (int i = 0; i < allowed + 3 * 5 + 3; i++) {
             assertFalse(budget.sent(i, 40_000, 0.5, true), "request " + i);
--- a/lab/src/test/java/junctionhead/lab/plan/PlanTest.java
+++ b/lab/src/test/java/junctionhead/lab/plan/PlanTest.java
@@ -46,7 +46,8 @@
     @Test
     void arrivalsFollowTheLoad() {
         Plan plan = Plan.of(SCENARIO, 7);
-        assertEquals(4_000, plan.arrivals().size(), 250);   // four standard deviations
+        // Four standard deviations
+        assertEquals(4_000, plan.arrivals().size(), 250);
         long first = plan.arrivals().stream().filter(a -> a.zone() == 0).count();
         assertEquals(0.75, (double) first / plan.arrivals().size(), 0.03);
         assertTrue(plan.arrivals().stream().allMatch(a -> a.at() >= 0 && a.at() < 20_000_000));
--- a/lab/src/test/java/junctionhead/lab/rules/PropertiesTest.java
+++ b/lab/src/test/java/junctionhead/lab/rules/PropertiesTest.java
@@ -37,7 +37,8 @@
         ActsInOrder acts = new ActsInOrder(3);
         acts.line(0, 9 * S, act(5, 1 * S));
         acts.line(1, 4 * S, act(6, 3 * S));
-        acts.line(0, 9 * S, act(5, 2 * S));                 // read late, done in time
+        // Read late, done in time
+        acts.line(0, 9 * S, act(5, 2 * S));
         assertEquals(List.of(), end(acts));
         assertEquals(1.0, figures.get("duties_passed_on"));
         acts.line(0, 9 * S, act(5, 4 * S));
@@ -70,7 +71,8 @@
         for (int b = 0; b < 9; b++) {
             leave(zone, b, 6 * S, 2);
         }
-        leave(zone, 3, 9 * S, 2);                           // once more, later
+        // Once more, later
+        leave(zone, 3, 9 * S, 2);
         assertEquals(List.of(), end(zone));
         assertEquals(1.0, figures.get("zone_left_most_s"));
         ZoneLeft late = new ZoneLeft(10, 2, 5 * S, S);
--- a/lab/src/test/java/junctionhead/lab/rules/RuleBookTest.java
+++ b/lab/src/test/java/junctionhead/lab/rules/RuleBookTest.java
@@ -119,10 +119,13 @@
     void nothingNewGoesToADrainingServerAfterItsGrace(long after, boolean breach) {
         taken(SAFE);
         rules.told(0, 3, false, 1_000_000);
-        rules.told(0, 3, false, 3_000_000);                 // told again: the first time counts
-        rules.attempt("r1", 1, 3, 9_000_000, 9_000_000);    // another balancer, not told
+        // Told again: the first time counts
+        rules.told(0, 3, false, 3_000_000);
+        // Another balancer, not told
+        rules.attempt("r1", 1, 3, 9_000_000, 9_000_000);
         long began = 1_000_000 + after * 1000;
-        rules.attempt("r1", 0, 3, began, began + 100_000);  // its first byte counts
+        // Its first byte counts
+        rules.attempt("r1", 0, 3, began, began + 100_000);
         finds(breach ? new String[] {"drain"} : new String[0]);
     }
 
--- a/lab/src/test/java/junctionhead/lab/sim/SimDutiesTest.java
+++ b/lab/src/test/java/junctionhead/lab/sim/SimDutiesTest.java
@@ -39,7 +39,8 @@
             fleet.play(8_000_000);
             long before = fleet.bytes();
             fleet.play(5_000_000);
-            paid[i] = (fleet.bytes() - before) / 5.0;       // of all members
+            // Of all members
+            paid[i] = (fleet.bytes() - before) / 5.0;
         }
         assertTrue(paid[1] < 1.5 * paid[0] && paid[0] > 0, paid[0] + " and " + paid[1] + " bytes a second");
     }
--- a/lab/src/test/java/junctionhead/lab/sim/TimelineTest.java
+++ b/lab/src/test/java/junctionhead/lab/sim/TimelineTest.java
@@ -23,7 +23,8 @@
         List<Long> got = new ArrayList<>();
         List<Long> wanted = new ArrayList<>();
         for (long number = 0; number < 50_000; number++) {
-            long at = random.nextInt(500);                  // many at one time
+            // Many at one time
+            long at = random.nextInt(500);
             long mine = number;
             queue.add(at, number, () -> got.add(mine));
             plain.add(new Entry(at, number));
--- a/lab/src/test/java/junctionhead/lab/stand/FaultsTest.java
+++ b/lab/src/test/java/junctionhead/lab/stand/FaultsTest.java
@@ -34,7 +34,8 @@
 /** Each kind of fault is seen to happen, on the path or party that it names and on no other. */
 @Timeout(60)
 class FaultsTest {
-    private static final int SHORT_MS = 400;                // nothing comes within it
+    // Nothing comes within it
+    private static final int SHORT_MS = 400;
 
     private World world;
     private Stage stage;
@@ -136,11 +137,13 @@
         assertEquals(200, ask(held, 0));
         set(true);
         assertThrows(SocketTimeoutException.class, () -> ask(held, 0));
-        await().until(() -> assertThrowsTimeout(0, 0));     // the way in is shut just after the way through
+        // The way in is shut just after the way through
+        await().until(() -> assertThrowsTimeout(0, 0));
         assertEquals(200, ask(0, 1));
         assertEquals(200, ask(1, 0));
         set(false);
-        assertEquals(200, status(held));                    // nothing was lost
+        // Nothing was lost
+        assertEquals(200, status(held));
         back(0, 0);
     }
 
@@ -160,7 +163,8 @@
         assertEquals(200, ask(held, 0));
         set(true);
         assertThrows(SocketTimeoutException.class, () -> ask(held, 0));
-        assertEquals(1, world.rules().call("r1").runs().size());    // it came, and its answer did not
+        // It came, and its answer did not
+        assertEquals(1, world.rules().call("r1").runs().size());
         set(false);
         assertEquals(200, status(held));
     }
