--- a/balancer/src/main/java/junctionhead/Adapter.java
+++ b/balancer/src/main/java/junctionhead/Adapter.java
@@ -10,7 +10,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts many instances of the module and translates between them and the wire. It decides nothing. */
+/**
+ * Hosts many instances of the module and translates between them and the wire. It decides nothing.
+ */
 final class Adapter {
     private static final int BUFFERS = 16;
     private static final String WAKE = "wake";
@@ -20,7 +22,7 @@
         Policy make(Policy.Settings settings, long seed);
     }
 
-    private record Instance(String name, Policy policy, SettingsReader.Boot boot) { }
+    private record Instance(String name, Policy policy, SettingsReader.Boot boot) {}
 
     private final Factory factory;
     private final BufferedReader in;
@@ -72,7 +74,8 @@
         while (true) {
             Frame frame = next();
             if (frame == null) {
-                throw new WireException("line " + line + ": GO: field GO: the input ends within a batch");
+                throw new WireException(
+                        "line " + line + ": GO: field GO: the input ends within a batch");
             }
             switch (frame.name()) {
                 case "GO" -> {
@@ -87,7 +90,8 @@
                     SettingsReader.Boot boot = WireSettings.read(frame, 2);
                     String name = named(frame, at);
                     reply.instance(name);
-                    instances.put(name, new Instance(name, factory.make(boot.settings(), seed), boot));
+                    instances.put(
+                            name, new Instance(name, factory.make(boot.settings(), seed), boot));
                 }
                 case "EXIT" -> {
                     frame.expect();
@@ -117,13 +121,15 @@
         switch (f.name()) {
             case "SYNC" -> {
                 f.expect("How", "SeqNo", "Buffer");
-                Policy.ListKind kind = switch (f.text(1, "How")) {
-                    case "Persisted" -> Policy.ListKind.PERSISTED;
-                    case "Complete" -> Policy.ListKind.COMPLETE;
-                    case "Partial" -> Policy.ListKind.PARTIAL;
-                    case "Error" -> Policy.ListKind.FAILED;
-                    default -> throw f.bad("How", "unknown word: '" + f.raw(1, "How") + "'");
-                };
+                Policy.ListKind kind =
+                        switch (f.text(1, "How")) {
+                            case "Persisted" -> Policy.ListKind.PERSISTED;
+                            case "Complete" -> Policy.ListKind.COMPLETE;
+                            case "Partial" -> Policy.ListKind.PARTIAL;
+                            case "Error" -> Policy.ListKind.FAILED;
+                            default ->
+                                    throw f.bad("How", "unknown word: '" + f.raw(1, "How") + "'");
+                        };
                 f.number(2, "SeqNo", 0);
                 List<Policy.Server> list = List.of();
                 if (kind != Policy.ListKind.FAILED) {
@@ -138,11 +144,18 @@
                 f.expect("Req", "Priority", "Account", "NameKey", "Ttl", "Hint", "Options");
                 Policy.Settings settings = instance.boot.settings();
                 long options = f.number(7, "Options", 0);
-                policy.request(now, f.text(1, "Req"), f.index(2, "Priority", settings.classes().size()),
-                    f.absent(3, "Account") ? 0
-                        : f.index(3, "Account", Math.max(1, settings.tenants().size())),
-                    f.absent(4, "NameKey") ? null : f.text(4, "NameKey"), f.number(5, "Ttl"),
-                    (options & 1) == 0 ? -1 : f.number(6, "Hint", -1), (options & 2) != 0, reply);
+                policy.request(
+                        now,
+                        f.text(1, "Req"),
+                        f.index(2, "Priority", settings.classes().size()),
+                        f.absent(3, "Account")
+                                ? 0
+                                : f.index(3, "Account", Math.max(1, settings.tenants().size())),
+                        f.absent(4, "NameKey") ? null : f.text(4, "NameKey"),
+                        f.number(5, "Ttl"),
+                        (options & 1) == 0 ? -1 : f.number(6, "Hint", -1),
+                        (options & 2) != 0,
+                        reply);
             }
             case "DUE" -> {
                 f.expect("Nonce");
@@ -153,22 +166,36 @@
             case "RESPONSE" -> {
                 f.expect("Req", "SendNo", "Upstream", "Rc", "Lag", "Closed", "Usage");
                 f.text(3, "Upstream");
-                policy.outcome(now, f.text(1, "Req"), f.index(2, "SendNo", Integer.MAX_VALUE), outcome(f, 4),
-                    f.number(5, "Lag"), f.flag(6, "Closed"), load(f, 7, instance), reply);
+                policy.outcome(
+                        now,
+                        f.text(1, "Req"),
+                        f.index(2, "SendNo", Integer.MAX_VALUE),
+                        outcome(f, 4),
+                        f.number(5, "Lag"),
+                        f.flag(6, "Closed"),
+                        load(f, 7, instance),
+                        reply);
             }
             case "ACK_FIRST" -> {
                 f.expect("Req", "SendNo", "Upstream", "Lag");
-                policy.streamStarted(now, f.text(1, "Req"), f.index(2, "SendNo", Integer.MAX_VALUE), reply);
+                policy.streamStarted(
+                        now, f.text(1, "Req"), f.index(2, "SendNo", Integer.MAX_VALUE), reply);
             }
             case "WITHDRAWN" -> policy.clientGone(now, f.expect("Req").text(1, "Req"), reply);
             case "PROBE_RESULT" -> {
                 f.expect("Upstream", "Lag", "Rc", "Usage");
-                policy.probed(now, f.text(1, "Upstream"), outcome(f, 3), f.number(2, "Lag"),
-                    load(f, 4, instance), reply);
+                policy.probed(
+                        now,
+                        f.text(1, "Upstream"),
+                        outcome(f, 3),
+                        f.number(2, "Lag"),
+                        load(f, 4, instance),
+                        reply);
             }
             case "MAIL" -> {
                 f.expect("Src", "Data");
-                policy.peerMessage(now, f.index(1, "Src", Integer.MAX_VALUE), f.bytes(2, "Data"), reply);
+                policy.peerMessage(
+                        now, f.index(1, "Src", Integer.MAX_VALUE), f.bytes(2, "Data"), reply);
             }
             default -> throw f.bad(f.name(), "unknown message");
         }
@@ -181,19 +208,42 @@
         for (int i = 0; i < size; i++) {
             Frame f = next();
             if (f == null || !f.name().equals("ITEM")) {
-                throw new WireException("line " + line + ": LIST: field Entries: " + size
-                    + " ITEM lines announced, " + i + " found");
+                throw new WireException(
+                        "line "
+                                + line
+                                + ": LIST: field Entries: "
+                                + size
+                                + " ITEM lines announced, "
+                                + i
+                                + " found");
             }
-            f.expect("StartTime", "Upstream", "StageState", "Heft", "Group", "GenerationHw", "Locality");
-            Policy.State state = switch (f.text(3, "StageState")) {
-                case "U" -> Policy.State.UP;
-                case "L" -> Policy.State.DRAINING;
-                case "D" -> Policy.State.GONE;
-                default -> throw f.bad("StageState", "unknown word: '" + f.raw(3, "StageState") + "'");
-            };
-            list.add(new Policy.Server(f.text(2, "Upstream"), state, f.number(1, "StartTime", 0),
-                f.absent(4, "Heft") ? 1 : f.decimal(4, "Heft"), f.index(5, "Group"),
-                f.index(6, "GenerationHw"), f.index(7, "Locality")));
+            f.expect(
+                    "StartTime",
+                    "Upstream",
+                    "StageState",
+                    "Heft",
+                    "Group",
+                    "GenerationHw",
+                    "Locality");
+            Policy.State state =
+                    switch (f.text(3, "StageState")) {
+                        case "U" -> Policy.State.UP;
+                        case "L" -> Policy.State.DRAINING;
+                        case "D" -> Policy.State.GONE;
+                        default ->
+                                throw f.bad(
+                                        "StageState",
+                                        "unknown word: '" + f.raw(3, "StageState") + "'");
+                    };
+            list.add(
+                    new Policy.Server(
+                            f.text(2, "Upstream"),
+                            state,
+                            f.number(1, "StartTime", 0),
+                            f.absent(4, "Heft") ? 1 : f.decimal(4, "Heft"),
+                            f.index(5, "Group"),
+                            f.index(6, "GenerationHw"),
+                            f.index(7, "Locality")));
         }
         buffers.set(number, List.copyOf(list));
     }
--- a/balancer/src/main/java/junctionhead/Books.java
+++ b/balancer/src/main/java/junctionhead/Books.java
@@ -9,7 +9,7 @@
 
 /** What a balancer writes down of servers, requests and attempts: plain data, for Balance only. */
 final class Books {
-    private Books() { }
+    private Books() {}
 
     /** A server, as this balancer sees it. */
     static final class Node {
@@ -88,12 +88,16 @@
         Node(Server server, int order, int classes, Watched watched) {
             this.server = server;
             this.watched = watched;
-            this.classes = Stream.generate(() -> new OfClass(this)).limit(classes).toArray(OfClass[]::new);
+            this.classes =
+                    Stream.generate(() -> new OfClass(this)).limit(classes).toArray(OfClass[]::new);
             this.hash = Hashing.hash(server.id());
             this.order = order;
         }
 
-        /** Takes a report; what is missing, negative or absurd, as no server can mean it, is passed over. */
+        /**
+         * Takes a report; what is missing, negative or absurd, as no server can mean it, is passed
+         * over.
+         */
         void report(Policy.Load load, long now) {
             if (load != null && load.inFlight() >= 0 && load.inFlight() < REPORT_MOST) {
                 reported = load.inFlight();
@@ -142,14 +146,23 @@
             watch();
         }
 
-        /** Something is out of the ordinary, or about to be: looks at servers must not pass it over. */
+        /**
+         * Something is out of the ordinary, or about to be: looks at servers must not pass it over.
+         */
         void watch() {
             watched.add(this);
         }
 
-        /** Whether, but for its start, all is as for a server that was never sent to, or not of late. */
+        /**
+         * Whether, but for its start, all is as for a server that was never sent to, or not of
+         * late.
+         */
         boolean isOrdinary(long quietSince, long now) {
-            if (inFlight > 0 || unreached > 0 || saidLost || ejectedUntil > now || fullUntil > now
+            if (inFlight > 0
+                    || unreached > 0
+                    || saidLost
+                    || ejectedUntil > now
+                    || fullUntil > now
                     || oks > 0 && lastOk > quietSince) {
                 return false;
             }
@@ -162,7 +175,9 @@
         }
     }
 
-    /** A server's health for one class: none is kept where nothing has been seen yet, as for most. */
+    /**
+     * A server's health for one class: none is kept where nothing has been seen yet, as for most.
+     */
     static final class OfClass {
         private final Node node;
         private Health health;
@@ -272,7 +287,10 @@
         }
     }
 
-    /** Requests with one key of classes that are served in order: only the first of the line is sent. */
+    /**
+     * Requests with one key of classes that are served in order: only the first of the line is
+     * sent.
+     */
     static final class Turn {
         final ArrayDeque<Request> line = new ArrayDeque<>();
         // Attempts of the last one may still run until then
@@ -302,7 +320,14 @@
         // Null where no order is asked for
         Turn turn;
 
-        Request(String id, int number, RequestClass kind, long key, long arrived, long timeLeft, long aimAt,
+        Request(
+                String id,
+                int number,
+                RequestClass kind,
+                long key,
+                long arrived,
+                long timeLeft,
+                long aimAt,
                 boolean overShare) {
             this.id = id;
             this.number = number;
@@ -320,11 +345,13 @@
         }
 
         /**
-         * Whether its client may send it again without harm: nothing has run, or it is of a kind that may.
+         * Whether its client may send it again without harm: nothing has run, or it is of a kind
+         * that may.
          */
         boolean mayComeAgain() {
-            return firstThatMayHaveRun() == null || kind.effect() == Policy.Effect.SAFE
-                || kind.effect() == Policy.Effect.KEYED && kind.scope() == Policy.Scope.ALL;
+            return firstThatMayHaveRun() == null
+                    || kind.effect() == Policy.Effect.SAFE
+                    || kind.effect() == Policy.Effect.KEYED && kind.scope() == Policy.Scope.ALL;
         }
 
         /** From 0 to 1, the same for each look at this request and zone. */
--- a/balancer/src/main/java/junctionhead/Capacity.java
+++ b/balancer/src/main/java/junctionhead/Capacity.java
@@ -1,11 +1,12 @@
 package junctionhead;
 
 /**
- * How much of what comes to all balancers the servers in reach can carry. Guards against refusal that is
- * learnt from late answers: with most servers lost it began seconds late, and then went on for seconds after
- * they were back, at all balancers together. What tenants are promised tells what the whole fleet can do; the
- * part of it that is in reach and warm is known at once, and so is what comes, as balancers tell each other.
- * It only bounds what strain bids: how fast servers really are, only answers tell.
+ * How much of what comes to all balancers the servers in reach can carry. Guards against refusal
+ * that is learnt from late answers: with most servers lost it began seconds late, and then went on
+ * for seconds after they were back, at all balancers together. What tenants are promised tells what
+ * the whole fleet can do; the part of it that is in reach and warm is known at once, and so is what
+ * comes, as balancers tell each other. It only bounds what strain bids: how fast servers really
+ * are, only answers tell.
  */
 final class Capacity {
     // µs, time constant of the rate of requests
@@ -28,7 +29,9 @@
         promised = settings.tenants().stream().mapToDouble(Policy.Tenant::allowancePerSecond).sum();
     }
 
-    /** So many servers are listed, and {@code share} of what they all can do is in reach and warm. */
+    /**
+     * So many servers are listed, and {@code share} of what they all can do is in reach and warm.
+     */
     void inReach(int listed, double share) {
         whole = whole > 0 ? whole : listed;
         part = whole > 0 ? share * listed / whole : 1;
@@ -47,13 +50,20 @@
         return came / NEWS * 1e6;
     }
 
-    /** The part of {@code rate} requests a second that is more than the fleet in reach can carry, at best. */
+    /**
+     * The part of {@code rate} requests a second that is more than the fleet in reach can carry, at
+     * best.
+     */
     double over(double rate) {
-        return promised > 0 ? Math.max(0, 1 - promised * part / PROMISED_LEAST / Math.max(1e-9, rate)) : 0;
+        return promised > 0
+                ? Math.max(0, 1 - promised * part / PROMISED_LEAST / Math.max(1e-9, rate))
+                : 0;
     }
 
     /** The part of them that may be refused at most: servers in reach carry the rest, if late. */
     double most(double rate) {
-        return promised > 0 ? Math.max(0, 1 - USED_LEAST * promised * part / Math.max(1e-9, rate)) : 1;
+        return promised > 0
+                ? Math.max(0, 1 - USED_LEAST * promised * part / Math.max(1e-9, rate))
+                : 1;
     }
 }
--- a/balancer/src/main/java/junctionhead/Census.java
+++ b/balancer/src/main/java/junctionhead/Census.java
@@ -7,9 +7,10 @@
 import junctionhead.Policy.Server;
 
 /**
- * How many servers are listed and what weight they have, in all, by kind and by zone, kept as they come and
- * go. Sums are exact, in decimals as the list names weights: what comes and goes again leaves no trace, none
- * is ever taken anew, and kinds whose means are the same are not told apart by how a sum was rounded.
+ * How many servers are listed and what weight they have, in all, by kind and by zone, kept as they
+ * come and go. Sums are exact, in decimals as the list names weights: what comes and goes again
+ * leaves no trace, none is ever taken anew, and kinds whose means are the same are not told apart
+ * by how a sum was rounded.
  */
 final class Census {
     private static final class Sum {
@@ -20,7 +21,8 @@
         private boolean known = true;
 
         void add(Server s, boolean comes) {
-            BigDecimal one = Double.isFinite(s.weight()) ? BigDecimal.valueOf(s.weight()) : BigDecimal.ZERO;
+            BigDecimal one =
+                    Double.isFinite(s.weight()) ? BigDecimal.valueOf(s.weight()) : BigDecimal.ZERO;
             exact = comes ? exact.add(one) : exact.subtract(one);
             servers += comes ? 1 : -1;
             known = false;
@@ -83,7 +85,9 @@
         return sum;
     }
 
-    /** The paper's p: the share of servers of the kinds whose mean weight is above the mean of all. */
+    /**
+     * The paper's p: the share of servers of the kinds whose mean weight is above the mean of all.
+     */
     double fastShare() {
         if (!known) {
             known = true;
--- a/balancer/src/main/java/junctionhead/Counts.java
+++ b/balancer/src/main/java/junctionhead/Counts.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Faded counts of what this balancer sees. Counts of servers and keys don't fade themselves: what one more
- * counts for grows, so that a wake costs nothing for each of them.
+ * Faded counts of what this balancer sees. Counts of servers and keys don't fade themselves: what
+ * one more counts for grows, so that a wake costs nothing for each of them.
  */
 final class Counts {
     /** µs, time constant of them all. */
@@ -46,7 +46,10 @@
         return now - fadedAt;
     }
 
-    /** Forgets keys that fell silent, and brings counts back to scale where that has grown too large. */
+    /**
+     * Forgets keys that fell silent, and brings counts back to scale where that has grown too
+     * large.
+     */
     void tidy(Roster roster) {
         keys.values().removeIf(count -> count < scale / 2);
         if (scale > SCALE_MOST) {
--- a/balancer/src/main/java/junctionhead/Exclusion.java
+++ b/balancer/src/main/java/junctionhead/Exclusion.java
@@ -9,8 +9,8 @@
 import junctionhead.Policy.Effect;
 
 /**
- * Which servers get nothing for a while: those that fail fast or have fallen silent would win every queue
- * comparison. Two failures within some ten recent attempts are far beyond any sane base rate.
+ * Which servers get nothing for a while: those that fail fast or have fallen silent would win every
+ * queue comparison. Two failures within some ten recent attempts are far beyond any sane base rate.
  */
 final class Exclusion {
     // Faded failures before a server can be ejected
@@ -49,9 +49,11 @@
         if (allLookBad && !cutOff(n)) {
             return true;
         }
-        // One on trial gets one attempt at a time, and none that could not be repeated where others can be.
+        // One on trial gets one attempt at a time, and none that could not be repeated where others
+        // can be.
         return !looksBad(n, now)
-            && (n.trial == 0 || n.inFlight == 0 && (r.kind.effect() == Effect.SAFE || !anySafe));
+                && (n.trial == 0
+                        || n.inFlight == 0 && (r.kind.effect() == Effect.SAFE || !anySafe));
     }
 
     private boolean looksBad(Node n, long now) {
@@ -68,21 +70,25 @@
     }
 
     /**
-     * Looks at all servers; those not watched are well. Bounds ejection: when most look bad the fault is
-     * likely elsewhere, and all are used. Those that can't be connected to don't count while others can be:
-     * with a zone of more than half the servers lost, all were used, and most attempts went to the lost ones.
+     * Looks at all servers; those not watched are well. Bounds ejection: when most look bad the
+     * fault is likely elsewhere, and all are used. Those that can't be connected to don't count
+     * while others can be: with a zone of more than half the servers lost, all were used, and most
+     * attempts went to the lost ones.
      */
     void look(List<Node> watched, int all, long now) {
         noneReached = watched.stream().filter(n -> n.unreached >= CUT_OFF).count() == all;
         long reached = all - watched.stream().filter(this::cutOff).count();
-        allLookBad = 2 * watched.stream().filter(n -> !cutOff(n) && looksBad(n, now)).count() > reached;
+        allLookBad =
+                2 * watched.stream().filter(n -> !cutOff(n) && looksBad(n, now)).count() > reached;
     }
 
     boolean cutOff(Node n) {
         return n.unreached >= CUT_OFF && !noneReached;
     }
 
-    /** Whether the last that was seen of it says that nobody is there: no connection, or no answer. */
+    /**
+     * Whether the last that was seen of it says that nobody is there: no connection, or no answer.
+     */
     boolean isSilent(Node n, long now) {
         return n.unreached > 0 || stalled(n, now);
     }
@@ -92,8 +98,10 @@
         return cutOff(n) || n.ejectedUntil > now && !allLookBad;
     }
 
-    // Another balancer of this zone can't connect to it. Guards against a lost zone that each finds by
-    // itself: at thin traffic that took two failed attempts a server, and seconds. Who found it tries it.
+    // Another balancer of this zone can't connect to it. Guards against a lost zone that each finds
+    // by
+    // itself: at thin traffic that took two failed attempts a server, and seconds. Who found it
+    // tries it.
     void saidLost(Node n, long now) {
         if (n.saidLost || n.unreached < CUT_OFF && now - n.lastOk > EJECT_FIRST) {
             n.watch();
@@ -129,7 +137,8 @@
      * @param scale of faded counts
      * @param remark hears of an ejection
      */
-    void failed(Node n, double weight, long penalty, double scale, long now, Consumer<String> remark) {
+    void failed(
+            Node n, double weight, long penalty, double scale, long now, Consumer<String> remark) {
         n.count = Math.max(0, n.count - scale);
         n.penalty(now + penalty);
         n.fails += weight * scale;
@@ -140,7 +149,8 @@
             long length = EJECT_FIRST << doublings;
             n.ejectedUntil = now + length + random.nextLong(length / 4);
             n.trial = TRIALS_OK;
-            remark.accept("ejected " + n.server.id() + " for " + length / 1000 + " ms after failures");
+            remark.accept(
+                    "ejected " + n.server.id() + " for " + length / 1000 + " ms after failures");
         }
     }
 }
--- a/balancer/src/main/java/junctionhead/Frame.java
+++ b/balancer/src/main/java/junctionhead/Frame.java
@@ -2,7 +2,10 @@
 
 import java.util.Base64;
 
-/** One line of the wire: its name and its values, read with plain complaints about what is malformed. */
+/**
+ * One line of the wire: its name and its values, read with plain complaints about what is
+ * malformed.
+ */
 final class Frame {
     private final long line;
     private final String[] parts;
@@ -21,7 +24,8 @@
     }
 
     WireException bad(String field, String what) {
-        return new WireException("line " + line + ": " + parts[0] + ": field " + field + ": " + what);
+        return new WireException(
+                "line " + line + ": " + parts[0] + ": field " + field + ": " + what);
     }
 
     /** Checks the number of values, so that a cut or joined line is noticed. */
@@ -30,8 +34,11 @@
             throw bad(fields[size()], "is missing");
         }
         if (size() > fields.length) {
-            throw bad(fields.length == 0 ? "1" : fields[fields.length - 1],
-                "is followed by " + (size() - fields.length) + " more value(s) than the message has");
+            throw bad(
+                    fields.length == 0 ? "1" : fields[fields.length - 1],
+                    "is followed by "
+                            + (size() - fields.length)
+                            + " more value(s) than the message has");
         }
         return this;
     }
--- a/balancer/src/main/java/junctionhead/Hashing.java
+++ b/balancer/src/main/java/junctionhead/Hashing.java
@@ -2,7 +2,7 @@
 
 /** Hash functions that give the same values on every machine and in every run. */
 public final class Hashing {
-    private Hashing() { }
+    private Hashing() {}
 
     /** FNV-1a, then mixed. */
     public static long hash(String text) {
--- a/balancer/src/main/java/junctionhead/Health.java
+++ b/balancer/src/main/java/junctionhead/Health.java
@@ -5,9 +5,10 @@
 import java.util.function.LongConsumer;
 
 /**
- * Whether a server answers one class of requests. Guards against a server that fails one class and serves
- * the others: taken out as a whole its capacity was missing, and left in it went on failing that class. By
- * attempts, not by time: against seconds of good answers a busy server had to fail dozens first.
+ * Whether a server answers one class of requests. Guards against a server that fails one class and
+ * serves the others: taken out as a whole its capacity was missing, and left in it went on failing
+ * that class. By attempts, not by time: against seconds of good answers a busy server had to fail
+ * dozens first.
  */
 final class Health {
     // Weight of one attempt in the share that fails
@@ -65,8 +66,8 @@
     }
 
     /**
-     * Another balancer has it rest: so does this one, and then tries it first. A while later than the one
-     * that found it: that one's first trial tells all the others.
+     * Another balancer has it rest: so does this one, and then tries it first. A while later than
+     * the one that found it: that one's first trial tells all the others.
      */
     void heard(long until) {
         if (until > restsUntil) {
@@ -88,7 +89,9 @@
         rest.accept(length);
     }
 
-    /** Bounds the rests: where most of all servers fail a class the fault is likely in its requests. */
+    /**
+     * Bounds the rests: where most of all servers fail a class the fault is likely in its requests.
+     */
     static boolean mostRest(List<Books.Node> watched, int all, int number, long now) {
         return 2 * watched.stream().filter(n -> n.classes[number].resting(now)).count() > all;
     }
--- a/balancer/src/main/java/junctionhead/Held.java
+++ b/balancer/src/main/java/junctionhead/Held.java
@@ -6,7 +6,8 @@
 import junctionhead.Books.Request;
 
 /**
- * Requests that wait for a server: those within their tenant's share, then those over it, each by urgency.
+ * Requests that wait for a server: those within their tenant's share, then those over it, each by
+ * urgency.
  */
 final class Held {
     private final List<List<Request>> queues = List.of(new ArrayList<>(), new ArrayList<>());
--- a/balancer/src/main/java/junctionhead/Latencies.java
+++ b/balancer/src/main/java/junctionhead/Latencies.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What is usual of each class of requests: how long they take, how large their hints are, how old a try can
- * be.
+ * What is usual of each class of requests: how long they take, how large their hints are, how old a
+ * try can be.
  */
 final class Latencies {
     // Weight of one answer, and of one hint
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Time gone since the client's first try, where a marked resubmission shows it, µs. Each try gets the
-     * same time, or what is left of the class's deadline: one with another time than first tries tells its
-     * age.
+     * Time gone since the client's first try, where a marked resubmission shows it, µs. Each try
+     * gets the same time, or what is left of the class's deadline: one with another time than first
+     * tries tells its age.
      */
     long spent(int number, long timeLeft, boolean resubmission) {
         long deadline = classes.get(number).deadline();
--- a/balancer/src/main/java/junctionhead/LoadReport.java
+++ b/balancer/src/main/java/junctionhead/LoadReport.java
@@ -3,14 +3,22 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The values of a server's load report, under the names of the wire and of the protocol on sockets. */
+/**
+ * The values of a server's load report, under the names of the wire and of the protocol on sockets.
+ */
 public final class LoadReport {
     private static final List<String> WIRE =
-        List.of("outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s");
+            List.of(
+                    "outstanding",
+                    "backlog",
+                    "utilization",
+                    "recent_ms",
+                    "throughput",
+                    "errors_per_s");
     private static final List<String> SOCKET =
-        List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
+            List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
 
-    private LoadReport() { }
+    private LoadReport() {}
 
     static double[] unknown() {
         double[] values = new double[WIRE.size()];
@@ -25,7 +33,8 @@
     }
 
     static Policy.Load of(double[] values) {
-        return new Policy.Load(values[0], values[1], values[2], values[3] * 1000, values[4], values[5]);
+        return new Policy.Load(
+                values[0], values[1], values[2], values[3] * 1000, values[4], values[5]);
     }
 
     /**
--- a/balancer/src/main/java/junctionhead/Main.java
+++ b/balancer/src/main/java/junctionhead/Main.java
@@ -12,11 +12,12 @@
 import junctionhead.net.Node;
 
 /**
- * Starts a real balancer, or the adapter on standard input and output; {@code prepare} starts a balancer that
- * ends once it could serve, for the virtual machine to write down which classes that takes.
+ * Starts a real balancer, or the adapter on standard input and output; {@code prepare} starts a
+ * balancer that ends once it could serve, for the virtual machine to write down which classes that
+ * takes.
  */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("serve")) {
@@ -29,9 +30,15 @@
             System.err.println("usage: java -jar junctionhead.jar serve | prepare | wirehost");
             System.exit(2);
         }
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(
-                 new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8), 1 << 16);
-             OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
+        try (BufferedReader in =
+                        new BufferedReader(
+                                new InputStreamReader(
+                                        new FileInputStream(FileDescriptor.in),
+                                        StandardCharsets.UTF_8),
+                                1 << 16);
+                OutputStream out =
+                        new BufferedOutputStream(
+                                new FileOutputStream(FileDescriptor.out), 1 << 16)) {
             new Adapter(Balance::new, in, out).run();
         } catch (WireException | IOException e) {
             System.err.println("junctionhead: " + e.getMessage());
--- a/balancer/src/main/java/junctionhead/PeerMessage.java
+++ b/balancer/src/main/java/junctionhead/PeerMessage.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * One datagram between balancers, as values: how it is written and read. What is told and what to make of
- * it is the module's. Servers go by {@link #code}; two of a large fleet may share one.
+ * One datagram between balancers, as values: how it is written and read. What is told and what to
+ * make of it is the module's. Servers go by {@link #code}; two of a large fleet may share one.
  *
- * <p>Six bytes: the format, the sender's zone, the requests a second that it gets (two bytes), how many
- * queues and how many rests follow. Each queue takes two bytes, 13 bits of code and 3 of its length; each
- * rest four, the code, the class and the tenths of a second left of it; the remaining bytes are codes, two
- * bytes each, of servers that the sender can't connect to.
+ * <p>Six bytes: the format, the sender's zone, the requests a second that it gets (two bytes), how
+ * many queues and how many rests follow. Each queue takes two bytes, 13 bits of code and 3 of its
+ * length; each rest four, the code, the class and the tenths of a second left of it; the remaining
+ * bytes are codes, two bytes each, of servers that the sender can't connect to.
  *
  * @param zone of the sender, 0 to 255
  * @param rate requests a second that the sender gets, 0 to 65535
@@ -30,16 +30,17 @@
     private static final long REST_UNIT = 100_000;
 
     /** Attempts that the sender has out at a server; more than seven are told as seven. */
-    record Queue(int code, int count) { }
+    record Queue(int code, int count) {}
 
     /** A class that the sender has found a server to fail, for {@code left} µs more. */
-    record Rest(int code, int number, long left) { }
+    record Rest(int code, int number, long left) {}
 
     PeerMessage {
         queues = List.copyOf(queues);
         rests = List.copyOf(rests);
         lost = List.copyOf(lost);
-        if (rests.size() > RESTS_MOST || lost.size() > LOST_MOST
+        if (rests.size() > RESTS_MOST
+                || lost.size() > LOST_MOST
                 || queues.size() > queuesMost(BYTES_MOST, rests.size(), lost.size())) {
             throw new IllegalArgumentException("more than fits in " + BYTES_MOST + " bytes");
         }
--- a/balancer/src/main/java/junctionhead/Points.java
+++ b/balancer/src/main/java/junctionhead/Points.java
@@ -4,9 +4,9 @@
 import junctionhead.Books.Node;
 
 /**
- * How many points of the ring each server has: by its weight against the mean of all. Each change of the list
- * moves that mean a little, and few weights come to another number of points by it: only these are found, and
- * their servers moved.
+ * How many points of the ring each server has: by its weight against the mean of all. Each change
+ * of the list moves that mean a little, and few weights come to another number of points by it:
+ * only these are found, and their servers moved.
  */
 final class Points {
     // Of a server of mean weight
@@ -33,7 +33,10 @@
         return (int) Math.max(1, Math.min(MOST, Math.round(MEAN * weight / mean)));
     }
 
-    /** A listed server counts among those of its weight from here on; its points come with {@link #place}. */
+    /**
+     * A listed server counts among those of its weight from here on; its points come with {@link
+     * #place}.
+     */
     void add(Node n, double weight) {
         Group group = groups.computeIfAbsent(weight, w -> new Group());
         n.after = group.first;
--- a/balancer/src/main/java/junctionhead/Refusal.java
+++ b/balancer/src/main/java/junctionhead/Refusal.java
@@ -6,10 +6,10 @@
 import junctionhead.Policy.RequestClass;
 
 /**
- * Overload: which part of the arrivals is turned away, cheapest first, steered by how long answers take
- * against their aims. Guards against queues in which all wait and all are late. Each balancer turns away a
- * share of what it sees: a limit on attempts in flight, which for most balancers is about one, refused most
- * of a calm day.
+ * Overload: which part of the arrivals is turned away, cheapest first, steered by how long answers
+ * take against their aims. Guards against queues in which all wait and all are late. Each balancer
+ * turns away a share of what it sees: a limit on attempts in flight, which for most balancers is
+ * about one, refused most of a calm day.
  */
 final class Refusal {
     // Above it the cheapest requests are turned away
@@ -51,10 +51,15 @@
 
     Refusal(Policy.Settings settings) {
         this.settings = settings;
-        this.tiers = settings.classes().stream().flatMapToDouble(c ->
-            DoubleStream.of(value(c, false), value(c, true))).distinct().sorted().toArray();
+        this.tiers =
+                settings.classes().stream()
+                        .flatMapToDouble(c -> DoubleStream.of(value(c, false), value(c, true)))
+                        .distinct()
+                        .sorted()
+                        .toArray();
         this.asked = new double[tiers.length];
-        double inShare = settings.classes().stream().mapToDouble(c -> value(c, false)).min().getAsDouble();
+        double inShare =
+                settings.classes().stream().mapToDouble(c -> value(c, false)).min().getAsDouble();
         while (tiers[(int) level] < Math.min(inShare, CHEAP * tiers[tiers.length - 1])) {
             level++;
         }
@@ -75,15 +80,19 @@
         return level < hedgeLevel;
     }
 
-    // What a unit of work is worth, which is what an overloaded fleet runs short of. Where worth goes by
-    // request, the dear ones are as a rule the heavy ones, and classes are turned away alike: turned away
+    // What a unit of work is worth, which is what an overloaded fleet runs short of. Where worth
+    // goes by
+    // request, the dear ones are as a rule the heavy ones, and classes are turned away alike:
+    // turned away
     // by worth, the light class starved while the fleet served a fraction of the requests it could.
     private double value(RequestClass kind, boolean overShare) {
-        return (settings.worthByWork() ? kind.worth() : 1) * (overShare ? settings.overShareWorth() : 1);
+        return (settings.worthByWork() ? kind.worth() : 1)
+                * (overShare ? settings.overShareWorth() : 1);
     }
 
     /**
-     * Whether to turn away this request: all of the tiers under the level, a part of the one it has reached.
+     * Whether to turn away this request: all of the tiers under the level, a part of the one it has
+     * reached.
      */
     boolean refuses(Request r, double chance) {
         int tier = Arrays.binarySearch(tiers, value(r.kind, r.last));
@@ -103,8 +112,9 @@
     }
 
     /**
-     * Moves the level by how far the strain is from what the tier on the edge may cause; {@code capacity},
-     * null where no other balancer is heard, bounds it at {@code rate} requests a second of all balancers.
+     * Moves the level by how far the strain is from what the tier on the edge may cause; {@code
+     * capacity}, null where no other balancer is heard, bounds it at {@code rate} requests a second
+     * of all balancers.
      */
     void steer(double seconds, Capacity capacity, double rate) {
         int edge = Math.min(tiers.length - 1, (int) level);
--- a/balancer/src/main/java/junctionhead/Ring.java
+++ b/balancer/src/main/java/junctionhead/Ring.java
@@ -6,10 +6,10 @@
 import junctionhead.Books.Node;
 
 /**
- * Servers at points of a ring that follow from their ids, so that a change of the list moves few of them.
- * Only the points of changed servers are touched: made anew at each step of a deploy, the ring cost more
- * than all requests. Points are spread evenly, so the ring is cut into even parts, each a short sorted array:
- * as a tree it took half a kilobyte for each server.
+ * Servers at points of a ring that follow from their ids, so that a change of the list moves few of
+ * them. Only the points of changed servers are touched: made anew at each step of a deploy, the
+ * ring cost more than all requests. Points are spread evenly, so the ring is cut into even parts,
+ * each a short sorted array: as a tree it took half a kilobyte for each server.
  */
 final class Ring {
     // Points in a part, as a mean
@@ -31,7 +31,8 @@
     private int points;
     private long moves;
 
-    // Each server once, from home on, as far as walks have gone: what changes beyond does not concern it.
+    // Each server once, from home on, as far as walks have gone: what changes beyond does not
+    // concern it.
     private Node[] near = new Node[AHEAD];
     private int met;
     // The ring behind home that this covers; unsigned
@@ -133,7 +134,9 @@
 
     // ---------------------------------------------------------------- walks
 
-    /** The servers of all points, once round from {@code point} on; of use until the next change. */
+    /**
+     * The servers of all points, once round from {@code point} on; of use until the next change.
+     */
     Iterator<Node> from(long point) {
         return new Round(point);
     }
@@ -174,7 +177,10 @@
         }
     }
 
-    /** Each server once, in the order of the first points met from home on; of use until the next change. */
+    /**
+     * Each server once, in the order of the first points met from home on; of use until the next
+     * change.
+     */
     Iterator<Node> fromHome() {
         return new Iterator<>() {
             private int i;
--- a/balancer/src/main/java/junctionhead/Roster.java
+++ b/balancer/src/main/java/junctionhead/Roster.java
@@ -21,8 +21,9 @@
 import junctionhead.Policy.State;
 
 /**
- * The servers that discovery has named, and what follows from the list alone: their ring, mean weight and
- * kinds. A change costs by what it changes: sums, ring and order are mended, not made anew.
+ * The servers that discovery has named, and what follows from the list alone: their ring, mean
+ * weight and kinds. A change costs by what it changes: sums, ring and order are mended, not made
+ * anew.
  */
 final class Roster {
     /** Servers that it holds at most: more would not fit beside the requests. */
@@ -55,7 +56,8 @@
     Roster(Policy.Settings settings, SplittableRandom random) {
         this.random = random;
         this.classes = settings.classes().size();
-        this.ring = new Ring((long) ((settings.rank() + 0.5) / settings.balancers() * 0x1p64 - 0x1p63));
+        this.ring =
+                new Ring((long) ((settings.rank() + 0.5) / settings.balancers() * 0x1p64 - 0x1p63));
         this.points = new Points(ring);
     }
 
@@ -69,7 +71,10 @@
         return found < 0 ? -found - 1 : found;
     }
 
-    /** Takes a list in: all of it, or changes ({@code partial}); {@code remark} hears of a lack of room. */
+    /**
+     * Takes a list in: all of it, or changes ({@code partial}); {@code remark} hears of a lack of
+     * room.
+     */
     void update(List<Server> servers, boolean partial, long now, Consumer<String> remark) {
         lists++;
         held = partial ? nodes.size() : 0;
@@ -95,11 +100,18 @@
         meanWeight = census.meanWeight();
         points.meanIs(meanWeight);
         changed.forEach(points::place);
-        gone.removeIf(n -> n.server.state() != State.GONE || nodes.get(n.server.id()) != n
-            || n.inFlight == 0 && nodes.remove(n.server.id(), n));
+        gone.removeIf(
+                n ->
+                        n.server.state() != State.GONE
+                                || nodes.get(n.server.id()) != n
+                                || n.inFlight == 0 && nodes.remove(n.server.id(), n));
         if (unused > 0) {
-            remark.accept("list: " + unused + " servers beyond the " + MOST
-                + " that it may hold are not used");
+            remark.accept(
+                    "list: "
+                            + unused
+                            + " servers beyond the "
+                            + MOST
+                            + " that it may hold are not used");
         }
     }
 
@@ -184,7 +196,10 @@
         return listed;
     }
 
-    /** Those of them that may be out of the ordinary, in the same order: cold, sent to, at rest, cut off. */
+    /**
+     * Those of them that may be out of the ordinary, in the same order: cold, sent to, at rest, cut
+     * off.
+     */
     List<Node> watched() {
         return watched.nodes();
     }
@@ -196,8 +211,8 @@
     }
 
     /**
-     * Of each zone that servers name, what is known of them: {@code silent} tells who seems gone, {@code
-     * from} since when an answer counts.
+     * Of each zone that servers name, what is known of them: {@code silent} tells who seems gone,
+     * {@code from} since when an answer counts.
      */
     List<Books.Tally> tallies(Predicate<Node> silent, IntToLongFunction from) {
         int[][] counts = new int[census.zones()][2];
@@ -210,23 +225,40 @@
             }
         }
         return IntStream.range(0, counts.length)
-            .mapToObj(zone -> new Books.Tally(census.inZone(zone), counts[zone][0], counts[zone][1]))
-            .toList();
+                .mapToObj(
+                        zone ->
+                                new Books.Tally(
+                                        census.inZone(zone), counts[zone][0], counts[zone][1]))
+                .toList();
     }
 
     /**
-     * What is known of each listed server; counts as if one more counted for 1, and not for {@code scale}.
+     * What is known of each listed server; counts as if one more counted for 1, and not for {@code
+     * scale}.
      */
     List<Kept.OfServer> keep(double scale, long now) {
-        return listed.stream().map(n -> new Kept.OfServer(n.server.id(), n.server.startedAt(),
-            n.count / scale,
-            n.oks / scale, n.fails / scale, Math.max(0, n.ejectedUntil - now), n.ejections, n.unreached,
-            Arrays.stream(n.classes).map(c -> Math.max(0, c.foundUntil() - now)).toList())).toList();
+        return listed.stream()
+                .map(
+                        n ->
+                                new Kept.OfServer(
+                                        n.server.id(),
+                                        n.server.startedAt(),
+                                        n.count / scale,
+                                        n.oks / scale,
+                                        n.fails / scale,
+                                        Math.max(0, n.ejectedUntil - now),
+                                        n.ejections,
+                                        n.unreached,
+                                        Arrays.stream(n.classes)
+                                                .map(c -> Math.max(0, c.foundUntil() - now))
+                                                .toList()))
+                .toList();
     }
 
     /**
-     * Takes over what was known {@code age} µs ago of servers that are listed and the same processes still:
-     * counts for {@code scale}, and of each rest what is left. A server is tried at its end, as ever.
+     * Takes over what was known {@code age} µs ago of servers that are listed and the same
+     * processes still: counts for {@code scale}, and of each rest what is left. A server is tried
+     * at its end, as ever.
      */
     void recall(List<Kept.OfServer> kept, double scale, long age, long now) {
         for (Kept.OfServer k : kept) {
@@ -283,7 +315,9 @@
         return weight;
     }
 
-    /** Faded answers of the listed servers that are so; those not watched have given none of late. */
+    /**
+     * Faded answers of the listed servers that are so; those not watched have given none of late.
+     */
     double oks(Predicate<Node> warm) {
         double oks = 0;
         for (Node n : watched.nodes()) {
@@ -293,13 +327,15 @@
     }
 
     /**
-     * The mean of what servers have of something, weighted as they are: those watched {@code of}, all others
-     * what is ordinary in their zone.
+     * The mean of what servers have of something, weighted as they are: those watched {@code of},
+     * all others what is ordinary in their zone.
      */
     double share(IntToDoubleFunction ordinary, ToDoubleFunction<Node> of) {
         double sum = census.sum(ordinary);
         for (Node n : watched.nodes()) {
-            sum += (of.applyAsDouble(n) - ordinary.applyAsDouble(n.server.zone())) * n.server.weight();
+            sum +=
+                    (of.applyAsDouble(n) - ordinary.applyAsDouble(n.server.zone()))
+                            * n.server.weight();
         }
         return sum / Math.max(1e-9, listed.size() * meanWeight);
     }
--- a/balancer/src/main/java/junctionhead/SettingsReader.java
+++ b/balancer/src/main/java/junctionhead/SettingsReader.java
@@ -10,21 +10,29 @@
 import junctionhead.Policy.Settings;
 
 /**
- * Reads the settings of a balancer from path=value pairs, whether they come from the simulator's wire or from
- * the configuration of a real balancer; keys that it doesn't know are passed over.
+ * Reads the settings of a balancer from path=value pairs, whether they come from the simulator's
+ * wire or from the configuration of a real balancer; keys that it doesn't know are passed over.
  */
 public final class SettingsReader {
     private final Map<String, String> values;
     private final BiFunction<String, String, ? extends RuntimeException> complaint;
 
     /**
-     * What a balancer is started with: the module's settings, the order of values in a load report, the names
-     * that stand for the module's numbers, and after what time (µs) a server closes an idle connection.
+     * What a balancer is started with: the module's settings, the order of values in a load report,
+     * the names that stand for the module's numbers, and after what time (µs) a server closes an
+     * idle connection.
      */
-    public record Boot(Settings settings, List<String> loadFields, List<String> classes, List<String> tenants,
-            List<String> zones, List<String> kinds, long idleClose) { }
-
-    private SettingsReader(Map<String, String> values,
+    public record Boot(
+            Settings settings,
+            List<String> loadFields,
+            List<String> classes,
+            List<String> tenants,
+            List<String> zones,
+            List<String> kinds,
+            long idleClose) {}
+
+    private SettingsReader(
+            Map<String, String> values,
             BiFunction<String, String, ? extends RuntimeException> complaint) {
         this.values = values;
         this.complaint = complaint;
@@ -35,12 +43,19 @@
      *
      * @param complaint makes the exception for a path and what is wrong there
      */
-    public static Boot read(Map<String, String> values,
+    public static Boot read(
+            Map<String, String> values,
             BiFunction<String, String, ? extends RuntimeException> complaint) {
         SettingsReader in = new SettingsReader(values, complaint);
         try {
-            return new Boot(in.settings(), in.list("Stats.Fields"), in.names("Classes"), in.names("Realms"),
-                in.list("Areas"), in.list("Kinds"), in.whole("Limits.IdleClose", 0L));
+            return new Boot(
+                    in.settings(),
+                    in.list("Stats.Fields"),
+                    in.names("Classes"),
+                    in.names("Realms"),
+                    in.list("Areas"),
+                    in.list("Kinds"),
+                    in.whole("Limits.IdleClose", 0L));
         } catch (IllegalArgumentException e) {
             throw complaint.apply("BootInfo", e.getMessage());
         }
@@ -72,37 +87,69 @@
         }
         boolean advice = flag("Limits.RetryAfter", false);
         int tries = (int) Math.min(Integer.MAX_VALUE, whole("Limits.TryLimit", null));
-        Policy.Limits limits = new Policy.Limits(tries,
-            flag("Limits.MayDuplicate", null), flag("Limits.Cancel", null), flag("Limits.Probes", null),
-            whole("Limits.DialTimeout", 0L), advice ? whole("Limits.MaxRetryAfter", 0L) : 0L,
-            flag("Limits.PeerMessages", false));
+        Policy.Limits limits =
+                new Policy.Limits(
+                        tries,
+                        flag("Limits.MayDuplicate", null),
+                        flag("Limits.Cancel", null),
+                        flag("Limits.Probes", null),
+                        whole("Limits.DialTimeout", 0L),
+                        advice ? whole("Limits.MaxRetryAfter", 0L) : 0L,
+                        flag("Limits.PeerMessages", false));
         boolean ask = word(Policy.Discovery.class, "MembershipMode", null) == Policy.Discovery.ASK;
-        Policy.Bounds bounds = new Policy.Bounds(whole("Rules.AnswerSlack", null),
-            whole("Rules.DrainGrace", null), whole("Rules.AskWithin", ask ? null : 0L),
-            decimal("Rules.ColdFrom", null), whole("Rules.RampTime", null),
-            decimal("Rules.OverloadFactor", null), whole("Rules.Fall", null), whole("Rules.OrderPause", 0L));
-        Policy.Goal goal = new Policy.Goal(decimal("Blend.Whole", 1.0), decimal("Blend.WorstWindow", 0.0),
-            decimal("Blend.WorstClass", 0.0), decimal("Blend.WorstTenant", 0.0));
-        return new Settings((int) Math.min(Integer.MAX_VALUE, whole("Balancers", null)),
-            (int) whole("Rank", 0L), zone(zones), List.copyOf(classes), List.copyOf(tenants),
-            decimal("OverShareWorth", 1.0), goal,
-            new Policy.Prices(decimal("Prices.CrossZone", 0.0), decimal("Prices.Handshake", 0.0),
-                decimal("Prices.Peer", 0.0)),
-            text("WorthBy", "request").equals("work"),
-            ask ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
-            word(Policy.Reports.class, "Stats.How", "none"), flag("Specifics.WarmKeys", false), limits,
-            bounds, whole("Quantum", null));
+        Policy.Bounds bounds =
+                new Policy.Bounds(
+                        whole("Rules.AnswerSlack", null),
+                        whole("Rules.DrainGrace", null),
+                        whole("Rules.AskWithin", ask ? null : 0L),
+                        decimal("Rules.ColdFrom", null),
+                        whole("Rules.RampTime", null),
+                        decimal("Rules.OverloadFactor", null),
+                        whole("Rules.Fall", null),
+                        whole("Rules.OrderPause", 0L));
+        Policy.Goal goal =
+                new Policy.Goal(
+                        decimal("Blend.Whole", 1.0),
+                        decimal("Blend.WorstWindow", 0.0),
+                        decimal("Blend.WorstClass", 0.0),
+                        decimal("Blend.WorstTenant", 0.0));
+        return new Settings(
+                (int) Math.min(Integer.MAX_VALUE, whole("Balancers", null)),
+                (int) whole("Rank", 0L),
+                zone(zones),
+                List.copyOf(classes),
+                List.copyOf(tenants),
+                decimal("OverShareWorth", 1.0),
+                goal,
+                new Policy.Prices(
+                        decimal("Prices.CrossZone", 0.0),
+                        decimal("Prices.Handshake", 0.0),
+                        decimal("Prices.Peer", 0.0)),
+                text("WorthBy", "request").equals("work"),
+                ask ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
+                word(Policy.Reports.class, "Stats.How", "none"),
+                flag("Specifics.WarmKeys", false),
+                limits,
+                bounds,
+                whole("Quantum", null));
     }
 
     private Policy.RequestClass requestClass(String path, int zones, int kinds) {
         String at = path + ".";
         try {
-            return new Policy.RequestClass(word(Policy.Effect.class, at + "Idempotency", null),
-                word(Policy.Scope.class, at + "DedupScope", "all"), whole(at + "KeyTtl", 0L),
-                whole(at + "GoalTime", null), whole(at + "GiveUp", null), decimal(at + "AimStretch", 0.0),
-                decimal(at + "Gain", 1.0), decimal(at + "LateShare", 0.0), flag(at + "Stream", false),
-                flag(at + "InOrder", false), indexes(at + "AllowedIn", zones),
-                indexes(at + "RunsOn", kinds));
+            return new Policy.RequestClass(
+                    word(Policy.Effect.class, at + "Idempotency", null),
+                    word(Policy.Scope.class, at + "DedupScope", "all"),
+                    whole(at + "KeyTtl", 0L),
+                    whole(at + "GoalTime", null),
+                    whole(at + "GiveUp", null),
+                    decimal(at + "AimStretch", 0.0),
+                    decimal(at + "Gain", 1.0),
+                    decimal(at + "LateShare", 0.0),
+                    flag(at + "Stream", false),
+                    flag(at + "InOrder", false),
+                    indexes(at + "AllowedIn", zones),
+                    indexes(at + "RunsOn", kinds));
         } catch (IllegalArgumentException e) {
             throw complaint.apply(path, e.getMessage());
         }
--- a/balancer/src/main/java/junctionhead/Shares.java
+++ b/balancer/src/main/java/junctionhead/Shares.java
@@ -4,9 +4,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Whether a request is within its tenant's share: each tenant has a bucket that is filled at this balancer's
- * part of its rate. That part is learnt in a second: those that stay when most balancers are killed get the
- * others' traffic at once, and with a part learnt over ten seconds refused most of it as over its share.
+ * Whether a request is within its tenant's share: each tenant has a bucket that is filled at this
+ * balancer's part of its rate. That part is learnt in a second: those that stay when most balancers
+ * are killed get the others' traffic at once, and with a part learnt over ten seconds refused most
+ * of it as over its share.
  */
 final class Shares {
     // µs, time constant of what each tenant brings
@@ -29,7 +30,10 @@
 
     Shares(Policy.Settings settings, SplittableRandom random) {
         balancers = settings.balancers();
-        allowed = settings.tenants().stream().mapToDouble(Policy.Tenant::allowancePerSecond).toArray();
+        allowed =
+                settings.tenants().stream()
+                        .mapToDouble(Policy.Tenant::allowancePerSecond)
+                        .toArray();
         brought = new double[allowed.length];
         // Not all full: all at once overran servers at a start.
         tokens = Arrays.stream(allowed).map(a -> BURST_LEAST * random.nextDouble()).toArray();
@@ -64,7 +68,8 @@
         return false;
     }
 
-    // This balancer's part of the traffic: even, or more where its middle tenant brings more. Traffic is not
+    // This balancer's part of the traffic: even, or more where its middle tenant brings more.
+    // Traffic is not
     // spread evenly over balancers; one tenant far over its share must not widen the shares of all.
     private double part() {
         double[] ratios = new double[brought.length];
--- a/balancer/src/main/java/junctionhead/Subscription.java
+++ b/balancer/src/main/java/junctionhead/Subscription.java
@@ -3,11 +3,11 @@
 import java.util.SplittableRandom;
 
 /**
- * When to ask discovery for the list (again): nobody waits for an answer that may never come. A change counts
- * as told 6 s after discovery had it and could be reached, whatever became of calls meanwhile. So what may
- * come one after the other is bounded by that time together: a watch that falls silent (3 s until that is
- * seen, and 0.7 s for a call, in net/Discovery), a call that is given up, one that is refused, and the pauses
- * after each.
+ * When to ask discovery for the list (again): nobody waits for an answer that may never come. A
+ * change counts as told 6 s after discovery had it and could be reached, whatever became of calls
+ * meanwhile. So what may come one after the other is bounded by that time together: a watch that
+ * falls silent (3 s until that is seen, and 0.7 s for a call, in net/Discovery), a call that is
+ * given up, one that is refused, and the pauses after each.
  */
 final class Subscription {
     // µs after a failure, at most; doubles
--- a/balancer/src/main/java/junctionhead/Warming.java
+++ b/balancer/src/main/java/junctionhead/Warming.java
@@ -4,7 +4,8 @@
 
 /** Rule 4: a cold server gets its part of what warm ones of like weight take, from nothing on. */
 final class Warming {
-    // Work sent to a cold server, as a share of what a warm one of like weight takes at the same coldness.
+    // Work sent to a cold server, as a share of what a warm one of like weight takes at the same
+    // coldness.
     private static final double MARGIN = 1.6;
 
     private final Policy.Settings settings;
@@ -43,8 +44,10 @@
         double rate = part * MARGIN * Math.max(least, warmRate * n.server.weight());
         double most = rate * settings.bounds().fallWindow() / 3e6;
         double tokens = n.tokens + rate * (now - n.tokensAt) / 1e6;
-        // Less than one at a time: one is kept for two thirds of the window, then lost. Guards against as
-        // many at once as there are balancers, each of which had saved one while there was little to do.
+        // Less than one at a time: one is kept for two thirds of the window, then lost. Guards
+        // against as
+        // many at once as there are balancers, each of which had saved one while there was little
+        // to do.
         n.tokens = most >= 1 ? Math.min(most, tokens) : tokens % (1 + 2 * most);
         n.tokensAt = now;
         return n.tokens >= 1;
--- a/balancer/src/main/java/junctionhead/Watched.java
+++ b/balancer/src/main/java/junctionhead/Watched.java
@@ -6,9 +6,10 @@
 import junctionhead.Books.Node;
 
 /**
- * The listed servers that may be out of the ordinary: cold, sent to of late, at rest, out of reach. All
- * others are warm, idle and without a fault, so that looks at all servers need these only. One is added by
- * what happens to it, before that can matter, and dropped when a look finds it ordinary again.
+ * The listed servers that may be out of the ordinary: cold, sent to of late, at rest, out of reach.
+ * All others are warm, idle and without a fault, so that looks at all servers need these only. One
+ * is added by what happens to it, before that can matter, and dropped when a look finds it ordinary
+ * again.
  */
 final class Watched {
     // µs, after which answers count for nothing
@@ -38,9 +39,10 @@
 
     /** Drops those that are ordinary. */
     void tidy(Predicate<Node> warm, long now) {
-        nodes.removeIf(n -> {
-            n.isWatched = !n.isOrdinary(now - QUIET, now) || !warm.test(n);
-            return !n.isWatched;
-        });
+        nodes.removeIf(
+                n -> {
+                    n.isWatched = !n.isOrdinary(now - QUIET, now) || !warm.test(n);
+                    return !n.isWatched;
+                });
     }
 }
--- a/balancer/src/main/java/junctionhead/WireSettings.java
+++ b/balancer/src/main/java/junctionhead/WireSettings.java
@@ -5,7 +5,7 @@
 
 /** Turns the path=value pairs of an ENLIST line into what an instance is started with. */
 final class WireSettings {
-    private WireSettings() { }
+    private WireSettings() {}
 
     static SettingsReader.Boot read(Frame frame, int firstPair) {
         Map<String, String> values = new HashMap<>();
--- a/balancer/src/main/java/junctionhead/Zones.java
+++ b/balancer/src/main/java/junctionhead/Zones.java
@@ -10,9 +10,10 @@
 import junctionhead.Books.Zone;
 
 /**
- * Zones as wholes: left when the news of their servers says that they are lost, met again in steps. Guards
- * against a lost zone that is found server by server at the price of requests, and against one that is back
- * and is met by all at once. Each balancer judges for itself; never are all zones left.
+ * Zones as wholes: left when the news of their servers says that they are lost, met again in steps.
+ * Guards against a lost zone that is found server by server at the price of requests, and against
+ * one that is back and is met by all at once. Each balancer judges for itself; never are all zones
+ * left.
  */
 final class Zones {
     // Of the servers there is news of, out: the zone is
@@ -45,7 +46,12 @@
     private static final long STEP = 250_000;
 
     /** What a zone is to this balancer. */
-    enum State { WHOLE, DOUBTED, LEFT, RETURNING }
+    enum State {
+        WHOLE,
+        DOUBTED,
+        LEFT,
+        RETURNING
+    }
 
     // By number, as servers have named them
     private final List<Zone> zones = new ArrayList<>();
@@ -64,7 +70,8 @@
     }
 
     /**
-     * Whether a request may go to a server's zone; {@code harmless}: to one that is left too, now and then.
+     * Whether a request may go to a server's zone; {@code harmless}: to one that is left too, now
+     * and then.
      */
     boolean admits(Node n, Request r, boolean harmless, long now) {
         Zone z = of(n.server.zone());
@@ -87,8 +94,8 @@
     }
 
     /**
-     * Looks at all zones anew, a tally for each; {@code scarce}: what is in reach can't carry what comes;
-     * {@code remark} hears of what changes.
+     * Looks at all zones anew, a tally for each; {@code scarce}: what is in reach can't carry what
+     * comes; {@code remark} hears of what changes.
      */
     void look(List<Tally> tallies, boolean scarce, long now, Consumer<String> remark) {
         for (int number = 0; number < tallies.size(); number++) {
@@ -98,16 +105,24 @@
             if (next != z.state) {
                 z.state = next;
                 z.begins(now);
-                remark.accept(String.format(Locale.ROOT, "zone %d is %s: %d of %d servers out, %d answering",
-                    number, next, t.out(), t.servers(), t.proven()));
+                remark.accept(
+                        String.format(
+                                Locale.ROOT,
+                                "zone %d is %s: %d of %d servers out, %d answering",
+                                number,
+                                next,
+                                t.out(),
+                                t.servers(),
+                                t.proven()));
             }
         }
     }
 
     private static State next(Zone z, Tally t, boolean scarce, boolean othersServe, long now) {
         int news = t.out() + t.proven();
-        boolean doubtful = t.out() > DOUBTED * news
-            && news >= Math.min(t.servers(), Math.max(2, NEWS_LEAST * t.servers()));
+        boolean doubtful =
+                t.out() > DOUBTED * news
+                        && news >= Math.min(t.servers(), Math.max(2, NEWS_LEAST * t.servers()));
         long lasted = now - z.since;
         switch (z.state) {
             case WHOLE:
@@ -120,10 +135,15 @@
                 z.calmUntil = doubtful ? now + CALM : now;
                 return doubtful && lasted < DOUBT_MOST ? State.DOUBTED : State.WHOLE;
             case LEFT:
-                // Where it is needed nothing is held back: cold servers' budgets bound what they get.
+                // Where it is needed nothing is held back: cold servers' budgets bound what they
+                // get.
                 z.part = scarce ? 1 : FIRST;
-                return !othersServe || scarce && z.good > 0 || z.good >= Math.min(TRIALS_OK, t.servers())
-                    && lasted >= HOLD << Math.min(DOUBLINGS, z.times - 1) ? State.RETURNING : State.LEFT;
+                return !othersServe
+                                || scarce && z.good > 0
+                                || z.good >= Math.min(TRIALS_OK, t.servers())
+                                        && lasted >= HOLD << Math.min(DOUBLINGS, z.times - 1)
+                        ? State.RETURNING
+                        : State.LEFT;
             default:
                 if (othersServe && (z.bad > z.good || doubtful)) {
                     return leave(z);
@@ -142,11 +162,14 @@
         return State.LEFT;
     }
 
-    // Whether servers answer in a zone that is neither left nor in doubt; else this balancer may be the one
+    // Whether servers answer in a zone that is neither left nor in doubt; else this balancer may be
+    // the one
     // cut off.
     private boolean othersServe(int number, List<Tally> tallies) {
         for (int z = 0; z < tallies.size(); z++) {
-            if (z != number && of(z).state == State.WHOLE && tallies.get(z).proven() > tallies.get(z).out()) {
+            if (z != number
+                    && of(z).state == State.WHOLE
+                    && tallies.get(z).proven() > tallies.get(z).out()) {
                 return true;
             }
         }
--- a/balancer/src/main/java/junctionhead/aggregation/BlockSums.java
+++ b/balancer/src/main/java/junctionhead/aggregation/BlockSums.java
@@ -5,25 +5,28 @@
 import java.util.stream.IntStream;
 
 /**
- * Sums over a fleet of balancers at a small cost, in datagrams that grow with its logarithm and bytes that
- * grow by 0.6 a second for each balancer (a record of 5 bytes for a block of 16, both ways round): recursive
- * doubling over blocks (Hillis and Steele's scan, as all-reduce does it), both ways round a ring, with each
- * block's record told on as it is in place of partial sums, so that what comes twice, late or round about
- * can't count twice. Each balancer hears its block's others itself, and knows their sum; in step k of a round
- * it tells the blocks 2^k further and 2^k back what it knows of the 2^k blocks that end with its own. After
- * log2(blocks) steps each has a record of every block.
+ * Sums over a fleet of balancers at a small cost, in datagrams that grow with its logarithm and
+ * bytes that grow by 0.6 a second for each balancer (a record of 5 bytes for a block of 16, both
+ * ways round): recursive doubling over blocks (Hillis and Steele's scan, as all-reduce does it),
+ * both ways round a ring, with each block's record told on as it is in place of partial sums, so
+ * that what comes twice, late or round about can't count twice. Each balancer hears its block's
+ * others itself, and knows their sum; in step k of a round it tells the blocks 2^k further and 2^k
+ * back what it knows of the 2^k blocks that end with its own. After log2(blocks) steps each has a
+ * record of every block.
  *
- * <p>A pure state machine: time and datagrams in, datagrams out; not for several threads. A record says how
- * old it is, less its time on the way; the youngest counts, none counts past {@link #FORGET}. The ring is
- * that of the blocks with a record that counts: those that are lost or cut off are missed within that time
- * and then left out, and are tried one at a time. Nobody's loss stops the others: who lives of a block shares
- * out whom it tells, another one each round.
+ * <p>A pure state machine: time and datagrams in, datagrams out; not for several threads. A record
+ * says how old it is, less its time on the way; the youngest counts, none counts past {@link
+ * #FORGET}. The ring is that of the blocks with a record that counts: those that are lost or cut
+ * off are missed within that time and then left out, and are tried one at a time. Nobody's loss
+ * stops the others: who lives of a block shares out whom it tells, another one each round.
  */
 public final class BlockSums {
     /** µs in which all steps are made once. */
     public static final long ROUND = 1_000_000;
+
     /** µs after which a record no longer counts. */
     public static final long FORGET = 5_000_000;
+
     /** First byte of these datagrams: their format and its version. */
     public static final byte FORMAT = 6;
 
@@ -33,7 +36,11 @@
     static final int RECORDS_MOST = 50;
     // µs
     static final long AGE_UNIT = 50_000;
-    /** A block's mean rate counts for so many times the middle block's at most: one may talk nonsense. */
+
+    /**
+     * A block's mean rate counts for so many times the middle block's at most: one may talk
+     * nonsense.
+     */
     static final double SKEW_MOST = 8;
 
     // Of a block; where more would be needed the teller's own has lost three of four.
@@ -66,7 +73,7 @@
      * @param present balancers in it
      * @param age µs, of the oldest part
      */
-    public record Total(double rate, int present, long age) { }
+    public record Total(double rate, int present, long age) {}
 
     /** {@code self} is this balancer's number. */
     public BlockSums(int self, Blocks blocks) {
@@ -95,11 +102,16 @@
         return blocks;
     }
 
-    /** True of the own block now: so many of its balancers are there, with so many requests a second. */
+    /**
+     * True of the own block now: so many of its balancers are there, with so many requests a
+     * second.
+     */
     public void own(long now, int there, long rate) {
         if (present[own] == 0) {
             // Until shown otherwise all blocks are taken to be there.
-            IntStream.range(0, present.length).filter(b -> present[b] == 0).forEach(b -> trueAt[b] = now);
+            IntStream.range(0, present.length)
+                    .filter(b -> present[b] == 0)
+                    .forEach(b -> trueAt[b] = now);
         }
         rates[own] = (int) Math.min(Integer.MAX_VALUE, rate);
         present[own] = there;
@@ -107,9 +119,9 @@
     }
 
     /**
-     * Sends what is due: at most one step for each call, and each step once a round, at a time that is the
-     * same for all whose clocks agree. {@code alive}: which of the own block's other balancers are there; the
-     * living share out whom they tell.
+     * Sends what is due: at most one step for each call, and each step once a round, at a time that
+     * is the same for all whose clocks agree. {@code alive}: which of the own block's other
+     * balancers are there; the living share out whom they tell.
      */
     public void tick(long now, IntPredicate alive, Sender sender) {
         int steps = Blocks.steps(blocks.count());
@@ -120,7 +132,10 @@
         lastStep = due;
         int step = (int) Math.floorMod(due, (long) steps);
         long round = Math.floorDiv(due, (long) steps);
-        int[] ring = IntStream.range(0, blocks.count()).filter(b -> b == own || isThere(now, b)).toArray();
+        int[] ring =
+                IntStream.range(0, blocks.count())
+                        .filter(b -> b == own || isThere(now, b))
+                        .toArray();
         int at = Arrays.binarySearch(ring, own);
         Teller teller = new Teller(alive, round, sender);
         int far = 1 << step;
@@ -133,16 +148,20 @@
             }
         }
         if (step == 0 && ring.length < blocks.count()) {
-            int[] missing = IntStream.range(0, blocks.count()).filter(b -> b != own && !isThere(now, b))
-                .toArray();
+            int[] missing =
+                    IntStream.range(0, blocks.count())
+                            .filter(b -> b != own && !isThere(now, b))
+                            .toArray();
             int block = missing[(int) Math.floorMod(round + self, (long) missing.length)];
             int to = (int) Math.floorMod(round / missing.length + self, (long) blocks.size(block));
-            sender.send(blocks.first(block) + to,
-                encode(now, ring, at, -1, Math.min(RECORDS_MOST, ring.length)));
+            sender.send(
+                    blocks.first(block) + to,
+                    encode(now, ring, at, -1, Math.min(RECORDS_MOST, ring.length)));
         }
     }
 
-    // Whom this balancer tells of another block. Others each round: a path that is cut is not the same
+    // Whom this balancer tells of another block. Others each round: a path that is cut is not the
+    // same
     // receiver's each time.
     private final class Teller {
         private final long round;
@@ -193,17 +212,22 @@
     }
 
     /**
-     * Takes a datagram in; false where it is none of these, or of a fleet of another size, or can't be true:
-     * then nothing is taken of it.
+     * Takes a datagram in; false where it is none of these, or of a fleet of another size, or can't
+     * be true: then nothing is taken of it.
      */
     public boolean heard(long now, int from, byte[] data) {
-        if (data.length < HEAD || data[0] != FORMAT || from < 0 || from >= blocks.balancers()
-                || at(data, 1) != blocks.balancers() || data.length != HEAD + RECORD * (data[3] & 255)
+        if (data.length < HEAD
+                || data[0] != FORMAT
+                || from < 0
+                || from >= blocks.balancers()
+                || at(data, 1) != blocks.balancers()
+                || data.length != HEAD + RECORD * (data[3] & 255)
                 || (data[3] & 255) > RECORDS_MOST) {
             return false;
         }
         for (int i = HEAD; i < data.length; i += RECORD) {
-            if ((data[i] & 255) >= blocks.count() || (data[i + 2] & 255) > blocks.size(data[i] & 255)) {
+            if ((data[i] & 255) >= blocks.count()
+                    || (data[i + 2] & 255) > blocks.size(data[i] & 255)) {
                 return false;
             }
         }
@@ -211,7 +235,9 @@
             int block = data[i] & 255;
             int there = data[i + 2] & 255;
             long when = now - (data[i + 1] & 255) * AGE_UNIT;
-            if (block != own && there > 0 && (when > trueAt[block] || present[block] == 0)
+            if (block != own
+                    && there > 0
+                    && (when > trueAt[block] || present[block] == 0)
                     && now - when < FORGET) {
                 trueAt[block] = when;
                 present[block] = there;
@@ -232,7 +258,9 @@
 
     /** What is known of a block, itself as it was {@code age} µs ago; null where nothing counts. */
     public Total known(long now, int block) {
-        return knows(now, block) ? new Total(rates[block], present[block], now - trueAt[block]) : null;
+        return knows(now, block)
+                ? new Total(rates[block], present[block], now - trueAt[block])
+                : null;
     }
 
     /** The same for states from which the same follows. */
--- a/balancer/src/main/java/junctionhead/duties/Claim.java
+++ b/balancer/src/main/java/junctionhead/duties/Claim.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * What one member has been granted of a slot under one epoch, by its voters; or, while it only sounds them
- * ({@code binding} false), who would grant it.
+ * What one member has been granted of a slot under one epoch, by its voters; or, while it only
+ * sounds them ({@code binding} false), who would grant it.
  */
 final class Claim {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -56,7 +56,8 @@
     }
 
     /**
-     * Until when it may be relied on, by the clock of who asked: then one of the majority may be free again.
+     * Until when it may be relied on, by the clock of who asked: then one of the majority may be
+     * free again.
      */
     long until(Terms terms) {
         long[] sorted = asked.clone();
--- a/balancer/src/main/java/junctionhead/duties/Duties.java
+++ b/balancer/src/main/java/junctionhead/duties/Duties.java
@@ -11,19 +11,20 @@
 import junctionhead.Hashing;
 
 /**
- * Duties at one member: leases of slots by a majority of each slot's voters, after Gray and Cheriton's leases
- * with epochs as in Paxos. Time, messages and who is present come in; messages, promises to be kept and what
- * is held go out. Deterministic, one thread.
+ * Duties at one member: leases of slots by a majority of each slot's voters, after Gray and
+ * Cheriton's leases with epochs as in Paxos. Time, messages and who is present come in; messages,
+ * promises to be kept and what is held go out. Deterministic, one thread.
  *
- * <p>Of those present the one that {@link Spread} names sounds a slot's voters, and asks if most would grant;
- * voters whose grant still binds them refuse all others, so that one that comes and goes unseats nobody. A
- * holder may act until a majority's grants, counted from when it <em>asked</em> for them, have run for nine
- * tenths of the lease: the first of these voters is free later than that by any clock within 5%. It looks at
- * its clock before each act ({@link #hold}). It hands over in order when it leaves or when somebody else has
- * been the better holder for a while; after a crash the lease has to end.
+ * <p>Of those present the one that {@link Spread} names sounds a slot's voters, and asks if most
+ * would grant; voters whose grant still binds them refuse all others, so that one that comes and
+ * goes unseats nobody. A holder may act until a majority's grants, counted from when it
+ * <em>asked</em> for them, have run for nine tenths of the lease: the first of these voters is free
+ * later than that by any clock within 5%. It looks at its clock before each act ({@link #hold}). It
+ * hands over in order when it leaves or when somebody else has been the better holder for a while;
+ * after a crash the lease has to end.
  *
- * <p>State: some words a slot and voter; messages a renewal: one to each voter of what is held here, and its
- * answer.
+ * <p>State: some words a slot and voter; messages a renewal: one to each voter of what is held
+ * here, and its answer.
  */
 public final class Duties {
     // Askings whose answers still count, at most
@@ -55,22 +56,24 @@
     private long tellAt;
 
     /** What the caller is to do. */
-    public sealed interface Act permits Send, Keep, Taken, Given { }
+    public sealed interface Act permits Send, Keep, Taken, Given {}
 
     /** Send a datagram to that member. */
-    public record Send(int to, Word word) implements Act { }
+    public record Send(int to, Word word) implements Act {}
 
     /** Keep all promises, synced, and then call {@link #kept} with that number. */
-    public record Keep(long number, List<Promise> promises) implements Act { }
+    public record Keep(long number, List<Promise> promises) implements Act {}
 
-    /** From now on this member holds the slot under that epoch, as long as {@link #hold} says so. */
-    public record Taken(int slot, long epoch) implements Act { }
+    /**
+     * From now on this member holds the slot under that epoch, as long as {@link #hold} says so.
+     */
+    public record Taken(int slot, long epoch) implements Act {}
 
     /** It holds it no longer. */
-    public record Given(int slot, long epoch, String why) implements Act { }
+    public record Given(int slot, long epoch, String why) implements Act {}
 
     /** Leave to act under that epoch until that time, µs. */
-    public record Hold(long epoch, long until) { }
+    public record Hold(long epoch, long until) {}
 
     /** One slot, as a holder or candidate sees it. */
     private static final class Lease {
@@ -127,12 +130,18 @@
      * @param seed of what goes by chance; of two processes of one member it differs
      * @param now µs, monotonic
      */
-    public Duties(int self, int members, Terms terms, List<Promise> promises, boolean durable, long floor,
-        long seed,
+    public Duties(
+            int self,
+            int members,
+            Terms terms,
+            List<Promise> promises,
+            boolean durable,
+            long floor,
+            long seed,
             long now) {
         if (self < 0 || self >= members || promises != null && promises.size() != terms.slots()) {
-            throw new IllegalArgumentException("no member " + self + " of " + members
-                + ", or promises of others");
+            throw new IllegalArgumentException(
+                    "no member " + self + " of " + members + ", or promises of others");
         }
         this.self = self;
         this.members = members;
@@ -142,8 +151,16 @@
         this.fence = new Fence(terms.slots());
         this.seen = new long[terms.slots()];
         long least = Math.min(Math.max(0, floor), Word.EPOCH_MOST / 2);
-        this.voter = new Voter(terms, promises != null ? promises
-            : Stream.generate(() -> Promise.none(least)).limit(terms.slots()).toList(), durable, now);
+        this.voter =
+                new Voter(
+                        terms,
+                        promises != null
+                                ? promises
+                                : Stream.generate(() -> Promise.none(least))
+                                        .limit(terms.slots())
+                                        .toList(),
+                        durable,
+                        now);
         this.leases = new Lease[terms.slots()];
         for (int s = 0; s < leases.length; s++) {
             leases[s] = new Lease(s, Spread.voters(s, members, terms.votersMost()));
@@ -153,7 +170,10 @@
         Arrays.fill(present, true);
     }
 
-    /** The same member in the same state, independent from here on: for those who explore what may happen. */
+    /**
+     * The same member in the same state, independent from here on: for those who explore what may
+     * happen.
+     */
     public Duties(Duties other) {
         self = other.self;
         members = other.members;
@@ -174,18 +194,33 @@
     }
 
     /**
-     * Its state in a number, times as seen from {@code now}; what differs in nothing that matters is equal.
+     * Its state in a number, times as seen from {@code now}; what differs in nothing that matters
+     * is equal.
      */
     public long fingerprint(long now) {
-        long h = voter.fingerprint(now) * 31 + Arrays.hashCode(present) + (left ? 1 : 0)
-            + (resting ? 2 + Math.max(0, tellAt - now) : 0);
+        long h =
+                voter.fingerprint(now) * 31
+                        + Arrays.hashCode(present)
+                        + (left ? 1 : 0)
+                        + (resting ? 2 + Math.max(0, tellAt - now) : 0);
         for (Lease l : leases) {
             h = h * 31 + seen[l.slot];
             h = h * 31 + (l.held == null ? 0 : l.held.fingerprint(now, terms) + (l.renewAt - now));
-            h = h * 31 + (l.asked == null ? 0 : l.asked.fingerprint(now, terms) + (l.askedUntil - now)
-                + 3 * (l.repeatAt - now) + 5 * l.repeats);
-            h = h * 31 + l.refusals * 7 + l.resigned * 11 + Math.max(0, l.resignedUntil - now) + l.best * 13
-                + Math.max(0, l.askAt - now);
+            h =
+                    h * 31
+                            + (l.asked == null
+                                    ? 0
+                                    : l.asked.fingerprint(now, terms)
+                                            + (l.askedUntil - now)
+                                            + 3 * (l.repeatAt - now)
+                                            + 5 * l.repeats);
+            h =
+                    h * 31
+                            + l.refusals * 7
+                            + l.resigned * 11
+                            + Math.max(0, l.resignedUntil - now)
+                            + l.best * 13
+                            + Math.max(0, l.askAt - now);
             h = h * 31 + (l.betterSince == Long.MAX_VALUE ? 0 : now - l.betterSince);
         }
         for (Map.Entry<Integer, Long> round : rounds.entrySet()) {
@@ -197,8 +232,8 @@
     // ------------------------------------------------------------ what others ask
 
     /**
-     * What this member holds of a slot at this very time; null: nothing. Who acts elsewhere or later than now
-     * looks at the clock once more.
+     * What this member holds of a slot at this very time; null: nothing. Who acts elsewhere or
+     * later than now looks at the clock once more.
      */
     public Hold hold(long now, int slot) {
         Claim held = leases[slot].held;
@@ -223,7 +258,10 @@
 
     // ------------------------------------------------------------ time and view
 
-    /** From now on others can reach this member: an earlier process of it may have granted until now. */
+    /**
+     * From now on others can reach this member: an earlier process of it may have granted until
+     * now.
+     */
     public void opened(long now) {
         voter.opened(now);
     }
@@ -245,8 +283,12 @@
             next = l.resigned >= 0 ? Math.min(next, l.resignedUntil) : next;
             if (l.held != null) {
                 next = Math.min(next, Math.min(l.renewAt, l.held.until(terms)));
-                next = Math.min(next, l.betterSince == Long.MAX_VALUE ? next : l.betterSince
-                    + terms.settle());
+                next =
+                        Math.min(
+                                next,
+                                l.betterSince == Long.MAX_VALUE
+                                        ? next
+                                        : l.betterSince + terms.settle());
             }
             if (l.asked != null) {
                 next = Math.min(next, Math.min(l.askedUntil, l.repeatAt));
@@ -279,18 +321,22 @@
         }
         if (Arrays.stream(leases).anyMatch(l -> l.held != null && now >= l.renewAt)) {
             // All in the same datagrams, those that are due soon too.
-            Arrays.stream(leases).filter(l -> l.held != null && now + terms.renew() / 2 >= l.renewAt)
-                .forEach(l -> {
-                l.renewAt = now + terms.renew();
-                write(l, Word.Kind.ASK, l.held.epoch);
-            });
+            Arrays.stream(leases)
+                    .filter(l -> l.held != null && now + terms.renew() / 2 >= l.renewAt)
+                    .forEach(
+                            l -> {
+                                l.renewAt = now + terms.renew();
+                                write(l, Word.Kind.ASK, l.held.epoch);
+                            });
         }
         return done(now);
     }
 
     private void choose(Lease l) {
         l.resigned = l.resigned >= 0 && present[l.resigned] ? l.resigned : -1;
-        l.best = Spread.holder(l.slot, members, m -> m == self ? !resting : present[m] && m != l.resigned);
+        l.best =
+                Spread.holder(
+                        l.slot, members, m -> m == self ? !resting : present[m] && m != l.resigned);
     }
 
     // Who should hold it if nobody rested.
@@ -299,8 +345,9 @@
     }
 
     /**
-     * This member stays and wants no duties, or ({@code on} false) wants them again. It passes on what it
-     * holds at once, and tells those concerned from time to time: they forget it a while after the last time.
+     * This member stays and wants no duties, or ({@code on} false) wants them again. It passes on
+     * what it holds at once, and tells those concerned from time to time: they forget it a while
+     * after the last time.
      */
     public List<Act> rest(long now, boolean on) {
         if (left) {
@@ -343,7 +390,8 @@
 
     // ------------------------------------------------------------ asking and giving up
 
-    // Sounds the voters first: epochs that rise in vain at some of them would be trouble for who holds it. A
+    // Sounds the voters first: epochs that rise in vain at some of them would be trouble for who
+    // holds it. A
     // holder that needs a higher epoch has its voters already.
     private void ask(Lease l, boolean binding, long now) {
         if (seen[l.slot] >= Word.EPOCH_MOST) {
@@ -353,7 +401,8 @@
         long epoch = seen[l.slot] + 1;
         seen[l.slot] = binding ? epoch : seen[l.slot];
         l.asked = new Claim(epoch, binding, l.voters.length);
-        // What is granted binds its voters for a lease; a disk that takes its time must not cost another
+        // What is granted binds its voters for a lease; a disk that takes its time must not cost
+        // another
         // epoch.
         l.askedUntil = now + (binding ? terms.lease() : terms.renew());
         l.repeats = 0;
@@ -362,17 +411,21 @@
 
     // Again and again for a while: some were bound when it came, or it was lost.
     private void send(Lease l, long now) {
-        l.repeatAt = now + Math.min(terms.renew(), terms.again() << Math.min(DOUBLINGS, l.repeats++));
+        l.repeatAt =
+                now + Math.min(terms.renew(), terms.again() << Math.min(DOUBLINGS, l.repeats++));
         l.asked.sent(now);
         for (int v = 0; v < l.voters.length; v++) {
             if (!l.asked.grantedBy(v)) {
-                letter(l.voters[v], l.asked.binding ? Word.Kind.ASK : Word.Kind.SOUND,
-                    new Word.Entry(l.slot, l.asked.epoch));
+                letter(
+                        l.voters[v],
+                        l.asked.binding ? Word.Kind.ASK : Word.Kind.SOUND,
+                        new Word.Entry(l.slot, l.asked.epoch));
             }
         }
     }
 
-    // Voters that granted what was asked for are free again; but not beside what is held: they are counted
+    // Voters that granted what was asked for are free again; but not beside what is held: they are
+    // counted
     // for that.
     private void withdraw(Lease l, long now) {
         if (l.held == null && l.asked.binding) {
@@ -430,7 +483,10 @@
 
     /** A message has come from the member of that number. */
     public List<Act> heard(long now, int from, Word word) {
-        if (left || from < 0 || from >= members || from == self
+        if (left
+                || from < 0
+                || from >= members
+                || from == self
                 || word.entries().stream().anyMatch(e -> e.slot() >= terms.slots())) {
             return List.of();
         }
@@ -451,9 +507,18 @@
         }
         boolean binding = word.kind() == Word.Kind.ASK;
         Voter.Verdict verdict = binding ? voter.ask(now, from, word) : voter.sound(now, from, word);
-        reply(now, from, new Word(binding ? Word.Kind.GRANTED : Word.Kind.WOULD, word.process(),
-            word.number(), verdict.granted()));
-        reply(now, from, new Word(Word.Kind.REFUSED, word.process(), word.number(), verdict.refused()));
+        reply(
+                now,
+                from,
+                new Word(
+                        binding ? Word.Kind.GRANTED : Word.Kind.WOULD,
+                        word.process(),
+                        word.number(),
+                        verdict.granted()));
+        reply(
+                now,
+                from,
+                new Word(Word.Kind.REFUSED, word.process(), word.number(), verdict.refused()));
     }
 
     private void reply(long now, int to, Word word) {
@@ -471,12 +536,14 @@
         voter.release(now, from, word);
         for (Word.Entry e : word.entries()) {
             seen[e.slot()] = Math.max(seen[e.slot()], e.epoch());
-            // Not after a RELEASE: two that take themselves for the best would wake each other without end.
+            // Not after a RELEASE: two that take themselves for the best would wake each other
+            // without end.
             if (word.kind() == Word.Kind.PASS && from != self) {
                 Lease l = leases[e.slot()];
                 l.refusals = 0;
                 l.askAt = Math.min(l.askAt, now);
-                // It leaves, and the view will say so too, but later; or it rests, and says so again.
+                // It leaves, and the view will say so too, but later; or it rests, and says so
+                // again.
                 l.resigned = l.best == from ? from : l.resigned;
                 l.resignedUntil = l.resigned == from ? now + terms.settle() : l.resignedUntil;
                 choose(l);
@@ -539,20 +606,27 @@
     }
 
     /**
-     * The promises of that number are safe; or ({@code safe} false) they are not, and it has to be tried
-     * again.
+     * The promises of that number are safe; or ({@code safe} false) they are not, and it has to be
+     * tried again.
      */
     public List<Act> kept(long now, long number, boolean safe) {
         for (Voter.Waiting w : voter.kept(now, number, safe)) {
             if (!left) {
-                reply(now, w.from(), new Word(Word.Kind.GRANTED, w.process(), w.number(),
-                    List.of(new Word.Entry(w.slot(), w.epoch()))));
+                reply(
+                        now,
+                        w.from(),
+                        new Word(
+                                Word.Kind.GRANTED,
+                                w.process(),
+                                w.number(),
+                                List.of(new Word.Entry(w.slot(), w.epoch()))));
             }
         }
         return left ? List.of() : done(now);
     }
 
-    // ------------------------------------------------------------ letters: many slots, few datagrams
+    // ------------------------------------------------------------ letters: many slots, few
+    // datagrams
 
     private void write(Lease l, Word.Kind kind, long epoch) {
         for (int v : l.voters) {
@@ -561,12 +635,14 @@
     }
 
     private void letter(int to, Word.Kind kind, Word.Entry entry) {
-        letters.computeIfAbsent(to, x -> new LinkedHashMap<>()).computeIfAbsent(kind, x -> new ArrayList<>())
-            .add(entry);
+        letters.computeIfAbsent(to, x -> new LinkedHashMap<>())
+                .computeIfAbsent(kind, x -> new ArrayList<>())
+                .add(entry);
     }
 
     private List<Act> done(long now) {
-        // A round's own part may be granted at once, which changes nothing that is still to be written.
+        // A round's own part may be granted at once, which changes nothing that is still to be
+        // written.
         while (!letters.isEmpty()) {
             Map<Integer, Map<Word.Kind, List<Word.Entry>>> all = new LinkedHashMap<>(letters);
             letters.clear();
@@ -576,8 +652,9 @@
             if (rounds.size() > ROUNDS) {
                 rounds.remove(rounds.keySet().iterator().next());
             }
-            all.forEach((to, kinds) -> kinds.forEach((kind, entries) -> post(now, to, kind, number,
-                entries)));
+            all.forEach(
+                    (to, kinds) ->
+                            kinds.forEach((kind, entries) -> post(now, to, kind, number, entries)));
         }
         Keep keep = voter.keep(now);
         if (keep != null) {
@@ -590,8 +667,12 @@
 
     private void post(long now, int to, Word.Kind kind, int number, List<Word.Entry> entries) {
         for (int i = 0; i < entries.size(); i += Word.ENTRIES_MOST) {
-            Word word = new Word(kind, process, number,
-                entries.subList(i, Math.min(entries.size(), i + Word.ENTRIES_MOST)));
+            Word word =
+                    new Word(
+                            kind,
+                            process,
+                            number,
+                            entries.subList(i, Math.min(entries.size(), i + Word.ENTRIES_MOST)));
             if (to != self) {
                 acts.add(new Send(to, word));
             } else if (kind == Word.Kind.ASK || kind == Word.Kind.SOUND) {
--- a/balancer/src/main/java/junctionhead/duties/Fence.java
+++ b/balancer/src/main/java/junctionhead/duties/Fence.java
@@ -1,8 +1,8 @@
 package junctionhead.duties;
 
 /**
- * The highest epoch of each slot that was heard of here. Who acts on a holder's word asks first: one that was
- * paused may still believe in an epoch that somebody else has ended.
+ * The highest epoch of each slot that was heard of here. Who acts on a holder's word asks first:
+ * one that was paused may still believe in an epoch that somebody else has ended.
  */
 public final class Fence {
     private final long[] seen;
--- a/balancer/src/main/java/junctionhead/duties/Promise.java
+++ b/balancer/src/main/java/junctionhead/duties/Promise.java
@@ -5,9 +5,11 @@
 import java.util.List;
 
 /**
- * What a voter has promised of a slot: to grant nothing under a lower epoch, nor this one to anybody else.
+ * What a voter has promised of a slot: to grant nothing under a lower epoch, nor this one to
+ * anybody else.
  *
- * @param claimant the member that the epoch was granted to, and which of its processes; -1: nobody yet
+ * @param claimant the member that the epoch was granted to, and which of its processes; -1: nobody
+ *     yet
  */
 public record Promise(long epoch, int claimant) {
     /** Nothing under this epoch or a lower one was granted, as far as is known. */
@@ -37,8 +39,9 @@
         ByteBuffer in = ByteBuffer.wrap(bytes);
         Promise[] promises = new Promise[slots];
         Arrays.setAll(promises, i -> new Promise(in.getLong(), in.getInt()));
-        return Arrays.stream(promises).anyMatch(p -> p.epoch < 0 || p.epoch > Word.EPOCH_MOST
-            || p.claimant < -1)
-            ? null : List.of(promises);
+        return Arrays.stream(promises)
+                        .anyMatch(p -> p.epoch < 0 || p.epoch > Word.EPOCH_MOST || p.claimant < -1)
+                ? null
+                : List.of(promises);
     }
 }
--- a/balancer/src/main/java/junctionhead/duties/Voter.java
+++ b/balancer/src/main/java/junctionhead/duties/Voter.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * One member as a voter. For each slot it promises one process at a time: nobody else is granted the slot
- * until the grant's lease is over by this member's clock, and no epoch below it ever. For a lease after its
- * start it grants nothing, since it does not know what it granted before: so no grant is forgotten while it
- * binds, whatever has become of the disk. What is kept there, synced before an answer is given, is for epochs
- * never to go back.
+ * One member as a voter. For each slot it promises one process at a time: nobody else is granted
+ * the slot until the grant's lease is over by this member's clock, and no epoch below it ever. For
+ * a lease after its start it grants nothing, since it does not know what it granted before: so no
+ * grant is forgotten while it binds, whatever has become of the disk. What is kept there, synced
+ * before an answer is given, is for epochs never to go back.
  */
 final class Voter {
     // µs after a disk that failed
@@ -33,10 +33,10 @@
     private long abstains;
 
     /** A grant that may be told once the promise under it is kept. */
-    record Waiting(int from, int process, int number, int slot, long epoch) { }
+    record Waiting(int from, int process, int number, int slot, long epoch) {}
 
     /** What an asking gets: at once, or ({@code later}) once it is kept. */
-    record Verdict(List<Word.Entry> granted, List<Word.Entry> refused) { }
+    record Verdict(List<Word.Entry> granted, List<Word.Entry> refused) {}
 
     /** {@code durable}: promises are kept before they are told. */
     Voter(Terms terms, List<Promise> promises, boolean durable, long now) {
@@ -93,8 +93,9 @@
     private boolean admits(long now, int claimant, Word.Entry e) {
         Promise given = promises[e.slot()];
         boolean same = given.claimant() == claimant;
-        return now >= abstains && (same || now >= until[e.slot()])
-            && (e.epoch() > given.epoch() || same && e.epoch() == given.epoch());
+        return now >= abstains
+                && (same || now >= until[e.slot()])
+                && (e.epoch() > given.epoch() || same && e.epoch() == given.epoch());
     }
 
     Verdict ask(long now, int from, Word word) {
@@ -113,7 +114,8 @@
                 changed = true;
             }
             if (durable && !safe[e.slot()].equals(promises[e.slot()])) {
-                waiting[e.slot()] = new Waiting(from, word.process(), word.number(), e.slot(), e.epoch());
+                waiting[e.slot()] =
+                        new Waiting(from, word.process(), word.number(), e.slot(), e.epoch());
             } else {
                 verdict.granted.add(e);
             }
@@ -123,7 +125,8 @@
 
     void release(long now, int from, Word word) {
         for (Word.Entry e : word.entries()) {
-            if (promises[e.slot()].equals(new Promise(e.epoch(), Promise.claimant(from, word.process())))) {
+            if (promises[e.slot()].equals(
+                    new Promise(e.epoch(), Promise.claimant(from, word.process())))) {
                 until[e.slot()] = now;
                 waiting[e.slot()] = null;
             }
@@ -144,7 +147,10 @@
         return durable && changed && keeping == null ? keepAt : Long.MAX_VALUE;
     }
 
-    /** The promises of that number are safe, or will never be; returns the grants that may be told now. */
+    /**
+     * The promises of that number are safe, or will never be; returns the grants that may be told
+     * now.
+     */
     List<Waiting> kept(long now, long number, boolean whole) {
         if (keeping == null || number != keeps) {
             return List.of();
@@ -164,12 +170,15 @@
     }
 
     long fingerprint(long now) {
-        long h = (Arrays.hashCode(promises) * 31L + Arrays.hashCode(waiting)) * 31 + Arrays.hashCode(safe);
+        long h =
+                (Arrays.hashCode(promises) * 31L + Arrays.hashCode(waiting)) * 31
+                        + Arrays.hashCode(safe);
         for (long u : until) {
             h = h * 31 + Math.max(0, u - now);
         }
         h = h * 31 + (keeping == null ? 0 : Arrays.hashCode(keeping));
-        return (h * 31 + Math.max(0, abstains - now)) * 31 + (changed ? 1 : 0)
-            + Math.max(0, keepAt - now) * 7;
+        return (h * 31 + Math.max(0, abstains - now)) * 31
+                + (changed ? 1 : 0)
+                + Math.max(0, keepAt - now) * 7;
     }
 }
--- a/balancer/src/main/java/junctionhead/duties/Word.java
+++ b/balancer/src/main/java/junctionhead/duties/Word.java
@@ -5,18 +5,20 @@
 import java.util.List;
 
 /**
- * A datagram about duties: a head of {@value #HEAD} bytes (format, kind, process, number) and {@value #ONE}
- * bytes an entry.
+ * A datagram about duties: a head of {@value #HEAD} bytes (format, kind, process, number) and
+ * {@value #ONE} bytes an entry.
  *
- * @param process tells processes of one member apart, by chance: below {@value #PROCESSES}; an answer bears
- *     that of its question
+ * @param process tells processes of one member apart, by chance: below {@value #PROCESSES}; an
+ *     answer bears that of its question
  * @param number of the asking that it belongs to, likewise
  */
 public record Word(Kind kind, int process, int number, List<Entry> entries) {
     /** The first byte of all such messages; other formats begin otherwise. */
     public static final byte FORMAT = 5;
+
     /** Entries of a message at most. */
     public static final int ENTRIES_MOST = 35;
+
     /** Epochs are shorter than 48 bits. */
     public static final long EPOCH_MOST = (1L << 48) - 1;
 
@@ -45,13 +47,20 @@
     }
 
     /** One slot's part. */
-    public record Entry(int slot, long epoch) { }
+    public record Entry(int slot, long epoch) {}
 
     public Word {
         entries = List.copyOf(entries);
-        if (process < 0 || process >= PROCESSES || entries.size() > ENTRIES_MOST
-            || entries.stream().anyMatch(e -> e.slot < 0 || e.slot > 255
-                || e.epoch < 0 || e.epoch > EPOCH_MOST)) {
+        if (process < 0
+                || process >= PROCESSES
+                || entries.size() > ENTRIES_MOST
+                || entries.stream()
+                        .anyMatch(
+                                e ->
+                                        e.slot < 0
+                                                || e.slot > 255
+                                                || e.epoch < 0
+                                                || e.epoch > EPOCH_MOST)) {
             throw new IllegalArgumentException("does not fit in a datagram");
         }
     }
@@ -73,8 +82,11 @@
 
     /** The message of these bytes; null where they are none of this format, or damaged. */
     public static Word decode(byte[] text) {
-        if (!claims(text) || text.length < HEAD || (text.length - HEAD) % ONE != 0
-                || text.length > HEAD + ONE * ENTRIES_MOST || text[1] < 0
+        if (!claims(text)
+                || text.length < HEAD
+                || (text.length - HEAD) % ONE != 0
+                || text.length > HEAD + ONE * ENTRIES_MOST
+                || text[1] < 0
                 || text[1] >= Kind.values().length) {
             return null;
         }
@@ -87,7 +99,8 @@
         List<Entry> entries = new ArrayList<>();
         while (in.hasRemaining()) {
             int slot = in.get() & 0xff;
-            entries.add(new Entry(slot, (in.getShort() & 0xffffL) << 32 | in.getInt() & 0xffffffffL));
+            entries.add(
+                    new Entry(slot, (in.getShort() & 0xffffL) << 32 | in.getInt() & 0xffffffffL));
         }
         return new Word(Kind.values()[text[1]], process, number, entries);
     }
--- a/balancer/src/main/java/junctionhead/membership/Membership.java
+++ b/balancer/src/main/java/junctionhead/membership/Membership.java
@@ -8,22 +8,20 @@
 import java.util.stream.IntStream;
 
 /**
- * The protocol of membership at one member: SWIM (Das, Gupta, Motivala) with incarnations and suspicion, told
- * on the back of its own messages, and after Lifeguard (Dadgar, Phillips, Currey) with caution where this
- * process itself was slow. Time and messages come in; messages and changes of the view go out. Deterministic,
- * one thread.
+ * The protocol of membership at one member: SWIM (Das, Gupta, Motivala) with incarnations and
+ * suspicion, told on the back of its own messages, and after Lifeguard (Dadgar, Phillips, Currey)
+ * with caution where this process itself was slow. Time and messages come in; messages and changes
+ * of the view go out. Deterministic, one thread.
  *
- * <p>Who finds a member silent asks others to ask; only then it suspects, goes on asking, and holds the
- * member
- * dead when all of that stays without an answer. Everybody else waits three times as long for the
- * member's own
- * word, so that one with a broken path of its own convinces nobody by itself. A member that hears that it is
- * suspected, or held dead, raises its incarnation and says so. Dead ones are asked now and then: after a cut
- * is healed the two sides find each other.
+ * <p>Who finds a member silent asks others to ask; only then it suspects, goes on asking, and holds
+ * the member dead when all of that stays without an answer. Everybody else waits three times as
+ * long for the member's own word, so that one with a broken path of its own convinces nobody by
+ * itself. A member that hears that it is suspected, or held dead, raises its incarnation and says
+ * so. Dead ones are asked now and then: after a cut is healed the two sides find each other.
  *
  * <p>Cost: a message and its answer a period and member, and news a bounded number of times each,
- * whatever the
- * number of members. State: a few words a member; at most {@value #RELAYS_MOST} questions for others.
+ * whatever the number of members. State: a few words a member; at most {@value #RELAYS_MOST}
+ * questions for others.
  */
 public final class Membership {
     private static final int RELAYS_MOST = 64;
@@ -83,16 +81,16 @@
     private long tickedAt;
     private boolean left;
 
-    private record Relay(int origin, int number, int subject, long until) { }
+    private record Relay(int origin, int number, int subject, long until) {}
 
     /** What the caller is to do. */
-    public sealed interface Act permits Send, Changed { }
+    public sealed interface Act permits Send, Changed {}
 
     /** Send a datagram to that member. */
-    public record Send(int to, Message message) implements Act { }
+    public record Send(int to, Message message) implements Act {}
 
     /** The view has changed: what is said now and was not before. */
-    public record Changed(News news, View view) implements Act { }
+    public record Changed(News news, View view) implements Act {}
 
     /**
      * Makes a member that knows nobody yet and takes all as present until it learns better.
@@ -131,7 +129,10 @@
         tickedAt = now;
     }
 
-    /** The same member in the same state, independent from here on: for those who explore what may happen. */
+    /**
+     * The same member in the same state, independent from here on: for those who explore what may
+     * happen.
+     */
     public Membership(Membership other) {
         self = other.self;
         timing = other.timing;
@@ -162,20 +163,37 @@
         left = other.left;
     }
 
-    /** Its state in a number, times as seen from {@code now}; what differs in nothing that matters is
-     * equal. */
+    /**
+     * Its state in a number, times as seen from {@code now}; what differs in nothing that matters
+     * is equal.
+     */
     public long fingerprint(long now) {
         long h = self;
         for (int m = 0; m < known.length; m++) {
             long waits = known[m].status() == Status.SUSPECTED ? now - since[m] : 0;
             h = h * 31 + known[m].incarnation();
-            h = h * 31 + known[m].status().ordinal() + 8 * toTell[m] + (mine[m] ? 4 : 0) + 4096 * waits
-                + (now - bornAt[m] < YOUNG ? 1 << 30 : 0);
-        }
-        long[] rest = {relays.hashCode(), turn, spread, probed, probed < 0 ? 0 : now - askedAt, helped ? 1
-            : 0,
-            nextProbe - now, nextCheck - now, nextGossip - now, nextExchange - now, now - tickedAt, left ? 1
-                : 0};
+            h =
+                    h * 31
+                            + known[m].status().ordinal()
+                            + 8 * toTell[m]
+                            + (mine[m] ? 4 : 0)
+                            + 4096 * waits
+                            + (now - bornAt[m] < YOUNG ? 1 << 30 : 0);
+        }
+        long[] rest = {
+            relays.hashCode(),
+            turn,
+            spread,
+            probed,
+            probed < 0 ? 0 : now - askedAt,
+            helped ? 1 : 0,
+            nextProbe - now,
+            nextCheck - now,
+            nextGossip - now,
+            nextExchange - now,
+            now - tickedAt,
+            left ? 1 : 0
+        };
         for (long word : rest) {
             h = (h ^ word) * 0x9e3779b97f4a7c15L;
             h ^= h >>> 29;
@@ -193,7 +211,10 @@
 
     /** When {@link #tick} is wanted next, µs. */
     public long next() {
-        long next = Math.min(Math.min(nextProbe, nextExchange), pending > 0 ? nextGossip : Long.MAX_VALUE);
+        long next =
+                Math.min(
+                        Math.min(nextProbe, nextExchange),
+                        pending > 0 ? nextGossip : Long.MAX_VALUE);
         if (probed >= 0) {
             next = Math.min(next, helped ? askedAt + timing.period() : askedAt + timing.answer());
         }
@@ -205,7 +226,8 @@
         return left ? Long.MAX_VALUE : next;
     }
 
-    // One that has just started is slow, and so is this member when it has: it has learnt of all others then.
+    // One that has just started is slow, and so is this member when it has: it has learnt of all
+    // others then.
     private long doomed(int m) {
         int young = since[m] - bornAt[m] < YOUNG ? YOUNG_WAIT : 1;
         return since[m] + timing.suspicion() * young * (mine[m] ? 1 : OTHERS_WAIT);
@@ -250,7 +272,8 @@
         return done();
     }
 
-    // This process stood still: what it waited for may have come meanwhile and not been read. Nobody is
+    // This process stood still: what it waited for may have come meanwhile and not been read.
+    // Nobody is
     // blamed
     // for that time, and what others hold of this member is asked for first.
     private void awake(long now) {
@@ -296,19 +319,23 @@
             } else {
                 turn = self;
             }
-            int dead = after((int) (Math.floorMod(now / timing.period(), (long) known.length)), false);
+            int dead =
+                    after((int) (Math.floorMod(now / timing.period(), (long) known.length)), false);
             if (dead >= 0) {
                 send(dead, Message.Kind.PING, dead, ++numbers);
             }
         }
     }
 
-    // The next member after one, in order of numbers, that is present ({@code present}) or dead; -1: none.
+    // The next member after one, in order of numbers, that is present ({@code present}) or dead;
+    // -1: none.
     private int after(int member, boolean present) {
         for (int i = 1; i <= known.length; i++) {
             int m = (member + i) % known.length;
-            boolean fits = present ? known[m].status().compareTo(Status.SUSPECTED) <= 0
-                : known[m].status() == Status.DEAD;
+            boolean fits =
+                    present
+                            ? known[m].status().compareTo(Status.SUSPECTED) <= 0
+                            : known[m].status() == Status.DEAD;
             if (m != self && fits) {
                 return m;
             }
@@ -335,7 +362,11 @@
 
     /** A message has come from the member of that number. */
     public List<Act> heard(long now, int from, Message message) {
-        if (left || from < 0 || from >= known.length || from == self || message.subject() >= known.length) {
+        if (left
+                || from < 0
+                || from >= known.length
+                || from == self
+                || message.subject() >= known.length) {
             return List.of();
         }
         learn(now, new News(from, Status.ALIVE, message.incarnation()));
@@ -344,7 +375,7 @@
             case PING -> send(from, Message.Kind.ACK, self, message.number());
             case ASK -> relay(now, from, message);
             case ACK -> answered(now, message);
-            case TELL -> { }
+            case TELL -> {}
         }
         return done();
     }
@@ -354,8 +385,9 @@
         if (message.subject() == self) {
             send(from, Message.Kind.ACK, self, message.number());
         } else if (relays.size() < RELAYS_MOST) {
-            relays.put(++numbers, new Relay(from, message.number(), message.subject(), now
-                + timing.period()));
+            relays.put(
+                    ++numbers,
+                    new Relay(from, message.number(), message.subject(), now + timing.period()));
             send(message.subject(), Message.Kind.PING, message.subject(), numbers);
         }
     }
@@ -376,8 +408,10 @@
             known[self] = new News(self, Status.LEFT, known[self].incarnation());
             toldAnew(self);
             int told = self;
-            for (int i = 0; i < Math.max(timing.helpers(), timing.fanout())
-                    && (told = after(told, true)) >= 0; i++) {
+            for (int i = 0;
+                    i < Math.max(timing.helpers(), timing.fanout())
+                            && (told = after(told, true)) >= 0;
+                    i++) {
                 send(told, Message.Kind.TELL, self, 0);
             }
             left = true;
@@ -388,11 +422,13 @@
     // ------------------------------------------------------------ what is known
 
     private void learn(long now, News news) {
-        // An incarnation is a time: one far ahead of this member's own clock is forged, or comes of a
+        // An incarnation is a time: one far ahead of this member's own clock is forged, or comes of
+        // a
         // broken one.
         int m = news.member();
-        if (m >= known.length || news.incarnation() > now / MILLI + clockAhead
-                + timing.incarnationLead() / MILLI) {
+        if (m >= known.length
+                || news.incarnation()
+                        > now / MILLI + clockAhead + timing.incarnationLead() / MILLI) {
             return;
         }
         if (m == self) {
@@ -402,14 +438,17 @@
         if (!news.beats(known[m])) {
             return;
         }
-        boolean suspicion = news.status() == Status.SUSPECTED && known[m].status() != Status.SUSPECTED;
+        boolean suspicion =
+                news.status() == Status.SUSPECTED && known[m].status() != Status.SUSPECTED;
         mine[m] = mine[m] && news.status() == Status.SUSPECTED;
         boolean first = known[m].incarnation() == 0;
         boolean changed = news.status() != known[m].status() || !first;
-        boolean back = known[m].status().compareTo(Status.SUSPECTED) > 0 && news.status() == Status.ALIVE;
+        boolean back =
+                known[m].status().compareTo(Status.SUSPECTED) > 0 && news.status() == Status.ALIVE;
         bornAt[m] = back ? now : bornAt[m];
-        suspects += (news.status() == Status.SUSPECTED ? 1 : 0) - (known[m].status() == Status.SUSPECTED ? 1
-            : 0);
+        suspects +=
+                (news.status() == Status.SUSPECTED ? 1 : 0)
+                        - (known[m].status() == Status.SUSPECTED ? 1 : 0);
         known[m] = news;
         if (!first || news.status() != Status.ALIVE) {
             // That one is there, each learns from itself
@@ -424,11 +463,13 @@
         }
     }
 
-    // What others hold of this member and is not so, or an incarnation of an earlier life that they still
+    // What others hold of this member and is not so, or an incarnation of an earlier life that they
+    // still
     // know.
     private void deny(News news) {
-        boolean wrong = news.status() != Status.ALIVE && news.incarnation() >= known[self].incarnation()
-            || news.incarnation() > known[self].incarnation();
+        boolean wrong =
+                news.status() != Status.ALIVE && news.incarnation() >= known[self].incarnation()
+                        || news.incarnation() > known[self].incarnation();
         if (wrong) {
             known[self] = new News(self, Status.ALIVE, news.incarnation() + 1);
             toldAnew(self);
@@ -437,18 +478,27 @@
 
     private void send(int to, Message.Kind kind, int subject, int number) {
         List<News> carried = news(CARRIED);
-        if (known[to].status() != Status.ALIVE && carried.stream().noneMatch(n -> n.member() == to)) {
+        if (known[to].status() != Status.ALIVE
+                && carried.stream().noneMatch(n -> n.member() == to)) {
             // So that it can deny it
             carried.add(0, known[to]);
         }
-        acts.add(new Send(to, new Message(kind, subject, number, known[self].incarnation(), carried)));
+        acts.add(
+                new Send(
+                        to,
+                        new Message(kind, subject, number, known[self].incarnation(), carried)));
     }
 
     private void tellNext(List<News> news) {
-        // Scattered by the golden ratio: in order of numbers, neighbours would tell the same members.
+        // Scattered by the golden ratio: in order of numbers, neighbours would tell the same
+        // members.
         int to = after((int) ((++spread * GOLDEN >>> 33) * known.length >>> 31), true);
         if (to >= 0 && !news.isEmpty()) {
-            acts.add(new Send(to, new Message(Message.Kind.TELL, self, 0, known[self].incarnation(), news)));
+            acts.add(
+                    new Send(
+                            to,
+                            new Message(
+                                    Message.Kind.TELL, self, 0, known[self].incarnation(), news)));
         }
     }
 
@@ -459,7 +509,9 @@
         }
         int[] waiting = IntStream.range(0, known.length).filter(m -> toTell[m] > 0).toArray();
         List<News> carried = new ArrayList<>();
-        for (int count = repeats; count > 0 && carried.size() < Math.min(most, waiting.length); count--) {
+        for (int count = repeats;
+                count > 0 && carried.size() < Math.min(most, waiting.length);
+                count--) {
             for (int m : waiting) {
                 if (toTell[m] == count && carried.size() < most) {
                     carried.add(known[m]);
--- a/balancer/src/main/java/junctionhead/membership/Message.java
+++ b/balancer/src/main/java/junctionhead/membership/Message.java
@@ -7,9 +7,9 @@
 /**
  * One datagram of membership, as values.
  *
- * <p>Fourteen bytes: the format, the kind, the subject (two bytes), the number that an answer repeats (four),
- * the sender's incarnation (six). The rest is news, eight bytes each: status and member in two, the
- * incarnation in six.
+ * <p>Fourteen bytes: the format, the kind, the subject (two bytes), the number that an answer
+ * repeats (four), the sender's incarnation (six). The rest is news, eight bytes each: status and
+ * member in two, the incarnation in six.
  *
  * @param subject the member that the message is about: whom an ACK speaks for, whom an ASK asks for
  * @param number of the question that it puts or answers
@@ -18,8 +18,10 @@
 public record Message(Kind kind, int subject, int number, long incarnation, List<News> news) {
     /** Bytes of a datagram at most. */
     public static final int BYTES_MOST = 256;
+
     /** Members that a configuration may name. */
     public static final int MEMBERS_MOST = 1 << 14;
+
     /** News in one message at most. */
     public static final int NEWS_MOST = (BYTES_MOST - 14) / 8;
 
@@ -42,7 +44,10 @@
 
     public Message {
         news = List.copyOf(news);
-        if (news.size() > NEWS_MOST || subject < 0 || subject >= MEMBERS_MOST || incarnation < 0
+        if (news.size() > NEWS_MOST
+                || subject < 0
+                || subject >= MEMBERS_MOST
+                || incarnation < 0
                 || incarnation > INCARNATION_MOST) {
             throw new IllegalArgumentException("does not fit in a datagram");
         }
@@ -75,8 +80,12 @@
 
     /** The message of these bytes; null where they are none of this format, or damaged. */
     public static Message decode(byte[] text) {
-        if (!claims(text) || text.length < HEAD || text.length > BYTES_MOST || (text.length - HEAD) % ONE != 0
-                || text[1] < 0 || text[1] >= Kind.values().length) {
+        if (!claims(text)
+                || text.length < HEAD
+                || text.length > BYTES_MOST
+                || (text.length - HEAD) % ONE != 0
+                || text[1] < 0
+                || text[1] >= Kind.values().length) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(text, 2, text.length - 2);
--- a/balancer/src/main/java/junctionhead/membership/News.java
+++ b/balancer/src/main/java/junctionhead/membership/News.java
@@ -4,12 +4,13 @@
  * One statement about a member.
  *
  * @param member its number in the configuration, from 0
- * @param incarnation raised by each start and by each denial of a suspicion; 0: none was heard of yet
+ * @param incarnation raised by each start and by each denial of a suspicion; 0: none was heard of
+ *     yet
  */
 public record News(int member, Status status, long incarnation) {
     /** Whether this takes the place of another statement about the same member. */
     public boolean beats(News other) {
         return incarnation > other.incarnation
-            || incarnation == other.incarnation && status.ordinal() > other.status.ordinal();
+                || incarnation == other.incarnation && status.ordinal() > other.status.ordinal();
     }
 }
--- a/balancer/src/main/java/junctionhead/membership/View.java
+++ b/balancer/src/main/java/junctionhead/membership/View.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Who is present, as one member knows it. Views of two members may differ for as long as news travel, and for
- * good while a path is cut.
+ * Who is present, as one member knows it. Views of two members may differ for as long as news
+ * travel, and for good while a path is cut.
  *
  * @param version raised by each change, of this process only
  * @param members by their numbers, the owner of the view included
@@ -24,7 +24,9 @@
         return members.get(member).status().compareTo(Status.SUSPECTED) <= 0;
     }
 
-    /** Whether more than half of the configured members are present; else the owner may be cut off. */
+    /**
+     * Whether more than half of the configured members are present; else the owner may be cut off.
+     */
     public boolean withMost() {
         return 2 * present() > members.size();
     }
--- a/balancer/src/main/java/junctionhead/net/AdminServer.java
+++ b/balancer/src/main/java/junctionhead/net/AdminServer.java
@@ -24,12 +24,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operators' door: one line to a connection, answered at once by a thread of its own, however busy the
- * balancer is. It reads what the balancer last published, and hands on what operators ask for.
+ * The operators' door: one line to a connection, answered at once by a thread of its own, however
+ * busy the balancer is. It reads what the balancer last published, and hands on what operators ask
+ * for.
  */
 final class AdminServer {
     /** Callers at one time; one more takes the place of the earliest. */
     static final int CALLERS_MOST = 12;
+
     static final int LINE_MOST = 128;
     // For a line to be whole, and for its answer to be taken
     private static final long CALL_MS = 3_000;
@@ -46,7 +48,7 @@
 
     private final Desk desk;
     private final NioEventLoopGroup group =
-        new NioEventLoopGroup(1, new DefaultThreadFactory("admin", true));
+            new NioEventLoopGroup(1, new DefaultThreadFactory("admin", true));
     // The earliest first
     private final Set<Channel> callers = new LinkedHashSet<>();
 
@@ -57,15 +59,25 @@
     /** Listens; returns the address in use. */
     InetSocketAddress listen(InetSocketAddress at) throws IOException {
         EventLoop loop = group.next();
-        Channel listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(LINE_MOST))
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    admit(channel);
-                }
-            }).bind(at).awaitUninterruptibly().channel();
+        Channel listener =
+                new ServerBootstrap()
+                        .group(loop, loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .childOption(
+                                ChannelOption.RCVBUF_ALLOCATOR,
+                                new FixedRecvByteBufAllocator(LINE_MOST))
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        admit(channel);
+                                    }
+                                })
+                        .bind(at)
+                        .awaitUninterruptibly()
+                        .channel();
         if (!listener.isActive()) {
             throw new IOException("can't listen on " + at);
         }
@@ -81,11 +93,14 @@
             callers.iterator().next().close();
         }
         callers.add(channel);
-        Future<?> timer = channel.eventLoop().schedule(() -> channel.close(), CALL_MS, TimeUnit.MILLISECONDS);
-        channel.closeFuture().addListener(closed -> {
-            timer.cancel(false);
-            callers.remove(channel);
-        });
+        Future<?> timer =
+                channel.eventLoop().schedule(() -> channel.close(), CALL_MS, TimeUnit.MILLISECONDS);
+        channel.closeFuture()
+                .addListener(
+                        closed -> {
+                            timer.cancel(false);
+                            callers.remove(channel);
+                        });
         channel.pipeline().addLast(new LineBasedFrameDecoder(LINE_MOST, true, true), new Caller());
     }
 
@@ -131,7 +146,7 @@
             if (!answered) {
                 answered = true;
                 context.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8))
-                    .addListener(ChannelFutureListener.CLOSE);
+                        .addListener(ChannelFutureListener.CLOSE);
             }
         }
     }
--- a/balancer/src/main/java/junctionhead/net/ClientServer.java
+++ b/balancer/src/main/java/junctionhead/net/ClientServer.java
@@ -54,7 +54,10 @@
 import java.util.stream.Stream;
 import junctionhead.SettingsReader;
 
-/** The HTTP side to the clients: takes requests, turns bad ones away, and writes each one's final answer. */
+/**
+ * The HTTP side to the clients: takes requests, turns bad ones away, and writes each one's final
+ * answer.
+ */
 final class ClientServer {
     private static final int BACKLOG = 1024;
     // Requests that a client may send ahead on a connection
@@ -68,7 +71,8 @@
     private static final int READS_MOST = 4;
     // Bytes of a long answer that the system holds
     private static final int SEND_MOST = 128 * 1024;
-    // For a first request, or one that has begun, to be whole; each byte of a body gives it a little more.
+    // For a first request, or one that has begun, to be whole; each byte of a body gives it a
+    // little more.
     private static final long REQUEST_NS = 2_400_000_000L;
     private static final long BYTE_NS = 1_000_000_000L / 40_000;
     // For a short answer to be taken in
@@ -83,7 +87,8 @@
     // After a drain's begin, until connections at rest go
     private static final long DRAIN_FIRST_MS = 600;
     private static final long DRAIN_EVERY_MS = 400;
-    // How long a newcomer that makes no progress keeps its place where there is no room: one that has sent
+    // How long a newcomer that makes no progress keeps its place where there is no room: one that
+    // has sent
     // nothing at all, and one that has begun.
     private static final long GREETING_NS = 50_000_000;
     private static final long PAUSE_NS = 300_000_000;
@@ -123,8 +128,14 @@
     // Runs once no connection is left, after a stop
     private Runnable whenEmpty;
 
-    ClientServer(EventLoop loop, SettingsReader.Boot boot, Dispatcher dispatcher, Descriptors descriptors,
-            BooleanSupplier shedIdleUpstream, Events events, Relay.Budget budget) {
+    ClientServer(
+            EventLoop loop,
+            SettingsReader.Boot boot,
+            Dispatcher dispatcher,
+            Descriptors descriptors,
+            BooleanSupplier shedIdleUpstream,
+            Events events,
+            Relay.Budget budget) {
         this.loop = loop;
         this.orders = new OrderReader(boot);
         this.dispatcher = dispatcher;
@@ -137,31 +148,44 @@
     /** Listens; called from another thread than the loop's, and returns the address in use. */
     InetSocketAddress listen(InetSocketAddress at) throws IOException {
         accepting = true;
-        return started(bootstrap(new NioServerSocketChannel()).option(ChannelOption.SO_BACKLOG, BACKLOG)
-            .option(ChannelOption.SO_REUSEADDR, true).bind(at));
+        return started(
+                bootstrap(new NioServerSocketChannel())
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .bind(at));
     }
 
-    /** Takes over a socket that listens already, as others may; accepts nothing until it is ready. */
+    /**
+     * Takes over a socket that listens already, as others may; accepts nothing until it is ready.
+     */
     InetSocketAddress listen(ServerSocketChannel inherited) throws IOException {
-        return started(bootstrap(new NioServerSocketChannel(inherited))
-            .option(ChannelOption.AUTO_READ, false).register());
+        return started(
+                bootstrap(new NioServerSocketChannel(inherited))
+                        .option(ChannelOption.AUTO_READ, false)
+                        .register());
     }
 
     private ServerBootstrap bootstrap(NioServerSocketChannel channel) {
-        return new ServerBootstrap().group(loop, loop).channelFactory(() -> channel)
-                // Known before it listens: on a slow machine a connection came in before bind had returned
+        return new ServerBootstrap()
+                .group(loop, loop)
+                .channelFactory(() -> channel)
+                // Known before it listens: on a slow machine a connection came in before bind had
+                // returned
                 // to the starting thread, found no listener, and was dropped unanswered.
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        listener = channel;
-                    }
-                })
+                .handler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                listener = channel;
+                            }
+                        })
                 .childOption(ChannelOption.RCVBUF_ALLOCATOR, upToTheEnd())
-                .childOption(ChannelOption.TCP_NODELAY, true).childHandler(newClients());
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(newClients());
     }
 
-    // Reads until nothing is left, so that a client's end is seen together with what it sent before.
+    // Reads until nothing is left, so that a client's end is seen together with what it sent
+    // before.
     private static AdaptiveRecvByteBufAllocator upToTheEnd() {
         AdaptiveRecvByteBufAllocator sizes = new AdaptiveRecvByteBufAllocator(64, 2048, READ_MOST);
         sizes.maxMessagesPerRead(READS_MOST);
@@ -174,8 +198,14 @@
             @Override
             protected void initChannel(Channel channel) {
                 Client client = new Client(channel);
-                channel.pipeline().addLast(client.presence, client.new Arrivals(), client.decoder,
-                    new HttpResponseEncoder(), client.new Gate(), client);
+                channel.pipeline()
+                        .addLast(
+                                client.presence,
+                                client.new Arrivals(),
+                                client.decoder,
+                                new HttpResponseEncoder(),
+                                client.new Gate(),
+                                client);
                 client.opened();
             }
         };
@@ -196,8 +226,14 @@
 
     @Override
     public String toString() {
-        return open + " clients' (" + newcomers.size() + " new, " + idle.size() + " at rest, "
-            + ending.size() + " shut)";
+        return open
+                + " clients' ("
+                + newcomers.size()
+                + " new, "
+                + idle.size()
+                + " at rest, "
+                + ending.size()
+                + " shut)";
     }
 
     /** Whether it would say so to a client that asks. */
@@ -223,25 +259,33 @@
 
     /** Takes connections within this process, for a rehearsal; {@code then} runs when it does. */
     void listenInside(LocalAddress at, Runnable then) {
-        ChannelFuture binding = new ServerBootstrap().group(loop, loop).channel(LocalServerChannel.class)
-            .childHandler(newClients()).bind(at);
+        ChannelFuture binding =
+                new ServerBootstrap()
+                        .group(loop, loop)
+                        .channel(LocalServerChannel.class)
+                        .childHandler(newClients())
+                        .bind(at);
         inside = binding.channel();
         binding.addListener(bound -> then.run());
     }
 
-    /** From here on answers end their connections; new ones are still taken, unless another process does. */
+    /**
+     * From here on answers end their connections; new ones are still taken, unless another process
+     * does.
+     */
     void stopping(boolean othersAccept) {
         stopping = true;
         if (othersAccept) {
             accepting = false;
-            // Not closed: the platform's socket is descriptor 0, and to close it would end the log as well.
+            // Not closed: the platform's socket is descriptor 0, and to close it would end the log
+            // as well.
             listener.config().setAutoRead(false);
         }
     }
 
     /**
-     * Takes no more connections and shuts those that hold no request; {@code then} runs on the loop once none
-     * is left: each has its own bound.
+     * Takes no more connections and shuts those that hold no request; {@code then} runs on the loop
+     * once none is left: each has its own bound.
      */
     void close(Runnable then) {
         whenEmpty = then;
@@ -253,7 +297,8 @@
         }
     }
 
-    // Closes it when a look has found nobody in its backlog: those would be reset, with what they have sent.
+    // Closes it when a look has found nobody in its backlog: those would be reset, with what they
+    // have sent.
     private void closeListener(long seen, int looks) {
         if (listener != null && listener.isOpen() && seen != clients && looks > 0) {
             // Whether there is room or not: nothing new comes after
@@ -281,13 +326,21 @@
         }
     }
 
-    /** Empties the balancer: not ready, answers end their connections, and those at rest are closed soon. */
+    /**
+     * Empties the balancer: not ready, answers end their connections, and those at rest are closed
+     * soon.
+     */
     void drain() {
         if (!draining && !stopping) {
             draining = true;
-            // Clients are sent here for a moment more: what they have begun to write meanwhile is heard.
-            emptying = loop.scheduleWithFixedDelay(() -> resting().forEach(Client::drained),
-                DRAIN_FIRST_MS, DRAIN_EVERY_MS, TimeUnit.MILLISECONDS);
+            // Clients are sent here for a moment more: what they have begun to write meanwhile is
+            // heard.
+            emptying =
+                    loop.scheduleWithFixedDelay(
+                            () -> resting().forEach(Client::drained),
+                            DRAIN_FIRST_MS,
+                            DRAIN_EVERY_MS,
+                            TimeUnit.MILLISECONDS);
         }
     }
 
@@ -300,14 +353,20 @@
 
     // Those that hold nothing of a request.
     private List<Client> resting() {
-        return Stream.concat(idle.stream(), newcomers.stream()).filter(c -> !c.receiving && !c.busy)
-            .distinct().toList();
+        return Stream.concat(idle.stream(), newcomers.stream())
+                .filter(c -> !c.receiving && !c.busy)
+                .distinct()
+                .toList();
     }
 
-    // Makes room before an accept can fail, and keeps descriptors for the upstreams: with peers that came,
-    // asked something and stayed there was none left to reach a server. First go connections that have not
-    // proved to be a client's and make no progress, then upstreams' that nobody needs, then those at rest,
-    // which cost their clients a new connection; at last new ones wait in the backlog, where clients wait
+    // Makes room before an accept can fail, and keeps descriptors for the upstreams: with peers
+    // that came,
+    // asked something and stayed there was none left to reach a server. First go connections that
+    // have not
+    // proved to be a client's and make no progress, then upstreams' that nobody needs, then those
+    // at rest,
+    // which cost their clients a new connection; at last new ones wait in the backlog, where
+    // clients wait
     // with them: it has to move on.
     private void makeRoom() {
         while (descriptors.crowded(open) && !ending.isEmpty()) {
@@ -331,18 +390,24 @@
         boolean room = !descriptors.crowded(open);
         listener.config().setAutoRead(room && accepting);
         if (!room && again == null) {
-            again = loop.schedule(() -> {
-                // A newcomer's time may be over without any event
-                again = null;
-                if (listener.isOpen()) {
-                    makeRoom();
-                }
-            }, AGAIN_MS, TimeUnit.MILLISECONDS);
+            again =
+                    loop.schedule(
+                            () -> {
+                                // A newcomer's time may be over without any event
+                                again = null;
+                                if (listener.isOpen()) {
+                                    makeRoom();
+                                }
+                            },
+                            AGAIN_MS,
+                            TimeUnit.MILLISECONDS);
         }
     }
 
-    // The newcomer that may go first, or null: one that has been answered and stays, one that has sent
-    // nothing, or one that has begun and stopped. Slow ones go on, and so come to stand behind these.
+    // The newcomer that may go first, or null: one that has been answered and stays, one that has
+    // sent
+    // nothing, or one that has begun and stopped. Slow ones go on, and so come to stand behind
+    // these.
     private Client stillest() {
         long now = System.nanoTime();
         for (Client c : newcomers) {
@@ -357,7 +422,10 @@
 
     // Of those at rest the longest, and before all others one that has asked but once.
     private Client leastProved() {
-        return idle.stream().filter(c -> c.requests <= 1).findFirst().orElseGet(() -> idle.iterator().next());
+        return idle.stream()
+                .filter(c -> c.requests <= 1)
+                .findFirst()
+                .orElseGet(() -> idle.iterator().next());
     }
 
     /** One connection of a client. */
@@ -410,7 +478,8 @@
             this.presence = new Presence(channel, READS_MOST);
         }
 
-        // While a long body comes its own way looks for the end, within the bounds of what may be held of it.
+        // While a long body comes its own way looks for the end, within the bounds of what may be
+        // held of it.
         boolean hasLeft() {
             return upload == null || upload.isWhole() ? presence.hasLeft() : !channel.isActive();
         }
@@ -426,34 +495,38 @@
             open++;
             newcomers.add(this);
             awaitRequest();
-            channel.closeFuture().addListener(closed -> {
-                descriptors.closed();
-                open--;
-                idle.remove(this);
-                newcomers.remove(this);
-                ending.remove(this);
-                requestCame();
-                ahead.forEach(FullHttpRequest::release);
-                ahead.clear();
-                forget();
-                if (upload != null) {
-                    upload.cut();
-                }
-                if (taken != null) {
-                    taken.gone();
-                }
-                if (accepting || !stopping) {
-                    makeRoom();
-                }
-                lookIfEmpty();
-            });
+            channel.closeFuture()
+                    .addListener(
+                            closed -> {
+                                descriptors.closed();
+                                open--;
+                                idle.remove(this);
+                                newcomers.remove(this);
+                                ending.remove(this);
+                                requestCame();
+                                ahead.forEach(FullHttpRequest::release);
+                                ahead.clear();
+                                forget();
+                                if (upload != null) {
+                                    upload.cut();
+                                }
+                                if (taken != null) {
+                                    taken.gone();
+                                }
+                                if (accepting || !stopping) {
+                                    makeRoom();
+                                }
+                                lookIfEmpty();
+                            });
             if (accepting || !stopping) {
                 makeRoom();
             }
         }
 
-        // Guards against peers that connect and send nothing, or never end what they begin: each would keep
-        // its descriptor until no server could be reached. A head that comes slowly does not prolong the
+        // Guards against peers that connect and send nothing, or never end what they begin: each
+        // would keep
+        // its descriptor until no server could be reached. A head that comes slowly does not
+        // prolong the
         // time; a body does that comes fast enough and does not stand still.
         private void awaitRequest() {
             if (patience == null && channel.isActive()) {
@@ -503,7 +576,9 @@
             shut();
         }
 
-        /** Ends a connection: what still comes on it is not handled, its client sends it elsewhere. */
+        /**
+         * Ends a connection: what still comes on it is not handled, its client sends it elsewhere.
+         */
         void shut() {
             newcomers.remove(this);
             idle.remove(this);
@@ -537,8 +612,11 @@
                 head = null;
                 turnAway(start, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             } else if (!busy && HttpUtil.is100ContinueExpected(start)) {
-                channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+                channel.writeAndFlush(
+                        new DefaultFullHttpResponse(
+                                HttpVersion.HTTP_1_1,
+                                HttpResponseStatus.CONTINUE,
+                                Unpooled.EMPTY_BUFFER));
             }
         }
 
@@ -559,7 +637,7 @@
                 return;
             }
             if (upload == null && bytes > WHOLE_MOST) {
-                upload = new Relay(channel, budget, true, () -> { });
+                upload = new Relay(channel, budget, true, () -> {});
                 if (gathered != null) {
                     upload.add(gathered);
                     gathered = null;
@@ -574,7 +652,9 @@
                 upload.add(content.content().retain());
             } else if (content.content().isReadable()) {
                 if (gathered == null) {
-                    gathered = channel.alloc().heapBuffer(Math.min(WHOLE_MOST, content.content().capacity()));
+                    gathered =
+                            channel.alloc()
+                                    .heapBuffer(Math.min(WHOLE_MOST, content.content().capacity()));
                 }
                 gathered.writeBytes(content.content());
             }
@@ -595,9 +675,14 @@
         }
 
         private void whole() {
-            FullHttpRequest request = new DefaultFullHttpRequest(head.protocolVersion(), head.method(),
-                head.uri(), gathered == null ? Unpooled.EMPTY_BUFFER : gathered, head.headers(),
-                EmptyHttpHeaders.INSTANCE);
+            FullHttpRequest request =
+                    new DefaultFullHttpRequest(
+                            head.protocolVersion(),
+                            head.method(),
+                            head.uri(),
+                            gathered == null ? Unpooled.EMPTY_BUFFER : gathered,
+                            head.headers(),
+                            EmptyHttpHeaders.INSTANCE);
             request.setDecoderResult(head.decoderResult());
             head = null;
             gathered = null;
@@ -645,8 +730,12 @@
             if (path.startsWith("/-/")) {
                 plain(HttpResponseStatus.NOT_FOUND, "not found", false);
             } else {
-                take(head, new byte[0], upload, HttpUtil.getContentLength(head, -1L),
-                    HttpUtil.isKeepAlive(head));
+                take(
+                        head,
+                        new byte[0],
+                        upload,
+                        HttpUtil.getContentLength(head, -1L),
+                        HttpUtil.isKeepAlive(head));
             }
             if (behind) {
                 behind = false;
@@ -679,16 +768,20 @@
             receiving = false;
             requestCame();
             if (!busy) {
-                // Handled after all that this turn of the loop reads: a client may have left behind its
-                // request, while it waited in the backlog or for this process, and nothing is sent for it.
+                // Handled after all that this turn of the loop reads: a client may have left behind
+                // its
+                // request, while it waited in the backlog or for this process, and nothing is sent
+                // for it.
                 busy = true;
                 due = true;
                 ahead.add(request.retain());
                 loop.execute(this::answered);
                 return;
             }
-            events.tell(Events.Kind.PIPELINED, request.headers().get("Req-Id"),
-                () -> "behind " + current + ", " + this);
+            events.tell(
+                    Events.Kind.PIPELINED,
+                    request.headers().get("Req-Id"),
+                    () -> "behind " + current + ", " + this);
             if (ahead.size() < (due ? PIPELINED_MOST + 1 : PIPELINED_MOST)) {
                 ahead.add(request.retain());
             } else {
@@ -708,17 +801,30 @@
                 plain(HttpResponseStatus.BAD_REQUEST, "malformed request", false);
             } else if (rehearsal != null && path.equals(Rehearsal.HOP)) {
                 boolean declined = rehearsal.declines();
-                write(declined ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
-                    Unpooled.wrappedBuffer(new byte[256]), null, declined ? "Srv-Declined" : "Srv-Load",
-                    declined ? "1" : "TEXT eps=0.1, latency_ms=14.5, inflight=2", keep);
-            } else if (path.startsWith("/-/") && (rehearsal == null || !path.equals(Rehearsal.PATH))) {
+                write(
+                        declined ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
+                        Unpooled.wrappedBuffer(new byte[256]),
+                        null,
+                        declined ? "Srv-Declined" : "Srv-Load",
+                        declined ? "1" : "TEXT eps=0.1, latency_ms=14.5, inflight=2",
+                        keep);
+            } else if (path.startsWith("/-/")
+                    && (rehearsal == null || !path.equals(Rehearsal.PATH))) {
                 boolean asked = path.equals("/-/ready") && request.method().equals(HttpMethod.GET);
-                HttpResponseStatus status = !asked ? HttpResponseStatus.NOT_FOUND
-                    : isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+                HttpResponseStatus status =
+                        !asked
+                                ? HttpResponseStatus.NOT_FOUND
+                                : isReady()
+                                        ? HttpResponseStatus.OK
+                                        : HttpResponseStatus.SERVICE_UNAVAILABLE;
                 plain(status, !asked ? "not found" : isReady() ? "ready" : "not ready", keep);
             } else {
-                take(request, ByteBufUtil.getBytes(request.content()), null,
-                    request.content().readableBytes(), keep);
+                take(
+                        request,
+                        ByteBufUtil.getBytes(request.content()),
+                        null,
+                        request.content().readableBytes(),
+                        keep);
             }
         }
 
@@ -734,15 +840,17 @@
             newcomers.remove(this);
             version = request.protocolVersion();
             Answer answer = new Answer(this, keep);
-            Dispatcher.Taken told = request.uri().equals(Rehearsal.PATH)
-                ? rehearsal.dispatcher().take(order.to(Rehearsal.HOP), answer)
-                : dispatcher.take(order, answer);
+            Dispatcher.Taken told =
+                    request.uri().equals(Rehearsal.PATH)
+                            ? rehearsal.dispatcher().take(order.to(Rehearsal.HOP), answer)
+                            : dispatcher.take(order, answer);
             if (!answer.given) {
                 taken = told;
             }
         }
 
-        // Turns away what is not yet a whole request. Where earlier ones are still owed their answers, the
+        // Turns away what is not yet a whole request. Where earlier ones are still owed their
+        // answers, the
         // end of the connection after the last of them has to do.
         private void turnAway(HttpRequest request, HttpResponseStatus status) {
             reject(request, status.toString());
@@ -754,7 +862,8 @@
         }
 
         private void reject(HttpRequest request, String why) {
-            events.tell(Events.Kind.REJECTED, request.headers().get("Req-Id"), () -> why + ", " + this);
+            events.tell(
+                    Events.Kind.REJECTED, request.headers().get("Req-Id"), () -> why + ", " + this);
         }
 
         @Override
@@ -767,8 +876,13 @@
             write(status, body, "text/plain", null, null, keep);
         }
 
-        private void write(HttpResponseStatus status, ByteBuf body, String type, String header,
-                String value, boolean keep) {
+        private void write(
+                HttpResponseStatus status,
+                ByteBuf body,
+                String type,
+                String header,
+                String value,
+                boolean keep) {
             taken = null;
             busy = true;
             // The client is still sending: it may not listen yet
@@ -779,7 +893,8 @@
             }
             boolean stay = stays(keep) && !early;
             closing |= !keep || early;
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+            FullHttpResponse response =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
             if (type != null) {
                 response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
             }
@@ -792,18 +907,24 @@
             }
             ChannelFuture written = channel.writeAndFlush(response);
             // Guards against peers that take no answers in: those would be kept in memory.
-            Future<?> stuck = written.isDone() ? null
-                : loop.schedule(() -> drop("answer not taken in"), ANSWER_MS, TimeUnit.MILLISECONDS);
-            written.addListener(done -> {
-                if (stuck != null) {
-                    stuck.cancel(false);
-                }
-                if (early && done.isSuccess()) {
-                    linger(LINGER_MS);
-                } else {
-                    written(stay && done.isSuccess());
-                }
-            });
+            Future<?> stuck =
+                    written.isDone()
+                            ? null
+                            : loop.schedule(
+                                    () -> drop("answer not taken in"),
+                                    ANSWER_MS,
+                                    TimeUnit.MILLISECONDS);
+            written.addListener(
+                    done -> {
+                        if (stuck != null) {
+                            stuck.cancel(false);
+                        }
+                        if (early && done.isSuccess()) {
+                            linger(LINGER_MS);
+                        } else {
+                            written(stay && done.isSuccess());
+                        }
+                    });
         }
 
         private boolean stays(boolean keep) {
@@ -839,11 +960,13 @@
         }
 
         /** Passes a long answer on as it comes. */
-        private void pass(long length, String type, Relay body, boolean keep, Consumer<Boolean> over) {
+        private void pass(
+                long length, String type, Relay body, boolean keep, Consumer<Boolean> over) {
             boolean counted = length >= 0 || version.isKeepAliveDefault();
             boolean stay = stays(keep && counted);
             closing |= !stay;
-            HttpResponse start = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            HttpResponse start =
+                    new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             if (type != null) {
                 start.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
             }
@@ -861,26 +984,28 @@
             }
             download = body;
             channel.write(start);
-            body.to(channel, new Relay.Sink() {
-                @Override
-                public void whole() {
-                    taken = null;
-                    download = null;
-                    over.accept(true);
-                    written(stay);
-                }
-
-                @Override
-                public void cut() {
-                    download = null;
-                    over.accept(false);
-                    if (!counted && channel instanceof SocketChannel socket) {
-                        // Its end would look like the answer's
-                        socket.config().setSoLinger(0);
-                    }
-                    channel.close();
-                }
-            });
+            body.to(
+                    channel,
+                    new Relay.Sink() {
+                        @Override
+                        public void whole() {
+                            taken = null;
+                            download = null;
+                            over.accept(true);
+                            written(stay);
+                        }
+
+                        @Override
+                        public void cut() {
+                            download = null;
+                            over.accept(false);
+                            if (!counted && channel instanceof SocketChannel socket) {
+                                // Its end would look like the answer's
+                                socket.config().setSoLinger(0);
+                            }
+                            channel.close();
+                        }
+                    });
         }
 
         @Override
@@ -943,7 +1068,10 @@
             }
         }
 
-        /** The first to see what has been decoded: drops what follows the end of a connection's requests. */
+        /**
+         * The first to see what has been decoded: drops what follows the end of a connection's
+         * requests.
+         */
         private final class Gate extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext context, Object part) {
@@ -960,9 +1088,8 @@
 
         private static boolean expectsTheUnknown(HttpRequest request) {
             return request.headers().contains(HttpHeaderNames.EXPECT)
-                && !HttpUtil.is100ContinueExpected(request);
+                    && !HttpUtil.is100ContinueExpected(request);
         }
-
     }
 
     /** The final answer to one request; the dispatcher gives it once. */
@@ -984,8 +1111,13 @@
         @Override
         public void serve(FullHttpResponse answer) {
             given = true;
-            client.write(HttpResponseStatus.OK, answer.content().retain(),
-                answer.headers().get(HttpHeaderNames.CONTENT_TYPE), null, null, keep);
+            client.write(
+                    HttpResponseStatus.OK,
+                    answer.content().retain(),
+                    answer.headers().get(HttpHeaderNames.CONTENT_TYPE),
+                    null,
+                    null,
+                    keep);
         }
 
         @Override
@@ -996,10 +1128,16 @@
         @Override
         public void refuse(long retryAfter) {
             given = true;
-            String seconds = retryAfter <= 0 ? null : String.format(Locale.ROOT, "%.3f", retryAfter / 1e6);
-            client.write(HttpResponseStatus.SERVICE_UNAVAILABLE,
-                Unpooled.copiedBuffer("refused: trying again is harmless\n", StandardCharsets.UTF_8),
-                "text/plain", "Retry-After", seconds, keep);
+            String seconds =
+                    retryAfter <= 0 ? null : String.format(Locale.ROOT, "%.3f", retryAfter / 1e6);
+            client.write(
+                    HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    Unpooled.copiedBuffer(
+                            "refused: trying again is harmless\n", StandardCharsets.UTF_8),
+                    "text/plain",
+                    "Retry-After",
+                    seconds,
+                    keep);
         }
 
         @Override
--- a/balancer/src/main/java/junctionhead/net/Descriptors.java
+++ b/balancer/src/main/java/junctionhead/net/Descriptors.java
@@ -1,9 +1,10 @@
 package junctionhead.net;
 
 /**
- * Counts the sockets of this process against its limit on descriptors. Guards against accepts and connects
- * that fail for want of descriptors: a reserve stays for what is not counted here (jars, the selectors,
- * discovery, the listener, the operators' door, and what one look at the backlog accepts).
+ * Counts the sockets of this process against its limit on descriptors. Guards against accepts and
+ * connects that fail for want of descriptors: a reserve stays for what is not counted here (jars,
+ * the selectors, discovery, the listener, the operators' door, and what one look at the backlog
+ * accepts).
  */
 final class Descriptors {
     private static final int RESERVE = 48;
@@ -13,7 +14,10 @@
     private int most;
     private int open;
 
-    /** {@code shared}: another process of this balancer may count against the same limit for a while. */
+    /**
+     * {@code shared}: another process of this balancer may count against the same limit for a
+     * while.
+     */
     Descriptors(int limit, boolean shared) {
         this.all = Math.max(2, limit - Math.min(shared ? 2 * RESERVE : RESERVE, limit / 2));
         this.most = shared ? Math.max(2, all / 2) : all;
--- a/balancer/src/main/java/junctionhead/net/Discovery.java
+++ b/balancer/src/main/java/junctionhead/net/Discovery.java
@@ -33,17 +33,21 @@
 import junctionhead.SettingsReader;
 
 /**
- * Asks discovery for the list and watches its changes: where discovery is asked, only as the module wishes;
- * where lists are pushed, always.
+ * Asks discovery for the list and watches its changes: where discovery is asked, only as the module
+ * wishes; where lists are pushed, always.
  */
 final class Discovery {
     // Bytes
     private static final int LIST_MOST = 4 << 20;
-    // A line comes every 2 s. What a watch misses that has fallen silent counts as told 6 s later: by then
-    // another one has to have brought it, though calls are given up or refused meanwhile, and paused after.
+    // A line comes every 2 s. What a watch misses that has fallen silent counts as told 6 s later:
+    // by then
+    // another one has to have brought it, though calls are given up or refused meanwhile, and
+    // paused after.
     private static final long SILENCE_MS = 3_000;
-    // For a call's connection and the first of its answer together. Where lists are pushed the agent answers
-    // at once, or is silent while discovery is down. What it gets at the return counts as told at once: calls
+    // For a call's connection and the first of its answer together. Where lists are pushed the
+    // agent answers
+    // at once, or is silent while discovery is down. What it gets at the return counts as told at
+    // once: calls
     // are repeated within a part of the grace of drains.
     private static final long FIRST_MOST_MS = 700;
     private static final long FIRST_LEAST_MS = 100;
@@ -62,9 +66,16 @@
     private long rev;
     private Call watch;
 
-    /** {@code news} gets each list and change; FAILED and null where a call or the watch has failed. */
-    Discovery(EventLoop loop, InetSocketAddress address, SettingsReader.Boot boot, long rev,
-            BiConsumer<ListKind, Targets> news, Consumer<String> log) {
+    /**
+     * {@code news} gets each list and change; FAILED and null where a call or the watch has failed.
+     */
+    Discovery(
+            EventLoop loop,
+            InetSocketAddress address,
+            SettingsReader.Boot boot,
+            long rev,
+            BiConsumer<ListKind, Targets> news,
+            Consumer<String> log) {
         this.loop = loop;
         this.address = address;
         this.boot = boot;
@@ -73,8 +84,10 @@
         this.log = log;
         this.pushed = boot.settings().discovery() == Policy.Discovery.PUSH;
         long grace = boot.settings().bounds().drainGrace() / 1000;
-        this.firstMs = !pushed ? FIRST_MOST_MS
-            : Math.max(FIRST_LEAST_MS, Math.min(FIRST_MOST_MS, grace / FIRST_PART));
+        this.firstMs =
+                !pushed
+                        ? FIRST_MOST_MS
+                        : Math.max(FIRST_LEAST_MS, Math.min(FIRST_MOST_MS, grace / FIRST_PART));
     }
 
     /** Begins to watch unasked where lists are pushed. */
@@ -84,7 +97,10 @@
         }
     }
 
-    /** Asks another address from here on; a watch goes on there, from the last version that was heard. */
+    /**
+     * Asks another address from here on; a watch goes on there, from the last version that was
+     * heard.
+     */
     void move(InetSocketAddress to) {
         address = to;
         if (watch != null) {
@@ -129,31 +145,46 @@
 
         void open() {
             await(firstMs);
-            ChannelFuture connected = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) firstMs)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(), new Bodies(Call.this), objects,
-                            Call.this);
-                    }
-                }).connect(address);
+            ChannelFuture connected =
+                    new Bootstrap()
+                            .group(loop)
+                            .channel(NioSocketChannel.class)
+                            .option(ChannelOption.TCP_NODELAY, true)
+                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) firstMs)
+                            .handler(
+                                    new ChannelInitializer<Channel>() {
+                                        @Override
+                                        protected void initChannel(Channel ch) {
+                                            ch.pipeline()
+                                                    .addLast(
+                                                            new HttpClientCodec(),
+                                                            new Bodies(Call.this),
+                                                            objects,
+                                                            Call.this);
+                                        }
+                                    })
+                            .connect(address);
             channel = connected.channel();
             channel.closeFuture().addListener(closed -> ended());
-            connected.addListener(done -> {
-                if (done.isSuccess()) {
-                    DefaultFullHttpRequest ask =
-                        new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
-                    ask.headers().set(HttpHeaderNames.HOST,
-                        address.getAddress().getHostAddress() + ":" + address.getPort());
-                    channel.writeAndFlush(ask);
-                    // The connection's time was its own
-                    await(firstMs);
-                } else {
-                    ended();
-                }
-            });
+            connected.addListener(
+                    done -> {
+                        if (done.isSuccess()) {
+                            DefaultFullHttpRequest ask =
+                                    new DefaultFullHttpRequest(
+                                            HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
+                            ask.headers()
+                                    .set(
+                                            HttpHeaderNames.HOST,
+                                            address.getAddress().getHostAddress()
+                                                    + ":"
+                                                    + address.getPort());
+                            channel.writeAndFlush(ask);
+                            // The connection's time was its own
+                            await(firstMs);
+                        } else {
+                            ended();
+                        }
+                    });
         }
 
         // Guards against a discovery that is cut off: its connection stays open and silent.
@@ -162,16 +193,22 @@
                 silence.cancel(false);
             }
             if (!over) {
-                silence = loop.schedule(() -> {
-                    if (channel != null) {
-                        channel.close();
-                    }
-                    ended();
-                }, most, TimeUnit.MILLISECONDS);
+                silence =
+                        loop.schedule(
+                                () -> {
+                                    if (channel != null) {
+                                        channel.close();
+                                    }
+                                    ended();
+                                },
+                                most,
+                                TimeUnit.MILLISECONDS);
             }
         }
 
-        /** A part of the answer has come; an empty line between lists says that nothing has changed. */
+        /**
+         * A part of the answer has come; an empty line between lists says that nothing has changed.
+         */
         void heard(ByteBuf part) {
             if (!objects.isBetween()) {
                 // A list that never ends must not pass for news
@@ -246,13 +283,17 @@
             if (!pushed) {
                 news.accept(ListKind.FAILED, null);
             } else if (watching) {
-                // What the agent has counts as told, watched or not: a watch that worked is renewed at once.
+                // What the agent has counts as told, watched or not: a watch that worked is renewed
+                // at once.
                 boolean worked = answered && System.nanoTime() - openedAt > firstMs * 1_000_000;
-                loop.schedule(() -> {
-                    if (watch == null) {
-                        watch(true);
-                    }
-                }, worked ? 0 : firstMs / AGAIN_PART, TimeUnit.MILLISECONDS);
+                loop.schedule(
+                        () -> {
+                            if (watch == null) {
+                                watch(true);
+                            }
+                        },
+                        worked ? 0 : firstMs / AGAIN_PART,
+                        TimeUnit.MILLISECONDS);
             }
         }
     }
--- a/balancer/src/main/java/junctionhead/net/Dispatcher.java
+++ b/balancer/src/main/java/junctionhead/net/Dispatcher.java
@@ -17,14 +17,19 @@
 import junctionhead.SettingsReader;
 
 /**
- * Stands between the sockets and the module: owns the module, its clock and the table of requests and
- * attempts; tells it what happens and carries out what it asks for. It decides nothing. All of it runs on the
- * event loop's thread.
+ * Stands between the sockets and the module: owns the module, its clock and the table of requests
+ * and attempts; tells it what happens and carries out what it asks for. It decides nothing. All of
+ * it runs on the event loop's thread.
  */
 final class Dispatcher implements Policy.Actions {
-    /** µs before a client's time is over at which it gets a failure if nothing else has answered it. */
+    /**
+     * µs before a client's time is over at which it gets a failure if nothing else has answered it.
+     */
     static final long GUARD = 6_000;
-    /** µs before that at which the last attempt ends, so that the module can word the answer itself. */
+
+    /**
+     * µs before that at which the last attempt ends, so that the module can word the answer itself.
+     */
     static final long LAST_WORD = 6_000;
 
     /** Where the one final answer to a request goes. */
@@ -35,7 +40,10 @@
         /** Served: passes the upstream's body on; the caller keeps the response. */
         void serve(FullHttpResponse answer);
 
-        /** Served, with an answer that is still coming; {@code over} hears whether it was passed on whole. */
+        /**
+         * Served, with an answer that is still coming; {@code over} hears whether it was passed on
+         * whole.
+         */
         void serve(HttpResponse head, long length, Relay body, Consumer<Boolean> over);
 
         void refuse(long retryAfter);
@@ -118,8 +126,13 @@
     private int owed;
     private Runnable whenIdle;
 
-    Dispatcher(EventLoop loop, SettingsReader.Boot boot, Policy policy, Consumer<String> log,
-            Events events, Metrics metrics) {
+    Dispatcher(
+            EventLoop loop,
+            SettingsReader.Boot boot,
+            Policy policy,
+            Consumer<String> log,
+            Events events,
+            Metrics metrics) {
         this.loop = loop;
         this.boot = boot;
         this.policy = policy;
@@ -140,14 +153,18 @@
         hand(now -> policy.peerMessage(now, from, data, this));
     }
 
-    /** µs since 1970 by the monotonic clock: comparable with an upstream's start, and never going back. */
+    /**
+     * µs since 1970 by the monotonic clock: comparable with an upstream's start, and never going
+     * back.
+     */
     long now() {
         return unixAtStart + (System.nanoTime() - nanosAtStart) / 1000;
     }
 
     // ---------------------------------------------------------------- events
 
-    // The module is not re-entrant: what happens while it is at work or an action is carried out waits.
+    // The module is not re-entrant: what happens while it is at work or an action is carried out
+    // waits.
     private void hand(LongConsumer event) {
         if (retired) {
             return;
@@ -162,10 +179,16 @@
                 try {
                     next.accept(now());
                 } catch (RuntimeException e) {
-                    // The guard answers what this leaves unanswered; one event must not end the balancer.
+                    // The guard answers what this leaves unanswered; one event must not end the
+                    // balancer.
                     faults++;
                     StackTraceElement[] trace = e.getStackTrace();
-                    log.accept("fault " + faults + ": " + e + (trace.length == 0 ? "" : " at " + trace[0]));
+                    log.accept(
+                            "fault "
+                                    + faults
+                                    + ": "
+                                    + e
+                                    + (trace.length == 0 ? "" : " at " + trace[0]));
                 }
             }
         } finally {
@@ -183,7 +206,9 @@
         return taken > 0 || policy.othersRate() > 0;
     }
 
-    /** Takes a request, for one final answer; returns whom to tell what the client does before it. */
+    /**
+     * Takes a request, for one final answer; returns whom to tell what the client does before it.
+     */
     Taken take(Order order, Reply reply) {
         String id = Long.toString(++taken, Character.MAX_RADIX);
         Exchange x = new Exchange(id, order, reply, now() + order.timeLeft());
@@ -191,8 +216,18 @@
         owed++;
         x.uploading = order.upload() != null;
         guard(x);
-        hand(now -> policy.request(now, id, order.requestClass(), order.tenant(), order.key(),
-            Math.max(0, x.deadline - now), order.work(), order.resubmission(), this));
+        hand(
+                now ->
+                        policy.request(
+                                now,
+                                id,
+                                order.requestClass(),
+                                order.tenant(),
+                                order.key(),
+                                Math.max(0, x.deadline - now),
+                                order.work(),
+                                order.resubmission(),
+                                this));
         if (x.uploading) {
             hand(now -> policy.uploading(now, id));
         }
@@ -210,8 +245,11 @@
     }
 
     private void guard(Exchange x) {
-        x.guard = loop.schedule(() -> lastResort(x), Math.max(0, x.order.timeLeft() - GUARD),
-            TimeUnit.MICROSECONDS);
+        x.guard =
+                loop.schedule(
+                        () -> lastResort(x),
+                        Math.max(0, x.order.timeLeft() - GUARD),
+                        TimeUnit.MICROSECONDS);
     }
 
     // From here on its time counts, and that of its attempt.
@@ -234,7 +272,9 @@
     }
 
     private void await(Attempt a) {
-        a.timer = loop.schedule(() -> giveUp(a, Policy.Outcome.TIMEOUT), a.wait, TimeUnit.MICROSECONDS);
+        a.timer =
+                loop.schedule(
+                        () -> giveUp(a, Policy.Outcome.TIMEOUT), a.wait, TimeUnit.MICROSECONDS);
     }
 
     private void gone(Exchange x) {
@@ -249,14 +289,16 @@
         }
     }
 
-    // What binds is the instant in which an attempt begins, not when the loop reads the client's end.
+    // What binds is the instant in which an attempt begins, not when the loop reads the client's
+    // end.
     private void leaveIfGone(Exchange x) {
         if (!x.closed && !x.reply.isAwaited()) {
             gone(x);
         }
     }
 
-    // Rule 1 where the module stays silent or has thrown: the client gets a failure while it still listens.
+    // Rule 1 where the module stays silent or has thrown: the client gets a failure while it still
+    // listens.
     private void lastResort(Exchange x) {
         if (x.uploading && x.out > 0) {
             // The client's time has not begun
@@ -319,17 +361,24 @@
         x.passing = true;
         x.body = body;
         long latency = now() - a.at;
-        x.reply.serve(head, length, body, whole -> {
-            if (x.passing) {
-                if (whole) {
-                    metrics.answered(x.order.requestClass());
-                } else {
-                    metrics.errored(x.order.requestClass());
-                }
-                stopPassing(x);
-            }
-        });
-        hand(now -> policy.outcome(now, x.id, a.number, Policy.Outcome.OK, latency, true, load, this));
+        x.reply.serve(
+                head,
+                length,
+                body,
+                whole -> {
+                    if (x.passing) {
+                        if (whole) {
+                            metrics.answered(x.order.requestClass());
+                        } else {
+                            metrics.errored(x.order.requestClass());
+                        }
+                        stopPassing(x);
+                    }
+                });
+        hand(
+                now ->
+                        policy.outcome(
+                                now, x.id, a.number, Policy.Outcome.OK, latency, true, load, this));
     }
 
     private void stopPassing(Exchange x) {
@@ -340,13 +389,20 @@
     // What was begun can't be retried: the module hears only that the server broke it off.
     private void passed(Attempt a, Policy.Outcome outcome) {
         if (outcome == Policy.Outcome.RESET) {
-            events.tell(Events.Kind.ATTEMPT, a.exchange.order.id(), () -> a.number + " to " + a.server
-                + " broke off an answer that was being passed on");
+            events.tell(
+                    Events.Kind.ATTEMPT,
+                    a.exchange.order.id(),
+                    () ->
+                            a.number
+                                    + " to "
+                                    + a.server
+                                    + " broke off an answer that was being passed on");
             hand(now -> policy.brokeOff(now, a.server, this));
         }
     }
 
-    private void ended(Attempt a, Policy.Outcome outcome, FullHttpResponse answer, Policy.Load load) {
+    private void ended(
+            Attempt a, Policy.Outcome outcome, FullHttpResponse answer, Policy.Load load) {
         if (a.ended) {
             return;
         }
@@ -368,8 +424,19 @@
             x.reply.serve(answer);
         }
         if (outcome != Policy.Outcome.OK) {
-            events.tell(Events.Kind.ATTEMPT, x.order.id(), () -> a.number + " to " + a.server + " " + outcome
-                + " after " + latency / 1000 + " ms" + (x.closed ? ", the request was closed" : ""));
+            events.tell(
+                    Events.Kind.ATTEMPT,
+                    x.order.id(),
+                    () ->
+                            a.number
+                                    + " to "
+                                    + a.server
+                                    + " "
+                                    + outcome
+                                    + " after "
+                                    + latency / 1000
+                                    + " ms"
+                                    + (x.closed ? ", the request was closed" : ""));
         }
         hand(now -> policy.outcome(now, x.id, a.number, outcome, latency, x.closed, load, this));
         forget(x);
@@ -388,7 +455,10 @@
         if (targets != null) {
             upstreams.listed(targets, now());
         }
-        hand(now -> policy.servers(now, kind, targets == null ? List.of() : targets.servers(), this));
+        hand(
+                now ->
+                        policy.servers(
+                                now, kind, targets == null ? List.of() : targets.servers(), this));
     }
 
     /** What the module would keep over a crash; null: nothing. */
@@ -425,13 +495,22 @@
     }
 
     private String history(Exchange x) {
-        return x.attempts.size() + " attempts, " + (x.deadline - now()) / 1000 + " ms left of "
-            + x.order.timeLeft() / 1000;
+        return x.attempts.size()
+                + " attempts, "
+                + (x.deadline - now()) / 1000
+                + " ms left of "
+                + x.order.timeLeft() / 1000;
     }
 
     String summary() {
-        return taken + " requests taken, " + owed + " unanswered, " + guarded + " last-resort answers, "
-            + faults + " faults";
+        return taken
+                + " requests taken, "
+                + owed
+                + " unanswered, "
+                + guarded
+                + " last-resort answers, "
+                + faults
+                + " faults";
     }
 
     // ---------------------------------------------------------------- the module's actions
@@ -449,30 +528,45 @@
         x.out++;
         long left = x.deadline - GUARD - LAST_WORD - now;
         long wait = timeout == 0 ? left : Math.min(timeout, left);
-        boolean allowed = !x.closed && wait > 0 && a.number < boot.settings().limits().maxAttempts()
-            && x.order.sendable();
+        boolean allowed =
+                !x.closed
+                        && wait > 0
+                        && a.number < boot.settings().limits().maxAttempts()
+                        && x.order.sendable();
         if (allowed) {
             a.wait = wait;
             if (!x.uploading) {
                 await(a);
             }
-            a.call = upstreams.send(server, x.order, wait, new Upstreams.Listener() {
-                @Override
-                public boolean mayBegin() {
-                    leaveIfGone(x);
-                    return !x.closed && policy.mayBegin(now(), x.id, a.number);
-                }
-
-                @Override
-                public void ended(Policy.Outcome outcome, FullHttpResponse answer, Policy.Load load) {
-                    Dispatcher.this.ended(a, outcome, answer, load);
-                }
-
-                @Override
-                public void begun(HttpResponse head, long length, Relay body, Policy.Load load) {
-                    Dispatcher.this.begun(a, head, length, body, load);
-                }
-            });
+            a.call =
+                    upstreams.send(
+                            server,
+                            x.order,
+                            wait,
+                            new Upstreams.Listener() {
+                                @Override
+                                public boolean mayBegin() {
+                                    leaveIfGone(x);
+                                    return !x.closed && policy.mayBegin(now(), x.id, a.number);
+                                }
+
+                                @Override
+                                public void ended(
+                                        Policy.Outcome outcome,
+                                        FullHttpResponse answer,
+                                        Policy.Load load) {
+                                    Dispatcher.this.ended(a, outcome, answer, load);
+                                }
+
+                                @Override
+                                public void begun(
+                                        HttpResponse head,
+                                        long length,
+                                        Relay body,
+                                        Policy.Load load) {
+                                    Dispatcher.this.begun(a, head, length, body, load);
+                                }
+                            });
         } else {
             ended(a, Policy.Outcome.NOT_SENT, null, null);
         }
@@ -514,8 +608,11 @@
     public void probe(String server) {
         long sent = now();
         boolean reports = boot.settings().reports() != Policy.Reports.NONE;
-        upstreams.probe(server, reports, (outcome, answer, load) ->
-            hand(now -> policy.probed(now, server, outcome, now - sent, load, this)));
+        upstreams.probe(
+                server,
+                reports,
+                (outcome, answer, load) ->
+                        hand(now -> policy.probed(now, server, outcome, now - sent, load, this)));
     }
 
     @Override
--- a/balancer/src/main/java/junctionhead/net/DutyLink.java
+++ b/balancer/src/main/java/junctionhead/net/DutyLink.java
@@ -12,9 +12,9 @@
 import junctionhead.membership.View;
 
 /**
- * Drives {@link Duties} on the event loop: gives it time, peers' words and views, sends what it wants sent,
- * has its promises kept before they are told, and says in the log what is taken and given. Nothing of a
- * request waits for it.
+ * Drives {@link Duties} on the event loop: gives it time, peers' words and views, sends what it
+ * wants sent, has its promises kept before they are told, and says in the log what is taken and
+ * given. Nothing of a request waits for it.
  */
 final class DutyLink {
     // A second
@@ -33,27 +33,45 @@
     private boolean left;
 
     /**
-     * {@code self} of {@code size} members; {@code incarnation} rises with each start; {@code state} is null
-     * where no promise outlives the process.
+     * {@code self} of {@code size} members; {@code incarnation} rises with each start; {@code
+     * state} is null where no promise outlives the process.
      */
-    DutyLink(EventLoop loop, int self, int size, long incarnation, StateKeeper state,
-        MemberLink.Sender sender,
+    DutyLink(
+            EventLoop loop,
+            int self,
+            int size,
+            long incarnation,
+            StateKeeper state,
+            MemberLink.Sender sender,
             Consumer<String> log) {
         this.loop = loop;
         this.sender = sender;
         this.state = state;
         this.log = log;
-        List<Promise> kept = state == null ? null : Promise.decode(state.promises(), Terms.USUAL.slots());
-        duties = new Duties(self, size, Terms.USUAL, kept, state != null, incarnation,
-            incarnation << 14 ^ System.nanoTime() ^ self, MemberLink.now());
+        List<Promise> kept =
+                state == null ? null : Promise.decode(state.promises(), Terms.USUAL.slots());
+        duties =
+                new Duties(
+                        self,
+                        size,
+                        Terms.USUAL,
+                        kept,
+                        state != null,
+                        incarnation,
+                        incarnation << 14 ^ System.nanoTime() ^ self,
+                        MemberLink.now());
     }
 
-    /** Peers can reach this process from now on; an earlier one of the same name could until now. */
+    /**
+     * Peers can reach this process from now on; an earlier one of the same name could until now.
+     */
     void opened() {
         duties.opened(MemberLink.now());
-        log.accept("duties: granting nothing for " + Terms.USUAL.lease() / 1000
-            + " ms, as grants from before this start may still bind"
-            + (state == null ? "; no promise is kept" : ""));
+        log.accept(
+                "duties: granting nothing for "
+                        + Terms.USUAL.lease() / 1000
+                        + " ms, as grants from before this start may still bind"
+                        + (state == null ? "; no promise is kept" : ""));
         act(duties.tick(MemberLink.now()));
     }
 
@@ -105,15 +123,24 @@
             } else if (act instanceof Duties.Taken taken) {
                 tell("takes slot " + taken.slot() + ", epoch " + taken.epoch());
             } else if (act instanceof Duties.Given given) {
-                tell("gives slot " + given.slot() + ", epoch " + given.epoch() + ": " + given.why());
+                tell(
+                        "gives slot "
+                                + given.slot()
+                                + ", epoch "
+                                + given.epoch()
+                                + ": "
+                                + given.why());
             }
         }
         plan();
     }
 
     private void keep(Duties.Keep keep) {
-        state.promise(Promise.encode(keep.promises()),
-            safe -> loop.execute(() -> act(duties.kept(MemberLink.now(), keep.number(), safe))));
+        state.promise(
+                Promise.encode(keep.promises()),
+                safe ->
+                        loop.execute(
+                                () -> act(duties.kept(MemberLink.now(), keep.number(), safe))));
     }
 
     private void plan() {
@@ -125,10 +152,14 @@
             timer.cancel(false);
         }
         timerAt = next;
-        timer = loop.schedule(() -> {
-            timer = null;
-            act(duties.tick(MemberLink.now()));
-        }, Math.max(0, next - MemberLink.now()), TimeUnit.MICROSECONDS);
+        timer =
+                loop.schedule(
+                        () -> {
+                            timer = null;
+                            act(duties.tick(MemberLink.now()));
+                        },
+                        Math.max(0, next - MemberLink.now()),
+                        TimeUnit.MICROSECONDS);
     }
 
     private void tell(String what) {
--- a/balancer/src/main/java/junctionhead/net/Events.java
+++ b/balancer/src/main/java/junctionhead/net/Events.java
@@ -7,9 +7,9 @@
 import java.util.stream.Collectors;
 
 /**
- * What the operators are told of single requests: each kind of event has a counter, and a few lines a second
- * that carry the request's id. Guards against a log that grows with the trouble it tells of. It belongs to
- * the event loop's thread.
+ * What the operators are told of single requests: each kind of event has a counter, and a few lines
+ * a second that carry the request's id. Guards against a log that grows with the trouble it tells
+ * of. It belongs to the event loop's thread.
  */
 final class Events {
     /** What is counted; the names are those of the log. */
@@ -54,7 +54,10 @@
         this.second = nanos.get();
     }
 
-    /** Counts an event, and tells of it unless its kind has had its lines; {@code request} may be null. */
+    /**
+     * Counts an event, and tells of it unless its kind has had its lines; {@code request} may be
+     * null.
+     */
     void tell(Kind kind, String request, Supplier<String> what) {
         counts[kind.ordinal()]++;
         long now = nanos.get();
@@ -81,8 +84,9 @@
 
     @Override
     public String toString() {
-        return Arrays.stream(Kind.values()).map(k -> k.word() + " " + count(k))
-            .collect(Collectors.joining(", "));
+        return Arrays.stream(Kind.values())
+                .map(k -> k.word() + " " + count(k))
+                .collect(Collectors.joining(", "));
     }
 
     // An id comes from outside: it must not forge a line, nor fill the log.
