--- a/balancer/src/main/java/junctionhead/net/FleetLink.java
+++ b/balancer/src/main/java/junctionhead/net/FleetLink.java
@@ -7,8 +7,8 @@
 import junctionhead.membership.View;
 
 /**
- * What this balancer shares with its peers beside the module's messages: who is present, and duties that one
- * of them holds. Event loop only. Off as a whole unless membership is asked for.
+ * What this balancer shares with its peers beside the module's messages: who is present, and duties
+ * that one of them holds. Event loop only. Off as a whole unless membership is asked for.
  */
 final class FleetLink {
     private static final long RECORD_MS = 1_000;
@@ -22,7 +22,11 @@
     private final FleetRecord record;
     private View view;
 
-    private FleetLink(EventLoop loop, Config config, StateKeeper state, MemberLink.Sender sender,
+    private FleetLink(
+            EventLoop loop,
+            Config config,
+            StateKeeper state,
+            MemberLink.Sender sender,
             Consumer<String> log) {
         this.loop = loop;
         this.state = state;
@@ -31,17 +35,25 @@
         long incarnation = state == null ? System.currentTimeMillis() : state.incarnation();
         members = new MemberLink(loop, self, size, incarnation, sender, log, this::seen);
         view = members.view();
-        duties = config.own().on(OwnSettings.Field.DUTIES_ON) ? new DutyLink(loop, self, size, incarnation,
-            state, sender, log) : null;
-        record = duties == null || state == null ? null : new FleetRecord(state.folder(), self, log);
+        duties =
+                config.own().on(OwnSettings.Field.DUTIES_ON)
+                        ? new DutyLink(loop, self, size, incarnation, state, sender, log)
+                        : null;
+        record =
+                duties == null || state == null ? null : new FleetRecord(state.folder(), self, log);
     }
 
     /** Null where membership is off, or this balancer is none of the peers. */
-    static FleetLink of(EventLoop loop, Config config, StateKeeper state, MemberLink.Sender sender,
+    static FleetLink of(
+            EventLoop loop,
+            Config config,
+            StateKeeper state,
+            MemberLink.Sender sender,
             Consumer<String> log) {
         return config.own().on(OwnSettings.Field.MEMBERSHIP_ON)
-            && config.boot().settings().rank() < config.peers().all().size()
-            ? new FleetLink(loop, config, state, sender, log) : null;
+                        && config.boot().settings().rank() < config.peers().all().size()
+                ? new FleetLink(loop, config, state, sender, log)
+                : null;
     }
 
     void start() {
--- a/balancer/src/main/java/junctionhead/net/FleetRecord.java
+++ b/balancer/src/main/java/junctionhead/net/FleetRecord.java
@@ -17,9 +17,9 @@
 import junctionhead.membership.View;
 
 /**
- * The fleet's record: once a second the one balancer whose duty it is writes who is present, a JSON object a
- * line, in files of its state's folder that are rotated and bounded. With no holder nothing is written, and
- * nothing else is lost. The disk is touched on the state's thread alone.
+ * The fleet's record: once a second the one balancer whose duty it is writes who is present, a JSON
+ * object a line, in files of its state's folder that are rotated and bounded. With no holder
+ * nothing is written, and nothing else is lost. The disk is touched on the state's thread alone.
  */
 final class FleetRecord {
     /** The duty's key. */
@@ -46,10 +46,11 @@
     /** Has a line written on the state's thread; none where the one before still waits there. */
     void offer(Duties.Hold hold, View view, Consumer<Runnable> thread) {
         if (waiting.compareAndSet(false, true)) {
-            thread.accept(() -> {
-                write(hold, view);
-                waiting.set(false);
-            });
+            thread.accept(
+                    () -> {
+                        write(hold, view);
+                        waiting.set(false);
+                    });
         }
     }
 
@@ -65,11 +66,15 @@
         line.put("balancer", self);
         line.put("view", view.version());
         line.put("with_most", view.withMost());
-        line.put("present", IntStream.range(0, view.members().size()).filter(view::isPresent).boxed()
-            .toList());
+        line.put(
+                "present",
+                IntStream.range(0, view.members().size()).filter(view::isPresent).boxed().toList());
         try {
-            Files.writeString(file(), JSON.std.asString(line) + "\n", StandardOpenOption.CREATE,
-                StandardOpenOption.APPEND);
+            Files.writeString(
+                    file(),
+                    JSON.std.asString(line) + "\n",
+                    StandardOpenOption.CREATE,
+                    StandardOpenOption.APPEND);
             log.accept("duties: acts for " + KEY + ", epoch " + hold.epoch() + ", at " + now);
             failing = false;
         } catch (IOException e) {
@@ -84,8 +89,10 @@
     private Path file() throws IOException {
         List<Path> files;
         try (Stream<Path> all = Files.list(folder)) {
-            files = all.filter(f -> number(f) >= 0).sorted(Comparator.comparingLong(FleetRecord::number))
-                .toList();
+            files =
+                    all.filter(f -> number(f) >= 0)
+                            .sorted(Comparator.comparingLong(FleetRecord::number))
+                            .toList();
         }
         if (files.isEmpty()) {
             return folder.resolve(NAME + 1);
--- a/balancer/src/main/java/junctionhead/net/Framing.java
+++ b/balancer/src/main/java/junctionhead/net/Framing.java
@@ -13,12 +13,13 @@
 import java.util.List;
 
 /**
- * Decoders that turn a message down where two parties may read its length differently (RFC 9112, 6.3). Guards
- * against request smuggling: Netty's own choose one reading, so that what a sender means as a body is taken
- * for a message of its own. What they turn down is malformed, and so is all that follows on its connection.
+ * Decoders that turn a message down where two parties may read its length differently (RFC 9112,
+ * 6.3). Guards against request smuggling: Netty's own choose one reading, so that what a sender
+ * means as a body is taken for a message of its own. What they turn down is malformed, and so is
+ * all that follows on its connection.
  */
 final class Framing {
-    private Framing() { }
+    private Framing() {}
 
     /** Of clients' requests. */
     static final class Requests extends HttpRequestDecoder {
@@ -74,7 +75,8 @@
         if (version.minorVersion() == 0) {
             throw new IllegalArgumentException("Transfer-Encoding in HTTP/1.0");
         }
-        if (codings.size() > 1 || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
+        if (codings.size() > 1
+                || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
             throw new IllegalArgumentException("Transfer-Encoding is not just chunked");
         }
         if (headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
--- a/balancer/src/main/java/junctionhead/net/KeptForm.java
+++ b/balancer/src/main/java/junctionhead/net/KeptForm.java
@@ -13,7 +13,7 @@
     private static final long TIME_MOST = 60_000_000;
     private static final int FEW = 1_000_000;
 
-    private KeptForm() { }
+    private KeptForm() {}
 
     static Map<String, Object> write(Kept kept) {
         List<Object> servers = new ArrayList<>();
@@ -45,14 +45,23 @@
             if (!(one.get("uid") instanceof String id)) {
                 throw new IllegalArgumentException("no server");
             }
-            servers.add(new Kept.OfServer(id, (long) number(one.get("started"), Long.MAX_VALUE),
-                number(one.get("count"), COUNT_MOST), number(one.get("served"), COUNT_MOST),
-                number(one.get("failed"), COUNT_MOST), (long) number(one.get("rests"), TIME_MOST),
-                (int) number(one.get("ejections"), FEW), (int) number(one.get("unreached"), FEW),
-                list(one.get("class_rests")).stream().map(r -> (long) number(r, TIME_MOST)).toList()));
+            servers.add(
+                    new Kept.OfServer(
+                            id,
+                            (long) number(one.get("started"), Long.MAX_VALUE),
+                            number(one.get("count"), COUNT_MOST),
+                            number(one.get("served"), COUNT_MOST),
+                            number(one.get("failed"), COUNT_MOST),
+                            (long) number(one.get("rests"), TIME_MOST),
+                            (int) number(one.get("ejections"), FEW),
+                            (int) number(one.get("unreached"), FEW),
+                            list(one.get("class_rests")).stream()
+                                    .map(r -> (long) number(r, TIME_MOST))
+                                    .toList()));
         }
-        return new Kept(servers, list(map(from).get("latencies")).stream().map(l -> number(l, COUNT_MOST))
-            .toList());
+        return new Kept(
+                servers,
+                list(map(from).get("latencies")).stream().map(l -> number(l, COUNT_MOST)).toList());
     }
 
     private static Map<?, ?> map(Object value) {
--- a/balancer/src/main/java/junctionhead/net/MemberLink.java
+++ b/balancer/src/main/java/junctionhead/net/MemberLink.java
@@ -12,9 +12,9 @@
 import junctionhead.membership.View;
 
 /**
- * Drives {@link Membership} on the event loop: gives it time and the peers' messages, sends what it wants
- * sent
- * and tells the log, and whoever goes by it, what has changed. Nothing of a request waits for it.
+ * Drives {@link Membership} on the event loop: gives it time and the peers' messages, sends what it
+ * wants sent and tells the log, and whoever goes by it, what has changed. Nothing of a request
+ * waits for it.
  */
 final class MemberLink {
     // A second
@@ -38,10 +38,16 @@
     private boolean left;
 
     /**
-     * {@code self} of {@code size} members; {@code incarnation} is the wall clock's ms, or a later one;
-     * {@code watcher} gets each new view, on the loop.
+     * {@code self} of {@code size} members; {@code incarnation} is the wall clock's ms, or a later
+     * one; {@code watcher} gets each new view, on the loop.
      */
-    MemberLink(EventLoop loop, int self, int size, long incarnation, Sender sender, Consumer<String> log,
+    MemberLink(
+            EventLoop loop,
+            int self,
+            int size,
+            long incarnation,
+            Sender sender,
+            Consumer<String> log,
             Consumer<View> watcher) {
         this.loop = loop;
         this.sender = sender;
@@ -68,10 +74,14 @@
             timer.cancel(false);
         }
         timerAt = next;
-        timer = loop.schedule(() -> {
-            timer = null;
-            act(members.tick(now()));
-        }, Math.max(0, next - now()), TimeUnit.MICROSECONDS);
+        timer =
+                loop.schedule(
+                        () -> {
+                            timer = null;
+                            act(members.tick(now()));
+                        },
+                        Math.max(0, next - now()),
+                        TimeUnit.MICROSECONDS);
     }
 
     /** A datagram from a peer; false where it is none of membership's. */
@@ -84,7 +94,8 @@
             act(members.heard(now(), from, message));
         } else if (!passedOver) {
             passedOver = true;
-            log.accept("members: passed over a message of balancer " + from + " that can't be read");
+            log.accept(
+                    "members: passed over a message of balancer " + from + " that can't be read");
         }
         return true;
     }
@@ -119,10 +130,20 @@
         lines = now == second ? lines + 1 : 1;
         second = now;
         if (lines <= LINES_MOST) {
-            log.accept("members: balancer " + news.member() + " is " + news.status() + ", incarnation "
-                + news.incarnation() + "; " + view.present() + " of " + view.members().size()
-                    + " present, view "
-                + view.version() + (view.withMost() ? "" : ", cut off from most"));
+            log.accept(
+                    "members: balancer "
+                            + news.member()
+                            + " is "
+                            + news.status()
+                            + ", incarnation "
+                            + news.incarnation()
+                            + "; "
+                            + view.present()
+                            + " of "
+                            + view.members().size()
+                            + " present, view "
+                            + view.version()
+                            + (view.withMost() ? "" : ", cut off from most"));
         }
     }
 }
--- a/balancer/src/main/java/junctionhead/net/Node.java
+++ b/balancer/src/main/java/junctionhead/net/Node.java
@@ -65,7 +65,10 @@
     private volatile Stats stats = Stats.NONE;
 
     /** A node that is ready without a rehearsal, where {@code rehearse} is false. */
-    Node(Config config, BiFunction<Policy.Settings, Long, Policy> module, boolean rehearse,
+    Node(
+            Config config,
+            BiFunction<Policy.Settings, Long, Policy> module,
+            boolean rehearse,
             Consumer<String> log) {
         this.rehearsed = !rehearse;
         this.config = config;
@@ -76,15 +79,32 @@
         metrics = new Metrics(config.boot().classes());
         dispatcher = new Dispatcher(loop, config.boot(), policy, log, events, metrics);
         Relay.Budget budget = new Relay.Budget();
-        upstreams = new Upstreams(loop, config.boot(), descriptors, dispatcher::now, events, metrics, budget);
+        upstreams =
+                new Upstreams(
+                        loop, config.boot(), descriptors, dispatcher::now, events, metrics, budget);
         Path folder = config.own().folder(OwnSettings.Field.STATE_DIR);
-        state = folder == null ? null : StateKeeper.open(folder, config.name(), config.boot(),
-            config.own().milliseconds(OwnSettings.Field.STATE_EVERY_MS), log);
+        state =
+                folder == null
+                        ? null
+                        : StateKeeper.open(
+                                folder,
+                                config.name(),
+                                config.boot(),
+                                config.own().milliseconds(OwnSettings.Field.STATE_EVERY_MS),
+                                log);
         known = state == null ? config.known() : state.newest(config.known());
-        discovery = new Discovery(loop, config.discovery(), config.boot(), known.rev(),
-            this::listed, log);
-        clients = new ClientServer(loop, config.boot(), dispatcher, descriptors, upstreams::shedIdle,
-            events, budget);
+        discovery =
+                new Discovery(
+                        loop, config.discovery(), config.boot(), known.rev(), this::listed, log);
+        clients =
+                new ClientServer(
+                        loop,
+                        config.boot(),
+                        dispatcher,
+                        descriptors,
+                        upstreams::shedIdle,
+                        events,
+                        budget);
         peers = new PeerLink(loop, config.peers(), new Peers(), events);
         fleet = FleetLink.of(loop, config, state, peers::tell, log);
         dispatcher.attach(upstreams, discovery, peers);
@@ -123,38 +143,49 @@
 
         @Override
         public void drain() {
-            loop.execute(() -> {
-                log.accept("draining, as operators asked");
-                clients.drain();
-                rest(true);
-                publish();
-            });
+            loop.execute(
+                    () -> {
+                        log.accept("draining, as operators asked");
+                        clients.drain();
+                        rest(true);
+                        publish();
+                    });
         }
 
         @Override
         public void resume() {
-            loop.execute(() -> {
-                log.accept("back to work, as operators asked");
-                clients.resume();
-                rest(false);
-                publish();
-            });
+            loop.execute(
+                    () -> {
+                        log.accept("back to work, as operators asked");
+                        clients.resume();
+                        rest(false);
+                        publish();
+                    });
         }
     }
 
     private void publish() {
-        stats = metrics.stats(clients.isReady(), dispatcher.owed(), upstreams.inList(), dispatcher.avoided());
+        stats =
+                metrics.stats(
+                        clients.isReady(),
+                        dispatcher.owed(),
+                        upstreams.inList(),
+                        dispatcher.avoided());
     }
 
     /**
-     * Starts a balancer by itself, whose only upstream does not exist, and returns once it has rehearsed: 0,
-     * or 1 where that takes too long. Run with {@code -XX:ArchiveClassesAtExit} it leaves the classes of a
-     * start.
+     * Starts a balancer by itself, whose only upstream does not exist, and returns once it has
+     * rehearsed: 0, or 1 where that takes too long. Run with {@code -XX:ArchiveClassesAtExit} it
+     * leaves the classes of a start.
      */
     public static int prepare() {
         try (InputStream told = Node.class.getResourceAsStream("/prepare.json")) {
-            Node node = new Node(Config.of(Map.of(), JSON.std.mapFrom(told)), Balance::new, true,
-                System.err::println);
+            Node node =
+                    new Node(
+                            Config.of(Map.of(), JSON.std.mapFrom(told)),
+                            Balance::new,
+                            true,
+                            System.err::println);
             node.start();
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PREPARE_S);
             while (!node.stats.ready() && System.nanoTime() - until < 0) {
@@ -178,22 +209,33 @@
         InetSocketAddress at;
         try {
             Config config = Config.read(environment);
-            node = new Node(config, (settings, seed) -> new Balance(settings, seed,
-                config.own().on(OwnSettings.Field.ZONES_ON)), true,
-                log);
+            node =
+                    new Node(
+                            config,
+                            (settings, seed) ->
+                                    new Balance(
+                                            settings,
+                                            seed,
+                                            config.own().on(OwnSettings.Field.ZONES_ON)),
+                            true,
+                            log);
         } catch (Config.Bad e) {
             log.accept(e.getMessage());
             return 1;
         }
         boolean heard = false;
         // Before it listens: from then on a signal to end may cross a request that has been taken.
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            if (!node.failed) {
-                node.stop();
-            }
-            // Without this the exit code would tell of the signal, not of the orderly end.
-            Runtime.getRuntime().halt(node.failed ? 1 : 0);
-        }));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () -> {
+                                    if (!node.failed) {
+                                        node.stop();
+                                    }
+                                    // Without this the exit code would tell of the signal, not of
+                                    // the orderly end.
+                                    Runtime.getRuntime().halt(node.failed ? 1 : 0);
+                                }));
         try {
             heard = Hangup.on(() -> node.reload(environment));
         } catch (ReflectiveOperationException e) {
@@ -208,7 +250,8 @@
             return 1;
         }
         if (!heard) {
-            log.accept("SIGHUP is ignored here since the start: looking at the configuration instead");
+            log.accept(
+                    "SIGHUP is ignored here since the start: looking at the configuration instead");
             node.watch(environment);
         }
         // Said only now: whoever reads it may send the signal at once.
@@ -229,29 +272,41 @@
             doorAt = admin.listen(config.admin());
         }
         InetSocketAddress at =
-            inherited == null ? clients.listen(config.listen()) : clients.listen(inherited);
-        loop.execute(() -> {
-            if (admin != null) {
-                publish();
-                loop.scheduleWithFixedDelay(this::publish, PUBLISH_MS, PUBLISH_MS, TimeUnit.MILLISECONDS);
-            }
-            listed(Policy.ListKind.PERSISTED, known);
-            if (state != null) {
-                remember();
-            }
-            discovery.start();
-            peers.start(log);
-            if (fleet != null) {
-                fleet.start();
-            }
-            loop.scheduleWithFixedDelay(
-                () -> events.summary(() -> dispatcher.summary() + ", " + descriptors + ": " + clients
-                    + ", " + upstreams),
-                COUNTERS_S, COUNTERS_S, TimeUnit.SECONDS);
-            if (!rehearsed) {
-                rehearse(at);
-            }
-        });
+                inherited == null ? clients.listen(config.listen()) : clients.listen(inherited);
+        loop.execute(
+                () -> {
+                    if (admin != null) {
+                        publish();
+                        loop.scheduleWithFixedDelay(
+                                this::publish, PUBLISH_MS, PUBLISH_MS, TimeUnit.MILLISECONDS);
+                    }
+                    listed(Policy.ListKind.PERSISTED, known);
+                    if (state != null) {
+                        remember();
+                    }
+                    discovery.start();
+                    peers.start(log);
+                    if (fleet != null) {
+                        fleet.start();
+                    }
+                    loop.scheduleWithFixedDelay(
+                            () ->
+                                    events.summary(
+                                            () ->
+                                                    dispatcher.summary()
+                                                            + ", "
+                                                            + descriptors
+                                                            + ": "
+                                                            + clients
+                                                            + ", "
+                                                            + upstreams),
+                            COUNTERS_S,
+                            COUNTERS_S,
+                            TimeUnit.SECONDS);
+                    if (!rehearsed) {
+                        rehearse(at);
+                    }
+                });
         return at;
     }
 
@@ -259,23 +314,36 @@
     private void remember() {
         Kept kept = state.module();
         if (kept != null) {
-            log.accept("state: recalled what was known of " + kept.servers().size() + " upstreams "
-                + state.age() / 1000 + " ms before this start");
+            log.accept(
+                    "state: recalled what was known of "
+                            + kept.servers().size()
+                            + " upstreams "
+                            + state.age() / 1000
+                            + " ms before this start");
             dispatcher.recall(kept, state.age());
         }
-        loop.scheduleWithFixedDelay(() -> state.take(dispatcher.kept()), state.everyMs(), state.everyMs(),
-            TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> state.take(dispatcher.kept()),
+                state.everyMs(),
+                state.everyMs(),
+                TimeUnit.MILLISECONDS);
     }
 
     // At an inherited socket the process that this one takes over from would answer.
     private void rehearse(InetSocketAddress at) {
         LocalAddress inside = shared ? new LocalAddress("rehearsal") : null;
-        Rehearsal rehearsal = new Rehearsal(loop, config, inside, dispatcher::taken,
-            () -> !shared && dispatcher.inService(), () -> {
-            rehearsed = true;
-            clients.rehearse(null);
-            readyIfSo();
-        });
+        Rehearsal rehearsal =
+                new Rehearsal(
+                        loop,
+                        config,
+                        inside,
+                        dispatcher::taken,
+                        () -> !shared && dispatcher.inService(),
+                        () -> {
+                            rehearsed = true;
+                            clients.rehearse(null);
+                            readyIfSo();
+                        });
         clients.rehearse(rehearsal);
         if (inside == null) {
             rehearsal.start(at);
@@ -296,25 +364,40 @@
         return doorAt;
     }
 
-    // In place of SIGHUP: a balancer that never hears of its new discovery sends to servers that drain.
+    // In place of SIGHUP: a balancer that never hears of its new discovery sends to servers that
+    // drain.
     private void watch(Map<String, String> environment) {
         FileWatch file = new FileWatch(Path.of(environment.get("ROUTER_CONFIG")));
-        loop.scheduleWithFixedDelay(() -> {
-            if (file.changed()) {
-                reload(environment);
-            }
-        }, WATCH_MS, WATCH_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> {
+                    if (file.changed()) {
+                        reload(environment);
+                    }
+                },
+                WATCH_MS,
+                WATCH_MS,
+                TimeUnit.MILLISECONDS);
     }
 
-    // Only the address of discovery may change while it runs; all else takes effect at the next start.
+    // Only the address of discovery may change while it runs; all else takes effect at the next
+    // start.
     private void reload(Map<String, String> environment) {
         try {
             Config reread = Config.reread(environment);
             InetSocketAddress to = reread.discovery();
-            log.accept("configuration reread: discovery at " + to.getAddress().getHostAddress() + ":"
-                + to.getPort());
-            config.own().changed(reread.own()).forEach(path ->
-                log.accept("settings: " + path + " takes effect at the next start"));
+            log.accept(
+                    "configuration reread: discovery at "
+                            + to.getAddress().getHostAddress()
+                            + ":"
+                            + to.getPort());
+            config.own()
+                    .changed(reread.own())
+                    .forEach(
+                            path ->
+                                    log.accept(
+                                            "settings: "
+                                                    + path
+                                                    + " takes effect at the next start"));
             loop.execute(() -> discovery.move(to));
         } catch (Config.Bad e) {
             log.accept("keeping the old configuration: " + e.getMessage());
@@ -337,14 +420,18 @@
         return dispatcher.owed();
     }
 
-    // Ready once an upstream may be sent to: what was known from before will do until discovery answers.
+    // Ready once an upstream may be sent to: what was known from before will do until discovery
+    // answers.
     private void listed(Policy.ListKind kind, Targets targets) {
         dispatcher.listed(kind, targets);
         if (state != null) {
             state.listed(kind, targets);
         }
-        boolean usable = kind == Policy.ListKind.COMPLETE || targets != null
-            && targets.list().stream().anyMatch(t -> t.server().state() == Policy.State.UP);
+        boolean usable =
+                kind == Policy.ListKind.COMPLETE
+                        || targets != null
+                                && targets.list().stream()
+                                        .anyMatch(t -> t.server().state() == Policy.State.UP);
         if (usable) {
             hasList = true;
             readyIfSo();
@@ -355,28 +442,33 @@
         if (hasList && rehearsed) {
             clients.ready();
             publish();
-            // By then the process that this one took over from has had its time, and holds no descriptors.
+            // By then the process that this one took over from has had its time, and holds no
+            // descriptors.
             loop.schedule(descriptors::alone, HANDOVER_S, TimeUnit.SECONDS);
         }
     }
 
     /** Ends in order, as after SIGTERM, and returns when all that was taken has been answered. */
     void stop() {
-        loop.execute(() -> {
-            clients.stopping(shared);
-            publish();
-            if (fleet != null) {
-                fleet.leave();
-            }
-            if (shared) {
-                // The process that takes over wants the address
-                peers.close();
-            }
-        });
-        loop.schedule(() -> {
-            clients.close(() -> dispatcher.whenIdle(stopped::countDown));
-            peers.close();
-        }, LINGER_MS, TimeUnit.MILLISECONDS);
+        loop.execute(
+                () -> {
+                    clients.stopping(shared);
+                    publish();
+                    if (fleet != null) {
+                        fleet.leave();
+                    }
+                    if (shared) {
+                        // The process that takes over wants the address
+                        peers.close();
+                    }
+                });
+        loop.schedule(
+                () -> {
+                    clients.close(() -> dispatcher.whenIdle(stopped::countDown));
+                    peers.close();
+                },
+                LINGER_MS,
+                TimeUnit.MILLISECONDS);
         await();
         log.accept("stopped: " + dispatcher.summary() + "; " + events);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/balancer/src/main/java/junctionhead/net/OrderReader.java
+++ b/balancer/src/main/java/junctionhead/net/OrderReader.java
@@ -17,9 +17,20 @@
 /** Reads what a client asks for out of its request. */
 final class OrderReader {
     static final String DEADLINE = "Req-Deadline-Ms";
-    private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection",
-        "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
-        "expect", "content-length", DEADLINE.toLowerCase(Locale.ROOT));
+    private static final Set<String> HOP_BY_HOP =
+            Set.of(
+                    "connection",
+                    "keep-alive",
+                    "proxy-connection",
+                    "proxy-authenticate",
+                    "proxy-authorization",
+                    "te",
+                    "trailer",
+                    "transfer-encoding",
+                    "upgrade",
+                    "expect",
+                    "content-length",
+                    DEADLINE.toLowerCase(Locale.ROOT));
 
     private final SettingsReader.Boot boot;
     private final Map<String, Integer> classes;
@@ -54,7 +65,8 @@
         HttpMethod method = effect == Policy.Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
         boolean keyed = headers.contains("Idempotency-Key");
         if (!request.method().equals(method) || keyed != (effect == Policy.Effect.KEYED)) {
-            throw new IllegalArgumentException("method or Idempotency-Key contradicts the Req-Kind");
+            throw new IllegalArgumentException(
+                    "method or Idempotency-Key contradicts the Req-Kind");
         }
         long left = number(headers.get(DEADLINE), -1);
         if (left <= 0) {
@@ -63,19 +75,39 @@
         String path = request.uri().split("[?#]", 2)[0];
         String key = path.substring(path.lastIndexOf('/') + 1);
         int tenant = tenants.getOrDefault(Config.plain(headers.get("Req-Owner", "")), 0);
-        return new Order(request.method(), request.uri(), endToEnd(headers), body, number, tenant,
-            key.isEmpty() ? null : key, left * 1000, number(headers.get("Req-Cost"), -1),
-            "1".equals(headers.get("Req-Retry")), upload, length);
+        return new Order(
+                request.method(),
+                request.uri(),
+                endToEnd(headers),
+                body,
+                number,
+                tenant,
+                key.isEmpty() ? null : key,
+                left * 1000,
+                number(headers.get("Req-Cost"), -1),
+                "1".equals(headers.get("Req-Retry")),
+                upload,
+                length);
     }
 
     private static long number(String text, long otherwise) {
-        return text != null && text.strip().matches("\\d{1,12}") ? Long.parseLong(text.strip()) : otherwise;
+        return text != null && text.strip().matches("\\d{1,12}")
+                ? Long.parseLong(text.strip())
+                : otherwise;
     }
 
     private static HttpHeaders endToEnd(HttpHeaders headers) {
         HttpHeaders kept = new DefaultHttpHeaders();
-        Set<String> named = Set.copyOf(headers.getAll(HttpHeaderNames.CONNECTION).stream()
-            .flatMap(v -> Stream.of(v.toLowerCase(Locale.ROOT).split("\\s*,\\s*"))).distinct().toList());
+        Set<String> named =
+                Set.copyOf(
+                        headers.getAll(HttpHeaderNames.CONNECTION).stream()
+                                .flatMap(
+                                        v ->
+                                                Stream.of(
+                                                        v.toLowerCase(Locale.ROOT)
+                                                                .split("\\s*,\\s*")))
+                                .distinct()
+                                .toList());
         for (Map.Entry<String, String> header : headers) {
             String name = header.getKey().toLowerCase(Locale.ROOT);
             if (!HOP_BY_HOP.contains(name) && !named.contains(name)) {
--- a/balancer/src/main/java/junctionhead/net/OwnSettings.java
+++ b/balancer/src/main/java/junctionhead/net/OwnSettings.java
@@ -10,23 +10,54 @@
 import java.util.Map;
 
 /**
- * The program's own settings, of which the platform's configuration knows nothing: a TOML file that {@code
- * TANSYFERRY_SETTINGS} names, and variables that win over it. Without either all is as it was before there
- * were any. A file with faults is refused as a whole, and all its faults are told at once.
+ * The program's own settings, of which the platform's configuration knows nothing: a TOML file that
+ * {@code TANSYFERRY_SETTINGS} names, and variables that win over it. Without either all is as it
+ * was before there were any. A file with faults is refused as a whole, and all its faults are told
+ * at once.
  */
 final class OwnSettings {
     /** What may be set; the order is that of the documents' table. */
     enum Field {
-        MEMBERSHIP_ON("membership.on", "TANSYFERRY_MEMBERSHIP", Type.SWITCH, "off", 0, 0,
-            "balancers tell each other who is present"),
-        DUTIES_ON("duties.on", "TANSYFERRY_DUTIES", Type.SWITCH, "off", 0, 0,
-            "what only one of them does at a time; needs `membership.on`"),
-        ZONES_ON("zones.on", "TANSYFERRY_ZONES", Type.SWITCH, "off", 0, 0,
-            "a lost zone is left as a whole, and met again in steps"),
-        STATE_DIR("state.dir", "TANSYFERRY_STATE_DIR", Type.FOLDER, "", 0, 0,
-            "a folder of this balancer's own, for what outlives a crash; none: nothing is kept"),
-        STATE_EVERY_MS("state.every_ms", null, Type.MILLISECONDS, "1000", 100, 60_000,
-            "least time between two snapshots of the list");
+        MEMBERSHIP_ON(
+                "membership.on",
+                "TANSYFERRY_MEMBERSHIP",
+                Type.SWITCH,
+                "off",
+                0,
+                0,
+                "balancers tell each other who is present"),
+        DUTIES_ON(
+                "duties.on",
+                "TANSYFERRY_DUTIES",
+                Type.SWITCH,
+                "off",
+                0,
+                0,
+                "what only one of them does at a time; needs `membership.on`"),
+        ZONES_ON(
+                "zones.on",
+                "TANSYFERRY_ZONES",
+                Type.SWITCH,
+                "off",
+                0,
+                0,
+                "a lost zone is left as a whole, and met again in steps"),
+        STATE_DIR(
+                "state.dir",
+                "TANSYFERRY_STATE_DIR",
+                Type.FOLDER,
+                "",
+                0,
+                0,
+                "a folder of this balancer's own, for what outlives a crash; none: nothing is kept"),
+        STATE_EVERY_MS(
+                "state.every_ms",
+                null,
+                Type.MILLISECONDS,
+                "1000",
+                100,
+                60_000,
+                "least time between two snapshots of the list");
 
         final String path;
         // Null: the file only
@@ -37,8 +68,14 @@
         final long most;
         final String meaning;
 
-        Field(String path, String variable, Type type, String otherwise, long least, long most,
-            String meaning) {
+        Field(
+                String path,
+                String variable,
+                Type type,
+                String otherwise,
+                long least,
+                long most,
+                String meaning) {
             this.path = path;
             this.variable = variable;
             this.type = type;
@@ -51,7 +88,9 @@
 
     /** How a value is written. */
     enum Type {
-        SWITCH("true, false"), FOLDER("path"), MILLISECONDS("ms");
+        SWITCH("true, false"),
+        FOLDER("path"),
+        MILLISECONDS("ms");
 
         final String unit;
 
@@ -63,7 +102,7 @@
     private final Map<Field, String> values = new EnumMap<>(Field.class);
     private final List<String> faults = new ArrayList<>();
 
-    private OwnSettings() { }
+    private OwnSettings() {}
 
     /**
      * Reads what the environment names and says.
@@ -96,13 +135,22 @@
 
     // A value from some place; null: one of another type.
     private void take(Field f, String value, String place) {
-        String wrong = value == null ? expected(f) : switch (f.type) {
-            case SWITCH -> value.equals("on") || value.equals("off") ? null : "neither on nor off: '" + value
-                + "'";
-            case FOLDER -> isPath(value) ? null : "no path: '" + value + "'";
-            case MILLISECONDS -> value.matches("\\d{1,9}") && Long.parseLong(value) >= f.least
-                && Long.parseLong(value) <= f.most ? null : expected(f);
-        };
+        String wrong =
+                value == null
+                        ? expected(f)
+                        : switch (f.type) {
+                            case SWITCH ->
+                                    value.equals("on") || value.equals("off")
+                                            ? null
+                                            : "neither on nor off: '" + value + "'";
+                            case FOLDER -> isPath(value) ? null : "no path: '" + value + "'";
+                            case MILLISECONDS ->
+                                    value.matches("\\d{1,9}")
+                                                    && Long.parseLong(value) >= f.least
+                                                    && Long.parseLong(value) <= f.most
+                                            ? null
+                                            : expected(f);
+                        };
         if (wrong != null) {
             faults.add(place + ": " + wrong);
         } else {
@@ -141,9 +189,10 @@
 
     /** What others say differently, by their paths. */
     List<String> changed(OwnSettings others) {
-        return Arrays.stream(Field.values()).filter(f -> !values.get(f).equals(others.values.get(f)))
-            .map(f -> f.path)
-            .toList();
+        return Arrays.stream(Field.values())
+                .filter(f -> !values.get(f).equals(others.values.get(f)))
+                .map(f -> f.path)
+                .toList();
     }
 
     /** All of them, as the documents show them. */
@@ -152,10 +201,18 @@
         table.append("| setting | variable | unit | default | bounds | meaning |\n");
         table.append("| --- | --- | --- | --- | --- | --- |\n");
         for (Field f : Field.values()) {
-            table.append(String.format(Locale.ROOT, "| `%s` | %s | %s | %s | %s | %s |%n", f.path,
-                f.variable == null ? "-" : "`" + f.variable + "`", f.type.unit,
-                f.otherwise.isEmpty() ? "none" : f.type == Type.SWITCH ? "false" : f.otherwise,
-                f.type == Type.MILLISECONDS ? f.least + " to " + f.most : "-", f.meaning));
+            table.append(
+                    String.format(
+                            Locale.ROOT,
+                            "| `%s` | %s | %s | %s | %s | %s |%n",
+                            f.path,
+                            f.variable == null ? "-" : "`" + f.variable + "`",
+                            f.type.unit,
+                            f.otherwise.isEmpty()
+                                    ? "none"
+                                    : f.type == Type.SWITCH ? "false" : f.otherwise,
+                            f.type == Type.MILLISECONDS ? f.least + " to " + f.most : "-",
+                            f.meaning));
         }
         return table.toString();
     }
--- a/balancer/src/main/java/junctionhead/net/PeerLink.java
+++ b/balancer/src/main/java/junctionhead/net/PeerLink.java
@@ -20,8 +20,8 @@
 import java.util.function.Consumer;
 
 /**
- * Datagrams between this balancer and its peers. Each is sent once and may be lost; what does not fit, comes
- * from nobody known or can't be sent now is dropped and counted.
+ * Datagrams between this balancer and its peers. Each is sent once and may be lost; what does not
+ * fit, comes from nobody known or can't be sent now is dropped and counted.
  */
 final class PeerLink {
     static final int MESSAGE_MOST = 256;
@@ -33,7 +33,7 @@
         void heard(int from, byte[] data);
 
         /** The address is this process's own from now on. */
-        default void bound() { }
+        default void bound() {}
     }
 
     private final EventLoop loop;
@@ -59,32 +59,44 @@
     }
 
     /**
-     * Binds; a failure is told once and tried again, as the process that this one takes over from may still
-     * hold the address. A balancer can do without messages.
+     * Binds; a failure is told once and tried again, as the process that this one takes over from
+     * may still hold the address. A balancer can do without messages.
      */
     Future<Void> start(Consumer<String> log) {
         if (peers.listen() == null || peers.all().isEmpty()) {
             return loop.newSucceededFuture(null);
         }
-        return new Bootstrap().group(loop)
-            .channelFactory(() -> new NioDatagramChannel(InternetProtocolFamily.IPv4))
-            // One byte more than a message may have: a longer one is seen to be too long.
-            .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MESSAGE_MOST + 1))
-            .handler(new Arrivals()).bind(peers.listen()).addListener(bound -> {
-                if (bound.isSuccess() || closed) {
-                    return;
-                }
-                if (!told) {
-                    told = true;
-                    log.accept("no messages between balancers yet: can't listen on " + peers.listen() + ": "
-                        + bound.cause().getMessage());
-                }
-                loop.schedule(() -> {
-                    if (!closed) {
-                        start(log);
-                    }
-                }, AGAIN_MS, TimeUnit.MILLISECONDS);
-            });
+        return new Bootstrap()
+                .group(loop)
+                .channelFactory(() -> new NioDatagramChannel(InternetProtocolFamily.IPv4))
+                // One byte more than a message may have: a longer one is seen to be too long.
+                .option(
+                        ChannelOption.RCVBUF_ALLOCATOR,
+                        new FixedRecvByteBufAllocator(MESSAGE_MOST + 1))
+                .handler(new Arrivals())
+                .bind(peers.listen())
+                .addListener(
+                        bound -> {
+                            if (bound.isSuccess() || closed) {
+                                return;
+                            }
+                            if (!told) {
+                                told = true;
+                                log.accept(
+                                        "no messages between balancers yet: can't listen on "
+                                                + peers.listen()
+                                                + ": "
+                                                + bound.cause().getMessage());
+                            }
+                            loop.schedule(
+                                    () -> {
+                                        if (!closed) {
+                                            start(log);
+                                        }
+                                    },
+                                    AGAIN_MS,
+                                    TimeUnit.MILLISECONDS);
+                        });
     }
 
     /** Sends to the peer of that number, or to all where it is negative. */
@@ -138,8 +150,10 @@
             }
             Integer from = numbers.get(packet.sender());
             if (from == null || packet.content().readableBytes() > MESSAGE_MOST) {
-                events.tell(Events.Kind.STRAY, null, () -> packet.content().readableBytes() + " bytes from "
-                    + packet.sender());
+                events.tell(
+                        Events.Kind.STRAY,
+                        null,
+                        () -> packet.content().readableBytes() + " bytes from " + packet.sender());
                 return;
             }
             listener.heard(from, ByteBufUtil.getBytes(packet.content()));
--- a/balancer/src/main/java/junctionhead/net/Presence.java
+++ b/balancer/src/main/java/junctionhead/net/Presence.java
@@ -6,12 +6,14 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * Tells whether a client is there, as of now and not as of when the loop last came to its connection. Guards
- * against attempts that begin for clients that have left: an end stands in the system's buffer until it is
- * read, and in a long turn of the loop, or after it stood still, others are read before it.
+ * Tells whether a client is there, as of now and not as of when the loop last came to its
+ * connection. Guards against attempts that begin for clients that have left: an end stands in the
+ * system's buffer until it is read, and in a long turn of the loop, or after it stood still, others
+ * are read before it.
  */
 final class Presence extends ChannelInboundHandlerAdapter {
-    // An attempt may begin for 0.1 s after its client's end: what was found that lately need not be looked
+    // An attempt may begin for 0.1 s after its client's end: what was found that lately need not be
+    // looked
     // for again, and as a rule a request is sent on right after it was read.
     private static final long FRESH_NS = 20_000_000;
     // Of several reads each, where much stands before an end
@@ -25,7 +27,10 @@
     // When a read last found nothing more
     private long emptyAt;
 
-    /** {@code readsMost}: after so many the loop turns to other connections, whether more is there or not. */
+    /**
+     * {@code readsMost}: after so many the loop turns to other connections, whether more is there
+     * or not.
+     */
     Presence(Channel channel, int readsMost) {
         this.channel = channel;
         this.readsMost = readsMost;
--- a/balancer/src/main/java/junctionhead/net/Rehearsal.java
+++ b/balancer/src/main/java/junctionhead/net/Rehearsal.java
@@ -16,17 +16,22 @@
 import junctionhead.SettingsReader;
 
 /**
- * Takes requests of its own through the whole path, over this node's own address, before clients come. Guards
- * against a cold start: with nothing compiled yet a node took hundreds of milliseconds for its first
- * requests, fell behind at once under a full load, and answered some after their deadlines. It has a module,
- * a dispatcher and connections of its own, which end with it, so that the real ones learn nothing from it.
+ * Takes requests of its own through the whole path, over this node's own address, before clients
+ * come. Guards against a cold start: with nothing compiled yet a node took hundreds of milliseconds
+ * for its first requests, fell behind at once under a full load, and answered some after their
+ * deadlines. It has a module, a dispatcher and connections of its own, which end with it, so that
+ * the real ones learn nothing from it.
  */
 final class Rehearsal {
-    /** The path of its requests, and the one on which they come back to this node as an upstream. */
+    /**
+     * The path of its requests, and the one on which they come back to this node as an upstream.
+     */
     static final String PATH = "/-/rehearsal";
+
     static final String HOP = "/-/rehearsed";
 
-    // Enough to have what a request needs compiled, where nobody waits: after 40 alone two balancers on half
+    // Enough to have what a request needs compiled, where nobody waits: after 40 alone two
+    // balancers on half
     // a core each were late with 8% of the first seconds' requests.
     private static final int REQUESTS = 300;
     // Where clients are at work already, this balancer is missing: the first ones load and link.
@@ -56,12 +61,18 @@
     private boolean over;
 
     /**
-     * {@code then} runs on the loop when it is over. Where {@code inside} is not null the requests go through
-     * that address within this process: at the node's own another process may answer. {@code real} tells how
-     * many requests clients have brought: each stands for one of the rehearsal, which only keeps it waiting.
-     * {@code hurried}: whether this balancer is missing meanwhile.
+     * {@code then} runs on the loop when it is over. Where {@code inside} is not null the requests
+     * go through that address within this process: at the node's own another process may answer.
+     * {@code real} tells how many requests clients have brought: each stands for one of the
+     * rehearsal, which only keeps it waiting. {@code hurried}: whether this balancer is missing
+     * meanwhile.
      */
-    Rehearsal(EventLoop loop, Config config, LocalAddress inside, LongSupplier real, BooleanSupplier hurried,
+    Rehearsal(
+            EventLoop loop,
+            Config config,
+            LocalAddress inside,
+            LongSupplier real,
+            BooleanSupplier hurried,
             Runnable then) {
         this.loop = loop;
         this.boot = config.boot();
@@ -70,12 +81,16 @@
         this.then = then;
         Policy policy = new Balance(boot.settings(), config.seed());
         Metrics metrics = new Metrics(boot.classes());
-        Events quiet = new Events(line -> { }, System::nanoTime);
-        dispatcher = new Dispatcher(loop, boot, policy, line -> { }, quiet, metrics);
+        Events quiet = new Events(line -> {}, System::nanoTime);
+        dispatcher = new Dispatcher(loop, boot, policy, line -> {}, quiet, metrics);
         Descriptors descriptors = new Descriptors(config.sockets(), false);
         Relay.Budget budget = new Relay.Budget();
-        back = new Upstreams(loop, boot, descriptors, dispatcher::now, quiet, metrics, budget, inside);
-        front = new Upstreams(loop, boot, descriptors, dispatcher::now, quiet, metrics, budget, inside);
+        back =
+                new Upstreams(
+                        loop, boot, descriptors, dispatcher::now, quiet, metrics, budget, inside);
+        front =
+                new Upstreams(
+                        loop, boot, descriptors, dispatcher::now, quiet, metrics, budget, inside);
         dispatcher.attach(back, null, null);
     }
 
@@ -86,8 +101,15 @@
     void start(InetSocketAddress self) {
         List<Targets.Target> targets = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            Policy.Server server = new Policy.Server("rehearsal-" + i, Policy.State.UP, 0, 1, 0, i % 2,
-                boot.settings().zone());
+            Policy.Server server =
+                    new Policy.Server(
+                            "rehearsal-" + i,
+                            Policy.State.UP,
+                            0,
+                            1,
+                            0,
+                            i % 2,
+                            boot.settings().zone());
             targets.add(new Targets.Target(server, self));
         }
         Targets all = new Targets(0, true, targets);
@@ -118,20 +140,27 @@
         }
         int number = begun++ % boot.classes().size();
         Policy.Effect effect = boot.settings().classes().get(number).effect();
-        HttpHeaders headers = new DefaultHttpHeaders().set("Req-Id", "rehearsal-" + begun)
-            .set("Req-Kind", boot.classes().get(number)).set("Req-Cost", Integer.toString(begun));
+        HttpHeaders headers =
+                new DefaultHttpHeaders()
+                        .set("Req-Id", "rehearsal-" + begun)
+                        .set("Req-Kind", boot.classes().get(number))
+                        .set("Req-Cost", Integer.toString(begun));
         if (effect == Policy.Effect.KEYED) {
             headers.set("Idempotency-Key", "rehearsal-" + begun);
         }
         HttpMethod method = effect == Policy.Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
         byte[] body = new byte[effect == Policy.Effect.SAFE ? 0 : 200];
         Order order = new Order(method, PATH, headers, body, number, 0, null, WAIT, -1, false);
-        front.send("rehearsal-0", order, WAIT, (outcome, answer, load) -> {
-            ended++;
-            if (!over) {
-                loop.execute(this::next);
-            }
-        });
+        front.send(
+                "rehearsal-0",
+                order,
+                WAIT,
+                (outcome, answer, load) -> {
+                    ended++;
+                    if (!over) {
+                        loop.execute(this::next);
+                    }
+                });
     }
 
     private void end() {
--- a/balancer/src/main/java/junctionhead/net/Relay.java
+++ b/balancer/src/main/java/junctionhead/net/Relay.java
@@ -10,23 +10,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A long body on its way from one connection to another, as fast as the slower of them allows: what is held
- * of it is a few reads at most. Both connections belong to one event loop, and all of it runs there.
+ * A long body on its way from one connection to another, as fast as the slower of them allows: what
+ * is held of it is a few reads at most. Both connections belong to one event loop, and all of it
+ * runs there.
  */
 final class Relay {
-    /** Bytes that may wait before there is a sink: a body up to that length is no matter for a relay. */
+    /**
+     * Bytes that may wait before there is a sink: a body up to that length is no matter for a
+     * relay.
+     */
     static final int AHEAD = 64 * 1024;
+
     // Without a byte moved: one side stands still
     private static final long STILL_NS = 10_000_000_000L;
     private static final long LOOK_MS = 1_000;
     // Bytes of overhead that a part is counted for
     private static final int PART = 128;
-    // Between looks for the end of a client whose body waits: a little is read, for it stands behind that.
+    // Between looks for the end of a client whose body waits: a little is read, for it stands
+    // behind that.
     private static final long END_LOOK_MS = 100;
     // Held at most for that
     private static final int END_MOST = 4 * AHEAD;
 
-    /** What the relays of a process hold together. Guards against many at a time that each hold little. */
+    /**
+     * What the relays of a process hold together. Guards against many at a time that each hold
+     * little.
+     */
     static final class Budget {
         private static final long MOST = 4 << 20;
         private long held;
@@ -67,17 +76,26 @@
     private boolean over;
 
     /**
-     * {@code unwanted} runs once if the sink wants no more before the end; {@code watched}: the source's end
-     * is looked for while it waits for the sink, too.
+     * {@code unwanted} runs once if the sink wants no more before the end; {@code watched}: the
+     * source's end is looked for while it waits for the sink, too.
      */
     Relay(Channel source, Budget budget, boolean watched, Runnable unwanted) {
         this.source = source;
         this.budget = budget;
         this.unwanted = unwanted;
-        looking = source.eventLoop().scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS,
-            TimeUnit.MILLISECONDS);
-        lookingForEnd = !watched ? null : source.eventLoop().scheduleWithFixedDelay(this::lookForEnd,
-            END_LOOK_MS, END_LOOK_MS, TimeUnit.MILLISECONDS);
+        looking =
+                source.eventLoop()
+                        .scheduleWithFixedDelay(
+                                this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        lookingForEnd =
+                !watched
+                        ? null
+                        : source.eventLoop()
+                                .scheduleWithFixedDelay(
+                                        this::lookForEnd,
+                                        END_LOOK_MS,
+                                        END_LOOK_MS,
+                                        TimeUnit.MILLISECONDS);
     }
 
     private void lookForEnd() {
@@ -142,8 +160,9 @@
     }
 
     /**
-     * The same, with the last part. It goes on once all that stands behind it has been read: where that is
-     * the source's end its client has left, maybe long ago, and its request must not become whole.
+     * The same, with the last part. It goes on once all that stands behind it has been read: where
+     * that is the source's end its client has left, maybe long ago, and its request must not become
+     * whole.
      */
     void end(ByteBuf part) {
         if (over || ended) {
@@ -152,25 +171,28 @@
         }
         last = part;
         end();
-        source.eventLoop().execute(() -> {
-            if (source.unsafe() instanceof AbstractNioChannel.NioUnsafe socket && source.isActive()) {
-                socket.read();
-            }
-            ByteBuf rest = last;
-            last = null;
-            if (over || !source.isActive()) {
-                rest.release();
-                breakOff();
-            } else {
-                if (rest.isReadable()) {
-                    hold(rest.readableBytes() + PART);
-                    waiting.add(rest);
-                } else {
-                    rest.release();
-                }
-                flow();
-            }
-        });
+        source.eventLoop()
+                .execute(
+                        () -> {
+                            if (source.unsafe() instanceof AbstractNioChannel.NioUnsafe socket
+                                    && source.isActive()) {
+                                socket.read();
+                            }
+                            ByteBuf rest = last;
+                            last = null;
+                            if (over || !source.isActive()) {
+                                rest.release();
+                                breakOff();
+                            } else {
+                                if (rest.isReadable()) {
+                                    hold(rest.readableBytes() + PART);
+                                    waiting.add(rest);
+                                } else {
+                                    rest.release();
+                                }
+                                flow();
+                            }
+                        });
     }
 
     // ---------------------------------------------------------------- the sink
@@ -210,7 +232,8 @@
             while (!over && !waiting.isEmpty() && sink.isWritable()) {
                 ByteBuf part = waiting.poll();
                 int size = part.readableBytes() + PART;
-                sink.write(new DefaultHttpContent(part)).addListener(done -> taken(size, done.isSuccess()));
+                sink.write(new DefaultHttpContent(part))
+                        .addListener(done -> taken(size, done.isSuccess()));
                 wrote = true;
                 if (!sink.isWritable()) {
                     // May make room at once
@@ -220,12 +243,14 @@
             }
             if (!over && ended && last == null && waiting.isEmpty() && !lastWritten) {
                 lastWritten = true;
-                sink.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(done -> {
-                    if (done.isSuccess() && !over) {
-                        finish();
-                        listener.whole();
-                    }
-                });
+                sink.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
+                        .addListener(
+                                done -> {
+                                    if (done.isSuccess() && !over) {
+                                        finish();
+                                        listener.whole();
+                                    }
+                                });
             } else if (wrote) {
                 sink.flush();
             }
@@ -274,7 +299,8 @@
         }
     }
 
-    // Ends what stands still, however slowly it may move. Before there is a sink, others bound the time.
+    // Ends what stands still, however slowly it may move. Before there is a sink, others bound the
+    // time.
     private void look() {
         if (sink != null && System.nanoTime() - moved > STILL_NS) {
             (held > 0 || ended ? sink : source).close();
--- a/balancer/src/main/java/junctionhead/net/SettingsFile.java
+++ b/balancer/src/main/java/junctionhead/net/SettingsFile.java
@@ -17,7 +17,8 @@
 import junctionhead.net.OwnSettings.Field;
 
 /**
- * Reads the file of the program's own settings. A class of its own: a start without one loads nothing of it.
+ * Reads the file of the program's own settings. A class of its own: a start without one loads
+ * nothing of it.
  */
 final class SettingsFile {
     private static final Pattern TABLE = Pattern.compile("\\s*\\[\\s*([\\w.-]+)\\s*]\\s*(#.*)?");
@@ -39,7 +40,10 @@
         this.faults = faults;
     }
 
-    /** Reads all of it; {@code faults} hears of each with file and line, {@code taker} of each value. */
+    /**
+     * Reads all of it; {@code faults} hears of each with file and line, {@code taker} of each
+     * value.
+     */
     static void read(String name, Taker taker, Consumer<String> faults) {
         try {
             String text = Files.readString(Path.of(name));
@@ -47,7 +51,8 @@
             file.number(text);
             file.walk("", new TomlMapper().readTree(text));
         } catch (JsonProcessingException e) {
-            faults.accept(name + ": line " + e.getLocation().getLineNr() + ": " + e.getOriginalMessage());
+            faults.accept(
+                    name + ": line " + e.getLocation().getLineNr() + ": " + e.getOriginalMessage());
         } catch (IOException | InvalidPathException e) {
             faults.accept("can't read the settings " + name + ": " + e.getMessage());
         }
@@ -74,18 +79,28 @@
         for (Map.Entry<String, JsonNode> entry : at.properties()) {
             String full = path.isEmpty() ? entry.getKey() : path + "." + entry.getKey();
             JsonNode value = entry.getValue();
-            String place = name + ": " + (lines.containsKey(full) ? "line " + lines.get(full) + ": " : "")
-                + full;
-            Field field = Arrays.stream(Field.values()).filter(f -> f.path.equals(full)).findAny()
-                .orElse(null);
+            String place =
+                    name
+                            + ": "
+                            + (lines.containsKey(full) ? "line " + lines.get(full) + ": " : "")
+                            + full;
+            Field field =
+                    Arrays.stream(Field.values())
+                            .filter(f -> f.path.equals(full))
+                            .findAny()
+                            .orElse(null);
             if (field != null) {
                 taker.take(field, written(field, value), place);
-            } else if (value.isObject() && Arrays.stream(Field.values())
-                .anyMatch(f -> f.path.startsWith(full + "."))) {
+            } else if (value.isObject()
+                    && Arrays.stream(Field.values()).anyMatch(f -> f.path.startsWith(full + "."))) {
                 walk(full, value);
             } else {
-                faults.accept(place + ": unknown, known are "
-                    + Arrays.stream(Field.values()).map(f -> f.path).collect(Collectors.joining(", ")));
+                faults.accept(
+                        place
+                                + ": unknown, known are "
+                                + Arrays.stream(Field.values())
+                                        .map(f -> f.path)
+                                        .collect(Collectors.joining(", ")));
             }
         }
     }
--- a/balancer/src/main/java/junctionhead/net/StateKeeper.java
+++ b/balancer/src/main/java/junctionhead/net/StateKeeper.java
@@ -10,9 +10,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.RejectedExecutionException;
-import java.util.concurrent.ExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
@@ -24,10 +24,10 @@
 import junctionhead.state.Snapshots;
 
 /**
- * Keeps what this balancer knows of the list and of its servers, and its own incarnation, in a folder that
- * outlives the process. The list is merged on the event loop, in memory; all that touches the disk happens on
- * a thread of its own, at a bounded rate, so that no request waits for it. One process owns the folder;
- * another that finds it taken serves without.
+ * Keeps what this balancer knows of the list and of its servers, and its own incarnation, in a
+ * folder that outlives the process. The list is merged on the event loop, in memory; all that
+ * touches the disk happens on a thread of its own, at a bounded rate, so that no request waits for
+ * it. One process owns the folder; another that finds it taken serves without.
  */
 final class StateKeeper {
     // Knowledge of servers that is worth nothing
@@ -51,11 +51,13 @@
     // Held until the process ends
     private final FileChannel lock;
     private final Map<String, Targets.Target> list = new LinkedHashMap<>();
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(work -> {
-        Thread t = new Thread(work, "state");
-        t.setDaemon(true);
-        return t;
-    });
+    private final ExecutorService thread =
+            Executors.newSingleThreadExecutor(
+                    work -> {
+                        Thread t = new Thread(work, "state");
+                        t.setDaemon(true);
+                        return t;
+                    });
     private long rev;
     // A snapshot, for a disk that takes its time
     private final AtomicBoolean waiting = new AtomicBoolean();
@@ -64,8 +66,12 @@
     // The state's thread's own
     private boolean failing;
 
-    private StateKeeper(Path folder, String owner, SettingsReader.Boot boot, long everyMs,
-        Consumer<String> log,
+    private StateKeeper(
+            Path folder,
+            String owner,
+            SettingsReader.Boot boot,
+            long everyMs,
+            Consumer<String> log,
             FileChannel lock)
             throws IOException {
         this.folder = folder;
@@ -81,8 +87,12 @@
         startedAt = now;
         incarnation = found == null ? now : Math.max(now, found.incarnation() + 1);
         if (found != null) {
-            log.accept("state: recovered snapshot " + found.sequence() + ", "
-                + Math.max(0, now - found.at()) / 1000 + " s old");
+            log.accept(
+                    "state: recovered snapshot "
+                            + found.sequence()
+                            + ", "
+                            + Math.max(0, now - found.at()) / 1000
+                            + " s old");
         }
     }
 
@@ -97,14 +107,24 @@
         return folder;
     }
 
-    /** Opens a folder; null, and a line that says why, where it can't be used or another process has it. */
-    static StateKeeper open(Path folder, String owner, SettingsReader.Boot boot, long everyMs,
+    /**
+     * Opens a folder; null, and a line that says why, where it can't be used or another process has
+     * it.
+     */
+    static StateKeeper open(
+            Path folder,
+            String owner,
+            SettingsReader.Boot boot,
+            long everyMs,
             Consumer<String> log) {
         FileChannel lock = null;
         try {
             new FolderDisk(folder);
-            lock = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE);
+            lock =
+                    FileChannel.open(
+                            folder.resolve("lock"),
+                            StandardOpenOption.CREATE,
+                            StandardOpenOption.WRITE);
             if (lock.tryLock() != null) {
                 return new StateKeeper(folder, owner, boot, everyMs, log, lock);
             }
@@ -140,8 +160,8 @@
     }
 
     /**
-     * Keeps promises; {@code then} hears on the state's thread whether they survive any loss of power from
-     * now on.
+     * Keeps promises; {@code then} hears on the state's thread whether they survive any loss of
+     * power from now on.
      */
     void promise(byte[] content, Consumer<Boolean> then) {
         write(() -> then.accept(kept(promises, content)));
@@ -165,8 +185,13 @@
         try {
             Targets kept = Targets.parse(found.content(), 0, found.content().length, boot);
             if (kept.rev() > known.rev()) {
-                log.accept("state: list revision " + kept.rev() + " with " + kept.list().size()
-                    + " upstreams, where the configuration knew " + known.rev());
+                log.accept(
+                        "state: list revision "
+                                + kept.rev()
+                                + " with "
+                                + kept.list().size()
+                                + " upstreams, where the configuration knew "
+                                + known.rev());
                 return kept;
             }
         } catch (IllegalArgumentException e) {
@@ -175,7 +200,10 @@
         return known;
     }
 
-    /** What the module knew, where that can be read and is not too old to be worth anything; else null. */
+    /**
+     * What the module knew, where that can be read and is not too old to be worth anything; else
+     * null.
+     */
     Kept module() {
         if (found == null || age() < 0 || age() > OLD_MS * 1000) {
             return null;
@@ -218,19 +246,22 @@
     }
 
     /**
-     * Has a snapshot taken of the list and of what the module knows, unless the last one still waits for the
-     * disk.
+     * Has a snapshot taken of the list and of what the module knows, unless the last one still
+     * waits for the disk.
      */
     void take(Kept module) {
         long of = rev;
         List<Targets.Target> now = List.copyOf(list.values());
-        if (!now.isEmpty() && System.nanoTime() - restsUntil >= 0 && waiting.compareAndSet(false, true)) {
-            write(() -> {
-                long began = System.nanoTime();
-                keep(of, now, module);
-                restsUntil = began + REST * (System.nanoTime() - began);
-                waiting.set(false);
-            });
+        if (!now.isEmpty()
+                && System.nanoTime() - restsUntil >= 0
+                && waiting.compareAndSet(false, true)) {
+            write(
+                    () -> {
+                        long began = System.nanoTime();
+                        keep(of, now, module);
+                        restsUntil = began + REST * (System.nanoTime() - began);
+                        waiting.set(false);
+                    });
         }
     }
 
@@ -272,7 +303,9 @@
         Policy.Server s = t.server();
         Map<String, Object> entry = new LinkedHashMap<>();
         entry.put("uid", s.id());
-        entry.put("endpoint", t.endpoint().getAddress().getHostAddress() + ":" + t.endpoint().getPort());
+        entry.put(
+                "endpoint",
+                t.endpoint().getAddress().getHostAddress() + ":" + t.endpoint().getPort());
         entry.put("state", s.state() == Policy.State.UP ? "in_service" : "terminating");
         entry.put("capacity_hint", s.weight());
         entry.put("boot_ms", s.startedAt() / 1000);
--- a/balancer/src/main/java/junctionhead/net/Stats.java
+++ b/balancer/src/main/java/junctionhead/net/Stats.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * The figures of one moment, as operators read them. {@code current} counts requests taken and not ended,
- * {@code listed} the upstreams in the list and {@code avoided} those of them that get nothing now.
+ * The figures of one moment, as operators read them. {@code current} counts requests taken and not
+ * ended, {@code listed} the upstreams in the list and {@code avoided} those of them that get
+ * nothing now.
  */
 record Stats(boolean ready, List<Ends> ends, long sends, int current, int listed, int avoided) {
     private static final String PREFIX = "app.";
 
     /** How the requests of one class have ended since the start. */
-    record Ends(String requestClass, long answered, long deferred, long errored) { }
+    record Ends(String requestClass, long answered, long deferred, long errored) {}
 
     /** What is known before anything has happened. */
     static final Stats NONE = new Stats(false, List.of(), 0, 0, 0, 0);
--- a/balancer/src/main/java/junctionhead/net/Targets.java
+++ b/balancer/src/main/java/junctionhead/net/Targets.java
@@ -25,7 +25,7 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     /** An upstream as the module knows it, and where this balancer reaches it. */
-    record Target(Policy.Server server, InetSocketAddress endpoint) { }
+    record Target(Policy.Server server, InetSocketAddress endpoint) {}
 
     static Targets parse(String json, SettingsReader.Boot boot) {
         byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Reads a list as it is told, entry by entry: as one tree, a list of 14,000 took many times its own size.
-     * Throws IllegalArgumentException where it isn't such a list.
+     * Reads a list as it is told, entry by entry: as one tree, a list of 14,000 took many times its
+     * own size. Throws IllegalArgumentException where it isn't such a list.
      */
     static Targets parse(byte[] json, int from, int length, SettingsReader.Boot boot) {
         try (JsonParser in = JSON.createParser(json, from, length)) {
@@ -58,20 +58,24 @@
             if (list == null) {
                 throw new IllegalArgumentException("no list of targets");
             }
-            return new Targets((long) number(fields.get("rev"), 0), Boolean.TRUE.equals(fields.get("all")),
-                list);
+            return new Targets(
+                    (long) number(fields.get("rev"), 0),
+                    Boolean.TRUE.equals(fields.get("all")),
+                    list);
         } catch (IOException e) {
             throw new IllegalArgumentException("not JSON");
         }
     }
 
-    private static List<Target> entries(JsonParser in, SettingsReader.Boot boot) throws IOException {
+    private static List<Target> entries(JsonParser in, SettingsReader.Boot boot)
+            throws IOException {
         List<Target> list = new ArrayList<>();
         // One for all: it is emptied between them
         Map<String, Object> entry = new HashMap<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             entry.clear();
-            while (in.currentToken() == JsonToken.START_OBJECT && in.nextToken() == JsonToken.FIELD_NAME
+            while (in.currentToken() == JsonToken.START_OBJECT
+                            && in.nextToken() == JsonToken.FIELD_NAME
                     || in.currentToken() == JsonToken.FIELD_NAME) {
                 String name = in.currentName();
                 in.nextToken();
@@ -115,27 +119,40 @@
         for (Object entry : entries) {
             list.add(target(entry instanceof Map<?, ?> e ? e : Map.of(), boot));
         }
-        return new Targets((long) number(map.get("rev"), 0), Boolean.TRUE.equals(map.get("all")),
-            List.copyOf(list));
+        return new Targets(
+                (long) number(map.get("rev"), 0),
+                Boolean.TRUE.equals(map.get("all")),
+                List.copyOf(list));
     }
 
     private static Target target(Map<?, ?> e, SettingsReader.Boot boot) {
         if (!(e.get("uid") instanceof String uid) || uid.isEmpty()) {
             throw new IllegalArgumentException("a target without uid");
         }
-        Policy.State state = switch (String.valueOf(e.get("state"))) {
-            case "in_service" -> Policy.State.UP;
-            case "terminating" -> Policy.State.DRAINING;
-            case "terminated" -> Policy.State.GONE;
-            default -> throw new IllegalArgumentException("unknown state: '" + e.get("state") + "'");
-        };
-        InetSocketAddress endpoint = state == Policy.State.GONE && e.get("endpoint") == null ? null
-            : address(String.valueOf(e.get("endpoint")));
+        Policy.State state =
+                switch (String.valueOf(e.get("state"))) {
+                    case "in_service" -> Policy.State.UP;
+                    case "terminating" -> Policy.State.DRAINING;
+                    case "terminated" -> Policy.State.GONE;
+                    default ->
+                            throw new IllegalArgumentException(
+                                    "unknown state: '" + e.get("state") + "'");
+                };
+        InetSocketAddress endpoint =
+                state == Policy.State.GONE && e.get("endpoint") == null
+                        ? null
+                        : address(String.valueOf(e.get("endpoint")));
         double weight = number(e.get("capacity_hint"), 1);
-        return new Target(new Policy.Server(uid, state, (long) (number(e.get("boot_ms"), 0) * 1000),
-            weight > 0 ? weight : 1, (int) number(e.get("pod_group"), -1),
-            boot.kinds().indexOf(Config.plain(e.get("model"))),
-            boot.zones().indexOf(Config.plain(e.get("az")))), endpoint);
+        return new Target(
+                new Policy.Server(
+                        uid,
+                        state,
+                        (long) (number(e.get("boot_ms"), 0) * 1000),
+                        weight > 0 ? weight : 1,
+                        (int) number(e.get("pod_group"), -1),
+                        boot.kinds().indexOf(Config.plain(e.get("model"))),
+                        boot.zones().indexOf(Config.plain(e.get("az")))),
+                endpoint);
     }
 
     private static void require(boolean holds, String what) {
@@ -156,8 +173,9 @@
         }
         byte[] four = four(text, colon);
         try {
-            return four == null ? Config.literal(text.substring(0, colon), port)
-                : new InetSocketAddress(InetAddress.getByAddress(four), port);
+            return four == null
+                    ? Config.literal(text.substring(0, colon), port)
+                    : new InetSocketAddress(InetAddress.getByAddress(four), port);
         } catch (UnknownHostException e) {
             throw new IllegalArgumentException("not an address: '" + text + "'");
         }
@@ -193,6 +211,8 @@
     }
 
     private static double number(Object value, double otherwise) {
-        return value instanceof Number n && Double.isFinite(n.doubleValue()) ? n.doubleValue() : otherwise;
+        return value instanceof Number n && Double.isFinite(n.doubleValue())
+                ? n.doubleValue()
+                : otherwise;
     }
 }
--- a/balancer/src/main/java/junctionhead/net/Upstreams.java
+++ b/balancer/src/main/java/junctionhead/net/Upstreams.java
@@ -48,7 +48,10 @@
 import junctionhead.Policy.Outcome;
 import junctionhead.SettingsReader;
 
-/** The connections to the upstreams, one request at a time on each, and what becomes of each request. */
+/**
+ * The connections to the upstreams, one request at a time on each, and what becomes of each
+ * request.
+ */
 final class Upstreams {
     // Of an answer that is passed on only when it is whole
     private static final int WHOLE_MOST = 64 * 1024;
@@ -67,11 +70,14 @@
     // Where the settings give no limit
     private static final int CONNECT_MS = 1_000;
 
-    /** How a request to an upstream ended; {@code answer} is null but for OK, and the caller's to release. */
+    /**
+     * How a request to an upstream ended; {@code answer} is null but for OK, and the caller's to
+     * release.
+     */
     interface Listener {
         /**
-         * Whether it may still be written, asked right before its first byte where it had to wait for a
-         * connection; where not, it ends as NOT_SENT.
+         * Whether it may still be written, asked right before its first byte where it had to wait
+         * for a connection; where not, it ends as NOT_SENT.
          */
         default boolean mayBegin() {
             return true;
@@ -80,8 +86,8 @@
         void ended(Outcome outcome, FullHttpResponse answer, Policy.Load load);
 
         /**
-         * A long 200 answer has begun, and comes by {@code body}; {@code length} is -1 where it is not known.
-         * Its end is told by {@link #ended}, without an answer.
+         * A long 200 answer has begun, and comes by {@code body}; {@code length} is -1 where it is
+         * not known. Its end is told by {@link #ended}, without an answer.
          */
         default void begun(HttpResponse head, long length, Relay body, Policy.Load load) {
             body.discard();
@@ -100,8 +106,10 @@
             this.id = id;
         }
 
-        // The one that was used last of those that rest since before {@code then}, else that which has rested
-        // for longest; null where none is idle. Guards against second answers that come a little late: on a
+        // The one that was used last of those that rest since before {@code then}, else that which
+        // has rested
+        // for longest; null where none is idle. Guards against second answers that come a little
+        // late: on a
         // connection that was used again at once they were taken for the next request's.
         Connection rested(long then) {
             if (idle.isEmpty() || idle.peekFirst().idleSince > then) {
@@ -134,14 +142,27 @@
     private Future<?> sweep;
     private int open;
 
-    Upstreams(EventLoop loop, SettingsReader.Boot boot, Descriptors descriptors,
-            LongSupplier clock, Events events, Metrics metrics, Relay.Budget budget) {
+    Upstreams(
+            EventLoop loop,
+            SettingsReader.Boot boot,
+            Descriptors descriptors,
+            LongSupplier clock,
+            Events events,
+            Metrics metrics,
+            Relay.Budget budget) {
         this(loop, boot, descriptors, clock, events, metrics, budget, null);
     }
 
     /** Where {@code inside} is not null every upstream is there, in this process. */
-    Upstreams(EventLoop loop, SettingsReader.Boot boot, Descriptors descriptors, LongSupplier clock,
-            Events events, Metrics metrics, Relay.Budget budget, LocalAddress inside) {
+    Upstreams(
+            EventLoop loop,
+            SettingsReader.Boot boot,
+            Descriptors descriptors,
+            LongSupplier clock,
+            Events events,
+            Metrics metrics,
+            Relay.Budget budget,
+            LocalAddress inside) {
         this.loop = loop;
         this.boot = boot;
         this.descriptors = descriptors;
@@ -150,10 +171,15 @@
         this.metrics = metrics;
         this.budget = budget;
         this.inside = inside;
-        this.idleMost = boot.idleClose() > 0 ? (long) (boot.idleClose() * IDLE_SHARE) : Long.MAX_VALUE;
-        this.bootstrap = new Bootstrap().group(loop)
-            .option(ChannelOption.RCVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(64, 2048, READ_MOST))
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis());
+        this.idleMost =
+                boot.idleClose() > 0 ? (long) (boot.idleClose() * IDLE_SHARE) : Long.MAX_VALUE;
+        this.bootstrap =
+                new Bootstrap()
+                        .group(loop)
+                        .option(
+                                ChannelOption.RCVBUF_ALLOCATOR,
+                                new AdaptiveRecvByteBufAllocator(64, 2048, READ_MOST))
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis());
         if (inside == null) {
             bootstrap.channelFactory(WatchedChannel::new).option(ChannelOption.TCP_NODELAY, true);
         } else {
@@ -161,19 +187,25 @@
         }
         if (idleMost < Long.MAX_VALUE) {
             long every = Math.max(10_000, Math.min(1_000_000, idleMost / 10));
-            sweep = loop.scheduleWithFixedDelay(this::closeOld, every, every, TimeUnit.MICROSECONDS);
+            sweep =
+                    loop.scheduleWithFixedDelay(
+                            this::closeOld, every, every, TimeUnit.MICROSECONDS);
         }
     }
 
     @Override
     public String toString() {
-        return open + " upstreams' (" + upstreams.values().stream().mapToInt(u -> u.idle.size()).sum()
-            + " at rest)";
+        return open
+                + " upstreams' ("
+                + upstreams.values().stream().mapToInt(u -> u.idle.size()).sum()
+                + " at rest)";
     }
 
     private int connectMillis() {
         long limit = boot.settings().limits().connectTimeout();
-        return limit > 0 ? (int) Math.max(1, Math.min(Integer.MAX_VALUE, limit / 1000)) : CONNECT_MS;
+        return limit > 0
+                ? (int) Math.max(1, Math.min(Integer.MAX_VALUE, limit / 1000))
+                : CONNECT_MS;
     }
 
     // ---------------------------------------------------------------- the list
@@ -207,7 +239,9 @@
             }
         }
         if (targets.all()) {
-            upstreams.values().stream().filter(u -> !named.contains(u.id)).forEach(u -> stop(u, now));
+            upstreams.values().stream()
+                    .filter(u -> !named.contains(u.id))
+                    .forEach(u -> stop(u, now));
         }
     }
 
@@ -226,13 +260,28 @@
 
     /** Asks an upstream how it is; gives up after the time that a connection may take. */
     void probe(String server, boolean report, Listener listener) {
-        Order order = new Order(HttpMethod.GET, report ? "/-/load" : "/-/healthy", EmptyHttpHeaders.INSTANCE,
-            new byte[0], -1, 0, null, 0, -1, false);
+        Order order =
+                new Order(
+                        HttpMethod.GET,
+                        report ? "/-/load" : "/-/healthy",
+                        EmptyHttpHeaders.INSTANCE,
+                        new byte[0],
+                        -1,
+                        0,
+                        null,
+                        0,
+                        -1,
+                        false);
         Call call = new Call(order, 0, listener);
-        call.timer = loop.schedule(() -> {
-            boolean asked = call.giveUp();
-            listener.ended(asked ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, null, null);
-        }, connectMillis(), TimeUnit.MILLISECONDS);
+        call.timer =
+                loop.schedule(
+                        () -> {
+                            boolean asked = call.giveUp();
+                            listener.ended(
+                                    asked ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, null, null);
+                        },
+                        connectMillis(),
+                        TimeUnit.MILLISECONDS);
         start(server, call);
     }
 
@@ -265,31 +314,44 @@
         call.connection = connection;
         descriptors.opened();
         open++;
-        ChannelFuture connected = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(connection.new Arrivals(), connection.decoder,
-                    new HttpRequestEncoder(), connection);
-            }
-        }).connect(inside == null ? u.endpoint : inside);
+        ChannelFuture connected =
+                bootstrap
+                        .clone()
+                        .handler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        connection.new Arrivals(),
+                                                        connection.decoder,
+                                                        new HttpRequestEncoder(),
+                                                        connection);
+                                    }
+                                })
+                        .connect(inside == null ? u.endpoint : inside);
         connection.channel = connected.channel();
         connection.channel.closeFuture().addListener(closed -> connection.closed());
-        connected.addListener(done -> {
-            if (!done.isSuccess()) {
-                connection.finish(Outcome.CONNECT_FAILED, null, null);
-                connection.channel.close();
-            } else {
-                begin(connection);
-            }
-        });
+        connected.addListener(
+                done -> {
+                    if (!done.isSuccess()) {
+                        connection.finish(Outcome.CONNECT_FAILED, null, null);
+                        connection.channel.close();
+                    } else {
+                        begin(connection);
+                    }
+                });
     }
 
-    // What holds is the instant of the write: the list, or what the request allows, may have changed while it
+    // What holds is the instant of the write: the list, or what the request allows, may have
+    // changed while it
     // waited for its connection, and its attempt may be given up as it is asked for.
     private void begin(Connection connection) {
         Call waiting = connection.call;
-        boolean begins = waiting != null && clock.getAsLong() < connection.upstream.stopAt
-            && waiting.listener.mayBegin();
+        boolean begins =
+                waiting != null
+                        && clock.getAsLong() < connection.upstream.stopAt
+                        && waiting.listener.mayBegin();
         if (begins && connection.call != null) {
             connection.write(waiting);
             return;
@@ -318,7 +380,8 @@
         }
     }
 
-    // Closes connections well before their upstream does: a request written to a dying one is a reset, which
+    // Closes connections well before their upstream does: a request written to a dying one is a
+    // reset, which
     // may have run, and most classes can't be sent again then.
     private void closeOld() {
         // Guards against a table that grows with every machine that comes and goes.
@@ -411,14 +474,21 @@
         }
 
         private HttpRequest message(InetSocketAddress to) {
-            HttpRequest message = order.upload() != null
-                ? new DefaultHttpRequest(HttpVersion.HTTP_1_1, order.method(), order.uri())
-                : new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, order.method(), order.uri(),
-                    Unpooled.wrappedBuffer(order.body()));
+            HttpRequest message =
+                    order.upload() != null
+                            ? new DefaultHttpRequest(
+                                    HttpVersion.HTTP_1_1, order.method(), order.uri())
+                            : new DefaultFullHttpRequest(
+                                    HttpVersion.HTTP_1_1,
+                                    order.method(),
+                                    order.uri(),
+                                    Unpooled.wrappedBuffer(order.body()));
             message.headers().add(order.headers());
             if (!message.headers().contains(HttpHeaderNames.HOST)) {
-                message.headers().set(HttpHeaderNames.HOST,
-                    to.getAddress().getHostAddress() + ":" + to.getPort());
+                message.headers()
+                        .set(
+                                HttpHeaderNames.HOST,
+                                to.getAddress().getHostAddress() + ":" + to.getPort());
             }
             if (waitMillis > 0) {
                 message.headers().set(OrderReader.DEADLINE, Long.toString(waitMillis));
@@ -465,8 +535,9 @@
         }
 
         boolean usable() {
-            return channel.isActive() && clock.getAsLong() - idleSince < idleMost
-                && !(channel instanceof WatchedChannel watched && watched.hasUnread());
+            return channel.isActive()
+                    && clock.getAsLong() - idleSince < idleMost
+                    && !(channel instanceof WatchedChannel watched && watched.hasUnread());
         }
 
         void write(Call next) {
@@ -476,21 +547,25 @@
             written = false;
             if (next.order.upload() != null) {
                 channel.write(next.message(upstream.endpoint));
-                next.order.upload().to(channel, new Relay.Sink() {
-                    @Override
-                    public void whole() {
-                        written(next, true);
-                    }
-
-                    @Override
-                    public void cut() {
-                        // The client left: its request never was a whole one
-                        close();
-                    }
-                });
+                next.order
+                        .upload()
+                        .to(
+                                channel,
+                                new Relay.Sink() {
+                                    @Override
+                                    public void whole() {
+                                        written(next, true);
+                                    }
+
+                                    @Override
+                                    public void cut() {
+                                        // The client left: its request never was a whole one
+                                        close();
+                                    }
+                                });
             } else {
                 channel.writeAndFlush(next.message(upstream.endpoint))
-                    .addListener(done -> written(next, done.isSuccess()));
+                        .addListener(done -> written(next, done.isSuccess()));
             }
         }
 
@@ -586,8 +661,13 @@
                 passed = true;
             } else if (last && gathered != null) {
                 stopGathering();
-                whole = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(), gathered,
-                    head.headers(), EmptyHttpHeaders.INSTANCE);
+                whole =
+                        new DefaultFullHttpResponse(
+                                HttpVersion.HTTP_1_1,
+                                head.status(),
+                                gathered,
+                                head.headers(),
+                                EmptyHttpHeaders.INSTANCE);
                 gathered = null;
             }
         }
@@ -621,10 +701,12 @@
             gathered = null;
             download = new Relay(channel, budget, false, this::close);
             download.add(begin);
-            call.listener.begun(head, length(), download, LoadReport.parse(head.headers().get("Srv-Load")));
+            call.listener.begun(
+                    head, length(), download, LoadReport.parse(head.headers().get("Srv-Load")));
         }
 
-        // An answer with a part of something behind it was not as long as its upstream meant. With whole ones
+        // An answer with a part of something behind it was not as long as its upstream meant. With
+        // whole ones
         // behind it the first is this request's, and the connection ends with it.
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
@@ -652,7 +734,11 @@
 
         // The whole of a long answer has come; the client may still be taking it in.
         private void passedOn() {
-            boolean keep = HttpUtil.isKeepAlive(head) && !more && !decoder.holdsBytes() && channel.isActive();
+            boolean keep =
+                    HttpUtil.isKeepAlive(head)
+                            && !more
+                            && !decoder.holdsBytes()
+                            && channel.isActive();
             Relay ending = download;
             Call answered = call;
             forget();
@@ -732,8 +818,10 @@
         }
 
         private void tellUnreadable(String why) {
-            events.tell(Events.Kind.UNREADABLE, call == null ? null : call.order.id(),
-                () -> "answer of " + upstream.id + ": " + why);
+            events.tell(
+                    Events.Kind.UNREADABLE,
+                    call == null ? null : call.order.id(),
+                    () -> "answer of " + upstream.id + ": " + why);
         }
 
         // The line between what never ran and what may have is the request's last byte.
@@ -764,8 +852,9 @@
         }
 
         /**
-         * Sees bytes before they are decoded. Guards against answers that nobody asked for: kept in the
-         * decoder, or read just after the next request was written, one was passed on as that request's.
+         * Sees bytes before they are decoded. Guards against answers that nobody asked for: kept in
+         * the decoder, or read just after the next request was written, one was passed on as that
+         * request's.
          */
         private final class Arrivals extends ChannelInboundHandlerAdapter {
             @Override
--- a/balancer/src/main/java/junctionhead/state/Disk.java
+++ b/balancer/src/main/java/junctionhead/state/Disk.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * One folder, with the few operations whose order decides what survives: a real one, or one that tests let
- * fail at any point. Names are plain file names in the folder.
+ * One folder, with the few operations whose order decides what survives: a real one, or one that
+ * tests let fail at any point. Names are plain file names in the folder.
  */
 public interface Disk {
     /** Names of all files. */
@@ -17,10 +17,16 @@
     /** Makes or replaces a file; what was written may be lost, in part too, until it is synced. */
     void write(String name, byte[] bytes) throws IOException;
 
-    /** Returns when a file's bytes are safe. A failure means that they are lost, and is not tried again. */
+    /**
+     * Returns when a file's bytes are safe. A failure means that they are lost, and is not tried
+     * again.
+     */
     void sync(String name) throws IOException;
 
-    /** Gives a file another name, in place of one that has it; may be lost until the folder is synced. */
+    /**
+     * Gives a file another name, in place of one that has it; may be lost until the folder is
+     * synced.
+     */
     void rename(String from, String to) throws IOException;
 
     /** Returns when all names are safe. */
--- a/balancer/src/main/java/junctionhead/state/FolderDisk.java
+++ b/balancer/src/main/java/junctionhead/state/FolderDisk.java
@@ -22,7 +22,10 @@
     @Override
     public List<String> list() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            return files.filter(Files::isRegularFile).map(f -> f.getFileName().toString()).sorted().toList();
+            return files.filter(Files::isRegularFile)
+                    .map(f -> f.getFileName().toString())
+                    .sorted()
+                    .toList();
         }
     }
 
--- a/balancer/src/main/java/junctionhead/state/Snapshot.java
+++ b/balancer/src/main/java/junctionhead/state/Snapshot.java
@@ -6,8 +6,8 @@
 
 /**
  * What was true of one balancer at one time, as bytes that tell whether they are whole: a mark, a
- * version, the
- * length of the rest and its checksum, then sequence, time, incarnation, the owner's name and the content.
+ * version, the length of the rest and its checksum, then sequence, time, incarnation, the owner's
+ * name and the content.
  *
  * @param sequence raised by each snapshot of a folder
  * @param at ms since 1970 by the wall clock, for the reader to judge its age
@@ -26,10 +26,18 @@
     private static final int FIXED = 28;
 
     /** Why bytes are no snapshot of this program and owner. */
-    public enum Flaw { NONE, SHORT, NO_MARK, OTHER_VERSION, LENGTH, CHECKSUM, OTHER_OWNER }
+    public enum Flaw {
+        NONE,
+        SHORT,
+        NO_MARK,
+        OTHER_VERSION,
+        LENGTH,
+        CHECKSUM,
+        OTHER_OWNER
+    }
 
     /** What was read: the snapshot, or null and why not. */
-    public record Reading(Snapshot snapshot, Flaw flaw) { }
+    public record Reading(Snapshot snapshot, Flaw flaw) {}
 
     /** As bytes. */
     public byte[] encode() {
@@ -39,7 +47,12 @@
             throw new IllegalArgumentException("a snapshot of " + out.capacity() + " bytes");
         }
         out.putInt(MARK).putInt(VERSION).putInt(out.capacity() - HEAD).putInt(0);
-        out.putLong(sequence).putLong(at).putLong(incarnation).putInt(name.length).put(name).put(content);
+        out.putLong(sequence)
+                .putLong(at)
+                .putLong(incarnation)
+                .putInt(name.length)
+                .put(name)
+                .put(content);
         out.putInt(HEAD - Integer.BYTES, checksum(out.array()));
         return out.array();
     }
--- a/balancer/src/main/java/junctionhead/state/Snapshots.java
+++ b/balancer/src/main/java/junctionhead/state/Snapshots.java
@@ -8,12 +8,13 @@
 import java.util.regex.Pattern;
 
 /**
- * The snapshots in one folder: writes each beside the last one and only then removes what is older, so that a
- * crash at any point leaves at least one whole. Recovers the newest whole one. One thread.
+ * The snapshots in one folder: writes each beside the last one and only then removes what is older,
+ * so that a crash at any point leaves at least one whole. Recovers the newest whole one. One
+ * thread.
  *
- * <p>A new snapshot is written under another name, synced, renamed, and the folder synced: only then it
- * counts
- * as kept. After a failure nothing is known of what the system still holds, so the next one is a new file.
+ * <p>A new snapshot is written under another name, synced, renamed, and the folder synced: only
+ * then it counts as kept. After a failure nothing is known of what the system still holds, so the
+ * next one is a new file.
  */
 public final class Snapshots {
     private static final String UNFINISHED = "unfinished";
@@ -26,7 +27,7 @@
     private long sequence;
 
     /** What was found at a start; {@code newest} is null where nothing whole was. */
-    public record Recovered(Snapshot newest, List<String> dropped) { }
+    public record Recovered(Snapshot newest, List<String> dropped) {}
 
     /**
      * Takes a folder, with snapshots of other kinds beside these.
@@ -46,8 +47,11 @@
         List<String> dropped = new ArrayList<>();
         Snapshot newest = null;
         try {
-            List<String> names = disk.list().stream().filter(n -> number(n) >= 0)
-                .sorted(Comparator.comparingLong(this::number).reversed()).toList();
+            List<String> names =
+                    disk.list().stream()
+                            .filter(n -> number(n) >= 0)
+                            .sorted(Comparator.comparingLong(this::number).reversed())
+                            .toList();
             // Its number alone is enough for no later one to take the same name.
             sequence = names.isEmpty() ? 0 : number(names.get(0));
             for (String name : names) {
@@ -56,8 +60,15 @@
                     newest = reading.snapshot();
                     break;
                 }
-                dropped.add(name + ": " + (reading.flaw() == Snapshot.Flaw.NONE ? "of another name"
-                    : reading.flaw().name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')));
+                dropped.add(
+                        name
+                                + ": "
+                                + (reading.flaw() == Snapshot.Flaw.NONE
+                                        ? "of another name"
+                                        : reading.flaw()
+                                                .name()
+                                                .toLowerCase(java.util.Locale.ROOT)
+                                                .replace('_', ' ')));
             }
         } catch (IOException e) {
             dropped.add("the folder: " + e.getMessage());
--- a/balancer/src/test/java/junctionhead/ClassHealthTest.java
+++ b/balancer/src/test/java/junctionhead/ClassHealthTest.java
@@ -19,23 +19,30 @@
     private static final RequestClass UNSAFE = Harness.kind(Effect.UNSAFE, Scope.ALL);
 
     private final Harness harness =
-        new Harness(Harness.settings(UNSAFE, UNSAFE), 7).list(ListKind.PERSISTED, Harness.fleet(8));
+            new Harness(Harness.settings(UNSAFE, UNSAFE), 7)
+                    .list(ListKind.PERSISTED, Harness.fleet(8));
     private int sent;
 
-    // Both classes in turn, a hundred a second; the bad servers fail two of three of one class at once.
+    // Both classes in turn, a hundred a second; the bad servers fail two of three of one class at
+    // once.
     private void serve(int requests, Set<String> bad) {
         for (int i = 0; i < requests; i++) {
             Harness.Sent s = harness.request("r" + sent, sent % 2);
             sent++;
             harness.pass(10_000);
-            boolean fails = bad.contains(s.server) && s.request.matches("r\\d*[13579]") && i % 6 != 1;
+            boolean fails =
+                    bad.contains(s.server) && s.request.matches("r\\d*[13579]") && i % 6 != 1;
             harness.end(s, fails ? Outcome.ERROR : Outcome.OK);
         }
     }
 
     private long count(Set<String> servers, int parity) {
-        return harness.sends.stream().filter(s -> servers.contains(s.server)
-            && Integer.parseInt(s.request.substring(1)) % 2 == parity).count();
+        return harness.sends.stream()
+                .filter(
+                        s ->
+                                servers.contains(s.server)
+                                        && Integer.parseInt(s.request.substring(1)) % 2 == parity)
+                .count();
     }
 
     @Test
@@ -63,8 +70,11 @@
         serve(1000, Set.of());
         harness.sends.clear();
         serve(1000, bad);
-        List<String> refused = harness.finals.entrySet().stream().filter(f -> f.getValue().equals("refused"))
-            .map(f -> f.getKey()).toList();
+        List<String> refused =
+                harness.finals.entrySet().stream()
+                        .filter(f -> f.getValue().equals("refused"))
+                        .map(f -> f.getKey())
+                        .toList();
         assertEquals(List.of(), refused);
         assertEquals(1000, harness.sends.size());
     }
--- a/balancer/src/test/java/junctionhead/DispatchTest.java
+++ b/balancer/src/test/java/junctionhead/DispatchTest.java
@@ -20,9 +20,13 @@
 
 /** The ordinary path is JSQ-DAS. */
 class DispatchTest {
-    private static final Policy.Settings SAFE = Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL));
+    private static final Policy.Settings SAFE =
+            Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL));
 
-    /** Six servers, as many as a subset holds, three of them of a heavier kind, so that p is one half. */
+    /**
+     * Six servers, as many as a subset holds, three of them of a heavier kind, so that p is one
+     * half.
+     */
     private static Harness halves(long seed) {
         List<Server> list = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
@@ -33,7 +37,8 @@
 
     @Test
     void withoutCountsEachBalancerRanksInAnOrderOfItsOwn() {
-        // Ranked by listed weight, all balancers sent their first requests to the same half of the servers.
+        // Ranked by listed weight, all balancers sent their first requests to the same half of the
+        // servers.
         Map<String, Integer> first = new HashMap<>();
         for (int seed = 0; seed < 2000; seed++) {
             first.merge(halves(seed).request("r", 0).server, 1, Integer::sum);
@@ -60,8 +65,11 @@
             }
             Map<String, Integer> counts = new HashMap<>();
             order.forEach(s -> counts.merge(s, 1, Integer::sum));
-            List<String> ranked = counts.entrySet().stream()
-                .sorted((a, b) -> b.getValue() - a.getValue()).map(Map.Entry::getKey).toList();
+            List<String> ranked =
+                    counts.entrySet().stream()
+                            .sorted((a, b) -> b.getValue() - a.getValue())
+                            .map(Map.Entry::getKey)
+                            .toList();
             if (new HashSet<>(counts.values()).size() == counts.size()) {
                 wins.merge(ranked.indexOf(harness.request("x", 0).server), 1, Integer::sum);
             }
@@ -70,7 +78,11 @@
         assertTrue(all > 300, "enough samples with distinct counts: " + all);
         assertEquals(0.67, wins.getOrDefault(0, 0) / all, 0.08);
         assertEquals(0.33, wins.getOrDefault(1, 0) / all, 0.08);
-        assertEquals(0.0, wins.getOrDefault(2, 0) / all, 0.001, "the least of the top set never wins a tie");
+        assertEquals(
+                0.0,
+                wins.getOrDefault(2, 0) / all,
+                0.001,
+                "the least of the top set never wins a tie");
     }
 
     @Test
--- a/balancer/src/test/java/junctionhead/Example.java
+++ b/balancer/src/test/java/junctionhead/Example.java
@@ -5,23 +5,48 @@
 
 /** The README's example: a caller that embeds the module. */
 final class Example {
-    private Example() { }
+    private Example() {}
 
     static List<String> run() {
         List<String> done = new ArrayList<>();
-        Policy.RequestClass reads = new Policy.RequestClass(Policy.Effect.SAFE, Policy.Scope.ALL, 0,
-            300_000, 1_000_000, 0, 1, 0, false);
-        Policy.Settings settings = new Policy.Settings(2, 0, 0, List.of(reads), List.of(), 1,
-            new Policy.Goal(1, 0, 0, 0), new Policy.Prices(0, 0),
-            false, Policy.Discovery.PUSH, Policy.Reports.NONE, false,
-            new Policy.Limits(3, true, true, false, 250_000, 0),
-            new Policy.Bounds(20_000, 1_000_000, 0, 0.2, 20_000_000, 2.5, 1_500_000, 100_000), 1_000);
+        Policy.RequestClass reads =
+                new Policy.RequestClass(
+                        Policy.Effect.SAFE,
+                        Policy.Scope.ALL,
+                        0,
+                        300_000,
+                        1_000_000,
+                        0,
+                        1,
+                        0,
+                        false);
+        Policy.Settings settings =
+                new Policy.Settings(
+                        2,
+                        0,
+                        0,
+                        List.of(reads),
+                        List.of(),
+                        1,
+                        new Policy.Goal(1, 0, 0, 0),
+                        new Policy.Prices(0, 0),
+                        false,
+                        Policy.Discovery.PUSH,
+                        Policy.Reports.NONE,
+                        false,
+                        new Policy.Limits(3, true, true, false, 250_000, 0),
+                        new Policy.Bounds(
+                                20_000, 1_000_000, 0, 0.2, 20_000_000, 2.5, 1_500_000, 100_000),
+                        1_000);
         Policy policy = new Balance(settings, 42);
         Policy.Actions actions = new Sink(done);
 
         long now = 0;
-        policy.servers(now, Policy.ListKind.PERSISTED,
-            List.of(new Policy.Server("a:80", Policy.State.UP, 0, 1, 0, 0, 0)), actions);
+        policy.servers(
+                now,
+                Policy.ListKind.PERSISTED,
+                List.of(new Policy.Server("a:80", Policy.State.UP, 0, 1, 0, 0, 0)),
+                actions);
         // Asks for send("r1", "a:80", ..).
         policy.request(now, "r1", 0, 0, null, 1_000_000, -1, false, actions);
         now = 40_000;
@@ -37,33 +62,33 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) { }
+        public void refuse(String request, long retryAfter) {}
 
         @Override
-        public void fail(String request) { }
+        public void fail(String request) {}
 
         @Override
-        public void cancel(String request, int attempt) { }
+        public void cancel(String request, int attempt) {}
 
         @Override
-        public void probe(String server) { }
+        public void probe(String server) {}
 
         @Override
-        public void watch(boolean on) { }
+        public void watch(boolean on) {}
 
         @Override
-        public void fetchList() { }
+        public void fetchList() {}
 
         @Override
-        public void closeIdle(String server) { }
+        public void closeIdle(String server) {}
 
         @Override
-        public void tell(int peer, byte[] data) { }
+        public void tell(int peer, byte[] data) {}
 
         @Override
-        public void wakeAfter(long delay) { }
+        public void wakeAfter(long delay) {}
 
         @Override
-        public void remark(String line) { }
+        public void remark(String line) {}
     }
 }
--- a/balancer/src/test/java/junctionhead/FourRulesTest.java
+++ b/balancer/src/test/java/junctionhead/FourRulesTest.java
@@ -28,13 +28,16 @@
     private static final RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
 
     private static Harness warm(RequestClass kind) {
-        Harness harness = new Harness(Harness.settings(kind), 5).list(ListKind.PERSISTED, Harness.fleet(6));
+        Harness harness =
+                new Harness(Harness.settings(kind), 5).list(ListKind.PERSISTED, Harness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         return harness;
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
     void anUnsafeRequestThatMayHaveRunFails(Outcome outcome) {
         Harness harness = warm(UNSAFE);
         harness.end(harness.request("r", 0), outcome);
@@ -43,7 +46,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"FULL", "CONNECT_FAILED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"FULL", "CONNECT_FAILED"})
     void anUnsafeRequestThatNeverRanGoesElsewhere(Outcome outcome) {
         Harness harness = warm(UNSAFE);
         Harness.Sent first = harness.request("r", 0);
@@ -62,11 +67,14 @@
 
     @Test
     void noSecondCopyWhereTheSiteForbidsIt() {
-        Harness harness = new Harness(Harness.settings(1, false, Policy.Discovery.PUSH, List.of(), SAFE), 5)
-            .list(ListKind.PERSISTED, Harness.fleet(6));
+        Harness harness =
+                new Harness(Harness.settings(1, false, Policy.Discovery.PUSH, List.of(), SAFE), 5)
+                        .list(ListKind.PERSISTED, Harness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         Harness.Sent first = harness.request("r", 0);
-        assertTrue(first.timeout > 0 && first.timeout < Harness.DEADLINE, "room is left for another attempt");
+        assertTrue(
+                first.timeout > 0 && first.timeout < Harness.DEADLINE,
+                "room is left for another attempt");
         harness.pass(Harness.AIM);
         assertEquals(1, harness.sentFor("r").size());
     }
@@ -75,8 +83,9 @@
     @EnumSource(Scope.class)
     void aKeyedRequestStaysWithinTheGroupThatRemembersIt(Scope scope) {
         for (int seed = 0; seed < 20; seed++) {
-            Harness harness = new Harness(Harness.settings(Harness.kind(Effect.KEYED, scope)), seed)
-                .list(ListKind.PERSISTED, Harness.fleet(6));
+            Harness harness =
+                    new Harness(Harness.settings(Harness.kind(Effect.KEYED, scope)), seed)
+                            .list(ListKind.PERSISTED, Harness.fleet(6));
             harness.warmUp(40, 0, 40_000);
             Harness.Sent first = harness.request("r", 0);
             harness.end(first, Outcome.ERROR);
@@ -107,7 +116,8 @@
 
     @Test
     void nothingNewGoesToADrainingOrGoneServer() {
-        Harness harness = new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(3));
+        Harness harness =
+                new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(3));
         harness.list(ListKind.PARTIAL, List.of(new Server("s0", State.DRAINING, 0, 1, 0, 0, 0)));
         harness.list(ListKind.PARTIAL, List.of(new Server("s1", State.GONE, 0, 1, 1, 1, 1)));
         for (int i = 0; i < 30; i++) {
@@ -122,7 +132,8 @@
 
     @Test
     void everyRequestIsAnsweredWhenNoServerIsListed() {
-        Harness harness = new Harness(Harness.settings(SAFE, UNSAFE), 1).list(ListKind.PERSISTED, List.of());
+        Harness harness =
+                new Harness(Harness.settings(SAFE, UNSAFE), 1).list(ListKind.PERSISTED, List.of());
         assertNull(harness.request("a", 0));
         assertNull(harness.request("b", 1, 0, 6_000));
         harness.pass(30_000);
@@ -134,12 +145,14 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 8})
     void aColdServerGetsLessThanItsPart(int balancers) {
-        // One warm server gives 50 answers a second to this balancer; the cold one may take its part of that.
-        Policy.Settings settings = Harness.settings(balancers, true, Policy.Discovery.PUSH, List.of(), SAFE);
-        Harness harness = new Harness(settings, 1)
-            .list(ListKind.PERSISTED, Harness.fleet(4));
+        // One warm server gives 50 answers a second to this balancer; the cold one may take its
+        // part of that.
+        Policy.Settings settings =
+                Harness.settings(balancers, true, Policy.Discovery.PUSH, List.of(), SAFE);
+        Harness harness = new Harness(settings, 1).list(ListKind.PERSISTED, Harness.fleet(4));
         harness.warmUp(300, 0, 20_000);
-        harness.list(ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
+        harness.list(
+                ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
         long born = harness.now;
         harness.warmUp(150, 0, 20_000);
         long sent = harness.sentTo("cold", born);
@@ -151,26 +164,42 @@
 
     @Test
     void aRestartUnderTheSameIdIsColdAgain() {
-        Harness harness = new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(2));
+        Harness harness =
+                new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(2));
         harness.warmUp(100, 0, 20_000);
-        harness.list(ListKind.PARTIAL, List.of(new Server("s0", State.UP, harness.now, 1, 0, 0, 0)));
+        harness.list(
+                ListKind.PARTIAL, List.of(new Server("s0", State.UP, harness.now, 1, 0, 0, 0)));
         long restarted = harness.now;
         harness.warmUp(50, 0, 20_000);
         long cold = harness.sentTo("s0", restarted);
         assertTrue(cold < 15, "a cold server took " + cold + " of 50");
     }
 
-    /** Odd but legal: late outcomes, lists that are stale, empty or partial, restarts, clients that leave. */
+    /**
+     * Odd but legal: late outcomes, lists that are stale, empty or partial, restarts, clients that
+     * leave.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void randomEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<RequestClass> kinds = List.of(SAFE, UNSAFE, Harness.kind(Effect.KEYED, Scope.ALL),
-            Harness.kind(Effect.KEYED, Scope.CELL), Harness.kind(Effect.KEYED, Scope.ZONE));
+        List<RequestClass> kinds =
+                List.of(
+                        SAFE,
+                        UNSAFE,
+                        Harness.kind(Effect.KEYED, Scope.ALL),
+                        Harness.kind(Effect.KEYED, Scope.CELL),
+                        Harness.kind(Effect.KEYED, Scope.ZONE));
         boolean copies = random.nextBoolean();
-        Harness harness = new Harness(Harness.settings(1 + random.nextInt(4), copies,
-            random.nextBoolean() ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
-            List.of(new Policy.Tenant(5), new Policy.Tenant(50)), kinds.toArray(new RequestClass[0])), seed);
+        Harness harness =
+                new Harness(
+                        Harness.settings(
+                                1 + random.nextInt(4),
+                                copies,
+                                random.nextBoolean() ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
+                                List.of(new Policy.Tenant(5), new Policy.Tenant(50)),
+                                kinds.toArray(new RequestClass[0])),
+                        seed);
         Map<String, Server> truth = new TreeMap<>();
         Map<String, Long> deadlines = new TreeMap<>();
         Map<String, Integer> classOf = new TreeMap<>();
@@ -185,8 +214,10 @@
             if (what < 45) {
                 String id = "r" + step;
                 int kind = random.nextInt(kinds.size());
-                long left = random.nextInt(10) == 0 ? random.nextLong(30_000)
-                    : 200_000 + random.nextLong(2_800_000);
+                long left =
+                        random.nextInt(10) == 0
+                                ? random.nextLong(30_000)
+                                : 200_000 + random.nextLong(2_800_000);
                 deadlines.put(id, harness.now + left);
                 classOf.put(id, kind);
                 harness.request(id, kind, random.nextInt(2), left);
@@ -195,11 +226,13 @@
                 if (!out.isEmpty()) {
                     Harness.Sent sent = out.get(random.nextInt(out.size()));
                     Outcome[] all = Outcome.values();
-                    Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
+                    Outcome outcome =
+                            random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
                     if (outcome == Outcome.OK && gone.contains(sent.request)) {
                         outcome = Outcome.CANCELLED;
                     }
-                    ended.computeIfAbsent(sent.request, k -> new TreeMap<>()).put(sent.number, outcome);
+                    ended.computeIfAbsent(sent.request, k -> new TreeMap<>())
+                            .put(sent.number, outcome);
                     harness.end(sent, outcome);
                 }
             } else if (what < 90 && !deadlines.isEmpty()) {
@@ -213,8 +246,15 @@
                 String id = "s" + random.nextInt(8);
                 State state = State.values()[random.nextInt(3)];
                 long started = random.nextBoolean() ? 0 : harness.now - random.nextLong(5_000_000);
-                Server s = new Server(id, state, started, 1 + random.nextInt(3),
-                    random.nextInt(2), random.nextInt(2), random.nextInt(2));
+                Server s =
+                        new Server(
+                                id,
+                                state,
+                                started,
+                                1 + random.nextInt(3),
+                                random.nextInt(2),
+                                random.nextInt(2),
+                                random.nextInt(2));
                 truth.put(id, s);
                 harness.list(ListKind.PARTIAL, List.of(s));
                 if (state == State.UP) {
@@ -229,17 +269,22 @@
             }
             // Attempts whose own time-out or request's deadline has come end then, as on the wire.
             for (Harness.Sent s : new ArrayList<>(harness.sends)) {
-                long until = s.timeout > 0 ? Math.min(s.at + s.timeout, deadlines.get(s.request))
-                    : deadlines.get(s.request);
+                long until =
+                        s.timeout > 0
+                                ? Math.min(s.at + s.timeout, deadlines.get(s.request))
+                                : deadlines.get(s.request);
                 if (!s.ended && harness.now >= until) {
-                    ended.computeIfAbsent(s.request, k -> new TreeMap<>()).put(s.number, Outcome.TIMEOUT);
+                    ended.computeIfAbsent(s.request, k -> new TreeMap<>())
+                            .put(s.number, Outcome.TIMEOUT);
                     harness.end(s, Outcome.TIMEOUT);
                 }
             }
             for (; checked < harness.sends.size(); checked++) {
                 Harness.Sent s = harness.sends.get(checked);
                 Long since = unusable.get(s.server);
-                assertTrue(since == null || s.at <= since, "sent to a draining or gone server: " + s.server);
+                assertTrue(
+                        since == null || s.at <= since,
+                        "sent to a draining or gone server: " + s.server);
                 checkRepeat(harness, s, kinds.get(classOf.get(s.request)), ended, copies);
             }
         }
@@ -256,8 +301,12 @@
         }
     }
 
-    private static void checkRepeat(Harness harness, Harness.Sent s, RequestClass kind,
-            Map<String, Map<Integer, Outcome>> ended, boolean copies) {
+    private static void checkRepeat(
+            Harness harness,
+            Harness.Sent s,
+            RequestClass kind,
+            Map<String, Map<Integer, Outcome>> ended,
+            boolean copies) {
         for (Harness.Sent earlier : harness.sentFor(s.request)) {
             if (earlier.number >= s.number) {
                 continue;
@@ -267,8 +316,9 @@
             assertTrue(copies || !open, "two attempts at once");
             if (open || !outcome.neverRan()) {
                 assertTrue(kind.effect() != Effect.UNSAFE, "an unsafe request went out twice");
-                assertTrue(kind.effect() != Effect.KEYED || s.at - earlier.at < kind.keyMemory(),
-                    "sent after its window");
+                assertTrue(
+                        kind.effect() != Effect.KEYED || s.at - earlier.at < kind.keyMemory(),
+                        "sent after its window");
             }
             assertTrue(outcome != Outcome.OK, "sent after it was served");
         }
--- a/balancer/src/test/java/junctionhead/FurtherRulesTest.java
+++ b/balancer/src/test/java/junctionhead/FurtherRulesTest.java
@@ -22,17 +22,40 @@
     private static final RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
 
     private static RequestClass ordered(Effect effect) {
-        return new RequestClass(effect, Scope.ALL, 2_000_000, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false,
-            true, Set.of(), Set.of());
+        return new RequestClass(
+                effect,
+                Scope.ALL,
+                2_000_000,
+                Harness.AIM,
+                Harness.DEADLINE,
+                0,
+                1,
+                0.3,
+                false,
+                true,
+                Set.of(),
+                Set.of());
     }
 
     private static RequestClass bound(Set<Integer> zones, Set<Integer> kinds) {
-        return new RequestClass(Effect.SAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false,
-            false, zones, kinds);
+        return new RequestClass(
+                Effect.SAFE,
+                Scope.ALL,
+                0,
+                Harness.AIM,
+                Harness.DEADLINE,
+                0,
+                1,
+                0.3,
+                false,
+                false,
+                zones,
+                kinds);
     }
 
     private static Harness fleet(RequestClass... kinds) {
-        Harness harness = new Harness(Harness.settings(kinds), 3).list(ListKind.PERSISTED, Harness.fleet(6));
+        Harness harness =
+                new Harness(Harness.settings(kinds), 3).list(ListKind.PERSISTED, Harness.fleet(6));
         harness.warmUp(30, 0, 20_000);
         return harness;
     }
@@ -54,7 +77,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"TIMEOUT", "RESET", "CANCELLED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"TIMEOUT", "RESET", "CANCELLED"})
     void aKeyRestsAfterAnAttemptThatMayStillRun(Outcome outcome) {
         Harness harness = fleet(ordered(Effect.UNSAFE));
         Harness.Sent first = harness.keyed("a", 0, "k");
@@ -111,18 +136,24 @@
             assertEquals(0, harness.request("k" + i, 2).server.charAt(1) % 2);
             harness.pass(10_000);
         }
-        harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.ERROR));
+        harness.sends.stream()
+                .filter(s -> !s.ended)
+                .toList()
+                .forEach(s -> harness.end(s, Outcome.ERROR));
         harness.pass(Harness.DEADLINE);
-        harness.sends.stream().filter(s -> s.request.startsWith("z"))
-            .forEach(s -> assertEquals(1, s.server.charAt(1) % 2, "retries and copies too"));
-        harness.sends.stream().filter(s -> s.request.startsWith("k"))
-            .forEach(s -> assertEquals(0, s.server.charAt(1) % 2, "retries and copies too"));
+        harness.sends.stream()
+                .filter(s -> s.request.startsWith("z"))
+                .forEach(s -> assertEquals(1, s.server.charAt(1) % 2, "retries and copies too"));
+        harness.sends.stream()
+                .filter(s -> s.request.startsWith("k"))
+                .forEach(s -> assertEquals(0, s.server.charAt(1) % 2, "retries and copies too"));
     }
 
     @Test
     void aBoundRequestWaitsForAServerOfItsOwnWithoutHoldingUpOthers() {
-        Harness harness = new Harness(Harness.settings(SAFE, bound(Set.of(7), Set.of())), 3)
-            .list(ListKind.PERSISTED, List.of());
+        Harness harness =
+                new Harness(Harness.settings(SAFE, bound(Set.of(7), Set.of())), 3)
+                        .list(ListKind.PERSISTED, List.of());
         harness.request("bound", 1);
         harness.request("free", 0);
         harness.list(ListKind.PARTIAL, Harness.fleet(4));
--- a/balancer/src/test/java/junctionhead/Harness.java
+++ b/balancer/src/test/java/junctionhead/Harness.java
@@ -64,13 +64,29 @@
         return settings(1, true, Policy.Discovery.PUSH, List.of(), classes);
     }
 
-    static Policy.Settings settings(int balancers, boolean copies, Policy.Discovery discovery,
-            List<Policy.Tenant> tenants, Policy.RequestClass... classes) {
-        return new Policy.Settings(balancers, 0, 0, List.of(classes), tenants, 0.1,
-            new Policy.Goal(1, 0, 0, 0), new Policy.Prices(0, 0),
-            true, discovery, Policy.Reports.NONE, false,
-            new Policy.Limits(5, copies, true, true, 250_000, 0),
-            new Policy.Bounds(20_000, 1_000_000, 10_000_000, 0.2, 20_000_000, 2.5, 1_500_000, PAUSE), 5_000);
+    static Policy.Settings settings(
+            int balancers,
+            boolean copies,
+            Policy.Discovery discovery,
+            List<Policy.Tenant> tenants,
+            Policy.RequestClass... classes) {
+        return new Policy.Settings(
+                balancers,
+                0,
+                0,
+                List.of(classes),
+                tenants,
+                0.1,
+                new Policy.Goal(1, 0, 0, 0),
+                new Policy.Prices(0, 0),
+                true,
+                discovery,
+                Policy.Reports.NONE,
+                false,
+                new Policy.Limits(5, copies, true, true, 250_000, 0),
+                new Policy.Bounds(
+                        20_000, 1_000_000, 10_000_000, 0.2, 20_000_000, 2.5, 1_500_000, PAUSE),
+                5_000);
     }
 
     static Server up(String id) {
@@ -109,11 +125,18 @@
         return request(id, requestClass, 0, key, DEADLINE, false);
     }
 
-    private Sent request(String id, int requestClass, int tenant, long timeLeft, boolean resubmission) {
+    private Sent request(
+            String id, int requestClass, int tenant, long timeLeft, boolean resubmission) {
         return request(id, requestClass, tenant, null, timeLeft, resubmission);
     }
 
-    Sent request(String id, int requestClass, int tenant, String key, long timeLeft, boolean resubmission) {
+    Sent request(
+            String id,
+            int requestClass,
+            int tenant,
+            String key,
+            long timeLeft,
+            boolean resubmission) {
         int before = sends.size();
         policy.request(now, id, requestClass, tenant, key, timeLeft, -1, resubmission, this);
         return sends.size() > before ? sends.get(sends.size() - 1) : null;
@@ -125,8 +148,16 @@
         if (outcome == Outcome.OK) {
             finals.putIfAbsent(sent.request, "ok");
         }
-        policy.outcome(now, sent.request, sent.number, outcome, now - sent.at, closed,
-            new Policy.Load(reported, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN), this);
+        policy.outcome(
+                now,
+                sent.request,
+                sent.number,
+                outcome,
+                now - sent.at,
+                closed,
+                new Policy.Load(
+                        reported, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN),
+                this);
     }
 
     /** Lets time pass, waking the module when it asked for it. */
--- a/balancer/src/test/java/junctionhead/KeptTest.java
+++ b/balancer/src/test/java/junctionhead/KeptTest.java
@@ -14,8 +14,8 @@
 
 /** What one module keeps, and what another makes of it after a crash. */
 class KeptTest {
-    private final List<Server> servers = List.of(Harness.up("a"), Harness.up("b"), Harness.up("c"),
-        Harness.up("d"));
+    private final List<Server> servers =
+            List.of(Harness.up("a"), Harness.up("b"), Harness.up("c"), Harness.up("d"));
 
     private Harness started() {
         Harness harness = new Harness(Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL)), 1);
@@ -32,8 +32,15 @@
                 harness.request("r" + i + "-" + n, 0);
             }
             harness.pass(2_000);
-            List.copyOf(harness.sends).stream().filter(s -> !s.ended)
-                .forEach(s -> harness.end(s, s.server.equals(bad) ? Outcome.CONNECT_FAILED : Outcome.OK));
+            List.copyOf(harness.sends).stream()
+                    .filter(s -> !s.ended)
+                    .forEach(
+                            s ->
+                                    harness.end(
+                                            s,
+                                            s.server.equals(bad)
+                                                    ? Outcome.CONNECT_FAILED
+                                                    : Outcome.OK));
         }
         return harness;
     }
@@ -67,7 +74,9 @@
         Harness before = learned("b");
         Kept kept = before.policy.keep(before.now);
         Harness after = new Harness(Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL)), 1);
-        after.list(ListKind.COMPLETE, List.of(new Server("a", State.UP, 77, 1, 0, 0, 0), Harness.up("d")));
+        after.list(
+                ListKind.COMPLETE,
+                List.of(new Server("a", State.UP, 77, 1, 0, 0, 0), Harness.up("d")));
         after.policy.recall(after.now, kept, 0);
         Kept again = after.policy.keep(after.now);
         assertEquals(List.of("a", "d"), again.servers().stream().map(Kept.OfServer::id).toList());
@@ -78,9 +87,25 @@
     @Test
     void allServersAtRestWhenPowerWentAreUsedAllTheSame() {
         Harness after = started();
-        after.policy.recall(after.now,
-            new Kept(servers.stream().map(s -> new Kept.OfServer(s.id(), s.startedAt(), 0, 0,
-            9, 15_000_000, 4, 0, List.of(15_000_000L))).toList(), List.of(1e12)), 0);
+        after.policy.recall(
+                after.now,
+                new Kept(
+                        servers.stream()
+                                .map(
+                                        s ->
+                                                new Kept.OfServer(
+                                                        s.id(),
+                                                        s.startedAt(),
+                                                        0,
+                                                        0,
+                                                        9,
+                                                        15_000_000,
+                                                        4,
+                                                        0,
+                                                        List.of(15_000_000L)))
+                                .toList(),
+                        List.of(1e12)),
+                0);
         after.pass(300_000);
         after.request("r", 0);
         after.pass(50_000);
--- a/balancer/src/test/java/junctionhead/LateWriteTest.java
+++ b/balancer/src/test/java/junctionhead/LateWriteTest.java
@@ -25,12 +25,14 @@
     private static final RequestClass UNSAFE = Harness.kind(Effect.UNSAFE, Scope.ALL);
 
     private static RequestClass keyed(Scope scope) {
-        return new RequestClass(Effect.KEYED, scope, WINDOW, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false);
+        return new RequestClass(
+                Effect.KEYED, scope, WINDOW, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false);
     }
 
     private static Harness harness(RequestClass kind, int servers) {
-        Harness harness = new Harness(Harness.settings(kind), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(servers));
+        Harness harness =
+                new Harness(Harness.settings(kind), 3)
+                        .list(ListKind.PERSISTED, Harness.fleet(servers));
         harness.warmUp(40, 0, 10_000);
         return harness;
     }
@@ -42,8 +44,10 @@
     @ParameterizedTest
     @EnumSource(Effect.class)
     void theFirstAttemptOfALiveRequestMayBeginLate(Effect effect) {
-        Harness harness = harness(
-            effect == Effect.KEYED ? keyed(Scope.ALL) : Harness.kind(effect, Scope.ALL), 4);
+        Harness harness =
+                harness(
+                        effect == Effect.KEYED ? keyed(Scope.ALL) : Harness.kind(effect, Scope.ALL),
+                        4);
         Harness.Sent sent = harness.request("r", 0);
         harness.pass(2 * WINDOW);
         assertTrue(mayBegin(harness, sent));
@@ -63,10 +67,14 @@
 
     @Test
     void nothingBeginsOnAServerThatDrainsHasGoneOrCameAnew() {
-        for (Server now : List.of(Harness.up("s0").in(State.DRAINING), Harness.up("s0").in(State.GONE),
-                new Server("s0", State.UP, Harness.START + 5_000_000, 1, 0, 0, 0))) {
-            Harness harness = new Harness(Harness.settings(UNSAFE), 3)
-                .list(ListKind.PERSISTED, List.of(Harness.up("s0")));
+        for (Server now :
+                List.of(
+                        Harness.up("s0").in(State.DRAINING),
+                        Harness.up("s0").in(State.GONE),
+                        new Server("s0", State.UP, Harness.START + 5_000_000, 1, 0, 0, 0))) {
+            Harness harness =
+                    new Harness(Harness.settings(UNSAFE), 3)
+                            .list(ListKind.PERSISTED, List.of(Harness.up("s0")));
             Harness.Sent sent = harness.request("r", 0);
             assertTrue(mayBegin(harness, sent));
             harness.list(ListKind.PARTIAL, List.of(now, Harness.up("s1")));
--- a/balancer/src/test/java/junctionhead/LearnedTest.java
+++ b/balancer/src/test/java/junctionhead/LearnedTest.java
@@ -21,18 +21,22 @@
     private static final Policy.RequestClass UNSAFE = Harness.kind(Effect.UNSAFE, Scope.ALL);
 
     private static Harness harness(int servers, Policy.RequestClass... kinds) {
-        return new Harness(Harness.settings(kinds), 11).list(ListKind.PERSISTED, Harness.fleet(servers));
+        return new Harness(Harness.settings(kinds), 11)
+                .list(ListKind.PERSISTED, Harness.fleet(servers));
     }
 
     /** Serves four requests at a time for a while; attempts on the bad servers end as told. */
-    private static void serve(Harness harness, int requests, long latency, Map<String, Outcome> bad) {
+    private static void serve(
+            Harness harness, int requests, long latency, Map<String, Outcome> bad) {
         for (int i = 0; i < requests; i++) {
             for (int j = 0; j < 4; j++) {
                 harness.request("q" + harness.now + "/" + i + "/" + j, 0);
             }
             harness.pass(latency);
-            harness.sends.stream().filter(s -> !s.ended).toList()
-                .forEach(s -> harness.end(s, bad.getOrDefault(s.server, Outcome.OK)));
+            harness.sends.stream()
+                    .filter(s -> !s.ended)
+                    .toList()
+                    .forEach(s -> harness.end(s, bad.getOrDefault(s.server, Outcome.OK)));
         }
     }
 
@@ -42,7 +46,9 @@
         serve(harness, 100, 20_000, Map.of());
         long from = harness.now;
         serve(harness, 200, 20_000, Map.of("s1", Outcome.ERROR));
-        assertTrue(harness.sentTo("s1", from) < 20, "4 s of failures took " + harness.sentTo("s1", from));
+        assertTrue(
+                harness.sentTo("s1", from) < 20,
+                "4 s of failures took " + harness.sentTo("s1", from));
         assertTrue(harness.log.stream().anyMatch(l -> l.contains("ejected s1")));
         serve(harness, 1200, 20_000, Map.of());
         assertTrue(harness.log.stream().anyMatch(l -> l.contains("recovered s1")));
@@ -56,7 +62,9 @@
         long from = harness.now;
         serve(harness, 300, 20_000, Map.of("s1", Outcome.FULL));
         assertTrue(harness.log.stream().anyMatch(l -> l.contains("ejected s1")));
-        assertTrue(harness.sentTo("s1", from) < 40, "6 s of refusals took " + harness.sentTo("s1", from));
+        assertTrue(
+                harness.sentTo("s1", from) < 40,
+                "6 s of refusals took " + harness.sentTo("s1", from));
     }
 
     @Test
@@ -72,8 +80,10 @@
                 harness.request("n" + i + "/" + j, 0);
             }
             harness.pass(20_000);
-            harness.sends.stream().filter(s -> !s.ended && s != stuck).toList()
-                .forEach(s -> harness.end(s, Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended && s != stuck)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.OK));
         }
         assertEquals(0, harness.sentTo(stuck.server, from));
     }
@@ -87,22 +97,30 @@
         serve(harness, 60, 20_000, bad);
         long from = harness.now;
         serve(harness, 20, 20_000, Map.of());
-        assertTrue(harness.sends.stream().filter(s -> s.at >= from).count() >= 10, "requests are still sent");
+        assertTrue(
+                harness.sends.stream().filter(s -> s.at >= from).count() >= 10,
+                "requests are still sent");
     }
 
     @Test
     void theLimitRecoversAfterOverload() {
-        // Idle servers kept their old strain, which held the limit down for 20 s after the load had gone.
+        // Idle servers kept their old strain, which held the limit down for 20 s after the load had
+        // gone.
         Harness harness = harness(6, SAFE);
         serve(harness, 200, 30_000, Map.of());
         for (int i = 0; i < 60; i++) {
             // Everything takes ten times as long
             harness.request("slow" + i, 0);
             harness.pass(50_000);
-            harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= 400_000).toList()
-                .forEach(s -> harness.end(s, Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended && harness.now - s.at >= 400_000)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.OK));
         }
-        harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.OK));
+        harness.sends.stream()
+                .filter(s -> !s.ended)
+                .toList()
+                .forEach(s -> harness.end(s, Outcome.OK));
         harness.pass(4_000_000);
         int sent = 0;
         for (int i = 0; i < 10 * 12; i++) {
@@ -110,8 +128,10 @@
             sent += harness.request("after" + i, 0) != null ? 1 : 0;
             while (i % 12 == 11 && i < 9 * 12 && harness.sends.stream().anyMatch(s -> !s.ended)) {
                 harness.pass(30_000);
-                harness.sends.stream().filter(s -> !s.ended).toList()
-                    .forEach(s -> harness.end(s, Outcome.OK));
+                harness.sends.stream()
+                        .filter(s -> !s.ended)
+                        .toList()
+                        .forEach(s -> harness.end(s, Outcome.OK));
                 sent = 0;
             }
         }
@@ -121,9 +141,16 @@
     @Test
     void anOverShareTenantLosesItsExcessAndKeepsItsShare() {
         // All requests of a tenant over its share were marked, so its share starved too.
-        Harness harness = new Harness(Harness.settings(1, true, Discovery.PUSH,
-            List.of(new Policy.Tenant(20), new Policy.Tenant(20)), UNSAFE), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(2));
+        Harness harness =
+                new Harness(
+                                Harness.settings(
+                                        1,
+                                        true,
+                                        Discovery.PUSH,
+                                        List.of(new Policy.Tenant(20), new Policy.Tenant(20)),
+                                        UNSAFE),
+                                3)
+                        .list(ListKind.PERSISTED, Harness.fleet(2));
         Map<Integer, int[]> served = Map.of(0, new int[2], 1, new int[2]);
         for (int i = 0; i < 1200; i++) {
             // Tenant 0 brings 80 a second, tenant 1 20
@@ -131,14 +158,17 @@
             served.get(tenant)[0]++;
             harness.request(tenant + "-" + i, 0, tenant, 2_000_000);
             harness.pass(10_000);
-            harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= 300_000).toList()
-                .forEach(s -> harness.end(s, Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended && harness.now - s.at >= 300_000)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.OK));
         }
-        harness.finals.forEach((id, how) -> {
-            if (how.equals("ok")) {
-                served.get(id.charAt(0) - '0')[1]++;
-            }
-        });
+        harness.finals.forEach(
+                (id, how) -> {
+                    if (how.equals("ok")) {
+                        served.get(id.charAt(0) - '0')[1]++;
+                    }
+                });
         double share0 = served.get(0)[1] / 12.0;
         double part1 = served.get(1)[1] / (double) served.get(1)[0];
         assertTrue(part1 > 0.1, "the tenant within its share comes first: " + part1);
@@ -164,7 +194,8 @@
 
     @Test
     void aNextTryThatIsLateAlreadyGivesWay() {
-        // A third of all answers came after the first try's aim: worthless work that crowded out the rest.
+        // A third of all answers came after the first try's aim: worthless work that crowded out
+        // the rest.
         Harness harness = harness(6, SAFE);
         serve(harness, 20, 20_000, Map.of());
         harness.again("late", 0, Harness.DEADLINE - Harness.AIM - 200_000);
@@ -186,20 +217,31 @@
     @Test
     void theMostUrgentHeldRequestGoesFirst() {
         // In order of arrival requests with a short aim ran out behind those with a long one.
-        Policy.RequestClass patient = new Policy.RequestClass(Effect.SAFE, Scope.ALL, 0, 4 * Harness.AIM,
-            4 * Harness.DEADLINE, 0, 1, 0, false);
+        Policy.RequestClass patient =
+                new Policy.RequestClass(
+                        Effect.SAFE,
+                        Scope.ALL,
+                        0,
+                        4 * Harness.AIM,
+                        4 * Harness.DEADLINE,
+                        0,
+                        1,
+                        0,
+                        false);
         Harness harness = holding(SAFE, patient);
         harness.request("patient", 1, 0, 4 * Harness.DEADLINE);
         harness.request("urgent", 0);
         harness.list(ListKind.PARTIAL, Harness.fleet(1));
-        assertEquals(List.of("urgent", "patient"), harness.sends.stream().map(s -> s.request).toList());
+        assertEquals(
+                List.of("urgent", "patient"), harness.sends.stream().map(s -> s.request).toList());
     }
 
     /** A change counts as told 6 s after discovery could be reached, however often calls failed. */
     @Test
     void howeverOftenDiscoveryHasFailedItIsAskedAgainInTime() {
-        Harness harness = new Harness(Harness.settings(2, true, Discovery.ASK, List.of(), SAFE), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(2));
+        Harness harness =
+                new Harness(Harness.settings(2, true, Discovery.ASK, List.of(), SAFE), 3)
+                        .list(ListKind.PERSISTED, Harness.fleet(2));
         for (int i = 0; i < 200; i++) {
             harness.list(ListKind.FAILED, List.of());
             int before = harness.watches;
@@ -207,7 +249,8 @@
             while (harness.watches == before) {
                 harness.pass(10_000);
             }
-            assertTrue(harness.now - failed <= 1_510_000, "after " + (harness.now - failed) + " us");
+            assertTrue(
+                    harness.now - failed <= 1_510_000, "after " + (harness.now - failed) + " us");
         }
         int before = harness.watches;
         // Of silence: nobody tells that a call has failed
@@ -217,8 +260,9 @@
 
     @Test
     void discoveryIsAskedAgainAfterErrorsAndSilenceButNotHammered() {
-        Harness harness = new Harness(Harness.settings(2, true, Discovery.ASK, List.of(), SAFE), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(2));
+        Harness harness =
+                new Harness(Harness.settings(2, true, Discovery.ASK, List.of(), SAFE), 3)
+                        .list(ListKind.PERSISTED, Harness.fleet(2));
         assertEquals(1, harness.watches);
         // Silence: asked again within AskWithin
         harness.pass(7_000_000);
@@ -228,8 +272,9 @@
             harness.list(ListKind.FAILED, List.of());
             harness.pass(1_000_000);
         }
-        assertTrue(harness.watches >= 5 && harness.watches <= 16,
-            "asked " + harness.watches + " times in 27 s");
+        assertTrue(
+                harness.watches >= 5 && harness.watches <= 16,
+                "asked " + harness.watches + " times in 27 s");
         int before = harness.watches;
         harness.list(ListKind.PARTIAL, List.of());
         harness.pass(60_000_000);
@@ -238,18 +283,24 @@
         assertNull(empty.list(ListKind.PERSISTED, List.of()).request("r", 0));
     }
 
-    /** Serves requests one by one, each answered after its latency; returns how many of them were sent. */
-    private static int sentOf(Harness harness, int requests, int requestClass, int tenant, long latency) {
+    /**
+     * Serves requests one by one, each answered after its latency; returns how many of them were
+     * sent.
+     */
+    private static int sentOf(
+            Harness harness, int requests, int requestClass, int tenant, long latency) {
         int sent = 0;
         for (int i = 0; i < requests; i++) {
-            Harness.Sent s = harness.request("o" + harness.now + "/" + i, requestClass, tenant,
-                Harness.DEADLINE);
+            Harness.Sent s =
+                    harness.request(
+                            "o" + harness.now + "/" + i, requestClass, tenant, Harness.DEADLINE);
             harness.pass(latency);
             if (s != null) {
                 sent++;
                 harness.end(s, Outcome.OK);
-                harness.sentFor(s.request).stream().filter(copy -> !copy.ended)
-                    .forEach(copy -> harness.end(copy, Outcome.CANCELLED));
+                harness.sentFor(s.request).stream()
+                        .filter(copy -> !copy.ended)
+                        .forEach(copy -> harness.end(copy, Outcome.CANCELLED));
             }
         }
         return sent;
@@ -262,7 +313,8 @@
         assertEquals(40, sentOf(harness, 40, 0, 0, 50_000), "a calm day is served whole");
         sentOf(harness, 30, 0, 0, 900_000);
         int late = sentOf(harness, 20, 0, 0, 900_000);
-        assertTrue(late < 14, "with all late a part is turned away at once: sent " + late + " of 20");
+        assertTrue(
+                late < 14, "with all late a part is turned away at once: sent " + late + " of 20");
         sentOf(harness, 200, 0, 0, 50_000);
         assertTrue(sentOf(harness, 40, 0, 0, 50_000) >= 39, "and let in again");
     }
@@ -278,8 +330,9 @@
 
     @Test
     void theCheapestAreTurnedAwayFirst() {
-        Policy.RequestClass dear = new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM,
-            Harness.DEADLINE, 0, 9, 0, false);
+        Policy.RequestClass dear =
+                new Policy.RequestClass(
+                        Effect.UNSAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
         Harness harness = harness(6, UNSAFE, dear);
         for (int i = 0; i < 30; i++) {
             sentOf(harness, 1, 0, 0, 350_000);
@@ -292,11 +345,13 @@
 
     @Test
     void oneTenantsExcessDoesNotWidenTheSharesOfAll() {
-        // A tenant at three times its share made all shares 1.75 times as wide: servers were overdriven.
-        List<Policy.Tenant> tenants = List.of(new Policy.Tenant(8.4), new Policy.Tenant(8.4),
-            new Policy.Tenant(8.4));
-        Harness harness = new Harness(Harness.settings(10, true, Discovery.PUSH, tenants, UNSAFE), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(6));
+        // A tenant at three times its share made all shares 1.75 times as wide: servers were
+        // overdriven.
+        List<Policy.Tenant> tenants =
+                List.of(new Policy.Tenant(8.4), new Policy.Tenant(8.4), new Policy.Tenant(8.4));
+        Harness harness =
+                new Harness(Harness.settings(10, true, Discovery.PUSH, tenants, UNSAFE), 3)
+                        .list(ListKind.PERSISTED, Harness.fleet(6));
         int sent = 0;
         for (int i = 0; i < 60; i++) {
             // 71 s of 270 ms each: this balancer's part of a share is 60
@@ -309,7 +364,8 @@
 
     @Test
     void aBalancerUsesASubsetThatGrowsWhenItsServersFail() {
-        // Every balancer opened a connection to every server: handshakes overran servers at a start.
+        // Every balancer opened a connection to every server: handshakes overran servers at a
+        // start.
         Harness harness = harness(40, SAFE);
         serve(harness, 4, 20_000, Map.of());
         List<String> used = harness.sends.stream().map(s -> s.server).distinct().toList();
@@ -319,7 +375,10 @@
         serve(harness, 100, 20_000, bad);
         long from = harness.now;
         serve(harness, 20, 20_000, bad);
-        long good = harness.sends.stream().filter(s -> s.at >= from && !used.contains(s.server)).count();
+        long good =
+                harness.sends.stream()
+                        .filter(s -> s.at >= from && !used.contains(s.server))
+                        .count();
         assertTrue(good >= 70, "others have taken over: " + good + " of 80");
     }
 
@@ -332,8 +391,9 @@
     }
 
     private static List<String> used(int servers, long seed) {
-        Harness harness = new Harness(Harness.settings(SAFE), seed)
-            .list(ListKind.PERSISTED, Harness.fleet(servers));
+        Harness harness =
+                new Harness(Harness.settings(SAFE), seed)
+                        .list(ListKind.PERSISTED, Harness.fleet(servers));
         for (int i = 0; i < 40; i++) {
             harness.request("r" + i, 0);
         }
@@ -358,7 +418,8 @@
 
     @Test
     void whatIsNotSafeToRepeatIsGivenUpAtItsAim() {
-        // After a burst work whose aim had passed filled the queues before work that could be in time.
+        // After a burst work whose aim had passed filled the queues before work that could be in
+        // time.
         Harness harness = harness(6, SAFE, UNSAFE);
         assertEquals(Harness.AIM, harness.request("once", 1).timeout);
         assertEquals(0, harness.request("safe", 0).timeout, "its client would only come again");
@@ -394,7 +455,8 @@
 
     @Test
     void silenceIsHedgedOnceWhereARepeatIsAllowed() {
-        // Answers that never came were waited out to the deadline: a third of the worth of some days.
+        // Answers that never came were waited out to the deadline: a third of the worth of some
+        // days.
         for (Policy.RequestClass kind : List.of(SAFE, UNSAFE)) {
             Harness harness = harness(6, kind);
             serve(harness, 60, 20_000, Map.of());
@@ -402,8 +464,10 @@
             harness.pass(Harness.AIM - 5_000);
             int copies = harness.sentFor("silent").size() - 1;
             assertEquals(kind == SAFE ? 1 : 0, copies, "copies of " + kind.effect());
-            assertTrue(harness.sentFor("silent").stream().skip(1)
-                .noneMatch(s -> s.server.equals(silent.server)));
+            assertTrue(
+                    harness.sentFor("silent").stream()
+                            .skip(1)
+                            .noneMatch(s -> s.server.equals(silent.server)));
         }
     }
 
@@ -416,13 +480,17 @@
             harness.request("burst" + i, 0);
         }
         harness.pass(Harness.AIM);
-        long copies = harness.sends.stream()
-            .filter(s -> s.request.startsWith("burst") && s.number > 0).count();
-        assertTrue(copies > 0 && copies <= 10, "a budget of ten at most, not one for each of 60: " + copies);
+        long copies =
+                harness.sends.stream()
+                        .filter(s -> s.request.startsWith("burst") && s.number > 0)
+                        .count();
+        assertTrue(
+                copies > 0 && copies <= 10,
+                "a budget of ten at most, not one for each of 60: " + copies);
         Harness full = harness(6, SAFE);
         serve(full, 60, 20_000, Map.of());
         List<Harness.Sent> turned =
-            IntStream.range(0, 8).mapToObj(i -> full.request("full" + i, 0)).toList();
+                IntStream.range(0, 8).mapToObj(i -> full.request("full" + i, 0)).toList();
         turned.forEach(s -> full.end(s, Outcome.FULL));
         full.request("wait", 0);
         full.pass(Harness.AIM);
@@ -431,13 +499,32 @@
 
     @Test
     void whereWorthGoesByRequestClassesAreTurnedAwayAlike() {
-        // The light class starved for the heavy one: 10% of its worth was served by a half idle fleet.
-        Policy.RequestClass dear = new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM,
-            Harness.DEADLINE, 0, 9, 0, false);
+        // The light class starved for the heavy one: 10% of its worth was served by a half idle
+        // fleet.
+        Policy.RequestClass dear =
+                new Policy.RequestClass(
+                        Effect.UNSAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
         Policy.Settings s = Harness.settings(UNSAFE, dear);
-        Harness harness = new Harness(new Policy.Settings(1, 0, 0, s.classes(), List.of(), 0.1, s.goal(),
-            s.prices(), false, s.discovery(), s.reports(), false, s.limits(), s.bounds(), s.tick()), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(6));
+        Harness harness =
+                new Harness(
+                                new Policy.Settings(
+                                        1,
+                                        0,
+                                        0,
+                                        s.classes(),
+                                        List.of(),
+                                        0.1,
+                                        s.goal(),
+                                        s.prices(),
+                                        false,
+                                        s.discovery(),
+                                        s.reports(),
+                                        false,
+                                        s.limits(),
+                                        s.bounds(),
+                                        s.tick()),
+                                3)
+                        .list(ListKind.PERSISTED, Harness.fleet(6));
         for (int i = 0; i < 40; i++) {
             sentOf(harness, 1, 0, 0, 500_000);
             sentOf(harness, 1, 1, 0, 500_000);
@@ -451,14 +538,33 @@
     void aHotKeyGetsMoreServersThanAColdOne() {
         // Four of fifty servers took a seventh of all requests: as many as the hottest key brought.
         Policy.Settings s = Harness.settings(SAFE);
-        Harness harness = new Harness(new Policy.Settings(1, 0, 0, s.classes(), List.of(), 0.1, s.goal(),
-            s.prices(), true, s.discovery(), s.reports(), true, s.limits(), s.bounds(), s.tick()), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(20));
+        Harness harness =
+                new Harness(
+                                new Policy.Settings(
+                                        1,
+                                        0,
+                                        0,
+                                        s.classes(),
+                                        List.of(),
+                                        0.1,
+                                        s.goal(),
+                                        s.prices(),
+                                        true,
+                                        s.discovery(),
+                                        s.reports(),
+                                        true,
+                                        s.limits(),
+                                        s.bounds(),
+                                        s.tick()),
+                                3)
+                        .list(ListKind.PERSISTED, Harness.fleet(20));
         for (int i = 0; i < 600; i++) {
             Harness.Sent sent = harness.keyed("r" + i, 0, i % 2 == 0 ? "hot" : "k" + i % 75);
             harness.pass(10_000);
-            harness.sends.stream().filter(x -> !x.ended && harness.now - x.at >= 60_000).toList()
-                .forEach(x -> harness.end(x, Outcome.OK));
+            harness.sends.stream()
+                    .filter(x -> !x.ended && harness.now - x.at >= 60_000)
+                    .toList()
+                    .forEach(x -> harness.end(x, Outcome.OK));
             assertTrue(sent != null);
         }
         long hot = servers(harness, 0, 2);
@@ -467,13 +573,17 @@
     }
 
     private static long servers(Harness harness, int first, int step) {
-        return harness.sends.stream().filter(x -> Integer.parseInt(x.request.substring(1)) % step == first)
-            .map(x -> x.server).distinct().count();
+        return harness.sends.stream()
+                .filter(x -> Integer.parseInt(x.request.substring(1)) % step == first)
+                .map(x -> x.server)
+                .distinct()
+                .count();
     }
 
     @Test
     void newsOfFullQueuesDoesNotTurnAllAway() {
-        // Late answers counted twice their aim: refusal rose to 86% in seconds, fell back and rose again.
+        // Late answers counted twice their aim: refusal rose to 86% in seconds, fell back and rose
+        // again.
         Harness harness = harness(6, SAFE);
         sentOf(harness, 40, 0, 0, 50_000);
         for (int i = 0; i < 20; i++) {
@@ -482,8 +592,15 @@
             harness.pass(100_000);
             if (sent != null) {
                 harness.now += 1;
-                harness.policy.outcome(harness.now, sent.request, sent.number, Outcome.OK, 2 * Harness.AIM,
-                    true, null, harness);
+                harness.policy.outcome(
+                        harness.now,
+                        sent.request,
+                        sent.number,
+                        Outcome.OK,
+                        2 * Harness.AIM,
+                        true,
+                        null,
+                        harness);
                 sent.ended = true;
             }
         }
--- a/balancer/src/test/java/junctionhead/LibraryTest.java
+++ b/balancer/src/test/java/junctionhead/LibraryTest.java
@@ -38,24 +38,62 @@
 
     @Test
     void impossibleSettingsAreNamed() {
-        assertEquals("impossible aim: 0", assertThrows(IllegalArgumentException.class,
-            () -> new RequestClass(Effect.SAFE, Scope.ALL, 0, 0, 1, 0, 1, 0, false)).getMessage());
-        assertEquals("impossible coldFrom: 0.0", assertThrows(IllegalArgumentException.class,
-            () -> new Policy.Bounds(1, 1, 1, 0, 1, 2, 1, 0)).getMessage());
-        assertEquals("impossible maxAttempts: 0", assertThrows(IllegalArgumentException.class,
-            () -> new Policy.Limits(0, true, true, true, 1, 0)).getMessage());
-        assertEquals("impossible classes: none", assertThrows(IllegalArgumentException.class,
-            () -> Harness.settings()).getMessage());
+        assertEquals(
+                "impossible aim: 0",
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () ->
+                                        new RequestClass(
+                                                Effect.SAFE, Scope.ALL, 0, 0, 1, 0, 1, 0, false))
+                        .getMessage());
+        assertEquals(
+                "impossible coldFrom: 0.0",
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> new Policy.Bounds(1, 1, 1, 0, 1, 2, 1, 0))
+                        .getMessage());
+        assertEquals(
+                "impossible maxAttempts: 0",
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> new Policy.Limits(0, true, true, true, 1, 0))
+                        .getMessage());
+        assertEquals(
+                "impossible classes: none",
+                assertThrows(IllegalArgumentException.class, () -> Harness.settings())
+                        .getMessage());
     }
 
     @ParameterizedTest
-    @CsvSource({"0, 0, impossible balancers: 0", "2, 2, impossible rank: 2", "2, -1, impossible rank: -1"})
+    @CsvSource({
+        "0, 0, impossible balancers: 0",
+        "2, 2, impossible rank: 2",
+        "2, -1, impossible rank: -1"
+    })
     void impossibleNumbersOfBalancersAreNamed(int balancers, int rank, String complaint) {
         Policy.Settings s = Harness.settings(SAFE);
-        assertEquals(complaint, assertThrows(IllegalArgumentException.class,
-            () -> new Policy.Settings(balancers, rank, 0, s.classes(), List.of(), 1, s.goal(), s.prices(),
-                false,
-                s.discovery(), s.reports(), false, s.limits(), s.bounds(), 1_000)).getMessage());
+        assertEquals(
+                complaint,
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () ->
+                                        new Policy.Settings(
+                                                balancers,
+                                                rank,
+                                                0,
+                                                s.classes(),
+                                                List.of(),
+                                                1,
+                                                s.goal(),
+                                                s.prices(),
+                                                false,
+                                                s.discovery(),
+                                                s.reports(),
+                                                false,
+                                                s.limits(),
+                                                s.bounds(),
+                                                1_000))
+                        .getMessage());
     }
 
     /** Settings unlike any deployment: sensible behaviour, every request answered. */
@@ -68,25 +106,53 @@
         "8, 3, 20000000, 60000000, 3, false, 8, 2000000",
         "6, 1, 600000, 1200000, 1, false, 50, 30000",
     })
-    void oddSettingsAreServed(int servers, int balancers, long aim, long deadline, int attempts,
-            boolean copies, int rate, long latency) {
+    void oddSettingsAreServed(
+            int servers,
+            int balancers,
+            long aim,
+            long deadline,
+            int attempts,
+            boolean copies,
+            int rate,
+            long latency) {
         for (Effect effect : Effect.values()) {
-            RequestClass kind = new RequestClass(effect, Scope.CELL, deadline, aim, deadline, 0, 1, 0, false);
+            RequestClass kind =
+                    new RequestClass(effect, Scope.CELL, deadline, aim, deadline, 0, 1, 0, false);
             Policy.Settings base =
-                Harness.settings(balancers, copies, Policy.Discovery.PUSH, List.of(), kind);
-            Harness harness = new Harness(new Policy.Settings(balancers, 0, 0, base.classes(), List.of(), 1,
-                base.goal(), base.prices(), false, base.discovery(), Policy.Reports.NONE, false,
-                new Policy.Limits(attempts, copies, false, false, 1000, 0), base.bounds(), 1_000), 9);
+                    Harness.settings(balancers, copies, Policy.Discovery.PUSH, List.of(), kind);
+            Harness harness =
+                    new Harness(
+                            new Policy.Settings(
+                                    balancers,
+                                    0,
+                                    0,
+                                    base.classes(),
+                                    List.of(),
+                                    1,
+                                    base.goal(),
+                                    base.prices(),
+                                    false,
+                                    base.discovery(),
+                                    Policy.Reports.NONE,
+                                    false,
+                                    new Policy.Limits(attempts, copies, false, false, 1000, 0),
+                                    base.bounds(),
+                                    1_000),
+                            9);
             harness.list(ListKind.PERSISTED, Harness.fleet(servers));
             for (int i = 0; i < 400; i++) {
                 harness.request("r" + i, 0, 0, deadline);
                 harness.pass(1_000_000 / rate);
-                harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= latency).toList()
-                    .forEach(s -> harness.end(s, Outcome.OK));
+                harness.sends.stream()
+                        .filter(s -> !s.ended && harness.now - s.at >= latency)
+                        .toList()
+                        .forEach(s -> harness.end(s, Outcome.OK));
             }
             harness.pass(deadline);
-            harness.sends.stream().filter(s -> !s.ended).toList()
-                .forEach(s -> harness.end(s, Outcome.TIMEOUT));
+            harness.sends.stream()
+                    .filter(s -> !s.ended)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.TIMEOUT));
             harness.pass(deadline);
             assertEquals(400, harness.finals.size());
             assertEquals(0, harness.doubleFinals);
@@ -97,16 +163,20 @@
 
     @Test
     void memoryDoesNotGrowWithTime() throws ReflectiveOperationException {
-        Harness harness = new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(4));
+        Harness harness =
+                new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(4));
         for (int i = 0; i < 30_000; i++) {
             Harness.Sent sent = harness.request("r" + i, 0);
             harness.pass(5_000);
-            harness.sends.stream().filter(s -> !s.ended).toList()
-                .forEach(s -> harness.end(s, s.number % 7 == 6 ? Outcome.ERROR : Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended)
+                    .toList()
+                    .forEach(s -> harness.end(s, s.number % 7 == 6 ? Outcome.ERROR : Outcome.OK));
             if (i % 50 == 0) {
                 // Machines come and go under new names
-                harness.list(ListKind.COMPLETE,
-                    List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
+                harness.list(
+                        ListKind.COMPLETE,
+                        List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
                 harness.sends.clear();
                 harness.attempts.clear();
                 harness.finals.clear();
@@ -121,13 +191,19 @@
 
     @Test
     void theReadmeQuotesLogLinesThatTheModuleWrites() throws IOException {
-        String rules = Files.readString(Path.of("src/main/java/junctionhead/Balance.java"))
-            + Files.readString(Path.of("src/main/java/junctionhead/Exclusion.java"));
+        String rules =
+                Files.readString(Path.of("src/main/java/junctionhead/Balance.java"))
+                        + Files.readString(Path.of("src/main/java/junctionhead/Exclusion.java"));
         String page = Files.readString(Path.of("../README.md"));
-        for (String line : List.of("overload: refusing, level ", "ejected ", " ms after failures",
-                "recovered ", "discovery failed ", " times, asking again")) {
-            assertTrue(rules.contains(line),
-                "the module writes: " + line);
+        for (String line :
+                List.of(
+                        "overload: refusing, level ",
+                        "ejected ",
+                        " ms after failures",
+                        "recovered ",
+                        "discovery failed ",
+                        " times, asking again")) {
+            assertTrue(rules.contains(line), "the module writes: " + line);
             assertTrue(page.contains(line.strip()), "the README names: " + line);
         }
     }
--- a/balancer/src/test/java/junctionhead/ListCost.java
+++ b/balancer/src/test/java/junctionhead/ListCost.java
@@ -12,9 +12,9 @@
 import junctionhead.Policy.State;
 
 /**
- * What the module spends on its list, by the number of servers: CPU and bytes allocated for an idle wake that
- * looks at them, for one changed entry and for a whole list, and live heap for each. Played by hand:
- * {@code docs/design/list.md} says how.
+ * What the module spends on its list, by the number of servers: CPU and bytes allocated for an idle
+ * wake that looks at them, for one changed entry and for a whole list, and live heap for each.
+ * Played by hand: {@code docs/design/list.md} says how.
  */
 final class ListCost {
     static final long REFRESH = 100_000;
@@ -33,8 +33,11 @@
 
     /** Four classes, three zones, four kinds; one balancer that hears of no other. */
     static Policy.Settings settings() {
-        return Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL), Harness.kind(Effect.UNSAFE, Scope.ALL),
-            Harness.kind(Effect.KEYED, Scope.ZONE), Harness.kind(Effect.KEYED, Scope.CELL));
+        return Harness.settings(
+                Harness.kind(Effect.SAFE, Scope.ALL),
+                Harness.kind(Effect.UNSAFE, Scope.ALL),
+                Harness.kind(Effect.KEYED, Scope.ZONE),
+                Harness.kind(Effect.KEYED, Scope.CELL));
     }
 
     static List<Server> fleet(int servers) {
@@ -57,7 +60,9 @@
     /** One server leaves; the next time it is back. */
     void change() {
         int i = (int) (changes / 2 * 7919 % fleet.size());
-        harness.list(ListKind.PARTIAL, List.of(server(i, changes++ % 2 == 0 ? State.DRAINING : State.UP)));
+        harness.list(
+                ListKind.PARTIAL,
+                List.of(server(i, changes++ % 2 == 0 ? State.DRAINING : State.UP)));
     }
 
     /** The same list as a whole. */
@@ -115,8 +120,13 @@
 
     private static void measure(String what, int servers, Runnable work, int times) {
         micros(work, 2 * times);
-        System.out.printf(Locale.ROOT, "%6d servers, %-18s %10.1f us %10d bytes%n", servers, what,
-            micros(work, times), allocated(work, times));
+        System.out.printf(
+                Locale.ROOT,
+                "%6d servers, %-18s %10.1f us %10d bytes%n",
+                servers,
+                what,
+                micros(work, times),
+                allocated(work, times));
     }
 
     public static void main(String[] sizes) {
@@ -124,16 +134,23 @@
         liveEach(1_000);
         for (String size : sizes) {
             int servers = Integer.parseInt(size);
-            System.out.printf(Locale.ROOT, "%6d servers, live heap      %10d bytes each%n", servers,
-                liveEach(servers));
+            System.out.printf(
+                    Locale.ROOT,
+                    "%6d servers, live heap      %10d bytes each%n",
+                    servers,
+                    liveEach(servers));
             ListCost cost = new ListCost(servers);
             measure("idle look", servers, cost::idle, 500);
             measure("request", servers, cost::request, 500);
             measure("one change", servers, cost::change, 200);
-            measure("change and request", servers, () -> {
-                cost.change();
-                cost.request();
-            }, 200);
+            measure(
+                    "change and request",
+                    servers,
+                    () -> {
+                        cost.change();
+                        cost.request();
+                    },
+                    200);
             measure("whole list", servers, cost::whole, 20);
         }
     }
--- a/balancer/src/test/java/junctionhead/ListCostTest.java
+++ b/balancer/src/test/java/junctionhead/ListCostTest.java
@@ -30,8 +30,9 @@
     private static void growsLittle(Consumer<ListCost> work) {
         long small = bytes(SMALL, work);
         long large = bytes(LARGE, work);
-        assertTrue(large <= FACTOR * small + 512,
-            small + " bytes at " + SMALL + ", " + large + " at " + LARGE);
+        assertTrue(
+                large <= FACTOR * small + 512,
+                small + " bytes at " + SMALL + ", " + large + " at " + LARGE);
     }
 
     @Test
@@ -46,31 +47,38 @@
 
     @Test
     void aRequestAfterAChangeAllocatesAsMuchForAnyList() {
-        growsLittle(cost -> {
-            cost.change();
-            cost.request();
-        });
+        growsLittle(
+                cost -> {
+                    cost.change();
+                    cost.request();
+                });
     }
 
     /** Servers that an idle look meets: none, of 14,000 that were never sent to. */
     @Test
     void anIdleLookMeetsNoOrdinaryServer() {
         Roster roster = new Roster(ListCost.settings(), new SplittableRandom(1));
-        roster.update(ListCost.fleet(LARGE), false, 0, line -> { });
+        roster.update(ListCost.fleet(LARGE), false, 0, line -> {});
         roster.tidy(n -> true, 0);
         int[] met = {0};
-        roster.tidy(n -> {
-            met[0]++;
-            return true;
-        }, 0);
-        roster.share(zone -> 1, n -> {
-            met[0]++;
-            return 1;
-        });
-        roster.tallies(n -> {
-            met[0]++;
-            return false;
-        }, zone -> 0);
+        roster.tidy(
+                n -> {
+                    met[0]++;
+                    return true;
+                },
+                0);
+        roster.share(
+                zone -> 1,
+                n -> {
+                    met[0]++;
+                    return 1;
+                });
+        roster.tallies(
+                n -> {
+                    met[0]++;
+                    return false;
+                },
+                zone -> 0);
         assertTrue(met[0] == 0 && roster.watched().isEmpty(), met[0] + " met");
     }
 
@@ -78,27 +86,34 @@
     @Test
     void aChangedEntryMovesItsOwnPointsOnly() {
         Roster roster = new Roster(ListCost.settings(), new SplittableRandom(1));
-        roster.update(ListCost.fleet(LARGE), false, 0, line -> { });
+        roster.update(ListCost.fleet(LARGE), false, 0, line -> {});
         List<Node> all = List.copyOf(roster.listed());
         int[] before = all.stream().mapToInt(n -> n.points).toArray();
         long moves = roster.ring().moves();
-        roster.update(List.of(all.get(77).server.in(Policy.State.DRAINING)), true, 0, line -> { });
-        List<Integer> moved = IntStream.range(0, LARGE).filter(i -> all.get(i).points != before[i]).boxed()
-            .toList();
+        roster.update(List.of(all.get(77).server.in(Policy.State.DRAINING)), true, 0, line -> {});
+        List<Integer> moved =
+                IntStream.range(0, LARGE)
+                        .filter(i -> all.get(i).points != before[i])
+                        .boxed()
+                        .toList();
         assertTrue(moved.equals(List.of(77)), moved + " moved");
-        assertTrue(roster.ring().moves() - moves == before[77],
-            roster.ring().moves() - moves + " points moved");
+        assertTrue(
+                roster.ring().moves() - moves == before[77],
+                roster.ring().moves() - moves + " points moved");
     }
 
-    /** Servers that a walk from home meets: little more than it asks for, also when the list has changed. */
+    /**
+     * Servers that a walk from home meets: little more than it asks for, also when the list has
+     * changed.
+     */
     @Test
     void aWalkFromHomeMeetsFewServersBeyondItsOwn() {
         Roster roster = new Roster(ListCost.settings(), new SplittableRandom(1));
-        roster.update(ListCost.fleet(LARGE), false, 0, line -> { });
+        roster.update(ListCost.fleet(LARGE), false, 0, line -> {});
         Iterator<Node> walk = roster.ring().fromHome();
         Node first = walk.next();
         assertTrue(marked(roster) <= 2 * WALKED, marked(roster) + " met");
-        roster.update(List.of(first.server.in(Policy.State.DRAINING)), true, 0, line -> { });
+        roster.update(List.of(first.server.in(Policy.State.DRAINING)), true, 0, line -> {});
         walk = roster.ring().fromHome();
         for (int i = 0; i < WALKED; i++) {
             walk.next();
--- a/balancer/src/test/java/junctionhead/PeerMessageTest.java
+++ b/balancer/src/test/java/junctionhead/PeerMessageTest.java
@@ -17,16 +17,27 @@
 
     @Test
     void whatIsWrittenIsRead() {
-        PeerMessage message = new PeerMessage(1, 65_535, List.of(new PeerMessage.Queue(8191, 7),
-            new PeerMessage.Queue(0, 1)), List.of(REST), List.of(5, 8191));
+        PeerMessage message =
+                new PeerMessage(
+                        1,
+                        65_535,
+                        List.of(new PeerMessage.Queue(8191, 7), new PeerMessage.Queue(0, 1)),
+                        List.of(REST),
+                        List.of(5, 8191));
         assertEquals(message, PeerMessage.decode(message.encode()));
     }
 
     @Test
     void whatIsTooMuchForItsBitsIsToldAsTheMost() {
-        PeerMessage read = PeerMessage.decode(new PeerMessage(0, 70_000,
-            List.of(new PeerMessage.Queue(1, 900)), List.of(new PeerMessage.Rest(1, 0, 60_000_000)),
-            List.of()).encode());
+        PeerMessage read =
+                PeerMessage.decode(
+                        new PeerMessage(
+                                        0,
+                                        70_000,
+                                        List.of(new PeerMessage.Queue(1, 900)),
+                                        List.of(new PeerMessage.Rest(1, 0, 60_000_000)),
+                                        List.of())
+                                .encode());
         assertEquals(65_535, read.rate());
         assertEquals(7, read.queues().get(0).count());
         assertEquals(25_500_000, read.rests().get(0).left());
@@ -38,17 +49,25 @@
         List<Integer> lost = Collections.nCopies(PeerMessage.LOST_MOST, 9);
         int room = PeerMessage.queuesMost(PeerMessage.BYTES_MOST, rests.size(), lost.size());
         PeerMessage full =
-            new PeerMessage(0, 1, Collections.nCopies(room, new PeerMessage.Queue(1, 1)), rests, lost);
+                new PeerMessage(
+                        0, 1, Collections.nCopies(room, new PeerMessage.Queue(1, 1)), rests, lost);
         assertEquals(PeerMessage.BYTES_MOST, full.encode().length);
         assertEquals(full, PeerMessage.decode(full.encode()));
         List<PeerMessage.Queue> queues = Collections.nCopies(room + 1, new PeerMessage.Queue(1, 1));
-        assertThrows(IllegalArgumentException.class, () -> new PeerMessage(0, 1, queues, rests, lost));
+        assertThrows(
+                IllegalArgumentException.class, () -> new PeerMessage(0, 1, queues, rests, lost));
     }
 
     @Test
     void oneThatIsCutShortOrOfAnotherFormatIsNone() {
-        byte[] whole = new PeerMessage(0, 1, List.of(new PeerMessage.Queue(1, 1)), List.of(REST), List.of())
-            .encode();
+        byte[] whole =
+                new PeerMessage(
+                                0,
+                                1,
+                                List.of(new PeerMessage.Queue(1, 1)),
+                                List.of(REST),
+                                List.of())
+                        .encode();
         assertNotNull(PeerMessage.decode(whole));
         for (int length = 0; length < whole.length; length++) {
             assertNull(PeerMessage.decode(Arrays.copyOf(whole, length)), length + " bytes");
