--- a/balancer/src/test/java/junctionhead/PeersTest.java
+++ b/balancer/src/test/java/junctionhead/PeersTest.java
@@ -27,10 +27,25 @@
     private static Harness harness(int balancers, int rank, boolean mayTell, int servers) {
         Policy.Settings base = Harness.settings(balancers, true, Discovery.PUSH, List.of(), UNSAFE);
         Policy.Limits limits = new Policy.Limits(5, true, true, true, 250_000, 0, mayTell);
-        return new Harness(new Policy.Settings(balancers, rank, 0, base.classes(), base.tenants(),
-            base.overShareWorth(), base.goal(), base.prices(), base.worthByWork(), base.discovery(),
-            base.reports(), base.warmKeys(), limits, base.bounds(), base.tick()), 5)
-            .list(ListKind.PERSISTED, Harness.fleet(servers));
+        return new Harness(
+                        new Policy.Settings(
+                                balancers,
+                                rank,
+                                0,
+                                base.classes(),
+                                base.tenants(),
+                                base.overShareWorth(),
+                                base.goal(),
+                                base.prices(),
+                                base.worthByWork(),
+                                base.discovery(),
+                                base.reports(),
+                                base.warmKeys(),
+                                limits,
+                                base.bounds(),
+                                base.tick()),
+                        5)
+                .list(ListKind.PERSISTED, Harness.fleet(servers));
     }
 
     /** The last message of balancer 1, which has many attempts out at the first two servers. */
@@ -51,12 +66,16 @@
             harness.pass(5_000);
             harness.end(sent, Outcome.OK);
         }
-        return harness.sends.stream().skip(before).filter(s -> s.server.compareTo("s2") < 0).count();
+        return harness.sends.stream()
+                .skip(before)
+                .filter(s -> s.server.compareTo("s2") < 0)
+                .count();
     }
 
     @Test
     void theQueuesThatOthersTellOfAreAvoided() {
-        // Own queues said nothing: sends met 5.7 attempts of all balancers, the mean of all servers.
+        // Own queues said nothing: sends met 5.7 attempts of all balancers, the mean of all
+        // servers.
         Harness harness = harness(14, 0, true, 6);
         harness.policy.peerMessage(harness.now, 1, busy(), harness);
         assertTrue(toTheFirstTwo(harness) == 0, "busy servers are avoided");
@@ -79,14 +98,21 @@
         byte[] busy = busy();
         byte[] other = busy.clone();
         other[0] = 9;
-        for (byte[] data : List.of(new byte[0], new byte[1], new byte[300], other,
-                Arrays.copyOf(busy, busy.length - 1), new byte[] {3, 0, 0, 0, (byte) 255, 0, 0, 0})) {
+        for (byte[] data :
+                List.of(
+                        new byte[0],
+                        new byte[1],
+                        new byte[300],
+                        other,
+                        Arrays.copyOf(busy, busy.length - 1),
+                        new byte[] {3, 0, 0, 0, (byte) 255, 0, 0, 0})) {
             harness.policy.peerMessage(harness.now, 1, data, harness);
         }
         for (int from : new int[] {-1, 0, 14, Integer.MAX_VALUE}) {
             harness.policy.peerMessage(harness.now, from, busy, harness);
         }
-        assertEquals(1, harness.log.stream().filter(l -> l.contains("passed over a message")).count());
+        assertEquals(
+                1, harness.log.stream().filter(l -> l.contains("passed over a message")).count());
         assertTrue(toTheFirstTwo(harness) >= 6, "nothing was learnt");
     }
 
@@ -113,15 +139,25 @@
         assertFalse(harness.told.isEmpty());
     }
 
-    /** Serves requests, twelve at a time, those at {@code s0} failing; returns how many went there. */
+    /**
+     * Serves requests, twelve at a time, those at {@code s0} failing; returns how many went there.
+     */
     private static long failing(Harness harness, int requests) {
         long from = harness.now;
         for (int i = 0; i < requests; i++) {
             harness.request("e" + harness.now + "/" + i, 0);
             if (i % 12 == 11) {
                 harness.pass(100_000);
-                harness.sends.stream().filter(s -> !s.ended).toList()
-                    .forEach(s -> harness.end(s, s.server.equals("s0") ? Outcome.ERROR : Outcome.OK));
+                harness.sends.stream()
+                        .filter(s -> !s.ended)
+                        .toList()
+                        .forEach(
+                                s ->
+                                        harness.end(
+                                                s,
+                                                s.server.equals("s0")
+                                                        ? Outcome.ERROR
+                                                        : Outcome.OK));
             }
         }
         return harness.sentTo("s0", from);
@@ -129,12 +165,14 @@
 
     @Test
     void oneBalancersDiscoveryOfAFailingClassSparesTheOthers() {
-        // Each of fourteen found out by failures of its own: 60 errors a second, a twentieth of all requests.
+        // Each of fourteen found out by failures of its own: 60 errors a second, a twentieth of all
+        // requests.
         Harness finder = harness(14, 1, true, 6);
         assertTrue(failing(finder, 60) >= 2);
         finder.pass(130_000);
         Harness harness = harness(14, 0, true, 6);
-        harness.policy.peerMessage(harness.now, 1, finder.told.get(finder.told.size() - 1), harness);
+        harness.policy.peerMessage(
+                harness.now, 1, finder.told.get(finder.told.size() - 1), harness);
         assertTrue(failing(harness(14, 0, true, 6), 60) >= 1, "untold it would be sent to");
         assertEquals(0, failing(harness, 60), "it rests at once");
         harness.pass(3_000_000);
@@ -148,7 +186,8 @@
         failing(finder, 60);
         finder.pass(130_000);
         Harness harness = harness(14, 0, true, 6);
-        harness.policy.peerMessage(harness.now, 1, finder.told.get(finder.told.size() - 1), harness);
+        harness.policy.peerMessage(
+                harness.now, 1, finder.told.get(finder.told.size() - 1), harness);
         harness.pass(200_000);
         byte[] told = harness.told.get(harness.told.size() - 1);
         assertEquals(List.of(), PeerMessage.decode(told).rests());
@@ -167,7 +206,9 @@
         assertEquals(0, harness.policy.othersRate());
     }
 
-    /** Counted work: what a balancer tells of itself, in 10 s under load, whatever the fleet's size. */
+    /**
+     * Counted work: what a balancer tells of itself, in 10 s under load, whatever the fleet's size.
+     */
     @ParameterizedTest
     @ValueSource(ints = {34, 100, 400, 1_600})
     void aLargeFleetsBalancerTellsNoMoreThanItsPart(int balancers) {
@@ -177,8 +218,14 @@
             harness.request("r" + i, 0);
             harness.pass(10_000);
             if (i % 50 == 0) {
-                mates.forEach(from -> harness.policy.peerMessage(harness.now, from,
-                    new PeerMessage(0, 70, List.of(), List.of(), List.of()).encode(), harness));
+                mates.forEach(
+                        from ->
+                                harness.policy.peerMessage(
+                                        harness.now,
+                                        from,
+                                        new PeerMessage(0, 70, List.of(), List.of(), List.of())
+                                                .encode(),
+                                        harness));
             }
         }
         long bytes = harness.told.stream().mapToLong(data -> data.length).sum();
@@ -186,10 +233,17 @@
         assertTrue(bytes <= 10 * 2_700, bytes + " bytes in 10 s");
         assertFalse(harness.toldTo.contains(-1), "not to all");
         assertFalse(harness.toldTo.contains(balancers - 1), "not to itself");
-        Set<Integer> byWord = IntStream.range(0, harness.told.size()).filter(i -> harness.told.get(i)[0] == 3)
-            .mapToObj(harness.toldTo::get).collect(Collectors.toSet());
-        assertEquals(IntStream.rangeClosed(1, 16).boxed().flatMap(i -> Stream.of(i - 1, balancers - 1 - i))
-            .collect(Collectors.toSet()), byWord);
+        Set<Integer> byWord =
+                IntStream.range(0, harness.told.size())
+                        .filter(i -> harness.told.get(i)[0] == 3)
+                        .mapToObj(harness.toldTo::get)
+                        .collect(Collectors.toSet());
+        assertEquals(
+                IntStream.rangeClosed(1, 16)
+                        .boxed()
+                        .flatMap(i -> Stream.of(i - 1, balancers - 1 - i))
+                        .collect(Collectors.toSet()),
+                byWord);
     }
 
     @Test
@@ -205,7 +259,9 @@
     void aFleetPastTheLimitIsToldSoOnceAndGoesOnWithNeighbours() {
         Harness harness = harness(1_825, 0, true, 6);
         harness.pass(5_000_000);
-        assertEquals(1, harness.log.stream().filter(l -> l.contains("fleet reach 1824 balancers")).count());
+        assertEquals(
+                1,
+                harness.log.stream().filter(l -> l.contains("fleet reach 1824 balancers")).count());
         assertEquals(32, Set.copyOf(harness.toldTo).size());
     }
 
@@ -221,15 +277,19 @@
         }
         harness.told.clear();
         harness.pass(8_000_000);
-        Set<Integer> lost = harness.told.stream().filter(data -> data[0] == 3)
-            .flatMap(data -> PeerMessage.decode(data).lost().stream()).collect(Collectors.toSet());
+        Set<Integer> lost =
+                harness.told.stream()
+                        .filter(data -> data[0] == 3)
+                        .flatMap(data -> PeerMessage.decode(data).lost().stream())
+                        .collect(Collectors.toSet());
         assertTrue(lost.size() > 7, "more than one message holds: " + lost.size());
     }
 
     /** A fleet of a hundred, the told datagrams handed over every 50 ms, one in ten lost. */
     @Test
     void whatAHundredGetIsKnownToEach() {
-        List<Harness> fleet = IntStream.range(0, 100).mapToObj(rank -> harness(100, rank, true, 20)).toList();
+        List<Harness> fleet =
+                IntStream.range(0, 100).mapToObj(rank -> harness(100, rank, true, 20)).toList();
         SplittableRandom random = new SplittableRandom(3);
         run(fleet, 8_000_000, random);
         double all = 0;
--- a/balancer/src/test/java/junctionhead/RandomFourRulesTest.java
+++ b/balancer/src/test/java/junctionhead/RandomFourRulesTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The four rules over random legal events, judged by a checker that is itself shown to catch violations. */
+/**
+ * The four rules over random legal events, judged by a checker that is itself shown to catch
+ * violations.
+ */
 class RandomFourRulesTest {
     private static final long SLACK = 20_000;
 
@@ -60,9 +63,12 @@
                 if (mayHaveRun && k.kind.effect() == Effect.UNSAFE) {
                     return "an unsafe effect may happen twice";
                 }
-                boolean outside = k.kind.scope() == Scope.CELL && k.servers.get(i).cell() != to.cell()
-                    || k.kind.scope() == Scope.ZONE && k.servers.get(i).zone() != to.zone();
-                if (mayHaveRun && k.kind.effect() == Effect.KEYED
+                boolean outside =
+                        k.kind.scope() == Scope.CELL && k.servers.get(i).cell() != to.cell()
+                                || k.kind.scope() == Scope.ZONE
+                                        && k.servers.get(i).zone() != to.zone();
+                if (mayHaveRun
+                        && k.kind.effect() == Effect.KEYED
                         && (outside || now - k.at.get(i) >= k.kind.keyMemory())) {
                     return "a keyed request left its group or window";
                 }
@@ -83,14 +89,19 @@
                 return "answered too late";
             }
             boolean mayHaveRun = k.ended.stream().anyMatch(o -> o == null || !o.neverRan());
-            boolean harmless = k.kind.effect() == Effect.SAFE
-                || k.kind.effect() == Effect.KEYED && k.kind.scope() == Scope.ALL;
-            return how.equals("refused") && mayHaveRun && !harmless ? "refused though it may have run" : null;
+            boolean harmless =
+                    k.kind.effect() == Effect.SAFE
+                            || k.kind.effect() == Effect.KEYED && k.kind.scope() == Scope.ALL;
+            return how.equals("refused") && mayHaveRun && !harmless
+                    ? "refused though it may have run"
+                    : null;
         }
 
         String atTheEnd(long now) {
-            return requests.values().stream().anyMatch(k -> k.answer == null && now > k.deadline + SLACK)
-                ? "a request was lost" : null;
+            return requests.values().stream()
+                            .anyMatch(k -> k.answer == null && now > k.deadline + SLACK)
+                    ? "a request was lost"
+                    : null;
         }
     }
 
@@ -136,9 +147,13 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void randomEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<RequestClass> kinds = List.of(Harness.kind(Effect.SAFE, Scope.ALL),
-            Harness.kind(Effect.UNSAFE, Scope.ALL), Harness.kind(Effect.KEYED, Scope.ALL),
-            Harness.kind(Effect.KEYED, Scope.CELL), Harness.kind(Effect.KEYED, Scope.ZONE));
+        List<RequestClass> kinds =
+                List.of(
+                        Harness.kind(Effect.SAFE, Scope.ALL),
+                        Harness.kind(Effect.UNSAFE, Scope.ALL),
+                        Harness.kind(Effect.KEYED, Scope.ALL),
+                        Harness.kind(Effect.KEYED, Scope.CELL),
+                        Harness.kind(Effect.KEYED, Scope.ZONE));
         Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
         Map<String, Server> servers = new HashMap<>();
@@ -157,8 +172,11 @@
             } else if (what < 80 && !out.isEmpty()) {
                 Harness.Sent s = out.get(random.nextInt(out.size()));
                 Outcome[] all = Outcome.values();
-                end(harness, checker, s, random.nextInt(3) > 0 ? Outcome.OK
-                    : all[random.nextInt(all.length - 1)]);
+                end(
+                        harness,
+                        checker,
+                        s,
+                        random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length - 1)]);
             } else if (what < 84) {
                 String id = "s" + random.nextInt(8);
                 servers.computeIfPresent(id, (i, s) -> s.in(State.values()[random.nextInt(3)]));
@@ -189,7 +207,8 @@
         harness.end(s, outcome);
     }
 
-    private static int sends(Harness harness, Checker checker, Map<String, Server> servers, int from) {
+    private static int sends(
+            Harness harness, Checker checker, Map<String, Server> servers, int from) {
         for (int i = from; i < harness.sends.size(); i++) {
             Harness.Sent s = harness.sends.get(i);
             Server to = servers.get(s.server);
@@ -208,19 +227,22 @@
         for (int i = 0; i < 1500; i++) {
             // 40 answers a second from each of 5
             if (i == 500) {
-                harness.list(ListKind.PARTIAL,
-                    List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
+                harness.list(
+                        ListKind.PARTIAL,
+                        List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
             }
             for (int j = 0; j < 4; j++) {
                 harness.request("x" + i + "/" + j, 0);
             }
             harness.pass(10_000 + random.nextLong(20_000));
-            harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= 30_000).toList()
-                .forEach(s -> harness.end(s, Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended && harness.now - s.at >= 30_000)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.OK));
             started = i < 500 ? harness.now : started;
         }
         List<Long> sends =
-            harness.sends.stream().filter(s -> s.server.equals("cold")).map(s -> s.at).toList();
+                harness.sends.stream().filter(s -> s.server.equals("cold")).map(s -> s.at).toList();
         assertTrue(sends.size() > 20, "it is used: " + sends.size());
         assertNull(cold(sends, started, 40, settings.bounds()));
     }
--- a/balancer/src/test/java/junctionhead/RandomOrderAndPlacementTest.java
+++ b/balancer/src/test/java/junctionhead/RandomOrderAndPlacementTest.java
@@ -22,7 +22,10 @@
 
 /** Order and placement over random legal sequences of events, against a checker of its own. */
 class RandomOrderAndPlacementTest {
-    /** Knows the requests of a key in the order taken and what was sent; says what is wrong with a send. */
+    /**
+     * Knows the requests of a key in the order taken and what was sent; says what is wrong with a
+     * send.
+     */
     private static final class Checker {
         private final Map<String, List<String>> taken = new LinkedHashMap<>();
         private final Map<String, String> keyOf = new LinkedHashMap<>();
@@ -61,8 +64,11 @@
 
         static String placed(RequestClass kind, Server server) {
             boolean zone = kind.zones().isEmpty() || kind.zones().contains(server.zone());
-            boolean machine = kind.machineKinds().isEmpty() || kind.machineKinds().contains(server.kind());
-            return zone && machine ? null : "sent to " + server.id() + ", which is not open to the class";
+            boolean machine =
+                    kind.machineKinds().isEmpty() || kind.machineKinds().contains(server.kind());
+            return zone && machine
+                    ? null
+                    : "sent to " + server.id() + ", which is not open to the class";
         }
     }
 
@@ -84,18 +90,33 @@
         assertEquals(null, Checker.placed(bound, new Server("s", State.UP, 0, 1, 0, 0, 1)));
     }
 
-    private static RequestClass kind(Effect effect, boolean inOrder, Set<Integer> zones, Set<Integer> kinds) {
-        return new RequestClass(effect, Scope.ALL, 2_000_000, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false,
-            inOrder, zones, kinds);
+    private static RequestClass kind(
+            Effect effect, boolean inOrder, Set<Integer> zones, Set<Integer> kinds) {
+        return new RequestClass(
+                effect,
+                Scope.ALL,
+                2_000_000,
+                Harness.AIM,
+                Harness.DEADLINE,
+                0,
+                1,
+                0.3,
+                false,
+                inOrder,
+                zones,
+                kinds);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void randomEventsKeepOrderAndPlacement(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<RequestClass> kinds = List.of(kind(Effect.SAFE, true, Set.of(), Set.of()),
-            kind(Effect.UNSAFE, true, Set.of(0), Set.of()), kind(Effect.KEYED, false, Set.of(), Set.of(1)),
-            kind(Effect.SAFE, false, Set.of(1), Set.of(0)));
+        List<RequestClass> kinds =
+                List.of(
+                        kind(Effect.SAFE, true, Set.of(), Set.of()),
+                        kind(Effect.UNSAFE, true, Set.of(0), Set.of()),
+                        kind(Effect.KEYED, false, Set.of(), Set.of(1)),
+                        kind(Effect.SAFE, false, Set.of(1), Set.of(0)));
         Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
         Map<String, Integer> classOf = new LinkedHashMap<>();
@@ -121,9 +142,12 @@
                 if (!out.isEmpty()) {
                     Harness.Sent sent = out.get(random.nextInt(out.size()));
                     Outcome[] all = Outcome.values();
-                    Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK
-                        : all[random.nextInt(all.length - 1)];
-                    checked = end(harness, checker, sent, outcome, checked, kinds, classOf, servers);
+                    Outcome outcome =
+                            random.nextInt(3) > 0
+                                    ? Outcome.OK
+                                    : all[random.nextInt(all.length - 1)];
+                    checked =
+                            end(harness, checker, sent, outcome, checked, kinds, classOf, servers);
                 }
             } else if (what < 84) {
                 Server s = servers.get("s" + random.nextInt(8));
@@ -142,8 +166,15 @@
         assertTrue(checked > 500, "enough was sent: " + checked);
     }
 
-    private static int end(Harness harness, Checker checker, Harness.Sent sent, Outcome outcome, int checked,
-            List<RequestClass> kinds, Map<String, Integer> classOf, Map<String, Server> servers) {
+    private static int end(
+            Harness harness,
+            Checker checker,
+            Harness.Sent sent,
+            Outcome outcome,
+            int checked,
+            List<RequestClass> kinds,
+            Map<String, Integer> classOf,
+            Map<String, Server> servers) {
         checker.ended(sent.request, outcome, harness.now);
         if (outcome == Outcome.OK) {
             checker.over.put(sent.request, true);
@@ -152,14 +183,20 @@
         return check(harness, checker, checked, kinds, classOf, servers);
     }
 
-    private static int check(Harness harness, Checker checker, int from, List<RequestClass> kinds,
-            Map<String, Integer> classOf, Map<String, Server> servers) {
+    private static int check(
+            Harness harness,
+            Checker checker,
+            int from,
+            List<RequestClass> kinds,
+            Map<String, Integer> classOf,
+            Map<String, Server> servers) {
         harness.finals.keySet().forEach(id -> checker.over.put(id, true));
         int checked = from;
         for (; checked < harness.sends.size(); checked++) {
             Harness.Sent s = harness.sends.get(checked);
             assertEquals(null, checker.send(s.request, s.at));
-            assertEquals(null, Checker.placed(kinds.get(classOf.get(s.request)), servers.get(s.server)));
+            assertEquals(
+                    null, Checker.placed(kinds.get(classOf.get(s.request)), servers.get(s.server)));
         }
         return checked;
     }
--- a/balancer/src/test/java/junctionhead/RosterTest.java
+++ b/balancer/src/test/java/junctionhead/RosterTest.java
@@ -23,8 +23,9 @@
 
 /** A list that is mended by each change is the list that would have been made anew. */
 class RosterTest {
-    private static final double[][] WEIGHTS =
-        {{1}, {1, 1.5, 2, 0.5}, {1, 1.35, 1.7, 2.05}, {0.8}, {3, 1, 0.1, 12}};
+    private static final double[][] WEIGHTS = {
+        {1}, {1, 1.5, 2, 0.5}, {1, 1.35, 1.7, 2.05}, {0.8}, {3, 1, 0.1, 12}
+    };
 
     private final Random random = new Random(3);
 
@@ -43,11 +44,18 @@
     }
 
     private Server any(int id, double[] weights) {
-        double weight = weights[random.nextInt(weights.length)]
-            * (random.nextInt(50) == 0 ? random.nextDouble() : 1);
+        double weight =
+                weights[random.nextInt(weights.length)]
+                        * (random.nextInt(50) == 0 ? random.nextDouble() : 1);
         State[] states = {State.UP, State.UP, State.UP, State.DRAINING, State.GONE};
-        return new Server("s" + id, states[random.nextInt(states.length)], random.nextInt(3), weight,
-            0, random.nextInt(4) - 1, random.nextInt(4) - 1);
+        return new Server(
+                "s" + id,
+                states[random.nextInt(states.length)],
+                random.nextInt(3),
+                weight,
+                0,
+                random.nextInt(4) - 1,
+                random.nextInt(4) - 1);
     }
 
     // The ring by its definition: all points in order, from a point on.
@@ -68,14 +76,20 @@
         Map<Integer, List<Double>> kinds = new LinkedHashMap<>();
         up.forEach(s -> kinds.computeIfAbsent(s.kind(), k -> new ArrayList<>()).add(s.weight()));
         double mean = up.stream().mapToDouble(Server::weight).average().orElse(1);
-        double fast = kinds.values().stream().filter(k -> k.stream().mapToDouble(w -> w).average().orElse(0)
-            >= mean * (1 - 1e-12)).mapToInt(List::size).sum();
+        double fast =
+                kinds.values().stream()
+                        .filter(
+                                k ->
+                                        k.stream().mapToDouble(w -> w).average().orElse(0)
+                                                >= mean * (1 - 1e-12))
+                        .mapToInt(List::size)
+                        .sum();
         return kinds.size() < 2 ? 0.5 : fast / up.size();
     }
 
     private void compare(Roster mended, Collection<Server> list, String step) {
         Roster anew = roster();
-        anew.update(List.copyOf(list), false, 0, line -> { });
+        anew.update(List.copyOf(list), false, 0, line -> {});
         List<Server> up = list.stream().filter(s -> s.state() == State.UP).toList();
         assertEquals(up, mended.listed().stream().map(n -> n.server).toList(), step);
         assertEquals(up, anew.listed().stream().map(n -> n.server).toList(), step);
@@ -120,7 +134,7 @@
                 }
                 list.putAll(news);
                 list.values().removeIf(s -> s.state() == State.GONE);
-                mended.update(List.copyOf(news.values()), !all, 0, line -> { });
+                mended.update(List.copyOf(news.values()), !all, 0, line -> {});
                 compare(mended, list.values(), "seed " + seed + ", step " + step);
             }
         }
@@ -130,18 +144,18 @@
     @Test
     void whoLeftWithWorkIsTheSameWhenItIsBackBeforeThatHasEnded() {
         Roster roster = roster();
-        roster.update(ListCost.fleet(3), false, 0, line -> { });
+        roster.update(ListCost.fleet(3), false, 0, line -> {});
         Node first = roster.listed().get(0);
         first.inFlight = 1;
-        roster.update(List.of(first.server.in(State.GONE)), true, 0, line -> { });
+        roster.update(List.of(first.server.in(State.GONE)), true, 0, line -> {});
         assertEquals(2, roster.listed().size());
-        roster.update(List.of(first.server.in(State.UP)), true, 0, line -> { });
+        roster.update(List.of(first.server.in(State.UP)), true, 0, line -> {});
         assertSame(first, roster.listed().get(0));
-        roster.update(List.of(first.server.in(State.GONE)), true, 0, line -> { });
+        roster.update(List.of(first.server.in(State.GONE)), true, 0, line -> {});
         first.inFlight = 0;
-        roster.update(List.of(), true, 0, line -> { });
+        roster.update(List.of(), true, 0, line -> {});
         assertEquals(null, roster.get(first.server.id()));
-        roster.update(List.of(first.server.in(State.UP)), true, 0, line -> { });
+        roster.update(List.of(first.server.in(State.UP)), true, 0, line -> {});
         assertEquals(first.server.id(), roster.listed().get(2).server.id());
         assertTrue(first != roster.listed().get(2), "it is new");
     }
@@ -149,12 +163,16 @@
     @Test
     void aServerThatStartsAnewTakesTheOldOnesPlace() {
         Roster roster = roster();
-        roster.update(ListCost.fleet(5), false, 0, line -> { });
+        roster.update(ListCost.fleet(5), false, 0, line -> {});
         Server s = roster.listed().get(2).server;
-        roster.update(List.of(
-            new Server(s.id(), State.UP, s.startedAt() + 1, 7, 0, 0, 0)), true, 0, line -> { });
-        assertEquals(List.of("upstream-0", "upstream-1", "upstream-2", "upstream-3", "upstream-4"),
-            ids(roster.listed()));
+        roster.update(
+                List.of(new Server(s.id(), State.UP, s.startedAt() + 1, 7, 0, 0, 0)),
+                true,
+                0,
+                line -> {});
+        assertEquals(
+                List.of("upstream-0", "upstream-1", "upstream-2", "upstream-3", "upstream-4"),
+                ids(roster.listed()));
         assertEquals(7, roster.listed().get(2).server.weight());
         assertEquals(1, ids(roster.ring().fromHome()).stream().filter(s.id()::equals).count());
     }
@@ -164,7 +182,7 @@
     void whatIsOutOfTheOrdinaryIsWatched() {
         Harness harness = new Harness(ListCost.settings(), 1);
         Roster roster = roster();
-        roster.update(ListCost.fleet(300), false, harness.now, line -> { });
+        roster.update(ListCost.fleet(300), false, harness.now, line -> {});
         // Until they have been looked at
         assertEquals(300, roster.watched().size());
         roster.tidy(n -> true, harness.now);
@@ -178,25 +196,27 @@
             exclusion.saidLost(n, now);
             odd.add(n);
         }
-        exclusion.failed(all.get(100), 1, 1_000, 1, now, line -> { });
-        exclusion.failed(all.get(100), 1, 1_000, 1, now, line -> { });
+        exclusion.failed(all.get(100), 1, 1_000, 1, now, line -> {});
+        exclusion.failed(all.get(100), 1, 1_000, 1, now, line -> {});
         odd.add(all.get(100));
         all.get(33).classes[1].heard(now + 1_000_000);
         odd.add(all.get(33));
-        Books.Request request = new Books.Request("r", 0, ListCost.settings().classes().get(0), 0, now, 1, 1,
-            false);
+        Books.Request request =
+                new Books.Request(
+                        "r", 0, ListCost.settings().classes().get(0), 0, now, 1, 1, false);
         new Books.Attempt(all.get(8), request, now).begins(1);
         odd.add(all.get(8));
         roster.tidy(n -> n != all.get(5), now);
-        assertEquals(List.of(all.get(7), all.get(8), all.get(33), all.get(100), all.get(250)),
-            roster.watched());
+        assertEquals(
+                List.of(all.get(7), all.get(8), all.get(33), all.get(100), all.get(250)),
+                roster.watched());
         assertEquals(odd, new HashSet<>(roster.watched()));
-        roster.update(List.of(all.get(100).server.in(State.DRAINING)), true, now, line -> { });
+        roster.update(List.of(all.get(100).server.in(State.DRAINING)), true, now, line -> {});
         assertEquals(4, roster.watched().size());
-        exclusion.failed(all.get(100), 1, 1_000, 1, now, line -> { });
+        exclusion.failed(all.get(100), 1, 1_000, 1, now, line -> {});
         // It is not listed
         assertEquals(4, roster.watched().size());
-        roster.update(List.of(all.get(100).server.in(State.UP)), true, now, line -> { });
+        roster.update(List.of(all.get(100).server.in(State.UP)), true, now, line -> {});
         assertEquals(5, roster.watched().size());
         all.get(8).inFlight = 0;
         roster.tidy(n -> true, now + 60_000_000);
@@ -208,12 +228,15 @@
     void beyondWhatItMayHoldServersAreNotUsedAndALineSaysSo() {
         Harness harness = new Harness(ListCost.settings(), 1);
         harness.list(Policy.ListKind.COMPLETE, ListCost.fleet(Roster.MOST + 3));
-        assertEquals(List.of(harness.now
-            + " remark list: 3 servers beyond the 20000 that it may hold are not used"), harness.log);
+        assertEquals(
+                List.of(
+                        harness.now
+                                + " remark list: 3 servers beyond the 20000 that it may hold are not used"),
+                harness.log);
         harness.pass(2_000_000);
         harness.log.clear();
-        List<Server> others = IntStream.range(0, Roster.MOST).mapToObj(i -> Harness.up("other-" + i))
-            .toList();
+        List<Server> others =
+                IntStream.range(0, Roster.MOST).mapToObj(i -> Harness.up("other-" + i)).toList();
         // The ones before leave room
         harness.list(Policy.ListKind.COMPLETE, others);
         harness.list(Policy.ListKind.PARTIAL, List.of(others.get(0)));
--- a/balancer/src/test/java/junctionhead/StartTest.java
+++ b/balancer/src/test/java/junctionhead/StartTest.java
@@ -16,8 +16,10 @@
 class StartTest {
     @Test
     void noStringJoinIsLinkedWhileTheProgramRuns() throws IOException, URISyntaxException {
-        // Each place that joins strings spun classes of its own when first met: a tenth of a second of CPU.
-        Path classes = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        // Each place that joins strings spun classes of its own when first met: a tenth of a second
+        // of CPU.
+        Path classes =
+                Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         List<Path> all;
         try (Stream<Path> files = Files.walk(classes)) {
             all = files.filter(f -> f.toString().endsWith(".class")).toList();
@@ -29,7 +31,7 @@
     private static boolean joins(Path file) {
         try {
             return new String(Files.readAllBytes(file), StandardCharsets.ISO_8859_1)
-                .contains("makeConcatWithConstants");
+                    .contains("makeConcatWithConstants");
         } catch (IOException e) {
             throw new AssertionError(file + ": " + e, e);
         }
--- a/balancer/src/test/java/junctionhead/WarmingTest.java
+++ b/balancer/src/test/java/junctionhead/WarmingTest.java
@@ -20,15 +20,19 @@
 
     private static Harness balancer(int balancers, int rank) {
         return new Harness(Harness.settings(balancers, true, Discovery.PUSH, List.of(), SAFE), rank)
-            .list(ListKind.PERSISTED, Harness.fleet(WARM));
+                .list(ListKind.PERSISTED, Harness.fleet(WARM));
     }
 
     private static Harness withCold(Harness harness) {
-        return harness.list(ListKind.PARTIAL,
-            List.of(new Policy.Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
+        return harness.list(
+                ListKind.PARTIAL,
+                List.of(new Policy.Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
     }
 
-    /** Brings requests to all balancers in turn, each served at once; returns how many went to "cold". */
+    /**
+     * Brings requests to all balancers in turn, each served at once; returns how many went to
+     * "cold".
+     */
     private static int bring(List<Harness> fleet, int perSecond, int seconds, int[] others) {
         int cold = 0;
         long start = fleet.get(0).now;
@@ -48,7 +52,8 @@
     @ParameterizedTest
     @ValueSource(ints = {20, 100, 1_000})
     void aBurstAfterAQuietTimeKeepsItAtAnyNumberOfBalancers(int balancers) {
-        List<Harness> fleet = IntStream.range(0, balancers).mapToObj(i -> balancer(balancers, i)).toList();
+        List<Harness> fleet =
+                IntStream.range(0, balancers).mapToObj(i -> balancer(balancers, i)).toList();
         int perSecond = 200;
         bring(fleet, perSecond, 10, new int[1]);
         fleet.forEach(WarmingTest::withCold);
@@ -61,19 +66,25 @@
                 cold += sent != null && sent.server.equals("cold") ? 1 : 0;
             }
         }
-        // What the settings allow it in the window of 1 s: 2.5 times its part of what a warm one carries.
+        // What the settings allow it in the window of 1 s: 2.5 times its part of what a warm one
+        // carries.
         double budget = 2.5 * (0.2 + 0.8 * quiet / 20) * perSecond / WARM;
         double most = budget + 2 * Math.sqrt(budget) + 2;
         assertTrue(cold <= most, cold + " at once where " + most + " are allowed in all of 1 s");
     }
 
-    /** Under steady load the budget is used: a third at the least of what a warm one's part comes to. */
+    /**
+     * Under steady load the budget is used: a third at the least of what a warm one's part comes
+     * to.
+     */
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
     void underSteadyLoadItIsUsedAtAnyNumberOfBalancers(int balancers) {
         int perSecond = 500;
-        List<Harness> fleet = IntStream.range(0, balancers)
-            .mapToObj(i -> withCold(balancer(balancers, i))).toList();
+        List<Harness> fleet =
+                IntStream.range(0, balancers)
+                        .mapToObj(i -> withCold(balancer(balancers, i)))
+                        .toList();
         bring(fleet, perSecond, 4, new int[1]);
         int[] warm = new int[1];
         int cold = bring(fleet, perSecond, 4, warm);
--- a/balancer/src/test/java/junctionhead/ZonesTest.java
+++ b/balancer/src/test/java/junctionhead/ZonesTest.java
@@ -40,13 +40,21 @@
     }
 
     private static Books.Node server(int zone) {
-        return new Books.Node(new Policy.Server("s" + zone, Policy.State.UP, 0, 1, 0, 0, zone), 0, 1);
+        return new Books.Node(
+                new Policy.Server("s" + zone, Policy.State.UP, 0, 1, 0, 0, zone), 0, 1);
     }
 
     private boolean tries(int zone, boolean harmless) {
-        Books.Request r = new Books.Request("r", 0, Harness.kind(Policy.Effect.SAFE, Policy.Scope.ALL), 0,
-            now,
-            1_000_000, now + 500_000, false);
+        Books.Request r =
+                new Books.Request(
+                        "r",
+                        0,
+                        Harness.kind(Policy.Effect.SAFE, Policy.Scope.ALL),
+                        0,
+                        now,
+                        1_000_000,
+                        now + 500_000,
+                        false);
         return zones.admits(server(zone), r, harmless, now);
     }
 
@@ -58,8 +66,11 @@
         assertTrue(tries(0, false) && !tries(1, false) && tries(1, true));
         zones.sent(server(1), now);
         assertFalse(tries(1, true));
-        assertEquals(List.of("zone 1 is DOUBTED: 6 of 10 servers out, 0 answering",
-            "zone 1 is LEFT: 6 of 10 servers out, 0 answering"), remarks);
+        assertEquals(
+                List.of(
+                        "zone 1 is DOUBTED: 6 of 10 servers out, 0 answering",
+                        "zone 1 is LEFT: 6 of 10 servers out, 0 answering"),
+                remarks);
     }
 
     @Test
@@ -117,9 +128,12 @@
             lengths.add((now - from) / LOOK);
             zones.ended(server(1), false);
         }
-        assertTrue(lengths.get(2) >= 2 * lengths.get(0) - 1 && lengths.get(3) > lengths.get(2),
-            lengths.toString());
-        assertTrue(lengths.get(7) <= 161 && lengths.get(7) == lengths.get(6).longValue(), lengths.toString());
+        assertTrue(
+                lengths.get(2) >= 2 * lengths.get(0) - 1 && lengths.get(3) > lengths.get(2),
+                lengths.toString());
+        assertTrue(
+                lengths.get(7) <= 161 && lengths.get(7) == lengths.get(6).longValue(),
+                lengths.toString());
     }
 
     @Test
@@ -138,12 +152,13 @@
         assertEquals(State.WHOLE, other.of(-1).state);
     }
 
-    // ------------------------------------------------------------ all that may be seen, in any order
+    // ------------------------------------------------------------ all that may be seen, in any
+    // order
 
     private static final List<Tally> SEEN = List.of(FINE, HALF, GONE, QUIET);
 
     /** A way of looking at three zones, and what was so before. */
-    private record World(List<Books.Zone> zones, long now) { }
+    private record World(List<Books.Zone> zones, long now) {}
 
     private static Zones of(World w) {
         Zones z = new Zones();
@@ -167,9 +182,15 @@
     private static List<Object> print(World w) {
         List<Object> of = new ArrayList<>();
         for (Books.Zone z : w.zones) {
-            of.addAll(Arrays.asList(z.state, Math.min(30, (w.now - z.since) / LOOK), Math.min(4, z.times),
-                z.part,
-                Math.min(2, z.good), Math.min(2, z.bad), Math.max(0, z.calmUntil - w.now) / LOOK));
+            of.addAll(
+                    Arrays.asList(
+                            z.state,
+                            Math.min(30, (w.now - z.since) / LOOK),
+                            Math.min(4, z.times),
+                            z.part,
+                            Math.min(2, z.good),
+                            Math.min(2, z.bad),
+                            Math.max(0, z.calmUntil - w.now) / LOOK));
         }
         return of;
     }
@@ -181,17 +202,25 @@
 
     private static String explore(int states, Check check, BiPredicate<Zones, World> plant) {
         Set<List<Object>> known = new HashSet<>();
-        Deque<World> next = new ArrayDeque<>(List.of(new World(List.of(new Books.Zone(), new Books.Zone(),
-            new Books.Zone()), 1_000_000_000)));
+        Deque<World> next =
+                new ArrayDeque<>(
+                        List.of(
+                                new World(
+                                        List.of(
+                                                new Books.Zone(),
+                                                new Books.Zone(),
+                                                new Books.Zone()),
+                                        1_000_000_000)));
         while (!next.isEmpty() && known.size() < states) {
             World w = next.size() % 2 == 0 ? next.pollLast() : next.pollFirst();
             for (int i = 0; i < 64 * 3; i++) {
-                List<Tally> seen = List.of(SEEN.get(i & 3), SEEN.get(i >> 2 & 3), SEEN.get(i >> 4 & 3));
+                List<Tally> seen =
+                        List.of(SEEN.get(i & 3), SEEN.get(i >> 2 & 3), SEEN.get(i >> 4 & 3));
                 Zones z = of(w);
                 for (int n = 0; n < 3 && i >= 64; n++) {
                     zones(z, n, i >= 128);
                 }
-                z.look(seen, false, w.now + LOOK, line -> { });
+                z.look(seen, false, w.now + LOOK, line -> {});
                 plant.test(z, w);
                 World after = new World(List.of(z.of(0), z.of(1), z.of(2)), w.now + LOOK);
                 String wrong = check.of(w, after, seen);
@@ -240,24 +269,42 @@
 
     @Test
     void plantedFaultsAreFound() {
-        assertEquals("from left to WHOLE", explore(60_000, ZonesTest::check, (z, w) -> {
-            boolean returns = z.of(1).state == State.RETURNING;
-            // All at once
-            z.of(1).state = returns ? State.WHOLE : z.of(1).state;
-            return returns;
-        }));
-        assertEquals("all are left", explore(60_000, ZonesTest::check, (z, w) -> {
-            for (int i = 0; i < 3; i++) {
-                // Own isolation taken for the zones'
-                z.of(i).state = z.of(i).state == State.DOUBTED ? State.LEFT : z.of(i).state;
-            }
-            return true;
-        }));
-        assertEquals("doubt without an end", explore(60_000, ZonesTest::check, (z, w) -> {
-            boolean whole = w.zones.get(0).state == State.DOUBTED && z.of(0).state == State.WHOLE;
-            z.of(0).state = whole ? State.DOUBTED : z.of(0).state;
-            z.of(0).since = whole ? w.zones.get(0).since : z.of(0).since;
-            return whole;
-        }));
+        assertEquals(
+                "from left to WHOLE",
+                explore(
+                        60_000,
+                        ZonesTest::check,
+                        (z, w) -> {
+                            boolean returns = z.of(1).state == State.RETURNING;
+                            // All at once
+                            z.of(1).state = returns ? State.WHOLE : z.of(1).state;
+                            return returns;
+                        }));
+        assertEquals(
+                "all are left",
+                explore(
+                        60_000,
+                        ZonesTest::check,
+                        (z, w) -> {
+                            for (int i = 0; i < 3; i++) {
+                                // Own isolation taken for the zones'
+                                z.of(i).state =
+                                        z.of(i).state == State.DOUBTED ? State.LEFT : z.of(i).state;
+                            }
+                            return true;
+                        }));
+        assertEquals(
+                "doubt without an end",
+                explore(
+                        60_000,
+                        ZonesTest::check,
+                        (z, w) -> {
+                            boolean whole =
+                                    w.zones.get(0).state == State.DOUBTED
+                                            && z.of(0).state == State.WHOLE;
+                            z.of(0).state = whole ? State.DOUBTED : z.of(0).state;
+                            z.of(0).since = whole ? w.zones.get(0).since : z.of(0).since;
+                            return whole;
+                        }));
     }
 }
--- a/balancer/src/test/java/junctionhead/aggregation/BlockSumsTest.java
+++ b/balancer/src/test/java/junctionhead/aggregation/BlockSumsTest.java
@@ -31,7 +31,10 @@
         assertTrue(fleet.worstError() <= ROUNDING, "error " + fleet.worstError());
     }
 
-    /** Counted work: datagrams grow with the fleet's logarithm, bytes by 0.6 a round for each balancer. */
+    /**
+     * Counted work: datagrams grow with the fleet's logarithm, bytes by 0.6 a round for each
+     * balancer.
+     */
     @ParameterizedTest
     @CsvSource({"100, 6, 90", "200, 8, 160", "400, 10, 290", "800, 12, 550", "1600, 14, 1050"})
     void aRoundCostsFewDatagramsWhateverTheFleet(int balancers, int datagrams, int bytes) {
@@ -41,11 +44,15 @@
         long mostBytes = Arrays.stream(fleet.bytes).max().getAsLong();
         // Blocks differ by one balancer: one may tell two in place of one.
         assertTrue(most <= 1.5 * 10 * datagrams, most + " datagrams in 10 rounds");
-        assertTrue(Arrays.stream(fleet.sent).average().getAsDouble() <= 1.05 * 10 * datagrams,
-            Arrays.stream(fleet.sent).average().getAsDouble() + " datagrams in 10 rounds, as a mean");
+        assertTrue(
+                Arrays.stream(fleet.sent).average().getAsDouble() <= 1.05 * 10 * datagrams,
+                Arrays.stream(fleet.sent).average().getAsDouble()
+                        + " datagrams in 10 rounds, as a mean");
         assertTrue(mostBytes <= 1.5 * 10 * bytes, mostBytes + " bytes in 10 rounds");
-        assertTrue(Arrays.stream(fleet.bytes).average().getAsDouble() <= 1.05 * 10 * bytes,
-            Arrays.stream(fleet.bytes).average().getAsDouble() + " bytes in 10 rounds, as a mean");
+        assertTrue(
+                Arrays.stream(fleet.bytes).average().getAsDouble() <= 1.05 * 10 * bytes,
+                Arrays.stream(fleet.bytes).average().getAsDouble()
+                        + " bytes in 10 rounds, as a mean");
         assertTrue(fleet.worstError() <= ROUNDING, "error " + fleet.worstError());
     }
 
@@ -80,7 +87,8 @@
             }
         }
         fleet.run(3 * S);
-        assertTrue(fleet.worstError() <= ROUNDING, "error after their return " + fleet.worstError());
+        assertTrue(
+                fleet.worstError() <= ROUNDING, "error after their return " + fleet.worstError());
     }
 
     @Test
@@ -135,7 +143,9 @@
         fleet.run(3 * S);
         double most = honest * (1 + 8.0 / 100);
         for (int i = 0; i < 1_600; i++) {
-            assertTrue(fleet.total(i).rate() <= most, fleet.total(i).rate() + " at " + i + " of " + honest);
+            assertTrue(
+                    fleet.total(i).rate() <= most,
+                    fleet.total(i).rate() + " at " + i + " of " + honest);
         }
     }
 
@@ -162,7 +172,9 @@
         assertFalse(reader.heard(S, 0, nowhere), "a block that is none");
         assertFalse(reader.heard(S, 100, good), "from nobody");
         assertFalse(reader.heard(S, 0, Arrays.copyOf(good, good.length - 1)), "cut short");
-        assertFalse(reader.heard(S, 0, Arrays.copyOf(good, good.length + 1)), "with something behind it");
+        assertFalse(
+                reader.heard(S, 0, Arrays.copyOf(good, good.length + 1)),
+                "with something behind it");
         assertFalse(reader.heard(S, 0, new byte[0]), "empty");
         assertEquals(before, reader.total(S));
         assertTrue(reader.heard(S, 0, good));
@@ -193,7 +205,9 @@
             fleet.run(S / 10);
             for (int m = 0; m < 100; m++) {
                 if (fleet.alive[m] && fleet.now - died >= BlockSums.FORGET) {
-                    assertFalse(fleet.members.get(m).knows(fleet.now, 1), m + " at " + (fleet.now - died));
+                    assertFalse(
+                            fleet.members.get(m).knows(fleet.now, 1),
+                            m + " at " + (fleet.now - died));
                 }
             }
         }
@@ -217,8 +231,10 @@
 
     @Test
     void sizesPastTheLimitAreRefusedByName() {
-        IllegalArgumentException refused = assertThrows(IllegalArgumentException.class,
-            () -> new Blocks(Blocks.BALANCERS_MOST + 1));
+        IllegalArgumentException refused =
+                assertThrows(
+                        IllegalArgumentException.class,
+                        () -> new Blocks(Blocks.BALANCERS_MOST + 1));
         assertTrue(refused.getMessage().contains("1824"), refused.getMessage());
         assertThrows(IllegalArgumentException.class, () -> new Blocks(0));
     }
@@ -229,7 +245,8 @@
         for (int i = 0; i < 10_000; i++) {
             int rate = random.nextInt(1 << random.nextInt(1, 28));
             int back = BlockSums.lengthen(BlockSums.shorten(rate));
-            assertTrue(back <= rate && rate - back <= rate * ROUNDING, rate + " came back as " + back);
+            assertTrue(
+                    back <= rate && rate - back <= rate * ROUNDING, rate + " came back as " + back);
         }
         assertEquals(4095 << 15, BlockSums.lengthen(BlockSums.shorten(Integer.MAX_VALUE)));
     }
--- a/balancer/src/test/java/junctionhead/aggregation/Fleet.java
+++ b/balancer/src/test/java/junctionhead/aggregation/Fleet.java
@@ -5,7 +5,10 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** A fleet of {@link BlockSums} in simulated time, whose datagrams are late, lost or come twice by a seed. */
+/**
+ * A fleet of {@link BlockSums} in simulated time, whose datagrams are late, lost or come twice by a
+ * seed.
+ */
 final class Fleet {
     // µs between looks
     static final long TICK = 50_000;
@@ -29,7 +32,8 @@
     private final PriorityQueue<Letter> underWay = new PriorityQueue<>();
     private long letters;
 
-    private record Letter(long at, long order, int from, int to, byte[] data) implements Comparable<Letter> {
+    private record Letter(long at, long order, int from, int to, byte[] data)
+            implements Comparable<Letter> {
         @Override
         public int compareTo(Letter other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
@@ -84,15 +88,24 @@
         }
         BlockSums member = members.get(i);
         member.own(clock(i), there, rate);
-        member.tick(clock(i), m -> alive[m], (to, data) -> {
-            sent[i]++;
-            bytes[i] += data.length;
-            for (int copies = random.nextDouble() < twice ? 2 : 1; copies > 0; copies--) {
-                if (random.nextDouble() >= loss) {
-                    underWay.add(new Letter(now + random.nextLong(DELAY_MOST), letters++, i, to, data));
-                }
-            }
-        });
+        member.tick(
+                clock(i),
+                m -> alive[m],
+                (to, data) -> {
+                    sent[i]++;
+                    bytes[i] += data.length;
+                    for (int copies = random.nextDouble() < twice ? 2 : 1; copies > 0; copies--) {
+                        if (random.nextDouble() >= loss) {
+                            underWay.add(
+                                    new Letter(
+                                            now + random.nextLong(DELAY_MOST),
+                                            letters++,
+                                            i,
+                                            to,
+                                            data));
+                        }
+                    }
+                });
     }
 
     long clock(int member) {
--- a/balancer/src/test/java/junctionhead/duties/DutiesTest.java
+++ b/balancer/src/test/java/junctionhead/duties/DutiesTest.java
@@ -36,7 +36,16 @@
         }
 
         void start(int m, boolean durable) {
-            members[m] = new Duties(m, members.length, TERMS, kept.get(m), durable, now / 1000, now + m, now);
+            members[m] =
+                    new Duties(
+                            m,
+                            members.length,
+                            TERMS,
+                            kept.get(m),
+                            durable,
+                            now / 1000,
+                            now + m,
+                            now);
             out[m] = false;
             seen();
         }
@@ -51,9 +60,13 @@
 
         void act(int m, List<Duties.Act> acts) {
             for (Duties.Act act : acts) {
-                if (act instanceof Duties.Send send && members[send.to()] != null && !out[send.to()]
-                    && !out[m]) {
-                    act(send.to(), members[send.to()].heard(now, m, Word.decode(send.word().encode())));
+                if (act instanceof Duties.Send send
+                        && members[send.to()] != null
+                        && !out[send.to()]
+                        && !out[m]) {
+                    act(
+                            send.to(),
+                            members[send.to()].heard(now, m, Word.decode(send.word().encode())));
                 } else if (act instanceof Duties.Keep keep) {
                     kept.set(m, Promise.decode(Promise.encode(keep.promises()), TERMS.slots()));
                     act(m, members[m].kept(now, keep.number(), true));
@@ -72,8 +85,9 @@
         }
 
         int[] holders(int slot) {
-            return IntStream.range(0, members.length).filter(m -> members[m].hold(now, slot) != null)
-                .toArray();
+            return IntStream.range(0, members.length)
+                    .filter(m -> members[m].hold(now, slot) != null)
+                    .toArray();
         }
     }
 
@@ -84,7 +98,8 @@
         assertEquals(0, IntStream.range(0, TERMS.slots()).map(s -> fleet.holders(s).length).sum());
         fleet.pass(1_000 * MS);
         for (int s = 0; s < TERMS.slots(); s++) {
-            assertArrayEquals(new int[] {Spread.holder(s, 5, m -> true)}, fleet.holders(s), "slot " + s);
+            assertArrayEquals(
+                    new int[] {Spread.holder(s, 5, m -> true)}, fleet.holders(s), "slot " + s);
         }
     }
 
@@ -140,7 +155,8 @@
         fleet.seen();
         // The next one dies: it still rests
         fleet.pass(2 * TERMS.lease());
-        assertArrayEquals(new int[] {Spread.holder(0, 5, m -> m != before && m != next)}, fleet.holders(0));
+        assertArrayEquals(
+                new int[] {Spread.holder(0, 5, m -> m != before && m != next)}, fleet.holders(0));
         fleet.act(before, fleet.members[before].rest(fleet.now, false));
         fleet.pass(3 * TERMS.settle());
         assertArrayEquals(new int[] {before}, fleet.holders(0));
@@ -157,8 +173,9 @@
         assertEquals(0, IntStream.range(0, TERMS.slots()).map(s -> fleet.holders(s).length).sum());
         fleet.start(0, true);
         fleet.pass(2 * TERMS.lease());
-        assertEquals(TERMS.slots(), IntStream.range(0, TERMS.slots()).map(s -> fleet.holders(s).length)
-            .sum());
+        assertEquals(
+                TERMS.slots(),
+                IntStream.range(0, TERMS.slots()).map(s -> fleet.holders(s).length).sum());
     }
 
     @Test
@@ -178,8 +195,8 @@
     }
 
     /**
-     * A promise that is not kept yet is not told, and none whose keeping failed; one that is kept binds after
-     * a crash.
+     * A promise that is not kept yet is not told, and none whose keeping failed; one that is kept
+     * binds after a crash.
      */
     @Test
     void promisesAreKeptBeforeTheyAreTold() {
@@ -187,14 +204,18 @@
         long now = TERMS.lease();
         Word ask = new Word(Word.Kind.ASK, 7, 1, List.of(new Word.Entry(3, 100)));
         List<Duties.Act> acts = voter.heard(now, 1, ask);
-        Duties.Keep keep = (Duties.Keep) acts.stream().filter(Duties.Keep.class::isInstance).findAny()
-            .orElseThrow();
+        Duties.Keep keep =
+                (Duties.Keep)
+                        acts.stream().filter(Duties.Keep.class::isInstance).findAny().orElseThrow();
         assertTrue(granted(acts).isEmpty());
         assertTrue(granted(voter.heard(now + 1, 1, ask)).isEmpty());
         assertTrue(granted(voter.kept(now + 2, keep.number(), false)).isEmpty());
-        Duties.Keep again = (Duties.Keep) voter.tick(now + 2_000 * MS).stream()
-            .filter(Duties.Keep.class::isInstance)
-            .findAny().orElseThrow();
+        Duties.Keep again =
+                (Duties.Keep)
+                        voter.tick(now + 2_000 * MS).stream()
+                                .filter(Duties.Keep.class::isInstance)
+                                .findAny()
+                                .orElseThrow();
         assertEquals(List.of(1), granted(voter.kept(now + 2_001 * MS, again.number(), true)));
 
         Duties later = new Duties(0, 3, TERMS, again.promises(), true, 5, 2, 0);
@@ -204,8 +225,10 @@
     }
 
     private static List<Integer> granted(List<Duties.Act> acts) {
-        return acts.stream().filter(a -> a instanceof Duties.Send s && s.word().kind() == Word.Kind.GRANTED)
-            .map(a -> ((Duties.Send) a).to()).toList();
+        return acts.stream()
+                .filter(a -> a instanceof Duties.Send s && s.word().kind() == Word.Kind.GRANTED)
+                .map(a -> ((Duties.Send) a).to())
+                .toList();
     }
 
     // ------------------------------------------------------------ where things belong
@@ -230,15 +253,31 @@
 
     @Test
     void wordsFitInADatagramAndAnyBytesAreReadOrPassedOver() {
-        List<Word.Entry> most = IntStream.range(0, Word.ENTRIES_MOST)
-            .mapToObj(i -> new Word.Entry(i, Word.EPOCH_MOST - i)).toList();
+        List<Word.Entry> most =
+                IntStream.range(0, Word.ENTRIES_MOST)
+                        .mapToObj(i -> new Word.Entry(i, Word.EPOCH_MOST - i))
+                        .toList();
         Word word = new Word(Word.Kind.PASS, Word.PROCESSES - 1, -7, most);
         assertTrue(word.encode().length <= 256);
         assertEquals(word, Word.decode(word.encode()));
-        assertThrows(IllegalArgumentException.class, () -> new Word(Word.Kind.ASK, 0, 0,
-            IntStream.rangeClosed(0, Word.ENTRIES_MOST).mapToObj(i -> new Word.Entry(i, 0)).toList()));
-        assertThrows(IllegalArgumentException.class, () -> new Word(Word.Kind.ASK, 0, 0,
-            List.of(new Word.Entry(0, Word.EPOCH_MOST + 1))));
+        assertThrows(
+                IllegalArgumentException.class,
+                () ->
+                        new Word(
+                                Word.Kind.ASK,
+                                0,
+                                0,
+                                IntStream.rangeClosed(0, Word.ENTRIES_MOST)
+                                        .mapToObj(i -> new Word.Entry(i, 0))
+                                        .toList()));
+        assertThrows(
+                IllegalArgumentException.class,
+                () ->
+                        new Word(
+                                Word.Kind.ASK,
+                                0,
+                                0,
+                                List.of(new Word.Entry(0, Word.EPOCH_MOST + 1))));
         assertNull(Word.decode(Arrays.copyOf(word.encode(), 20)));
         assertNull(Word.decode(new byte[0]));
         SplittableRandom random = new SplittableRandom(1);
@@ -271,6 +310,8 @@
         bytes[0] = -1;
         assertNull(Promise.decode(bytes, 2));
         assertNotNull(new Duties(0, 1, TERMS, null, false, 0, 1, 0));
-        assertThrows(IllegalArgumentException.class, () -> new Duties(0, 1, TERMS, promises, false, 0, 1, 0));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new Duties(0, 1, TERMS, promises, false, 0, 1, 0));
     }
 }
--- a/balancer/src/test/java/junctionhead/membership/MembershipTest.java
+++ b/balancer/src/test/java/junctionhead/membership/MembershipTest.java
@@ -66,8 +66,12 @@
         boolean helped = false;
         for (long now = 6_000_000; status(3) != Status.DEAD && now < 9_000_000; now += 20_000) {
             answered(now, 3);
-            helped |= sent.stream().anyMatch(s -> s.message().kind() == Kind.ASK && s.message()
-                .subject() == 3);
+            helped |=
+                    sent.stream()
+                            .anyMatch(
+                                    s ->
+                                            s.message().kind() == Kind.ASK
+                                                    && s.message().subject() == 3);
             if (seen.isEmpty() || seen.get(seen.size() - 1) != status(3)) {
                 seen.add(status(3));
             }
@@ -102,7 +106,13 @@
     void olderNewsNeverWin() {
         hear(1_000, 1, Kind.TELL, 0, new News(2, Status.LEFT, START));
         assertEquals(Status.LEFT, status(2));
-        hear(2_000, 1, Kind.TELL, 0, new News(2, Status.ALIVE, START), new News(2, Status.DEAD, START - 1));
+        hear(
+                2_000,
+                1,
+                Kind.TELL,
+                0,
+                new News(2, Status.ALIVE, START),
+                new News(2, Status.DEAD, START - 1));
         assertEquals(Status.LEFT, status(2));
         // A datagram of its, from before it left
         hear(3_000, 2, Kind.PING, 1);
@@ -115,7 +125,10 @@
     void whoLeavesSaysSoAndNothingMore() {
         take(member.leave(1_000));
         assertEquals(3, sent.size());
-        assertTrue(sent.stream().allMatch(s -> s.message().news().contains(new News(0, Status.LEFT, START))));
+        assertTrue(
+                sent.stream()
+                        .allMatch(
+                                s -> s.message().news().contains(new News(0, Status.LEFT, START))));
         sent.clear();
         take(member.tick(9_000_000));
         hear(9_000_000, 1, Kind.PING, 1);
@@ -137,13 +150,18 @@
     @Test
     void aQuestionForAnotherIsPassedOnAndItsAnswerBack() {
         take(member.heard(1_000, 1, new Message(Kind.ASK, 3, 77, START, List.of())));
-        Send ping = sent.stream().filter(s -> s.message().kind() == Kind.PING).findFirst().orElseThrow();
+        Send ping =
+                sent.stream()
+                        .filter(s -> s.message().kind() == Kind.PING)
+                        .findFirst()
+                        .orElseThrow();
         assertEquals(3, ping.to());
         sent.clear();
         hear(50_000, 3, Kind.ACK, ping.message().number());
         Send back = sent.get(0);
-        assertEquals(List.of(1, 3, 77),
-            List.of(back.to(), back.message().subject(), back.message().number()));
+        assertEquals(
+                List.of(1, 3, 77),
+                List.of(back.to(), back.message().subject(), back.message().number()));
         sent.clear();
         // Repeated: passed on once only
         hear(60_000, 3, Kind.ACK, ping.message().number());
@@ -183,7 +201,11 @@
     void messagesSurviveTheirBytes() {
         List<News> news = new ArrayList<>();
         for (int i = 0; i < Message.NEWS_MOST; i++) {
-            news.add(new News(Message.MEMBERS_MOST - 1 - i, Status.values()[i % 4], (1L << 48) - 1 - i));
+            news.add(
+                    new News(
+                            Message.MEMBERS_MOST - 1 - i,
+                            Status.values()[i % 4],
+                            (1L << 48) - 1 - i));
         }
         Message message = new Message(Kind.ASK, 16_383, -5, 1_796_166_793_089L, news);
         assertEquals(254, message.encode().length);
@@ -206,8 +228,9 @@
     @Test
     void anyBytesAreTaken() {
         SplittableRandom random = new SplittableRandom(11);
-        byte[] good = new Message(Kind.PING, 1, 3, START, List.of(new News(2, Status.SUSPECTED, START)))
-            .encode();
+        byte[] good =
+                new Message(Kind.PING, 1, 3, START, List.of(new News(2, Status.SUSPECTED, START)))
+                        .encode();
         int read = 0;
         for (int i = 0; i < 200_000; i++) {
             byte[] text = i % 2 == 0 ? good.clone() : new byte[random.nextInt(257)];
--- a/balancer/src/test/java/junctionhead/net/AdminServerTest.java
+++ b/balancer/src/test/java/junctionhead/net/AdminServerTest.java
@@ -28,22 +28,24 @@
 
     @BeforeEach
     void open() throws IOException {
-        door = new AdminServer(new AdminServer.Desk() {
-            @Override
-            public Stats stats() {
-                return stats;
-            }
-
-            @Override
-            public void drain() {
-                asked.add("drain");
-            }
-
-            @Override
-            public void resume() {
-                asked.add("resume");
-            }
-        });
+        door =
+                new AdminServer(
+                        new AdminServer.Desk() {
+                            @Override
+                            public Stats stats() {
+                                return stats;
+                            }
+
+                            @Override
+                            public void drain() {
+                                asked.add("drain");
+                            }
+
+                            @Override
+                            public void resume() {
+                                asked.add("resume");
+                            }
+                        });
         at = door.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
@@ -77,7 +79,8 @@
     @Test
     void readinessAndFiguresAreThoseLastPublished() throws IOException {
         assertTrue(call("ready\n").startsWith("400 "));
-        assertEquals(List.of("EOF"), call("show-stat\n").lines().filter(l -> l.equals("EOF")).toList());
+        assertEquals(
+                List.of("EOF"), call("show-stat\n").lines().filter(l -> l.equals("EOF")).toList());
         Metrics metrics = new Metrics(List.of("read", "book"));
         metrics.answered(0);
         metrics.deferred(1);
@@ -86,7 +89,8 @@
         metrics.sent();
         stats = metrics.stats(true, 3, 9, 2);
         assertTrue(call("ready\r\n").startsWith("200 "));
-        assertEquals("""
+        assertEquals(
+                """
             200 figures
             app.transactions.read.answered:1|c
             app.transactions.read.deferred:0|c
@@ -99,7 +103,8 @@
             app.cluster_size:9|g
             app.cluster_unhealthy:2|g
             EOF
-            """, call("show-stat\n"));
+            """,
+                call("show-stat\n"));
     }
 
     @Test
@@ -118,7 +123,8 @@
 
     @ParameterizedTest
     @CsvSource({"128, true", "129, true", "100000, true"})
-    void aLineAtTheLimitAndOneThatIsTooLongGetAnAnswer(int length, boolean whole) throws IOException {
+    void aLineAtTheLimitAndOneThatIsTooLongGetAnAnswer(int length, boolean whole)
+            throws IOException {
         try (Socket socket = connect()) {
             say(socket, "x".repeat(length) + (whole ? "\n" : ""));
             assertEquals("400", rest(socket).substring(0, 3));
--- a/balancer/src/test/java/junctionhead/net/AnswersTest.java
+++ b/balancer/src/test/java/junctionhead/net/AnswersTest.java
@@ -28,7 +28,7 @@
     @BeforeEach
     void open() throws IOException, InterruptedException {
         upstream = new FakeUpstream();
-        node = Nodes.node(upstream, module, NodeTest.settings(), 1024, line -> { });
+        node = Nodes.node(upstream, module, NodeTest.settings(), 1024, line -> {});
         at = node.start();
         assertEquals("PERSISTED [s1=UP]", module.next());
     }
@@ -40,32 +40,34 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        OK + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-        OK + "Transfer-Encoding: xchunked\r\nContent-Length: 5\r\n\r\nhello",
-        OK + "Transfer-Encoding: identity\r\nContent-Length: 5\r\n\r\nhello",
-        OK + "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-        OK + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-        OK + "Content-Length: 5\r\nContent-Length: 4\r\n\r\nhello",
-        OK + "Content-Length: five\r\n\r\nhello",
-        OK + "Content-Length: 2\r\n\r\nhello",
-        OK + "Content-Length: 0\r\n\r\nhello",
-        OK + "Content-Length: 2\r\n\r\nhi" + OK + "Content-Length: x\r\n\r\nho",
-        OK + "no colon\r\nContent-Length: 2\r\n\r\nhi",
-        OK + "no-colon\r\nContent-Length: 2\r\n\r\nhi",
-        OK + "Content-Length : 2\r\n\r\nhi",
-        OK + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nno colon\r\n\r\n",
-        OK + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\nX",
-        OK + "Transfer-Encoding: chunked\r\n\r\nzz\r\nhi\r\n0\r\n\r\n",
-        OK + "Transfer-Encoding: chunked\r\n\r\n2\r\nhello\r\n0\r\n\r\n",
-        "HTTP/2.0 200 OK\r\nContent-Length: 2\r\n\r\nhi",
-        "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-        "RTSP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi",
-        "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi",
-        "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n",
-        "HTTP/1.1 100 Continue\r\nContent-Length: x\r\n\r\n",
-        "nonsense\r\n\r\n",
-    })
+    @ValueSource(
+            strings = {
+                OK + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+                OK + "Transfer-Encoding: xchunked\r\nContent-Length: 5\r\n\r\nhello",
+                OK + "Transfer-Encoding: identity\r\nContent-Length: 5\r\n\r\nhello",
+                OK + "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+                OK
+                        + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+                OK + "Content-Length: 5\r\nContent-Length: 4\r\n\r\nhello",
+                OK + "Content-Length: five\r\n\r\nhello",
+                OK + "Content-Length: 2\r\n\r\nhello",
+                OK + "Content-Length: 0\r\n\r\nhello",
+                OK + "Content-Length: 2\r\n\r\nhi" + OK + "Content-Length: x\r\n\r\nho",
+                OK + "no colon\r\nContent-Length: 2\r\n\r\nhi",
+                OK + "no-colon\r\nContent-Length: 2\r\n\r\nhi",
+                OK + "Content-Length : 2\r\n\r\nhi",
+                OK + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nno colon\r\n\r\n",
+                OK + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\nX",
+                OK + "Transfer-Encoding: chunked\r\n\r\nzz\r\nhi\r\n0\r\n\r\n",
+                OK + "Transfer-Encoding: chunked\r\n\r\n2\r\nhello\r\n0\r\n\r\n",
+                "HTTP/2.0 200 OK\r\nContent-Length: 2\r\n\r\nhi",
+                "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+                "RTSP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi",
+                "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi",
+                "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n",
+                "HTTP/1.1 100 Continue\r\nContent-Length: x\r\n\r\n",
+                "nonsense\r\n\r\n",
+            })
     void anUnreadableAnswerIsAFailedAttemptThatMayHaveRun(String answer) throws Exception {
         try (Client client = new Client(at)) {
             client.send(NodeTest.SAFE);
@@ -115,16 +117,19 @@
     // ---------------------------------------------------------------- valid answers pass
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        OK + "Content-Length: 5\r\n\r\nhello",
-        OK + "Content-Length: 5\r\nConnection: close\r\n\r\nhello",
-        "HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nhello",
-        "HTTP/1.1 200\r\nContent-Length: 5\r\n\r\nhello",
-        OK + "Transfer-Encoding: Chunked\r\n\r\n3;x=y\r\nhel\r\n02\r\nlo\r\n0\r\nX: y\r\n\r\n",
-        "HTTP/1.1 100 Continue\r\n\r\n" + OK + "Content-Length: 5\r\n\r\nhello",
-        "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + OK
-            + "Content-Length: 5\r\n\r\nhello",
-    })
+    @ValueSource(
+            strings = {
+                OK + "Content-Length: 5\r\n\r\nhello",
+                OK + "Content-Length: 5\r\nConnection: close\r\n\r\nhello",
+                "HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nhello",
+                "HTTP/1.1 200\r\nContent-Length: 5\r\n\r\nhello",
+                OK
+                        + "Transfer-Encoding: Chunked\r\n\r\n3;x=y\r\nhel\r\n02\r\nlo\r\n0\r\nX: y\r\n\r\n",
+                "HTTP/1.1 100 Continue\r\n\r\n" + OK + "Content-Length: 5\r\n\r\nhello",
+                "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"
+                        + OK
+                        + "Content-Length: 5\r\n\r\nhello",
+            })
     void readableAnswersArePassedOnWholeOrInPieces(String answer) throws Exception {
         try (Client client = new Client(at)) {
             client.send(NodeTest.SAFE);
--- a/balancer/src/test/java/junctionhead/net/AttemptsTest.java
+++ b/balancer/src/test/java/junctionhead/net/AttemptsTest.java
@@ -28,10 +28,17 @@
         }
     }
 
-    /** A connection that is chosen while its end, or something that nobody asked for, is arriving. */
+    /**
+     * A connection that is chosen while its end, or something that nobody asked for, is arriving.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"end", "reset", "HTTP/1.1 2",
-        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"})
+    @ValueSource(
+            strings = {
+                "end",
+                "reset",
+                "HTTP/1.1 2",
+                "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
+            })
     void aRestingConnectionOnWhichSomethingArrivesIsNotUsed(String arriving) throws Exception {
         start();
         try (Client client = new Client(at).send(request("r1"))) {
@@ -56,7 +63,10 @@
         }
     }
 
-    /** Both orders: the loop reads the answer before it looks at the clock, or the attempt ended before. */
+    /**
+     * Both orders: the loop reads the answer before it looks at the clock, or the attempt ended
+     * before.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void anAttemptThatEndsInTheTurnOfItsAnswerEndsOnce(boolean answerFirst) throws Exception {
@@ -64,11 +74,14 @@
         module.timeout = 300_000;
         try (Client client = new Client(at).send(request("r1"))) {
             FakeUpstream.Got got = upstream.next();
-            Stall stall = new Stall(node.loop(), () -> {
-                if (!answerFirst) {
-                    module.actions.cancel(module.taken, 0);
-                }
-            });
+            Stall stall =
+                    new Stall(
+                            node.loop(),
+                            () -> {
+                                if (!answerFirst) {
+                                    module.actions.cancel(module.taken, 0);
+                                }
+                            });
             got.answer(200, "", "r1");
             long over = System.nanoTime() + 300_000_000;
             while (System.nanoTime() < over) {
--- a/balancer/src/test/java/junctionhead/net/ClosedDoor.java
+++ b/balancer/src/test/java/junctionhead/net/ClosedDoor.java
@@ -9,7 +9,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An upstream whose connections come up only once the test lets them: its queue of waiting ones is full. */
+/**
+ * An upstream whose connections come up only once the test lets them: its queue of waiting ones is
+ * full.
+ */
 final class ClosedDoor implements Closeable {
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final List<Socket> sockets = new ArrayList<>();
--- a/balancer/src/test/java/junctionhead/net/Crossing.java
+++ b/balancer/src/test/java/junctionhead/net/Crossing.java
@@ -15,20 +15,30 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A balancer over loopback sockets for tests of what is still owed, or arriving, in the very turn in which
- * something ends: see docs/design/endings.md.
+ * A balancer over loopback sockets for tests of what is still owed, or arriving, in the very turn
+ * in which something ends: see docs/design/endings.md.
  */
 @Timeout(60)
 abstract class Crossing {
-    /** A module that may leave attempts of those who left alone, say no to a late write, or try once more. */
+    /**
+     * A module that may leave attempts of those who left alone, say no to a late write, or try once
+     * more.
+     */
     static final class Module extends Scripted {
         volatile boolean cancels = true;
         volatile boolean mayBegin = true;
         volatile boolean triesAgain;
 
         @Override
-        public void outcome(long now, String request, int attempt, Outcome outcome, long latency,
-                boolean closed, Load load, Actions out) {
+        public void outcome(
+                long now,
+                String request,
+                int attempt,
+                Outcome outcome,
+                long latency,
+                boolean closed,
+                Load load,
+                Actions out) {
             if (triesAgain && !closed && outcome == Outcome.FULL) {
                 told.add("again");
                 out.send(request, "s1", 0);
@@ -75,12 +85,44 @@
 
     final void start(String endpoint) throws IOException, InterruptedException {
         Map<String, Object> settings = NodeTest.settings();
-        settings.put("Limits", Map.of("TryLimit", 3, "MayDuplicate", true, "Cancel", true, "Probes", true,
-            "DialTimeout", 30_000_000, "IdleClose", 30_000_000));
-        node = new Node(Config.of(Map.of(), Map.of("name", "n1", "listen", "127.0.0.1:0", "discovery",
-            "127.0.0.1:9", "seed", "1", "settings", settings, "known", JSON.std.mapFrom(
-                "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s1\",\"endpoint\":\"" + endpoint
-                + "\",\"state\":\"in_service\",\"boot_ms\":0}]}"))), (s, seed) -> module, false, line -> { });
+        settings.put(
+                "Limits",
+                Map.of(
+                        "TryLimit",
+                        3,
+                        "MayDuplicate",
+                        true,
+                        "Cancel",
+                        true,
+                        "Probes",
+                        true,
+                        "DialTimeout",
+                        30_000_000,
+                        "IdleClose",
+                        30_000_000));
+        node =
+                new Node(
+                        Config.of(
+                                Map.of(),
+                                Map.of(
+                                        "name",
+                                        "n1",
+                                        "listen",
+                                        "127.0.0.1:0",
+                                        "discovery",
+                                        "127.0.0.1:9",
+                                        "seed",
+                                        "1",
+                                        "settings",
+                                        settings,
+                                        "known",
+                                        JSON.std.mapFrom(
+                                                "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s1\",\"endpoint\":\""
+                                                        + endpoint
+                                                        + "\",\"state\":\"in_service\",\"boot_ms\":0}]}"))),
+                        (s, seed) -> module,
+                        false,
+                        line -> {});
         at = node.start();
         assertEquals("PERSISTED [s1=UP]", module.next());
     }
@@ -94,7 +136,8 @@
     }
 
     /** The next that reaches the upstream is {@code id}; its client gets that as its answer. */
-    final FakeUpstream.Got serves(Client client, String id) throws IOException, InterruptedException {
+    final FakeUpstream.Got serves(Client client, String id)
+            throws IOException, InterruptedException {
         FakeUpstream.Got got = upstream.next();
         assertEquals(id, got.header("Req-Id"));
         got.answer(200, "", id);
--- a/balancer/src/test/java/junctionhead/net/DescriptorsTest.java
+++ b/balancer/src/test/java/junctionhead/net/DescriptorsTest.java
@@ -20,7 +20,9 @@
         return opened;
     }
 
-    /** An old process and a new one each start from their half; what both hold beside is kept twice. */
+    /**
+     * An old process and a new one each start from their half; what both hold beside is kept twice.
+     */
     @Test
     void twoProcessesAtTheirLimitsStayWithinThatOfTheBalancer() {
         Descriptors fresh = new Descriptors(384, true);
--- a/balancer/src/test/java/junctionhead/net/DiscoveryTest.java
+++ b/balancer/src/test/java/junctionhead/net/DiscoveryTest.java
@@ -41,11 +41,26 @@
         settings.put("MembershipMode", "push");
         Map<String, String> values = new HashMap<>();
         Config.flatten("", settings, values);
-        SettingsReader.Boot boot = SettingsReader.read(values,
-            (path, what) -> new IllegalStateException(path));
-        discovery = new Discovery(loop, Targets.address(agent.address()), boot, 41,
-            (kind, targets) -> news.add(kind + " " + (targets == null ? "" : targets.rev() + " "
-                + targets.list().stream().map(t -> t.server().id()).toList())), line -> { });
+        SettingsReader.Boot boot =
+                SettingsReader.read(values, (path, what) -> new IllegalStateException(path));
+        discovery =
+                new Discovery(
+                        loop,
+                        Targets.address(agent.address()),
+                        boot,
+                        41,
+                        (kind, targets) ->
+                                news.add(
+                                        kind
+                                                + " "
+                                                + (targets == null
+                                                        ? ""
+                                                        : targets.rev()
+                                                                + " "
+                                                                + targets.list().stream()
+                                                                        .map(t -> t.server().id())
+                                                                        .toList())),
+                        line -> {});
         loop.execute(discovery::start);
     }
 
@@ -56,8 +71,13 @@
     }
 
     private static String list(int rev, boolean all, String id) {
-        return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[{\"uid\":\"" + id
-            + "\",\"endpoint\":\"127.0.0.1:80\",\"state\":\"in_service\"}]}";
+        return "{\"rev\":"
+                + rev
+                + ",\"all\":"
+                + all
+                + ",\"targets\":[{\"uid\":\""
+                + id
+                + "\",\"endpoint\":\"127.0.0.1:80\",\"state\":\"in_service\"}]}";
     }
 
     private static String chunk(String text) {
@@ -70,7 +90,10 @@
         return watch;
     }
 
-    /** Answers the newest watch from there until one has heard: a call is given up while a test is slow. */
+    /**
+     * Answers the newest watch from there until one has heard: a call is given up while a test is
+     * slow.
+     */
     private FakeUpstream.Got answers(int rev, String text, String expected) throws Exception {
         while (true) {
             FakeUpstream.Got watch = watchFrom(rev);
@@ -95,7 +118,10 @@
         return String.valueOf(news.poll(20, TimeUnit.SECONDS));
     }
 
-    /** As while discovery is down: what the agent gets at its return has to be heard within the grace. */
+    /**
+     * As while discovery is down: what the agent gets at its return has to be heard within the
+     * grace.
+     */
     @Test
     void aWatchThatIsSilentFromItsFirstByteIsOpenedAnewWithinTheGraceOfDrains() throws Exception {
         FakeUpstream.Got silent = watchFrom(41);
@@ -106,7 +132,10 @@
         answers(41, list(51, true, "new") + "\n", "COMPLETE 51 [new]");
     }
 
-    /** As of an agent that takes nothing in: a connect that waits may be noticed seconds after it is back. */
+    /**
+     * As of an agent that takes nothing in: a connect that waits may be noticed seconds after it is
+     * back.
+     */
     @Test
     void aWatchWhoseConnectionDoesNotComeUpIsTriedAnewWithinTheGraceOfDrains() throws Exception {
         watchFrom(41);
@@ -123,10 +152,14 @@
         }
     }
 
-    /** What it misses counts as told 6 s after it fell silent, whether that is amid a list or between two. */
+    /**
+     * What it misses counts as told 6 s after it fell silent, whether that is amid a list or
+     * between two.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"", "{\"rev\":43,\"all\":fal"})
-    void aWatchThatFallsSilentIsOpenedAnewBeforeWhatItMissesCountsAsTold(String half) throws Exception {
+    void aWatchThatFallsSilentIsOpenedAnewBeforeWhatItMissesCountsAsTold(String half)
+            throws Exception {
         FakeUpstream.Got watch = answers(41, list(42, true, "a") + "\n", "COMPLETE 42 [a]");
         if (!half.isEmpty()) {
             watch.raw(chunk(half));
@@ -137,22 +170,52 @@
     }
 
     /**
-     * One clock for all of it: the watch falls silent, the next call is given up, the one after that reset,
-     * and each is followed by a pause. It is the module that asks again where lists are asked for.
+     * One clock for all of it: the watch falls silent, the next call is given up, the one after
+     * that reset, and each is followed by a pause. It is the module that asks again where lists are
+     * asked for.
      */
     @ParameterizedTest
     @CsvSource({"push,2", "ask,1"})
-    void whatFailsInARowAfterAWatchFellSilentIsOverBeforeWhatItMissedCountsAsTold(String mode, int givenUp)
-            throws Exception {
+    void whatFailsInARowAfterAWatchFellSilentIsOverBeforeWhatItMissedCountsAsTold(
+            String mode, int givenUp) throws Exception {
         try (FakeUpstream asked = new FakeUpstream()) {
             Map<String, Object> settings = new HashMap<>(NodeTest.settings());
             settings.put("MembershipMode", mode);
-            settings.put("Rules", Map.of("AnswerSlack", 8_000, "DrainGrace", 2_800_000, "AskWithin",
-                10_000_000, "ColdFrom", 0.3, "RampTime", 8_400_000, "OverloadFactor", 3.0,
-                "Fall", 1_000_000));
-            Node node = new Node(Config.of(Map.of(), Map.of("name", "n1", "listen", "127.0.0.1:0",
-                "discovery", asked.address(), "seed", "1", "settings", settings)), Balance::new, false,
-                line -> { });
+            settings.put(
+                    "Rules",
+                    Map.of(
+                            "AnswerSlack",
+                            8_000,
+                            "DrainGrace",
+                            2_800_000,
+                            "AskWithin",
+                            10_000_000,
+                            "ColdFrom",
+                            0.3,
+                            "RampTime",
+                            8_400_000,
+                            "OverloadFactor",
+                            3.0,
+                            "Fall",
+                            1_000_000));
+            Node node =
+                    new Node(
+                            Config.of(
+                                    Map.of(),
+                                    Map.of(
+                                            "name",
+                                            "n1",
+                                            "listen",
+                                            "127.0.0.1:0",
+                                            "discovery",
+                                            asked.address(),
+                                            "seed",
+                                            "1",
+                                            "settings",
+                                            settings)),
+                            Balance::new,
+                            false,
+                            line -> {});
             try {
                 node.start();
                 FakeUpstream.Got watch = asked.next();
@@ -181,19 +244,26 @@
         }
     }
 
-    /** Half a list, and the empty lines that come while nothing changes: what follows would be lost in it. */
+    /**
+     * Half a list, and the empty lines that come while nothing changes: what follows would be lost
+     * in it.
+     */
     @Test
     void aListThatNeverEndsIsGivenUpThoughLinesGoOn() throws Exception {
         FakeUpstream.Got watch = answers(41, list(42, true, "a") + "\n", "COMPLETE 42 [a]");
         watch.raw(chunk("{\"rev\":43,\n"));
-        loop.scheduleWithFixedDelay(() -> {
-            try {
-                watch.raw(chunk("\n"));
-            } catch (IOException e) {
-                // It has been closed: this task ends
-                throw new UncheckedIOException(e);
-            }
-        }, 0, 500, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> {
+                    try {
+                        watch.raw(chunk("\n"));
+                    } catch (IOException e) {
+                        // It has been closed: this task ends
+                        throw new UncheckedIOException(e);
+                    }
+                },
+                0,
+                500,
+                TimeUnit.MILLISECONDS);
         answers(42, list(43, false, "b") + "\n", "PARTIAL 43 [b]");
     }
 
@@ -211,14 +281,17 @@
     void listsMayStandOnManyLinesAndComeInPieces() throws Exception {
         // Nothing has changed so far
         FakeUpstream.Got watch = answers(41, "  \n", "PARTIAL 41 []");
-        String text = JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(
-            JSON.std.mapFrom(list(42, true, "odd } \\\" {")));
+        String text =
+                JSON.std
+                        .with(JSON.Feature.PRETTY_PRINT_OUTPUT)
+                        .asString(JSON.std.mapFrom(list(42, true, "odd } \\\" {")));
         assertTrue(text.lines().count() > 3, text);
         for (int i = 0; i < text.length(); i += 7) {
             watch.raw(chunk(text.substring(i, Math.min(text.length(), i + 7))));
         }
         assertEquals("COMPLETE 42 [odd } \" {]", heard());
-        watch.raw(chunk("\n\n" + list(43, false, "b").replace(",", ",\n  ") + list(44, false, "c")));
+        watch.raw(
+                chunk("\n\n" + list(43, false, "b").replace(",", ",\n  ") + list(44, false, "c")));
         assertEquals("PARTIAL 43 [b]", heard());
         assertEquals("PARTIAL 44 [c]", heard());
     }
--- a/balancer/src/test/java/junctionhead/net/FakeUpstream.java
+++ b/balancer/src/test/java/junctionhead/net/FakeUpstream.java
@@ -19,7 +19,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The other side of a connection, for tests: hands each request over, and answers what the test says. */
+/**
+ * The other side of a connection, for tests: hands each request over, and answers what the test
+ * says.
+ */
 final class FakeUpstream implements Closeable {
     /** A request as it came, and the connection to answer on. */
     record Got(String head, byte[] body, Socket socket, int connection) {
@@ -47,8 +50,15 @@
 
         void answer(int status, String headers, byte[] body) throws IOException {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            out.write(("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length
-                + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
+            out.write(
+                    ("HTTP/1.1 "
+                                    + status
+                                    + " X\r\n"
+                                    + headers
+                                    + "Content-Length: "
+                                    + body.length
+                                    + "\r\n\r\n")
+                            .getBytes(StandardCharsets.ISO_8859_1));
             out.write(body);
             raw(out.toByteArray());
         }
@@ -82,14 +92,15 @@
 
     FakeUpstream() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        run(() -> {
-            while (true) {
-                Socket socket = server.accept();
-                sockets.add(socket);
-                int number = connections.incrementAndGet();
-                run(() -> read(socket, number));
-            }
-        });
+        run(
+                () -> {
+                    while (true) {
+                        Socket socket = server.accept();
+                        sockets.add(socket);
+                        int number = connections.incrementAndGet();
+                        run(() -> read(socket, number));
+                    }
+                });
     }
 
     private interface Work {
@@ -97,14 +108,16 @@
     }
 
     private void run(Work work) {
-        Thread thread = new Thread(() -> {
-            try {
-                work.run();
-            } catch (IOException e) {
-                // The socket has ended, and so does its reader
-                Thread.currentThread().interrupt();
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                work.run();
+                            } catch (IOException e) {
+                                // The socket has ended, and so does its reader
+                                Thread.currentThread().interrupt();
+                            }
+                        });
         thread.setDaemon(true);
         readers.add(thread);
         thread.start();
@@ -119,8 +132,10 @@
             }
             Got got = new Got(head, new byte[0], socket, number);
             String length = got.header("Content-Length");
-            byte[] body = got.header("Transfer-Encoding") != null ? chunks(in)
-                : in.readNBytes(length == null ? 0 : Integer.parseInt(length));
+            byte[] body =
+                    got.header("Transfer-Encoding") != null
+                            ? chunks(in)
+                            : in.readNBytes(length == null ? 0 : Integer.parseInt(length));
             if (length != null && body.length < Integer.parseInt(length)) {
                 // Not a whole request
                 return;
@@ -184,8 +199,8 @@
     }
 
     /**
-     * Waits until a connection that the test has closed is closed for the system too: while its reader still
-     * sits in a read, neither an end nor a reset has left.
+     * Waits until a connection that the test has closed is closed for the system too: while its
+     * reader still sits in a read, neither an end nor a reset has left.
      */
     void awaitClosed(Got got) throws InterruptedException {
         readers.get(got.connection()).join(20_000);
@@ -212,7 +227,8 @@
     public void close() throws IOException {
         server.close();
         try {
-            // Until its acceptor has left, the system may still take a connection in, and never refuse it.
+            // Until its acceptor has left, the system may still take a connection in, and never
+            // refuse it.
             readers.get(0).join(20_000);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/balancer/src/test/java/junctionhead/net/FramingTest.java
+++ b/balancer/src/test/java/junctionhead/net/FramingTest.java
@@ -18,12 +18,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Where a request ends: nothing that stood within another, or behind a broken one, is taken for one. */
+/**
+ * Where a request ends: nothing that stood within another, or behind a broken one, is taken for
+ * one.
+ */
 @Timeout(60)
 class FramingTest {
     private static final String INNER = NodeTest.SAFE.replace("Req-Id: r1", "Req-Id: inner");
-    private static final String HEAD = "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: outer\r\n"
-        + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n";
+    private static final String HEAD =
+            "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: outer\r\n"
+                    + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n";
 
     private final Scripted module = new Scripted();
     private FakeUpstream upstream;
@@ -33,7 +37,7 @@
     @BeforeEach
     void open() throws IOException, InterruptedException {
         upstream = new FakeUpstream();
-        node = Nodes.node(upstream, module, NodeTest.settings(), 1024, line -> { });
+        node = Nodes.node(upstream, module, NodeTest.settings(), 1024, line -> {});
         at = node.start();
         assertEquals("PERSISTED [s1=UP]", module.next());
     }
@@ -45,37 +49,40 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "HEAD Transfer-Encoding: chunked\r\nContent-Length: ALL\r\n\r\n0\r\n\r\n",
-        "HEAD Content-Length: ALL\r\nTransfer-Encoding: Chunked\r\n\r\n0\r\n\r\n",
-        "HEAD Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "HEAD Transfer-Encoding: xchunked\r\n\r\n",
-        "HEAD Transfer-Encoding: xchunked\r\nContent-Length: 0\r\n\r\n",
-        "HEAD Transfer-Encoding: identity\r\nContent-Length: 0\r\n\r\n",
-        "HEAD Transfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n",
-        "HEAD Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-        "HEAD Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n",
-        "HEAD Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "HEAD Transfer-Encoding:\r\n\r\n",
-        "HEAD Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n",
-        "HEAD10 Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "HEAD10 Transfer-Encoding: chunked\r\nContent-Length: ALL\r\n\r\n0\r\n\r\n",
-        "HEAD Content-Length: 0\r\nContent-Length: ALL\r\n\r\n",
-        "HEAD Content-Length: 0, 7\r\n\r\n",
-        "HEAD Content-Length: -1\r\n\r\n",
-        "HEAD Content-Length: +0\r\n\r\n",
-        "HEAD Expect: the-unknown\r\nContent-Length: ALL\r\n\r\n",
-        "HEAD Expect: 100-continue\r\nContent-Length: 33554433\r\n\r\n",
-        "HEAD Content-Length: 33554433\r\n\r\n",
-        "HEAD Transfer-Encoding: chunked\r\n\r\nx\r\n",
-        "POST /api/k1 HTTP/1.1\r\nReq-Kind: other\r\nContent-Length: 0\r\n\r\n",
-        "POST /api/k1 HTTP/2.0\r\nReq-Id: outer\r\nReq-Kind: book\r\nReq-Deadline-Ms: 20000\r\n\r\n",
-        "POST /api/k1 RTSP/1.0\r\nReq-Id: outer\r\nReq-Kind: book\r\nReq-Deadline-Ms: 20000\r\n\r\n",
-        "NONSENSE\r\n\r\n",
-    })
+    @ValueSource(
+            strings = {
+                "HEAD Transfer-Encoding: chunked\r\nContent-Length: ALL\r\n\r\n0\r\n\r\n",
+                "HEAD Content-Length: ALL\r\nTransfer-Encoding: Chunked\r\n\r\n0\r\n\r\n",
+                "HEAD Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "HEAD Transfer-Encoding: xchunked\r\n\r\n",
+                "HEAD Transfer-Encoding: xchunked\r\nContent-Length: 0\r\n\r\n",
+                "HEAD Transfer-Encoding: identity\r\nContent-Length: 0\r\n\r\n",
+                "HEAD Transfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n",
+                "HEAD Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+                "HEAD Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n",
+                "HEAD Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "HEAD Transfer-Encoding:\r\n\r\n",
+                "HEAD Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n",
+                "HEAD10 Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "HEAD10 Transfer-Encoding: chunked\r\nContent-Length: ALL\r\n\r\n0\r\n\r\n",
+                "HEAD Content-Length: 0\r\nContent-Length: ALL\r\n\r\n",
+                "HEAD Content-Length: 0, 7\r\n\r\n",
+                "HEAD Content-Length: -1\r\n\r\n",
+                "HEAD Content-Length: +0\r\n\r\n",
+                "HEAD Expect: the-unknown\r\nContent-Length: ALL\r\n\r\n",
+                "HEAD Expect: 100-continue\r\nContent-Length: 33554433\r\n\r\n",
+                "HEAD Content-Length: 33554433\r\n\r\n",
+                "HEAD Transfer-Encoding: chunked\r\n\r\nx\r\n",
+                "POST /api/k1 HTTP/1.1\r\nReq-Kind: other\r\nContent-Length: 0\r\n\r\n",
+                "POST /api/k1 HTTP/2.0\r\nReq-Id: outer\r\nReq-Kind: book\r\nReq-Deadline-Ms: 20000\r\n\r\n",
+                "POST /api/k1 RTSP/1.0\r\nReq-Id: outer\r\nReq-Kind: book\r\nReq-Deadline-Ms: 20000\r\n\r\n",
+                "NONSENSE\r\n\r\n",
+            })
     void neitherTheRequestNorWhatFollowsItIsTaken(String request) throws Exception {
-        String outer = request.replace("HEAD10 ", HEAD.replace("1.1", "1.0")).replace("HEAD ", HEAD)
-            .replace("ALL", Integer.toString(INNER.length() + 5));
+        String outer =
+                request.replace("HEAD10 ", HEAD.replace("1.1", "1.0"))
+                        .replace("HEAD ", HEAD)
+                        .replace("ALL", Integer.toString(INNER.length() + 5));
         try (Client client = new Client(at)) {
             client.send(outer + INNER);
             int status = client.status();
@@ -153,8 +160,9 @@
 
     @Test
     void chunkedBodiesThatComeByteByByteAreTaken() throws Exception {
-        String request = HEAD
-            + "transfer-encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\n00002\r\nde\r\n0\r\nX: y\r\n\r\n";
+        String request =
+                HEAD
+                        + "transfer-encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\n00002\r\nde\r\n0\r\nX: y\r\n\r\n";
         try (Client client = new Client(at)) {
             for (int i = 0; i < 2; i++) {
                 for (char c : request.toCharArray()) {
@@ -173,7 +181,8 @@
     @ValueSource(ints = {0, 1, 65_536})
     void bodiesUpToTheLimitAreTaken(int length) throws Exception {
         try (Client client = new Client(at)) {
-            client.send(HEAD + "Content-Length: " + length + "\r\n\r\n" + "x".repeat(length) + INNER);
+            client.send(
+                    HEAD + "Content-Length: " + length + "\r\n\r\n" + "x".repeat(length) + INNER);
             FakeUpstream.Got got = upstream.next();
             assertEquals(length, got.body().length);
             got.answer(200, "", "ok");
--- a/balancer/src/test/java/junctionhead/net/LeavingTest.java
+++ b/balancer/src/test/java/junctionhead/net/LeavingTest.java
@@ -20,10 +20,16 @@
 /** Clients that leave, wherever their requests are just then. */
 class LeavingTest extends Crossing {
     @ParameterizedTest
-    @CsvSource({"1,false,false", "1,true,false", "1,false,true", "1,true,true", "300,false,false",
-        "300,true,false"})
-    void whoLeftBehindItsRequestWhileTheLoopStoodStillIsSentNothingFor(int many, boolean reset, boolean kept)
-            throws Exception {
+    @CsvSource({
+        "1,false,false",
+        "1,true,false",
+        "1,false,true",
+        "1,true,true",
+        "300,false,false",
+        "300,true,false"
+    })
+    void whoLeftBehindItsRequestWhileTheLoopStoodStillIsSentNothingFor(
+            int many, boolean reset, boolean kept) throws Exception {
         start();
         List<Client> gone = new ArrayList<>();
         if (kept) {
@@ -68,11 +74,14 @@
         }
     }
 
-    /** The loop stands still as they leave, and comes to their attempts before it comes to their ends. */
+    /**
+     * The loop stands still as they leave, and comes to their attempts before it comes to their
+     * ends.
+     */
     @ParameterizedTest
     @CsvSource({"1,false", "1,true", "300,false", "300,true"})
-    void whoseAttemptsBeginBeforeTheLoopHasReadThatTheyLeftAreSentNothingFor(int many, boolean reset)
-            throws Exception {
+    void whoseAttemptsBeginBeforeTheLoopHasReadThatTheyLeftAreSentNothingFor(
+            int many, boolean reset) throws Exception {
         start();
         try (Client first = new Client(at).send(request("r0"))) {
             // A connection rests: nothing is waited for
@@ -88,7 +97,8 @@
             taken();
             held.add(module.taken);
         }
-        Stall stall = new Stall(node.loop(), () -> held.forEach(r -> module.actions.send(r, "s1", 0)));
+        Stall stall =
+                new Stall(node.loop(), () -> held.forEach(r -> module.actions.send(r, "s1", 0)));
         for (Client client : gone) {
             client.socket.setSoLinger(reset, 0);
             client.close();
@@ -106,7 +116,9 @@
         assertEquals(1, upstream.connections());
     }
 
-    /** It is turned away, and leaves; the loop reads the answer first and has another attempt made. */
+    /**
+     * It is turned away, and leaves; the loop reads the answer first and has another attempt made.
+     */
     @Test
     void whoLeavesBetweenTwoAttemptsIsSentNothingMoreFor() throws Exception {
         start();
@@ -132,7 +144,8 @@
     /** The connection comes up and the client leaves while the loop stands still, in this order. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whoLeavesInTheTurnInWhichItsConnectionComesUpIsSentNothingFor(boolean cancels) throws Exception {
+    void whoLeavesInTheTurnInWhichItsConnectionComesUpIsSentNothingFor(boolean cancels)
+            throws Exception {
         try (ClosedDoor door = new ClosedDoor()) {
             start(door.address());
             module.cancels = cancels;
@@ -140,7 +153,7 @@
             taken();
             for (int i = 0; i < 3; i++) {
                 // It has begun to connect
-                node.loop().submit(() -> { }).get();
+                node.loop().submit(() -> {}).get();
             }
             Stall stall = new Stall(node.loop());
             Socket opened = door.open();
@@ -185,7 +198,10 @@
         }
     }
 
-    /** The answer meets a reset that the loop has not read yet: its connection is closed by the write. */
+    /**
+     * The answer meets a reset that the loop has not read yet: its connection is closed by the
+     * write.
+     */
     @Test
     void whoLeavesAsItsAnswerIsWrittenLeavesNothingBehind() throws Exception {
         start();
@@ -217,13 +233,19 @@
         }
     }
 
-    /** Its body waits for a connection, and more of it than is read meanwhile: its end stands behind that. */
+    /**
+     * Its body waits for a connection, and more of it than is read meanwhile: its end stands behind
+     * that.
+     */
     @Test
     void whoLeavesWhileItsBodyWaitsIsSeenThoughReadingRests() throws Exception {
         try (ClosedDoor door = new ClosedDoor()) {
             start(door.address());
-            Client gone = new Client(at).send("POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: gone\r\n"
-                + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\nContent-Length: 200000\r\n\r\n");
+            Client gone =
+                    new Client(at)
+                            .send(
+                                    "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: gone\r\n"
+                                            + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\nContent-Length: 200000\r\n\r\n");
             gone.socket.getOutputStream().write(new byte[180_000]);
             assertEquals("uploading", module.next());
             gone.close();
@@ -232,8 +254,8 @@
     }
 
     /**
-     * All of its body is on its way, and its end behind more than is read while its connection is made: the
-     * attempt that begins then never gets its last byte, and so never was one.
+     * All of its body is on its way, and its end behind more than is read while its connection is
+     * made: the attempt that begins then never gets its last byte, and so never was one.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -242,21 +264,31 @@
         try (ClosedDoor door = new ClosedDoor()) {
             start(door.address());
             module.cancels = false;
-            Client gone = new Client(at).send("POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: gone\r\n"
-                + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n"
-                + (chunked ? "Transfer-Encoding: chunked\r\n\r\n" : "Content-Length: " + length
-                + "\r\n\r\n"));
-            Thread sending = new Thread(() -> {
-                try {
-                    OutputStream out = gone.socket.getOutputStream();
-                    out.write(chunked ? (Integer.toHexString(length) + "\r\n").getBytes() : new byte[0]);
-                    out.write(new byte[length]);
-                    out.write(chunked ? "\r\n0\r\n\r\n".getBytes() : new byte[0]);
-                    gone.close();
-                } catch (IOException e) {
-                    Thread.currentThread().interrupt();
-                }
-            });
+            Client gone =
+                    new Client(at)
+                            .send(
+                                    "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: gone\r\n"
+                                            + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n"
+                                            + (chunked
+                                                    ? "Transfer-Encoding: chunked\r\n\r\n"
+                                                    : "Content-Length: " + length + "\r\n\r\n"));
+            Thread sending =
+                    new Thread(
+                            () -> {
+                                try {
+                                    OutputStream out = gone.socket.getOutputStream();
+                                    out.write(
+                                            chunked
+                                                    ? (Integer.toHexString(length) + "\r\n")
+                                                            .getBytes()
+                                                    : new byte[0]);
+                                    out.write(new byte[length]);
+                                    out.write(chunked ? "\r\n0\r\n\r\n".getBytes() : new byte[0]);
+                                    gone.close();
+                                } catch (IOException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            });
             sending.start();
             assertEquals("uploading", module.next());
             // The system has taken in what it takes in
@@ -286,17 +318,24 @@
         }
     }
 
-    /** Much at once and gone: a line without end, requests ahead of answers, a body that never is whole. */
+    /**
+     * Much at once and gone: a line without end, requests ahead of answers, a body that never is
+     * whole.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"line", "requests", "body"})
-    void floodsThatAreGoneLeaveNothingBehindAndProperClientsAreServed(String kind) throws Exception {
+    void floodsThatAreGoneLeaveNothingBehindAndProperClientsAreServed(String kind)
+            throws Exception {
         start();
-        String flood = switch (kind) {
-            case "line" -> "GET /" + "x".repeat(1 << 20);
-            case "requests" -> request("flood").repeat(2_000);
-            default -> "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: flood\r\nReq-Kind: book\r\n"
-                + "Req-Deadline-Ms: 20000\r\nContent-Length: 30000000\r\n\r\n" + "x".repeat(1 << 20);
-        };
+        String flood =
+                switch (kind) {
+                    case "line" -> "GET /" + "x".repeat(1 << 20);
+                    case "requests" -> request("flood").repeat(2_000);
+                    default ->
+                            "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: flood\r\nReq-Kind: book\r\n"
+                                    + "Req-Deadline-Ms: 20000\r\nContent-Length: 30000000\r\n\r\n"
+                                    + "x".repeat(1 << 20);
+                };
         // What is taken of them is held
         module.server = null;
         for (int i = 0; i < 12; i++) {
--- a/balancer/src/test/java/junctionhead/net/LongBodiesTest.java
+++ b/balancer/src/test/java/junctionhead/net/LongBodiesTest.java
@@ -25,8 +25,9 @@
 /** Bodies and answers that are passed on as they come: past 64 KiB, up to 32 MB. */
 @Timeout(60)
 class LongBodiesTest {
-    private static final String POST = "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: r1\r\nReq-Kind: book\r\n"
-        + "Req-Deadline-Ms: 20000\r\n";
+    private static final String POST =
+            "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: r1\r\nReq-Kind: book\r\n"
+                    + "Req-Deadline-Ms: 20000\r\n";
     private static final String OK = "HTTP/1.1 200 OK\r\n";
 
     private final NodeTest.Scripted module = new NodeTest.Scripted();
@@ -37,7 +38,7 @@
     @BeforeEach
     void open() throws IOException, InterruptedException {
         upstream = new FakeUpstream();
-        node = Nodes.node(upstream, module, NodeTest.settings(), 1024, line -> { });
+        node = Nodes.node(upstream, module, NodeTest.settings(), 1024, line -> {});
         at = node.start();
         assertEquals("PERSISTED [s1=UP]", module.next());
     }
@@ -54,7 +55,8 @@
         return bytes;
     }
 
-    private static void chunk(OutputStream to, byte[] bytes, int from, int length) throws IOException {
+    private static void chunk(OutputStream to, byte[] bytes, int from, int length)
+            throws IOException {
         to.write((Integer.toHexString(length) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         to.write(bytes, from, length);
         to.write("\r\n".getBytes(StandardCharsets.ISO_8859_1));
@@ -76,7 +78,8 @@
         if (head.toLowerCase().contains("transfer-encoding: chunked")) {
             return FakeUpstream.chunks(client.in);
         }
-        int length = Integer.parseInt(head.toLowerCase().split("content-length: ")[1].split("\r\n")[0]);
+        int length =
+                Integer.parseInt(head.toLowerCase().split("content-length: ")[1].split("\r\n")[0]);
         byte[] body = client.in.readNBytes(length);
         if (body.length < length) {
             throw new IOException("cut off");
@@ -86,14 +89,19 @@
 
     @ParameterizedTest
     @CsvSource({"65536, false", "65537, false", "65537, true", "3000000, false", "3000000, true"})
-    void requestsOfAnyLengthAndFramingReachTheUpstreamUnchanged(int length, boolean chunks) throws Exception {
+    void requestsOfAnyLengthAndFramingReachTheUpstreamUnchanged(int length, boolean chunks)
+            throws Exception {
         byte[] sent = bytes(length);
         try (NodeTest.Client client = new NodeTest.Client(at)) {
             OutputStream out = client.socket.getOutputStream();
             for (int i = 0; i < 2; i++) {
                 // The connection goes on behind it
-                client.send(POST + (chunks ? "Transfer-Encoding: chunked" : "Content-Length: " + length)
-                    + "\r\n\r\n");
+                client.send(
+                        POST
+                                + (chunks
+                                        ? "Transfer-Encoding: chunked"
+                                        : "Content-Length: " + length)
+                                + "\r\n\r\n");
                 out.write(chunks ? chunked(sent, 1000) : sent);
                 FakeUpstream.Got got = upstream.next();
                 assertArrayEquals(sent, got.body());
@@ -105,9 +113,17 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"65537, length", "65537, chunked", "65537, close", "5, close", "3000000, length",
-        "3000000, chunked", "3000000, close"})
-    void answersOfAnyLengthAndFramingReachTheClientUnchanged(int length, String framing) throws Exception {
+    @CsvSource({
+        "65537, length",
+        "65537, chunked",
+        "65537, close",
+        "5, close",
+        "3000000, length",
+        "3000000, chunked",
+        "3000000, close"
+    })
+    void answersOfAnyLengthAndFramingReachTheClientUnchanged(int length, String framing)
+            throws Exception {
         byte[] sent = bytes(length);
         try (NodeTest.Client client = new NodeTest.Client(at)) {
             for (int i = 0; i < 2; i++) {
@@ -117,8 +133,12 @@
                     got.raw(OK + "Transfer-Encoding: chunked\r\n\r\n");
                     got.raw(chunked(sent, 1000));
                 } else {
-                    got.raw(OK + (framing.equals("close") ? "" : "Content-Length: " + length + "\r\n")
-                        + "\r\n");
+                    got.raw(
+                            OK
+                                    + (framing.equals("close")
+                                            ? ""
+                                            : "Content-Length: " + length + "\r\n")
+                                    + "\r\n");
                     got.raw(sent);
                 }
                 if (framing.equals("close")) {
@@ -155,8 +175,12 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"Content-Length: 100000, false", "Content-Length: 100000, true",
-        "Transfer-Encoding: chunked, false", "X: close-delimited, true"})
+    @CsvSource({
+        "Content-Length: 100000, false",
+        "Content-Length: 100000, true",
+        "Transfer-Encoding: chunked, false",
+        "X: close-delimited, true"
+    })
     void anAnswerThatBreaksOffIsSeenToBeCutAndTheModuleHearsOfIt(String framing, boolean reset)
             throws Exception {
         try (NodeTest.Client client = new NodeTest.Client(at)) {
@@ -196,7 +220,10 @@
         assertNull(module.told.poll(100, TimeUnit.MILLISECONDS));
     }
 
-    /** Upstream and client stay connected: the module's answer comes while the client is still sending. */
+    /**
+     * Upstream and client stay connected: the module's answer comes while the client is still
+     * sending.
+     */
     @Test
     void aRequestWhoseUpstreamBreaksOffIsAnsweredAtOnceAndNotSentAgain() throws Exception {
         try (NodeTest.Client client = new NodeTest.Client(at)) {
@@ -273,15 +300,17 @@
             client.send(NodeTest.SAFE);
             FakeUpstream.Got got = upstream.next();
             got.raw(OK + "Content-Length: 32000000\r\n\r\n");
-            Thread writer = new Thread(() -> {
-                try {
-                    for (int i = 0; i < 32; i++) {
-                        got.raw(part);
-                    }
-                } catch (IOException e) {
-                    Thread.currentThread().interrupt();
-                }
-            });
+            Thread writer =
+                    new Thread(
+                            () -> {
+                                try {
+                                    for (int i = 0; i < 32; i++) {
+                                        got.raw(part);
+                                    }
+                                } catch (IOException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            });
             writer.start();
             assertEquals("OK closed", module.next());
             writer.join(500);
--- a/balancer/src/test/java/junctionhead/net/NodeTest.java
+++ b/balancer/src/test/java/junctionhead/net/NodeTest.java
@@ -52,8 +52,16 @@
         }
 
         @Override
-        public void request(long now, String request, int requestClass, int tenant, String key, long timeLeft,
-                long work, boolean resubmission, Actions out) {
+        public void request(
+                long now,
+                String request,
+                int requestClass,
+                int tenant,
+                String key,
+                long timeLeft,
+                long work,
+                boolean resubmission,
+                Actions out) {
             taken = request;
             requests.add(requestClass + " " + key + " " + work + " " + resubmission);
             if (broken) {
@@ -65,9 +73,19 @@
         }
 
         @Override
-        public void outcome(long now, String request, int attempt, Outcome outcome, long latency,
-                boolean closed, Load load, Actions out) {
-            told.add(outcome + (load == null ? "" : " " + load.inFlight()) + (closed ? " closed" : ""));
+        public void outcome(
+                long now,
+                String request,
+                int attempt,
+                Outcome outcome,
+                long latency,
+                boolean closed,
+                Load load,
+                Actions out) {
+            told.add(
+                    outcome
+                            + (load == null ? "" : " " + load.inFlight())
+                            + (closed ? " closed" : ""));
             if (!closed) {
                 out.fail(request);
             }
@@ -89,7 +107,7 @@
         }
 
         @Override
-        public void streamStarted(long now, String request, int attempt, Actions out) { }
+        public void streamStarted(long now, String request, int attempt, Actions out) {}
 
         @Override
         public void clientGone(long now, String request, Actions out) {
@@ -98,12 +116,13 @@
         }
 
         @Override
-        public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) {
+        public void probed(
+                long now, String server, Outcome outcome, long latency, Load load, Actions out) {
             told.add("probed " + outcome + " " + (load == null ? "-" : load.inFlight()));
         }
 
         @Override
-        public void wake(long now, Actions out) { }
+        public void wake(long now, Actions out) {}
 
         String next() throws InterruptedException {
             String event = told.poll(20, TimeUnit.SECONDS);
@@ -163,8 +182,9 @@
         }
     }
 
-    static final String SAFE = "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
-        + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
+    static final String SAFE =
+            "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
+                    + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
 
     private final Scripted module = new Scripted();
     private final List<String> log = new ArrayList<>();
@@ -192,19 +212,61 @@
     }
 
     private static Map<String, Object> kind(String name, String effect) {
-        return Map.of("Name", name, "Idempotency", effect, "DedupScope", "cell", "GoalTime", 600_000,
-            "GiveUp", 30_000_000, "KeyTtl", 1_000_000);
+        return Map.of(
+                "Name",
+                name,
+                "Idempotency",
+                effect,
+                "DedupScope",
+                "cell",
+                "GoalTime",
+                600_000,
+                "GiveUp",
+                30_000_000,
+                "KeyTtl",
+                1_000_000);
     }
 
     static Map<String, Object> settings() {
         Map<String, Object> settings = new HashMap<>();
         settings.put("Balancers", 1);
-        settings.put("Classes", List.of(kind("read", "safe"), kind("pay", "keyed"), kind("book", "unsafe")));
-        settings.put("Limits", new HashMap<>(Map.of("TryLimit", 3, "MayDuplicate", true, "Cancel", true,
-            "Probes", true, "DialTimeout", 500_000, "IdleClose", 30_000_000)));
+        settings.put(
+                "Classes",
+                List.of(kind("read", "safe"), kind("pay", "keyed"), kind("book", "unsafe")));
+        settings.put(
+                "Limits",
+                new HashMap<>(
+                        Map.of(
+                                "TryLimit",
+                                3,
+                                "MayDuplicate",
+                                true,
+                                "Cancel",
+                                true,
+                                "Probes",
+                                true,
+                                "DialTimeout",
+                                500_000,
+                                "IdleClose",
+                                30_000_000)));
         settings.put("MembershipMode", "ask");
-        settings.put("Rules", Map.of("AnswerSlack", 8_000, "DrainGrace", 1_000_000, "AskWithin", 10_000_000,
-            "ColdFrom", 0.3, "RampTime", 8_400_000, "OverloadFactor", 3.0, "Fall", 1_000_000));
+        settings.put(
+                "Rules",
+                Map.of(
+                        "AnswerSlack",
+                        8_000,
+                        "DrainGrace",
+                        1_000_000,
+                        "AskWithin",
+                        10_000_000,
+                        "ColdFrom",
+                        0.3,
+                        "RampTime",
+                        8_400_000,
+                        "OverloadFactor",
+                        3.0,
+                        "Fall",
+                        1_000_000));
         settings.put("Quantum", 2_000);
         settings.put("Areas", List.of("podrum"));
         settings.put("Kinds", List.of("puni", "slabi"));
@@ -213,24 +275,29 @@
     }
 
     private String target(String state) {
-        return "{\"uid\":\"s1\",\"endpoint\":\"" + (endpoint == null ? upstream.address() : endpoint)
-            + "\",\"az\":\"podrum\","
-            + "\"model\":\"slabi\",\"pod_group\":3,\"state\":\"" + state
-            + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
+        return "{\"uid\":\"s1\",\"endpoint\":\""
+                + (endpoint == null ? upstream.address() : endpoint)
+                + "\",\"az\":\"podrum\","
+                + "\"model\":\"slabi\",\"pod_group\":3,\"state\":\""
+                + state
+                + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
     private String list(int rev, boolean all, String state) {
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + target(state) + "]}\n";
     }
 
-    /** Interrupted, the starting thread never comes to hold the listener that clients reach all the same. */
+    /**
+     * Interrupted, the starting thread never comes to hold the listener that clients reach all the
+     * same.
+     */
     @Test
     void aConnectionThatComesBeforeTheStartHasReturnedIsAnswered() throws Exception {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        node = new Node(config(1024, settings(), port), (s, seed) -> module, false, line -> { });
+        node = new Node(config(1024, settings(), port), (s, seed) -> module, false, line -> {});
         Thread.currentThread().interrupt();
         assertThrows(IOException.class, node::start);
         assertTrue(Thread.interrupted());
@@ -255,39 +322,66 @@
     }
 
     private Config config(int sockets, Map<String, Object> settings, int port) throws IOException {
-        return Config.of(Map.of(), Map.of("name", "n1", "listen", "127.0.0.1:" + port, "discovery",
-            discovery.address(), "seed", "8c1f30d27a5be964", "limits", Map.of("sockets", sockets),
-            "settings", settings, "known", com.fasterxml.jackson.jr.ob.JSON.std
-                .mapFrom(list(41, true, "in_service"))));
+        return Config.of(
+                Map.of(),
+                Map.of(
+                        "name",
+                        "n1",
+                        "listen",
+                        "127.0.0.1:" + port,
+                        "discovery",
+                        discovery.address(),
+                        "seed",
+                        "8c1f30d27a5be964",
+                        "limits",
+                        Map.of("sockets", sockets),
+                        "settings",
+                        settings,
+                        "known",
+                        com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(
+                                list(41, true, "in_service"))));
     }
 
     private void start() throws IOException, InterruptedException {
         start(Map.of(), 1024);
     }
 
-    private void start(Map<String, Object> limits, int sockets) throws IOException, InterruptedException {
+    private void start(Map<String, Object> limits, int sockets)
+            throws IOException, InterruptedException {
         Map<String, Object> settings = settings();
         @SuppressWarnings("unchecked")
         Map<String, Object> all = (Map<String, Object>) settings.get("Limits");
         all.putAll(limits);
-        node = new Node(config(sockets, settings, 0), (s, seed) -> module, rehearse, line -> {
-            synchronized (log) {
-                log.add(line);
-            }
-        });
+        node =
+                new Node(
+                        config(sockets, settings, 0),
+                        (s, seed) -> module,
+                        rehearse,
+                        line -> {
+                            synchronized (log) {
+                                log.add(line);
+                            }
+                        });
         at = node.start();
         assertEquals("PERSISTED [s1=UP]", module.next());
     }
 
     private static String post(String kind, String extra, String body) {
-        return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: " + kind + "\r\n"
-            + extra + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+        return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: "
+                + kind
+                + "\r\n"
+                + extra
+                + "Content-Length: "
+                + body.length()
+                + "\r\n\r\n"
+                + body;
     }
 
     // ---------------------------------------------------------------- one final answer
 
     @Test
-    void aRequestGoesOnUnchangedAndTheWholeAnswerComesBack() throws IOException, InterruptedException {
+    void aRequestGoesOnUnchangedAndTheWholeAnswerComesBack()
+            throws IOException, InterruptedException {
         start();
         byte[] big = new byte[64 * 1024];
         new Random(1).nextBytes(big);
@@ -315,22 +409,24 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: read\r\n\r\n",
-        "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: read\r\nReq-Deadline-Ms: soon\r\n\r\n",
-        "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: other\r\nReq-Deadline-Ms: 900\r\n\r\n",
-        "GET /api/k HTTP/1.1\r\nReq-Kind: read\r\nReq-Deadline-Ms: 900\r\n\r\n",
-        "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nReq-Deadline-Ms: 900\r\n\r\n",
-        "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: pay\r\nReq-Deadline-Ms: 900\r\n"
-            + "Content-Length: 0\r\n\r\n",
-        "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nIdempotency-Key: a\r\n"
-            + "Req-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\n",
-        "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nReq-Deadline-Ms: 900\r\n"
-            + "Content-Length: 65537\r\n\r\n",
-        "NONSENSE\r\n\r\n",
-        "GET /-/else HTTP/1.1\r\n\r\n",
-    })
-    void badInputIsAPlainErrorThatReachesNobody(String request) throws IOException, InterruptedException {
+    @ValueSource(
+            strings = {
+                "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: read\r\n\r\n",
+                "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: read\r\nReq-Deadline-Ms: soon\r\n\r\n",
+                "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: other\r\nReq-Deadline-Ms: 900\r\n\r\n",
+                "GET /api/k HTTP/1.1\r\nReq-Kind: read\r\nReq-Deadline-Ms: 900\r\n\r\n",
+                "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nReq-Deadline-Ms: 900\r\n\r\n",
+                "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: pay\r\nReq-Deadline-Ms: 900\r\n"
+                        + "Content-Length: 0\r\n\r\n",
+                "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nIdempotency-Key: a\r\n"
+                        + "Req-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\n",
+                "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nReq-Deadline-Ms: 900\r\n"
+                        + "Content-Length: 65537\r\n\r\n",
+                "NONSENSE\r\n\r\n",
+                "GET /-/else HTTP/1.1\r\n\r\n",
+            })
+    void badInputIsAPlainErrorThatReachesNobody(String request)
+            throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             int status = client.send(request).status();
@@ -341,9 +437,15 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"200,'',OK closed,200", "500,'',ERROR,502", "503,'',ERROR,502",
-        "503,Srv-Declined: 1,FULL,502", "504,Srv-Declined: 1,FULL,502", "500,Srv-Declined: 1,ERROR,502",
-        "429,'',ERROR,502"})
+    @CsvSource({
+        "200,'',OK closed,200",
+        "500,'',ERROR,502",
+        "503,'',ERROR,502",
+        "503,Srv-Declined: 1,FULL,502",
+        "504,Srv-Declined: 1,FULL,502",
+        "500,Srv-Declined: 1,ERROR,502",
+        "429,'',ERROR,502"
+    })
     void onlyADeclinedAnswerProvesThatNothingRan(int status, String header, String told, int passed)
             throws IOException, InterruptedException {
         start();
@@ -356,7 +458,8 @@
     }
 
     @Test
-    void aBrokenConnectionIsAResetOnceTheRequestIsWritten() throws IOException, InterruptedException {
+    void aBrokenConnectionIsAResetOnceTheRequestIsWritten()
+            throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE);
@@ -397,7 +500,8 @@
     }
 
     @Test
-    void aClientThatLeavesIsToldToTheModuleAndItsAttemptIsGivenUp() throws IOException, InterruptedException {
+    void aClientThatLeavesIsToldToTheModuleAndItsAttemptIsGivenUp()
+            throws IOException, InterruptedException {
         start();
         Client client = new Client(at).send(SAFE);
         FakeUpstream.Got got = upstream.next();
@@ -441,7 +545,8 @@
     // ---------------------------------------------------------------- connections and the list
 
     @Test
-    void idleConnectionsAreClosedWellBeforeTheUpstreamWould() throws IOException, InterruptedException {
+    void idleConnectionsAreClosedWellBeforeTheUpstreamWould()
+            throws IOException, InterruptedException {
         start(Map.of("IdleClose", 400_000), 1024);
         try (Client client = new Client(at)) {
             client.send(SAFE);
@@ -452,7 +557,8 @@
         }
     }
 
-    // The upstream's own reader takes the end of the stream; the socket tells of it by refusing what is sent.
+    // The upstream's own reader takes the end of the stream; the socket tells of it by refusing
+    // what is sent.
     private static boolean closesSoon(FakeUpstream.Got got) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (System.nanoTime() < until) {
@@ -467,7 +573,8 @@
     }
 
     @Test
-    void theListIsWatchedAsTheModuleAsksAndSplitLinesAreRead() throws IOException, InterruptedException {
+    void theListIsWatchedAsTheModuleAsksAndSplitLinesAreRead()
+            throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
         FakeUpstream.Got watch = discovery.next();
@@ -520,7 +627,9 @@
         }
     }
 
-    /** Its connections come up only once the test accepts: its queue of waiting connections is full. */
+    /**
+     * Its connections come up only once the test accepts: its queue of waiting connections is full.
+     */
     @Test
     @Timeout(60)
     void anAttemptThatStillWaitsForItsConnectionIsNotSentAfterTheGrace()
@@ -545,15 +654,17 @@
                 told = module.told.poll(100, TimeUnit.MILLISECONDS);
             }
             assertEquals("NOT_SENT", told);
-            Thread accepting = new Thread(() -> {
-                try {
-                    while (true) {
-                        accepted.add(slow.accept());
-                    }
-                } catch (IOException e) {
-                    Thread.currentThread().interrupt();
-                }
-            });
+            Thread accepting =
+                    new Thread(
+                            () -> {
+                                try {
+                                    while (true) {
+                                        accepted.add(slow.accept());
+                                    }
+                                } catch (IOException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            });
             accepting.start();
             for (int i = 1; i < clients.size(); i++) {
                 assertEquals("NOT_SENT", module.next());
@@ -602,7 +713,8 @@
     }
 
     @Test
-    void descriptorsAreKeptFreeByClosingIdleConnectionsFirst() throws IOException, InterruptedException {
+    void descriptorsAreKeptFreeByClosingIdleConnectionsFirst()
+            throws IOException, InterruptedException {
         // A reserve of two, two for use
         start(Map.of(), 4);
         try (Client client = new Client(at)) {
@@ -669,16 +781,20 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "{} | ROUTER_LISTEN is not set, and the configuration has no listen",
-        "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"localhost:1\"} | discovery: not an address: 'localhost'",
-        "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\"} | the configuration has no settings",
-        "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"Quantum\":1}} "
-            + "| settings: ",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{} | ROUTER_LISTEN is not set, and the configuration has no listen",
+                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"localhost:1\"} | discovery: not an address: 'localhost'",
+                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\"} | the configuration has no settings",
+                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"Quantum\":1}} "
+                        + "| settings: ",
+            })
     void badConfigurationIsNamed(String json, String complaint) throws IOException {
         try {
-            Config.of(Map.of("ROUTER_NAME", "n1"), com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(json));
+            Config.of(
+                    Map.of("ROUTER_NAME", "n1"),
+                    com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(json));
         } catch (Config.Bad e) {
             assertTrue(e.getMessage().startsWith(complaint), e.getMessage());
             return;
--- a/balancer/src/test/java/junctionhead/net/OperationsTest.java
+++ b/balancer/src/test/java/junctionhead/net/OperationsTest.java
@@ -18,7 +18,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What operators do with a balancer that serves: read its figures, empty it, start its successor. */
+/**
+ * What operators do with a balancer that serves: read its figures, empty it, start its successor.
+ */
 @Timeout(60)
 class OperationsTest {
     private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n";
@@ -113,7 +115,9 @@
             assertNull(silent.answer());
             got.answer(200, "", "x");
             String head = busy.answer();
-            assertTrue(head.startsWith("HTTP/1.1 200") && head.toLowerCase().contains("connection: close"));
+            assertTrue(
+                    head.startsWith("HTTP/1.1 200")
+                            && head.toLowerCase().contains("connection: close"));
             assertNull(busy.answer());
             try (NodeTest.Client late = new NodeTest.Client(at)) {
                 late.send(NodeTest.SAFE);
@@ -178,7 +182,7 @@
             try (NodeTest.Client waiting = new NodeTest.Client(at)) {
                 unready.start(shared);
                 waiting.send(READY);
-                unready.loop().submit(() -> { }).get();
+                unready.loop().submit(() -> {}).get();
                 assertTrue(call(unready, "ready").startsWith("400 "));
                 shared.configureBlocking(false);
                 assertNotNull(shared.accept(), "still in the queue, for whoever is ready");
--- a/balancer/src/test/java/junctionhead/net/PeerLinkTest.java
+++ b/balancer/src/test/java/junctionhead/net/PeerLinkTest.java
@@ -26,7 +26,7 @@
 class PeerLinkTest {
     private static final int WAIT_MS = 5_000;
 
-    private record Message(int from, byte[] data) { }
+    private record Message(int from, byte[] data) {}
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final BlockingQueue<Message> heard = new LinkedBlockingQueue<>();
@@ -56,10 +56,17 @@
 
     private PeerLink link(InetSocketAddress everyone) throws InterruptedException {
         InetSocketAddress listen = new InetSocketAddress("127.0.0.1", 0);
-        PeerLink link = new PeerLink(group.next(), new Config.Peers(listen,
-            List.of((InetSocketAddress) first.getLocalSocketAddress(),
-                (InetSocketAddress) second.getLocalSocketAddress()), everyone),
-            (from, data) -> heard.add(new Message(from, data)), events);
+        PeerLink link =
+                new PeerLink(
+                        group.next(),
+                        new Config.Peers(
+                                listen,
+                                List.of(
+                                        (InetSocketAddress) first.getLocalSocketAddress(),
+                                        (InetSocketAddress) second.getLocalSocketAddress()),
+                                everyone),
+                        (from, data) -> heard.add(new Message(from, data)),
+                        events);
         link.start(log::add).sync();
         return link;
     }
@@ -129,12 +136,19 @@
 
     @Test
     void anAddressInUseLeavesTheBalancerWithoutMessages() throws Exception {
-        PeerLink link = new PeerLink(group.next(), new Config.Peers(
-            (InetSocketAddress) first.getLocalSocketAddress(),
-            List.of((InetSocketAddress) second.getLocalSocketAddress()), null),
-            (from, data) -> { }, events);
+        PeerLink link =
+                new PeerLink(
+                        group.next(),
+                        new Config.Peers(
+                                (InetSocketAddress) first.getLocalSocketAddress(),
+                                List.of((InetSocketAddress) second.getLocalSocketAddress()),
+                                null),
+                        (from, data) -> {},
+                        events);
         assertTrue(link.start(log::add).await(WAIT_MS, TimeUnit.MILLISECONDS));
-        group.next().submit(() -> link.tell(-1, new byte[] {1})).get(WAIT_MS, TimeUnit.MILLISECONDS);
+        group.next()
+                .submit(() -> link.tell(-1, new byte[] {1}))
+                .get(WAIT_MS, TimeUnit.MILLISECONDS);
         assertTrue(log.get(0).contains("no messages between balancers"));
     }
 }
--- a/balancer/src/test/java/junctionhead/net/RealProcessTest.java
+++ b/balancer/src/test/java/junctionhead/net/RealProcessTest.java
@@ -27,7 +27,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Balancers as processes of their own, where the system's limits and a real start are what counts. */
+/**
+ * Balancers as processes of their own, where the system's limits and a real start are what counts.
+ */
 @Timeout(120)
 class RealProcessTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -52,28 +54,69 @@
     }
 
     private String list(int rev, String id, String address) {
-        return "{\"rev\":" + rev + ",\"all\":true,\"targets\":[{\"uid\":\"" + id + "\",\"endpoint\":\""
-            + address + "\",\"state\":\"in_service\",\"boot_ms\":0}]}";
+        return "{\"rev\":"
+                + rev
+                + ",\"all\":true,\"targets\":[{\"uid\":\""
+                + id
+                + "\",\"endpoint\":\""
+                + address
+                + "\",\"state\":\"in_service\",\"boot_ms\":0}]}";
     }
 
-    private record Started(Process process, InetSocketAddress at) { }
+    private record Started(Process process, InetSocketAddress at) {}
 
     /** Starts one under a limit on descriptors; it listens once this returns. */
     private Started serve(Map<String, Object> more) throws IOException {
         Map<String, Object> settings = NodeTest.settings();
         settings.put("MembershipMode", "push");
         settings.put("Balancers", 2);
-        settings.put("Limits", Map.of("TryLimit", 3, "MayDuplicate", true, "Cancel", true, "Probes", true,
-            "DialTimeout", 500_000, "IdleClose", 30_000_000, "PeerMessages", true));
-        Map<String, Object> config = new HashMap<>(Map.of("name", "n1", "listen", "127.0.0.1:0",
-            "discovery", agent.address(), "seed", "1", "settings", settings, "known",
-            JSON.std.mapFrom(list(1, "s1", upstream.address()))));
+        settings.put(
+                "Limits",
+                Map.of(
+                        "TryLimit",
+                        3,
+                        "MayDuplicate",
+                        true,
+                        "Cancel",
+                        true,
+                        "Probes",
+                        true,
+                        "DialTimeout",
+                        500_000,
+                        "IdleClose",
+                        30_000_000,
+                        "PeerMessages",
+                        true));
+        Map<String, Object> config =
+                new HashMap<>(
+                        Map.of(
+                                "name",
+                                "n1",
+                                "listen",
+                                "127.0.0.1:0",
+                                "discovery",
+                                agent.address(),
+                                "seed",
+                                "1",
+                                "settings",
+                                settings,
+                                "known",
+                                JSON.std.mapFrom(list(1, "s1", upstream.address()))));
         config.putAll(more);
         Path file = Files.createTempFile("junctionhead", ".json");
         Files.writeString(file, JSON.std.asString(config));
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", "ulimit -n " + LIMIT + "; exec \"$@\"",
-            "sh", Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx32m", "-cp",
-            System.getProperty("java.class.path"), "junctionhead.Main", "serve");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        "/bin/sh",
+                        "-c",
+                        "ulimit -n " + LIMIT + "; exec \"$@\"",
+                        "sh",
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xmx32m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "junctionhead.Main",
+                        "serve");
         builder.environment().keySet().removeIf(name -> name.startsWith("ROUTER_"));
         builder.environment().put("ROUTER_CONFIG", file.toString());
         Process process = builder.start();
@@ -85,7 +128,7 @@
         }
         assertTrue(line != null, "it has ended");
         Files.delete(file);
-        Thread reader = new Thread(() -> err.lines().forEach(l -> { }));
+        Thread reader = new Thread(() -> err.lines().forEach(l -> {}));
         reader.setDaemon(true);
         reader.start();
         return new Started(process, Targets.address(line.substring(line.lastIndexOf(' ') + 1)));
@@ -106,12 +149,14 @@
     // ns for which the thread that starts it, and then its loop, were ready to run and had no core.
     private static long queued(Process process) throws IOException {
         long sum = 0;
-        try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc/" + process.pid()
-                + "/task"))) {
+        try (DirectoryStream<Path> threads =
+                Files.newDirectoryStream(Path.of("/proc/" + process.pid() + "/task"))) {
             for (Path thread : threads) {
                 String name = Files.readString(thread.resolve("comm"));
                 if (name.startsWith("java") || name.startsWith("nioEventLoop")) {
-                    sum += Long.parseLong(Files.readString(thread.resolve("schedstat")).split(" ")[1]);
+                    sum +=
+                            Long.parseLong(
+                                    Files.readString(thread.resolve("schedstat")).split(" ")[1]);
                 }
             }
         }
@@ -125,8 +170,9 @@
     }
 
     /**
-     * Idle clients, each of which has asked something and stays, while discovery accepts and is silent. What
-     * is under way goes on, so do datagrams, and the watch has its connection when discovery is back.
+     * Idle clients, each of which has asked something and stays, while discovery accepts and is
+     * silent. What is under way goes on, so do datagrams, and the watch has its connection when
+     * discovery is back.
      */
     @Test
     void idleClientsThatFillTheDescriptorsWhileDiscoveryIsDownStopNothing() throws Exception {
@@ -135,14 +181,21 @@
         try (DatagramSocket peer = new DatagramSocket(0, loopback);
                 FakeUpstream other = new FakeUpstream()) {
             String own = "127.0.0.1:" + freePort();
-            InetSocketAddress at = serve(Map.of("peer_listen", own, "peers",
-                List.of(own, "127.0.0.1:" + peer.getLocalPort()))).at();
+            InetSocketAddress at =
+                    serve(
+                                    Map.of(
+                                            "peer_listen",
+                                            own,
+                                            "peers",
+                                            List.of(own, "127.0.0.1:" + peer.getLocalPort())))
+                            .at();
             awaitReady(at);
             Map<String, Client> working = new HashMap<>();
             for (int i = 0; i < 60; i++) {
                 // Each with a connection to the upstream
-                working.put("w" + i, new Client(at)
-                    .send(NodeTest.SAFE.replace("Req-Id: r1", "Req-Id: w" + i)));
+                working.put(
+                        "w" + i,
+                        new Client(at).send(NodeTest.SAFE.replace("Req-Id: r1", "Req-Id: w" + i)));
             }
             idle.addAll(working.values());
             TimeUnit.SECONDS.sleep(2);
@@ -205,24 +258,29 @@
     }
 
     /**
-     * Ten that start at once, with a list from before, while discovery is silent. What counts is their own
-     * time, as on a machine that has a core for each: for how long they waited for one is taken off.
+     * Ten that start at once, with a list from before, while discovery is silent. What counts is
+     * their own time, as on a machine that has a core for each: for how long they waited for one is
+     * taken off.
      */
     @Test
     void nineInTenThatStartAtOnceAreReadyWithinTenSeconds() throws Exception {
         List<Thread> starts = new ArrayList<>();
         List<Long> took = Collections.synchronizedList(new ArrayList<>());
         for (int i = 0; i < 10; i++) {
-            starts.add(new Thread(() -> {
-                long began = System.nanoTime();
-                try {
-                    Started started = serve(Map.of());
-                    awaitReady(started.at());
-                    took.add((System.nanoTime() - began - queued(started.process())) / 1_000_000);
-                } catch (Exception e) {
-                    took.add(Long.MAX_VALUE);
-                }
-            }));
+            starts.add(
+                    new Thread(
+                            () -> {
+                                long began = System.nanoTime();
+                                try {
+                                    Started started = serve(Map.of());
+                                    awaitReady(started.at());
+                                    took.add(
+                                            (System.nanoTime() - began - queued(started.process()))
+                                                    / 1_000_000);
+                                } catch (Exception e) {
+                                    took.add(Long.MAX_VALUE);
+                                }
+                            }));
         }
         for (Thread start : starts) {
             start.start();
--- a/balancer/src/test/java/junctionhead/net/RehearsalTest.java
+++ b/balancer/src/test/java/junctionhead/net/RehearsalTest.java
@@ -22,21 +22,33 @@
 @Timeout(30)
 class RehearsalTest {
     /** Runs one towards a server that never answers, {@code real} requests having come. */
-    private static boolean endsAtOnce(long real, boolean hurried) throws IOException, InterruptedException {
+    private static boolean endsAtOnce(long real, boolean hurried)
+            throws IOException, InterruptedException {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try (InputStream told = Node.class.getResourceAsStream("/prepare.json");
-             ServerSocket silent = new ServerSocket(0)) {
+                ServerSocket silent = new ServerSocket(0)) {
             Config config = Config.of(Map.of(), JSON.std.mapFrom(told));
             CountDownLatch started = new CountDownLatch(1);
             CountDownLatch over = new CountDownLatch(1);
             AtomicLong ends = new AtomicLong();
-            group.next().execute(() -> {
-                new Rehearsal(group.next(), config, (LocalAddress) null, () -> real, () -> hurried, () -> {
-                    ends.incrementAndGet();
-                    over.countDown();
-                }).start(new InetSocketAddress("127.0.0.1", silent.getLocalPort()));
-                started.countDown();
-            });
+            group.next()
+                    .execute(
+                            () -> {
+                                new Rehearsal(
+                                                group.next(),
+                                                config,
+                                                (LocalAddress) null,
+                                                () -> real,
+                                                () -> hurried,
+                                                () -> {
+                                                    ends.incrementAndGet();
+                                                    over.countDown();
+                                                })
+                                        .start(
+                                                new InetSocketAddress(
+                                                        "127.0.0.1", silent.getLocalPort()));
+                                started.countDown();
+                            });
             assertTrue(started.await(20, TimeUnit.SECONDS));
             boolean atOnce = over.getCount() == 0;
             assertTrue(over.await(20, TimeUnit.SECONDS), "it ends however silent the server is");
--- a/balancer/src/test/java/junctionhead/net/ShutdownTest.java
+++ b/balancer/src/test/java/junctionhead/net/ShutdownTest.java
@@ -49,7 +49,10 @@
         }
     }
 
-    /** A close over unread bytes would reset the connection; what comes behind the end is not sent on. */
+    /**
+     * A close over unread bytes would reset the connection; what comes behind the end is not sent
+     * on.
+     */
     @Test
     void bytesThatArriveAsTheLastAnswerIsWrittenTakeNothingWithThem() throws Exception {
         start();
@@ -89,7 +92,7 @@
     void whoWaitsToBeAcceptedWhenTheListenerClosesIsAnswered() throws Exception {
         start();
         List<Client> clients = new ArrayList<>();
-        Stall stall = new Stall(node.loop(), () -> node.clients().close(() -> { }));
+        Stall stall = new Stall(node.loop(), () -> node.clients().close(() -> {}));
         for (int i = 0; i < 40; i++) {
             clients.add(new Client(at).send(request("r" + i)));
         }
--- a/balancer/src/test/java/junctionhead/net/SlowPeersTest.java
+++ b/balancer/src/test/java/junctionhead/net/SlowPeersTest.java
@@ -18,12 +18,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Peers that connect and send nothing, or never end what they begin, lose their connections soon. */
+/**
+ * Peers that connect and send nothing, or never end what they begin, lose their connections soon.
+ */
 @Timeout(60)
 class SlowPeersTest {
     private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-    private static final String POST = "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
-        + "Req-Deadline-Ms: 20000\r\n";
+    private static final String POST =
+            "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
+                    + "Req-Deadline-Ms: 20000\r\n";
 
     private final Scripted module = new Scripted();
     private FakeUpstream upstream;
@@ -36,7 +39,7 @@
     }
 
     private void start(int sockets) throws IOException {
-        node = Nodes.node(upstream, module, NodeTest.settings(), sockets, line -> { });
+        node = Nodes.node(upstream, module, NodeTest.settings(), sockets, line -> {});
         at = node.start();
     }
 
@@ -62,18 +65,20 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "G",
-        "GET /-/ready HTTP/1.1\r\nHost: x",
-        POST + "Content-Length: 5\r\n\r\n1234",
-        POST + "Transfer-Encoding: chunked\r\n\r\n",
-        POST + "Transfer-Encoding: chunked\r\n\r\n5\r\n123",
-        POST + "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n0\r\n",
-        POST + "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n",
-    })
+    @ValueSource(
+            strings = {
+                "G",
+                "GET /-/ready HTTP/1.1\r\nHost: x",
+                POST + "Content-Length: 5\r\n\r\n1234",
+                POST + "Transfer-Encoding: chunked\r\n\r\n",
+                POST + "Transfer-Encoding: chunked\r\n\r\n5\r\n123",
+                POST + "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n0\r\n",
+                POST + "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n",
+            })
     void anUnfinishedRequestGetsAnErrorAndReachesNobody(String begun) throws IOException {
         start(1024);
-        try (Client first = new Client(at); Client later = new Client(at)) {
+        try (Client first = new Client(at);
+                Client later = new Client(at)) {
             first.send(begun);
             // In one piece with a whole one
             assertEquals(200, later.send(READY + begun).status());
@@ -102,7 +107,8 @@
     @Test
     void aRequestThatIsBeingServedIsWaitedFor() throws Exception {
         start(1024);
-        try (Client client = new Client(at); Client silent = new Client(at)) {
+        try (Client client = new Client(at);
+                Client silent = new Client(at)) {
             client.send(NodeTest.SAFE);
             FakeUpstream.Got got = upstream.next();
             // Its time is over
@@ -169,7 +175,10 @@
         }
     }
 
-    /** They have sent what they ask for; the loop stood still, and comes first to who wants their places. */
+    /**
+     * They have sent what they ask for; the loop stood still, and comes first to who wants their
+     * places.
+     */
     @Test
     void newcomersWhoseBytesWaitToBeReadKeepTheirPlaces() throws Exception {
         start(40);
@@ -178,7 +187,10 @@
             for (int i = 0; i < 12; i++) {
                 clients.add(new Client(at));
             }
-            while (!node.loop().submit(() -> node.clients().toString()).get().startsWith("12 clients'")) {
+            while (!node.loop()
+                    .submit(() -> node.clients().toString())
+                    .get()
+                    .startsWith("12 clients'")) {
                 Thread.onSpinWait();
             }
             Stall stall = new Stall(node.loop());
@@ -201,7 +213,10 @@
         }
     }
 
-    /** Its place goes to nobody who does less: neither to the silent nor to those that begin and stop. */
+    /**
+     * Its place goes to nobody who does less: neither to the silent nor to those that begin and
+     * stop.
+     */
     @Test
     void aSlowClientKeepsItsPlaceAmongPeersThatStandStill() throws Exception {
         start(40);
--- a/balancer/src/test/java/junctionhead/net/StateKeeperTest.java
+++ b/balancer/src/test/java/junctionhead/net/StateKeeperTest.java
@@ -22,13 +22,13 @@
 
 @Timeout(60)
 class StateKeeperTest {
-    private static final String LIST = """
+    private static final String LIST =
+            """
         {"rev":%d,"all":%s,"targets":[
           {"uid":"s1","endpoint":"127.0.0.1:81","az":"b","model":"m1","pod_group":3,"state":"%s",
             "capacity_hint":1.5,"boot_ms":7}]}""";
 
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
     private final List<String> log = new CopyOnWriteArrayList<>();
     private final Config config = config();
     private StateKeeper keeper;
@@ -36,15 +36,27 @@
 
     private static Config config() {
         try {
-            Map<String, Object> settings = JSON.std.mapFrom("""
+            Map<String, Object> settings =
+                    JSON.std.mapFrom(
+                            """
                 {"Areas":["a","b"],"Kinds":["m0","m1"],"Balancers":1,"Quantum":5000,"MembershipMode":"ask",
                  "Classes":[{"Name":"a","Idempotency":"safe","GoalTime":600000,"GiveUp":1200000}],
                  "Limits":{"TryLimit":3,"MayDuplicate":true,"Cancel":true,"Probes":true},
                  "Rules":{"AnswerSlack":20000,"DrainGrace":1000000,"AskWithin":10000000,"ColdFrom":0.2,
                    "RampTime":20000000,"OverloadFactor":2.5,"Fall":1500000}}""");
-            return Config.of(Map.of(), Map.of("name", "n1", "listen", "127.0.0.1:0", "discovery",
-                "127.0.0.1:9",
-                "seed", "1", "settings", settings));
+            return Config.of(
+                    Map.of(),
+                    Map.of(
+                            "name",
+                            "n1",
+                            "listen",
+                            "127.0.0.1:0",
+                            "discovery",
+                            "127.0.0.1:9",
+                            "seed",
+                            "1",
+                            "settings",
+                            settings));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -103,9 +115,20 @@
 
     @Test
     void whatTheModuleKnewIsBackAsItWas() throws IOException, InterruptedException {
-        module = new Kept(List.of(new Kept.OfServer("s1", 7, 12.5, 3, 0.25, 900_000, 2, 0,
-            List.of(0L, 5_000L))),
-            List.of(60_000.5));
+        module =
+                new Kept(
+                        List.of(
+                                new Kept.OfServer(
+                                        "s1",
+                                        7,
+                                        12.5,
+                                        3,
+                                        0.25,
+                                        900_000,
+                                        2,
+                                        0,
+                                        List.of(0L, 5_000L))),
+                        List.of(60_000.5));
         keep(list(41, true, "in_service"));
         keeper = open();
         assertEquals(module, keeper.module());
@@ -115,11 +138,19 @@
     @Test
     void anOddNumberInWhatTheModuleKnewIsRefused() {
         Map<String, Object> odd = KeptForm.write(new Kept(List.of(), List.of(-1.0)));
-        assertEquals("no number from 0 to 1.0E9: -1.0",
-            assertThrows(IllegalArgumentException.class, () -> KeptForm.read(odd)).getMessage());
-        for (Object junk : new Object[] {"x", Map.of(), Map.of("servers", List.of(3), "latencies", List.of()),
-            Map.of("servers", List.of(Map.of("uid", 3)), "latencies", List.of())}) {
-            assertThrows(IllegalArgumentException.class, () -> KeptForm.read(junk), junk.toString());
+        assertEquals(
+                "no number from 0 to 1.0E9: -1.0",
+                assertThrows(IllegalArgumentException.class, () -> KeptForm.read(odd))
+                        .getMessage());
+        for (Object junk :
+                new Object[] {
+                    "x",
+                    Map.of(),
+                    Map.of("servers", List.of(3), "latencies", List.of()),
+                    Map.of("servers", List.of(Map.of("uid", 3)), "latencies", List.of())
+                }) {
+            assertThrows(
+                    IllegalArgumentException.class, () -> KeptForm.read(junk), junk.toString());
         }
     }
 
@@ -143,8 +174,9 @@
 
     @Test
     void aDamagedFolderIsAStartWithout() throws IOException {
-        Files.writeString(dir.resolve("snapshot-5"),
-            "not one of ours, but as long as one would be, and more");
+        Files.writeString(
+                dir.resolve("snapshot-5"),
+                "not one of ours, but as long as one would be, and more");
         keeper = open();
         assertEquals(config.known(), keeper.newest(config.known()));
         assertEquals(List.of("state: dropped snapshot-5: no mark"), log);
--- a/balancer/src/test/java/junctionhead/net/UpstreamsTest.java
+++ b/balancer/src/test/java/junctionhead/net/UpstreamsTest.java
@@ -36,13 +36,31 @@
         upstream = new FakeUpstream();
         Map<String, String> values = new HashMap<>();
         Config.flatten("", NodeTest.settings(), values);
-        SettingsReader.Boot boot = SettingsReader.read(values,
-            (path, what) -> new IllegalStateException(path));
-        upstreams = new Upstreams(loop, boot, new Descriptors(100, false), clock::get,
-            new Events(line -> { }, System::nanoTime), new Metrics(boot.classes()), new Relay.Budget());
+        SettingsReader.Boot boot =
+                SettingsReader.read(values, (path, what) -> new IllegalStateException(path));
+        upstreams =
+                new Upstreams(
+                        loop,
+                        boot,
+                        new Descriptors(100, false),
+                        clock::get,
+                        new Events(line -> {}, System::nanoTime),
+                        new Metrics(boot.classes()),
+                        new Relay.Budget());
         Policy.Server server = new Policy.Server("s1", Policy.State.UP, 0, 1, 0, 0, 0);
-        loop.submit(() -> upstreams.listed(new Targets(1, true,
-            List.of(new Targets.Target(server, Targets.address(upstream.address())))), clock.get())).sync();
+        loop.submit(
+                        () ->
+                                upstreams.listed(
+                                        new Targets(
+                                                1,
+                                                true,
+                                                List.of(
+                                                        new Targets.Target(
+                                                                server,
+                                                                Targets.address(
+                                                                        upstream.address())))),
+                                        clock.get()))
+                .sync();
     }
 
     @AfterEach
@@ -52,21 +70,40 @@
     }
 
     private FakeUpstream.Got sent(String id) throws InterruptedException {
-        Order order = new Order(HttpMethod.GET, "/", new DefaultHttpHeaders().set("Req-Id", id), new byte[0],
-            0, 0, null, 20_000_000, -1, false);
-        loop.execute(() -> upstreams.send("s1", order, 20_000_000,
-            (outcome, answer, load) -> ended.add(id + " " + outcome)));
+        Order order =
+                new Order(
+                        HttpMethod.GET,
+                        "/",
+                        new DefaultHttpHeaders().set("Req-Id", id),
+                        new byte[0],
+                        0,
+                        0,
+                        null,
+                        20_000_000,
+                        -1,
+                        false);
+        loop.execute(
+                () ->
+                        upstreams.send(
+                                "s1",
+                                order,
+                                20_000_000,
+                                (outcome, answer, load) -> ended.add(id + " " + outcome)));
         FakeUpstream.Got got = upstream.next();
         assertEquals(id, got.header("Req-Id"));
         return got;
     }
 
-    private void answered(FakeUpstream.Got got, String id) throws IOException, InterruptedException {
+    private void answered(FakeUpstream.Got got, String id)
+            throws IOException, InterruptedException {
         got.answer(200, "", "ok");
         assertEquals(id + " OK", ended.poll(20, TimeUnit.SECONDS));
     }
 
-    /** A second answer may come some milliseconds late, least likely on the one that rests for longest. */
+    /**
+     * A second answer may come some milliseconds late, least likely on the one that rests for
+     * longest.
+     */
     @Test
     void aConnectionThatHasJustBeenUsedIsLeftAloneWhereAnotherOneRests() throws Exception {
         FakeUpstream.Got a = sent("a");
--- a/balancer/src/test/java/junctionhead/state/CrashDisk.java
+++ b/balancer/src/test/java/junctionhead/state/CrashDisk.java
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 
 /**
- * A disk that remembers all that was asked of it and can show every folder that a loss of power could leave:
- * after each operation, with any choice of the unsynced changes of names lost, and of each unsynced file
- * nothing, all, or what comes before a sector, or the sectors changed in order.
+ * A disk that remembers all that was asked of it and can show every folder that a loss of power
+ * could leave: after each operation, with any choice of the unsynced changes of names lost, and of
+ * each unsynced file nothing, all, or what comes before a sector, or the sectors changed in order.
  */
 final class CrashDisk implements Disk {
     private static final int SECTOR = 512;
@@ -29,7 +29,9 @@
     private final List<Consumer<Map<String, Content>>> unsynced = new ArrayList<>();
     private final Consumer<Map<String, byte[]>> crashes;
 
-    /** {@code crashes} is handed each folder that a loss of power could leave, after each operation. */
+    /**
+     * {@code crashes} is handed each folder that a loss of power could leave, after each operation.
+     */
     CrashDisk(Consumer<Map<String, byte[]>> crashes) {
         this.crashes = crashes;
     }
@@ -53,7 +55,8 @@
     }
 
     // Every combination of what may be left of each file.
-    private void choose(List<String> files, int i, Map<String, Content> left, Map<String, byte[]> chosen) {
+    private void choose(
+            List<String> files, int i, Map<String, Content> left, Map<String, byte[]> chosen) {
         if (i == files.size()) {
             crashes.accept(new HashMap<>(chosen));
             return;
@@ -108,12 +111,13 @@
 
     @Override
     public void rename(String from, String to) {
-        operation(folder -> {
-            Content content = folder.remove(from);
-            if (content != null) {
-                folder.put(to, content);
-            }
-        });
+        operation(
+                folder -> {
+                    Content content = folder.remove(from);
+                    if (content != null) {
+                        folder.put(to, content);
+                    }
+                });
     }
 
     @Override
@@ -131,13 +135,14 @@
 
     /** A disk that holds what such a loss left. */
     static CrashDisk holding(Map<String, byte[]> files) {
-        CrashDisk disk = new CrashDisk(left -> { });
-        files.forEach((name, bytes) -> {
-            Content content = new Content();
-            content.bytes = bytes;
-            content.safe = bytes;
-            disk.names.put(name, content);
-        });
+        CrashDisk disk = new CrashDisk(left -> {});
+        files.forEach(
+                (name, bytes) -> {
+                    Content content = new Content();
+                    content.bytes = bytes;
+                    content.safe = bytes;
+                    disk.names.put(name, content);
+                });
         return disk;
     }
 }
--- a/balancer/src/test/java/junctionhead/state/SnapshotsTest.java
+++ b/balancer/src/test/java/junctionhead/state/SnapshotsTest.java
@@ -59,12 +59,18 @@
 
         private void look(Map<String, byte[]> folder) {
             folders++;
-            Snapshot found = new Snapshots(CrashDisk.holding(folder), OWNER, "snapshot").recover().newest();
+            Snapshot found =
+                    new Snapshots(CrashDisk.holding(folder), OWNER, "snapshot").recover().newest();
             int n = found == null ? 0 : (int) found.at();
             boolean whole = found == null || java.util.Arrays.equals(content(n), found.content());
             if (wrong == null && (!whole || n < promised || n > begun)) {
-                wrong = "recovered " + n + (whole ? "" : ", not whole") + " where " + promised
-                    + " was promised";
+                wrong =
+                        "recovered "
+                                + n
+                                + (whole ? "" : ", not whole")
+                                + " where "
+                                + promised
+                                + " was promised";
             }
         }
     }
@@ -79,33 +85,43 @@
 
     /** The same steps with one left out or wrong: the explorer must say so. */
     @ParameterizedTest
-    @ValueSource(strings = {"no sync of the file", "no sync of the folder", "old ones removed first",
-        "written in place"})
+    @ValueSource(
+            strings = {
+                "no sync of the file",
+                "no sync of the folder",
+                "old ones removed first",
+                "written in place"
+            })
     void aMistakeInTheOrderIsFound(String mistake) throws IOException {
-        Explorer explorer = new Explorer((by, disk, n) -> {
-            byte[] bytes = new Snapshot(n, n, 1, OWNER, content(n)).encode();
-            String name = mistake.equals("written in place") ? "snapshot-1" : "snapshot-" + n;
-            if (mistake.equals("written in place")) {
-                bytes = new Snapshot(1, n, 1, OWNER, content(n)).encode();
-            }
-            if (mistake.equals("old ones removed first")) {
-                disk.delete("snapshot-" + (n - 1));
-                disk.syncFolder();
-            }
-            disk.write("unfinished", bytes);
-            if (!mistake.equals("no sync of the file")) {
-                disk.sync("unfinished");
-            }
-            disk.rename("unfinished", name);
-            if (!mistake.equals("no sync of the folder")) {
-                disk.syncFolder();
-            }
-            if (mistake.equals("written in place")) {
-                // As if the file were changed where it stands
-                disk.write(name, bytes);
-                disk.syncFolder();
-            }
-        });
+        Explorer explorer =
+                new Explorer(
+                        (by, disk, n) -> {
+                            byte[] bytes = new Snapshot(n, n, 1, OWNER, content(n)).encode();
+                            String name =
+                                    mistake.equals("written in place")
+                                            ? "snapshot-1"
+                                            : "snapshot-" + n;
+                            if (mistake.equals("written in place")) {
+                                bytes = new Snapshot(1, n, 1, OWNER, content(n)).encode();
+                            }
+                            if (mistake.equals("old ones removed first")) {
+                                disk.delete("snapshot-" + (n - 1));
+                                disk.syncFolder();
+                            }
+                            disk.write("unfinished", bytes);
+                            if (!mistake.equals("no sync of the file")) {
+                                disk.sync("unfinished");
+                            }
+                            disk.rename("unfinished", name);
+                            if (!mistake.equals("no sync of the folder")) {
+                                disk.syncFolder();
+                            }
+                            if (mistake.equals("written in place")) {
+                                // As if the file were changed where it stands
+                                disk.write(name, bytes);
+                                disk.syncFolder();
+                            }
+                        });
         explorer.play(3);
         assertFalse(explorer.wrong == null, mistake);
     }
@@ -121,8 +137,9 @@
             assertNull(Snapshot.read(bad, OWNER).snapshot(), "byte " + i);
         }
         for (int length = 0; length < good.length; length++) {
-            assertNull(Snapshot.read(java.util.Arrays.copyOf(good, length), OWNER).snapshot(), length
-                + " bytes");
+            assertNull(
+                    Snapshot.read(java.util.Arrays.copyOf(good, length), OWNER).snapshot(),
+                    length + " bytes");
         }
     }
 
@@ -171,19 +188,26 @@
         assertEquals(List.of("snapshot-9: short", "snapshot-1: other owner"), found.dropped());
     }
 
-    /** A disk that fails at one of its operations: an error is said, and what was kept before still is. */
+    /**
+     * A disk that fails at one of its operations: an error is said, and what was kept before still
+     * is.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"write", "sync", "rename", "syncFolder", "delete"})
     void aFailingDiskLosesNothingThatWasKept(String failing) throws IOException {
-        CrashDisk inner = new CrashDisk(folder -> { });
+        CrashDisk inner = new CrashDisk(folder -> {});
         List<String> now = new ArrayList<>();
-        Disk disk = (Disk) java.lang.reflect.Proxy.newProxyInstance(Disk.class.getClassLoader(),
-            new Class<?>[] {Disk.class}, (proxy, method, arguments) -> {
-                if (now.contains(method.getName())) {
-                    throw new IOException("no space left");
-                }
-                return method.invoke(inner, arguments);
-            });
+        Disk disk =
+                (Disk)
+                        java.lang.reflect.Proxy.newProxyInstance(
+                                Disk.class.getClassLoader(),
+                                new Class<?>[] {Disk.class},
+                                (proxy, method, arguments) -> {
+                                    if (now.contains(method.getName())) {
+                                        throw new IOException("no space left");
+                                    }
+                                    return method.invoke(inner, arguments);
+                                });
         Snapshots by = new Snapshots(disk, OWNER, "snapshot");
         by.keep(1, 1, content(1));
         by.keep(2, 1, content(2));
@@ -197,7 +221,8 @@
 
     @Test
     void moreThanASnapshotMayHoldIsRefused() {
-        assertThrows(IllegalArgumentException.class, () -> new Snapshot(1, 1, 1, OWNER,
-            new byte[Snapshot.BYTES_MOST]).encode());
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new Snapshot(1, 1, 1, OWNER, new byte[Snapshot.BYTES_MOST]).encode());
     }
 }
--- a/lab/src/main/java/junctionhead/lab/CapacityCommand.java
+++ b/lab/src/main/java/junctionhead/lab/CapacityCommand.java
@@ -12,21 +12,28 @@
 import picocli.CommandLine.Spec;
 
 /** Measures what the control of a fleet costs, with hollow balancers. */
-@Command(name = "capacity", mixinStandardHelpOptions = true,
-    description = "Fleets of hollow balancers (module, membership and duties without a data path): "
-        + "datagrams, CPU, heap and how soon news are known, by the fleet's size. Exit: 0, 2 wrong use, "
-        + "3 where the machine was too busy for real time.")
+@Command(
+        name = "capacity",
+        mixinStandardHelpOptions = true,
+        description =
+                "Fleets of hollow balancers (module, membership and duties without a data path): "
+                        + "datagrams, CPU, heap and how soon news are known, by the fleet's size. Exit: 0, 2 wrong use, "
+                        + "3 where the machine was too busy for real time.")
 final class CapacityCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
-    @Mixin
-    private CapacityOptions options;
+    @Spec private CommandSpec spec;
+    @Mixin private CapacityOptions options;
+
     @Option(names = "--out", paramLabel = "FILE", description = "Where the figures go, as JSON.")
     private Path out;
 
     @Override
     public Integer call() throws IOException {
-        return CapacityRun.play(options, spec.commandLine().getParseResult().originalArgs(), out,
-            System.out::println) ? Lab.OK : Lab.UNTRUSTED;
+        return CapacityRun.play(
+                        options,
+                        spec.commandLine().getParseResult().originalArgs(),
+                        out,
+                        System.out::println)
+                ? Lab.OK
+                : Lab.UNTRUSTED;
     }
 }
--- a/lab/src/main/java/junctionhead/lab/DutiesCommand.java
+++ b/lab/src/main/java/junctionhead/lab/DutiesCommand.java
@@ -18,27 +18,53 @@
 import picocli.CommandLine.Spec;
 
 /** Measures duties in simulated time. */
-@Command(name = "duties", mixinStandardHelpOptions = true,
-    description = "Duties in simulated time: cost, how soon they are passed on. "
-        + "Exit: 0, 1 where two held one at once.")
+@Command(
+        name = "duties",
+        mixinStandardHelpOptions = true,
+        description =
+                "Duties in simulated time: cost, how soon they are passed on. "
+                        + "Exit: 0, 1 where two held one at once.")
 final class DutiesCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
-    @Option(names = "--members", paramLabel = "N", defaultValue = "10", split = ",",
-        description = "Each after the other where there are several (default: ${DEFAULT-VALUE}).")
+    @Spec private CommandSpec spec;
+
+    @Option(
+            names = "--members",
+            paramLabel = "N",
+            defaultValue = "10",
+            split = ",",
+            description =
+                    "Each after the other where there are several (default: ${DEFAULT-VALUE}).")
     private List<Integer> counts;
-    @Option(names = "--loss", paramLabel = "PART", defaultValue = "0",
-        description = "Of the datagrams (default: ${DEFAULT-VALUE}).")
+
+    @Option(
+            names = "--loss",
+            paramLabel = "PART",
+            defaultValue = "0",
+            description = "Of the datagrams (default: ${DEFAULT-VALUE}).")
     private double loss;
-    @Option(names = "--ends", paramLabel = "N", defaultValue = "20",
-        description = "Holders that end, of each kind (default: ${DEFAULT-VALUE}).")
+
+    @Option(
+            names = "--ends",
+            paramLabel = "N",
+            defaultValue = "20",
+            description = "Holders that end, of each kind (default: ${DEFAULT-VALUE}).")
     private int ends;
+
     @Option(names = "--forgetful", description = "Promises don't outlive a process.")
     private boolean forgetful;
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", split = ",",
-        description = "The same (default: ${DEFAULT-VALUE}).")
+
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            split = ",",
+            description = "The same (default: ${DEFAULT-VALUE}).")
     private List<Long> seeds;
-    @Option(names = "--json", paramLabel = "FILE", description = "Where all figures are written, too.")
+
+    @Option(
+            names = "--json",
+            paramLabel = "FILE",
+            description = "Where all figures are written, too.")
     private Path json;
 
     private final Repeats repeats = new Repeats();
@@ -68,8 +94,13 @@
         String key = String.format(Locale.ROOT, "n%d.loss%.0f.", count, loss * 100);
         SimDuties fleet = new SimDuties(count, loss, !forgetful, Terms.USUAL, seed);
         fleet.play(15_000_000);
-        System.out.printf(Locale.ROOT, "%d members, loss %.2f: %d of %d slots held after 15 s%n", count, loss,
-            fleet.held(), Terms.USUAL.slots());
+        System.out.printf(
+                Locale.ROOT,
+                "%d members, loss %.2f: %d of %d slots held after 15 s%n",
+                count,
+                loss,
+                fleet.held(),
+                Terms.USUAL.slots());
         long bytes = fleet.bytes();
         long datagrams = fleet.datagrams();
         long taken = fleet.taken();
@@ -77,11 +108,13 @@
         repeats.add(key + "held", fleet.held());
         repeats.add(key + "datagrams", (fleet.datagrams() - datagrams) / 30.0 / count);
         repeats.add(key + "bytes", (fleet.bytes() - bytes) / 30.0 / count);
-        System.out.printf(Locale.ROOT,
-            "while quiet, a second and member: %.1f datagrams, %.0f bytes; %d slots changed "
-            + "hands in 30 s%n", (fleet.datagrams() - datagrams) / 30.0 / count,
-            (fleet.bytes() - bytes) / 30.0 / count,
-            fleet.taken() - taken);
+        System.out.printf(
+                Locale.ROOT,
+                "while quiet, a second and member: %.1f datagrams, %.0f bytes; %d slots changed "
+                        + "hands in 30 s%n",
+                (fleet.datagrams() - datagrams) / 30.0 / count,
+                (fleet.bytes() - bytes) / 30.0 / count,
+                fleet.taken() - taken);
         for (boolean told : new boolean[] {false, true}) {
             fleet.passed().reset();
             for (int i = 0; i < ends; i++) {
@@ -92,18 +125,26 @@
                 fleet.play(9_000_000);
             }
             Histogram passed = fleet.passed();
-            System.out.printf(Locale.ROOT,
-                "%s: passed on after %.3f s (median), %.3f s (99 in 100), %.3f s (most), %d "
-                + "slots%n", told ? "in order" : "killed", passed.getValueAtPercentile(50) / 1e6,
-                passed.getValueAtPercentile(99) / 1e6, passed.getMaxValue() / 1e6, passed.getTotalCount());
+            System.out.printf(
+                    Locale.ROOT,
+                    "%s: passed on after %.3f s (median), %.3f s (99 in 100), %.3f s (most), %d "
+                            + "slots%n",
+                    told ? "in order" : "killed",
+                    passed.getValueAtPercentile(50) / 1e6,
+                    passed.getValueAtPercentile(99) / 1e6,
+                    passed.getMaxValue() / 1e6,
+                    passed.getTotalCount());
             if (passed.getTotalCount() > 0) {
                 String end = key + (told ? "in_order_s." : "killed_s.");
                 repeats.add(end + "p99", passed.getValueAtPercentile(99) / 1e6);
                 repeats.add(end + "max", passed.getMaxValue() / 1e6);
             }
         }
-        System.out.printf(Locale.ROOT, "slots held by two at once: %d%s%n", fleet.twice().size(),
-            fleet.twice().isEmpty() ? "" : ", first " + fleet.twice().get(0));
+        System.out.printf(
+                Locale.ROOT,
+                "slots held by two at once: %d%s%n",
+                fleet.twice().size(),
+                fleet.twice().isEmpty() ? "" : ", first " + fleet.twice().get(0));
         repeats.add(key + "twice", fleet.twice().size());
         return fleet.twice().size();
     }
--- a/lab/src/main/java/junctionhead/lab/FiguresCommand.java
+++ b/lab/src/main/java/junctionhead/lab/FiguresCommand.java
@@ -8,9 +8,12 @@
 import picocli.CommandLine.Parameters;
 
 /** Holds a page's figures to the files that they stand on. */
-@Command(name = "figures", mixinStandardHelpOptions = true,
-    description = "Holds the figures of a page to the files of runs that it refers to. Exit: 0, 1 where one "
-        + "differs by more than the rounding shown or has nothing to stand on, 2 where there is no page.")
+@Command(
+        name = "figures",
+        mixinStandardHelpOptions = true,
+        description =
+                "Holds the figures of a page to the files of runs that it refers to. Exit: 0, 1 where one "
+                        + "differs by more than the rounding shown or has nothing to stand on, 2 where there is no page.")
 final class FiguresCommand implements Callable<Integer> {
     @Parameters(paramLabel = "PAGE", description = "A page of Markdown, as docs/CAPACITY.md.")
     private Path page;
--- a/lab/src/main/java/junctionhead/lab/MembersCommand.java
+++ b/lab/src/main/java/junctionhead/lab/MembersCommand.java
@@ -17,32 +17,64 @@
 import picocli.CommandLine.Spec;
 
 /** Measures membership in simulated time. */
-@Command(name = "members", mixinStandardHelpOptions = true,
-    description = "Membership in simulated time: cost, how soon a killed member is known, cuts healed. "
-        + "Exit: 0, "
-        + "1 where a live member with whole paths was held dead.")
+@Command(
+        name = "members",
+        mixinStandardHelpOptions = true,
+        description =
+                "Membership in simulated time: cost, how soon a killed member is known, cuts healed. "
+                        + "Exit: 0, "
+                        + "1 where a live member with whole paths was held dead.")
 final class MembersCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
-    @Option(names = "--members", paramLabel = "N", defaultValue = "100", split = ",", description =
-        "Each after the other where there are several (default: ${DEFAULT-VALUE}).")
+    @Spec private CommandSpec spec;
+
+    @Option(
+            names = "--members",
+            paramLabel = "N",
+            defaultValue = "100",
+            split = ",",
+            description =
+                    "Each after the other where there are several (default: ${DEFAULT-VALUE}).")
     private List<Integer> counts;
-    @Option(names = "--loss", paramLabel = "PART", defaultValue = "0", split = ",",
-        description = "Of the datagrams; the same (default: ${DEFAULT-VALUE}).")
+
+    @Option(
+            names = "--loss",
+            paramLabel = "PART",
+            defaultValue = "0",
+            split = ",",
+            description = "Of the datagrams; the same (default: ${DEFAULT-VALUE}).")
     private List<Double> losses;
-    @Option(names = "--seconds", paramLabel = "S", defaultValue = "30",
-        description = "Of quiet, before anything happens (default: ${DEFAULT-VALUE}).")
+
+    @Option(
+            names = "--seconds",
+            paramLabel = "S",
+            defaultValue = "30",
+            description = "Of quiet, before anything happens (default: ${DEFAULT-VALUE}).")
     private int seconds;
-    @Option(names = "--kills", paramLabel = "N", defaultValue = "20", description =
-        "Default: ${DEFAULT-VALUE}.")
+
+    @Option(
+            names = "--kills",
+            paramLabel = "N",
+            defaultValue = "20",
+            description = "Default: ${DEFAULT-VALUE}.")
     private int kills;
-    @Option(names = "--uncut",
-        description = "Ends before the cut into halves, which costs most at a large size.")
+
+    @Option(
+            names = "--uncut",
+            description = "Ends before the cut into halves, which costs most at a large size.")
     private boolean uncut;
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", split = ",", description =
-        "The same (default: ${DEFAULT-VALUE}).")
+
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            split = ",",
+            description = "The same (default: ${DEFAULT-VALUE}).")
     private List<Long> seeds;
-    @Option(names = "--json", paramLabel = "FILE", description = "Where all figures are written, too.")
+
+    @Option(
+            names = "--json",
+            paramLabel = "FILE",
+            description = "Where all figures are written, too.")
     private Path json;
 
     private final Repeats repeats = new Repeats();
@@ -82,8 +114,12 @@
         repeats.add(key + "cpu_us", (cpu() - cpu) / 1e3 / each);
         repeats.add(key + "bytes", (fleet.meanBytes() - before) / seconds);
         repeats.add(key + "datagrams", (fleet.datagrams() - sent) / each);
-        System.out.printf(Locale.ROOT, "%d members, loss %.2f: %.0f bytes a second and member while quiet%n",
-            count, loss, (fleet.meanBytes() - before) / seconds);
+        System.out.printf(
+                Locale.ROOT,
+                "%d members, loss %.2f: %.0f bytes a second and member while quiet%n",
+                count,
+                loss,
+                (fleet.meanBytes() - before) / seconds);
         double quiet = (fleet.meanBytes() - before) / seconds;
         before = fleet.meanBytes();
         for (int i = 0; i < kills; i++) {
@@ -95,18 +131,27 @@
         }
         if (kills > 0) {
             repeats.add(key + "kill_bytes", (fleet.meanBytes() - before) / kills - 7 * quiet);
-            repeats.add(key + "known_part", fleet.known().getTotalCount() / (double) kills / (count - 1));
+            repeats.add(
+                    key + "known_part",
+                    fleet.known().getTotalCount() / (double) kills / (count - 1));
             repeats.add(key + "known_s.p50", fleet.known().getValueAtPercentile(50) / 1e6);
             repeats.add(key + "known_s.p99", fleet.known().getValueAtPercentile(99) / 1e6);
             repeats.add(key + "known_s.max", fleet.known().getMaxValue() / 1e6);
-            System.out.printf(Locale.ROOT, "a killed member known after %.2f s (median), %.2f s (99 in "
-                + "100), %.2f s "
-                + "(most), %d notices%n", fleet.known().getValueAtPercentile(50) / 1e6,
-                fleet.known().getValueAtPercentile(99) / 1e6, fleet.known().getMaxValue() / 1e6,
-                fleet.known().getTotalCount());
+            System.out.printf(
+                    Locale.ROOT,
+                    "a killed member known after %.2f s (median), %.2f s (99 in "
+                            + "100), %.2f s "
+                            + "(most), %d notices%n",
+                    fleet.known().getValueAtPercentile(50) / 1e6,
+                    fleet.known().getValueAtPercentile(99) / 1e6,
+                    fleet.known().getMaxValue() / 1e6,
+                    fleet.known().getTotalCount());
         }
-        System.out.printf(Locale.ROOT, "live members held dead: %d%s%n", fleet.wronged().size(),
-            fleet.wronged().isEmpty() ? "" : ", first " + fleet.wronged().get(0));
+        System.out.printf(
+                Locale.ROOT,
+                "live members held dead: %d%s%n",
+                fleet.wronged().size(),
+                fleet.wronged().isEmpty() ? "" : ", first " + fleet.wronged().get(0));
         int wronged = fleet.wronged().size();
         repeats.add(key + "wronged", wronged);
         if (!uncut) {
@@ -121,10 +166,12 @@
         double before = fleet.meanBytes();
         fleet.heal();
         long agreed = fleet.untilAgreed(30_000_000);
-        System.out.printf(Locale.ROOT, "views agree %.2f s after halves were joined again%n", agreed / 1e6);
+        System.out.printf(
+                Locale.ROOT, "views agree %.2f s after halves were joined again%n", agreed / 1e6);
         repeats.add(key + "healed_s", agreed < 0 ? -1 : agreed / 1e6);
-        repeats.add(key + "heal_bytes_a_second",
-            agreed <= 0 ? 0 : (fleet.meanBytes() - before) / (agreed / 1e6));
+        repeats.add(
+                key + "heal_bytes_a_second",
+                agreed <= 0 ? 0 : (fleet.meanBytes() - before) / (agreed / 1e6));
     }
 
     // The simulation's own share is in it: an upper bound of what the state machine takes.
