--- a/lab/src/main/java/junctionhead/lab/ReportCommand.java
+++ b/lab/src/main/java/junctionhead/lab/ReportCommand.java
@@ -9,8 +9,10 @@
 import picocli.CommandLine.Parameters;
 
 /** Makes a page of a run. */
-@Command(name = "report", mixinStandardHelpOptions = true,
-    description = "Writes report.html, one page without network, into a run's folder.")
+@Command(
+        name = "report",
+        mixinStandardHelpOptions = true,
+        description = "Writes report.html, one page without network, into a run's folder.")
 final class ReportCommand implements Callable<Integer> {
     @Parameters(paramLabel = "DIR", description = "The folder of a run.")
     private Path folder;
--- a/lab/src/main/java/junctionhead/lab/RunCommand.java
+++ b/lab/src/main/java/junctionhead/lab/RunCommand.java
@@ -12,20 +12,33 @@
 import picocli.CommandLine.Parameters;
 
 /** Plays one scenario once, with real processes. */
-@Command(name = "run", mixinStandardHelpOptions = true,
-    description = "Plays a scenario with real processes. Exit: 0 every rule was kept, 1 one was broken, "
-        + "2 wrong use, 3 the lab was too busy to be trusted.")
+@Command(
+        name = "run",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays a scenario with real processes. Exit: 0 every rule was kept, 1 one was broken, "
+                        + "2 wrong use, 3 the lab was too busy to be trusted.")
 final class RunCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO", description = "A scenario file (TOML).")
     private Path file;
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1",
-        description = "Draws arrivals and faults (default: ${DEFAULT-VALUE}).")
+
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "Draws arrivals and faults (default: ${DEFAULT-VALUE}).")
     private long seed;
-    @Option(names = "--build", paramLabel = "JAR",
-        description = "The balancer to play (default: balancer/target/junctionhead.jar).")
+
+    @Option(
+            names = "--build",
+            paramLabel = "JAR",
+            description = "The balancer to play (default: balancer/target/junctionhead.jar).")
     private Path jar;
-    @Option(names = "--out", paramLabel = "DIR",
-        description = "Where logs and the result go (default: a new folder below logs/).")
+
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            description = "Where logs and the result go (default: a new folder below logs/).")
     private Path out;
 
     @Override
--- a/lab/src/main/java/junctionhead/lab/capacity/Alarm.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Alarm.java
@@ -17,12 +17,14 @@
             return;
         }
         at = when;
-        host.after(Math.max(0, when - host.now()), () -> {
-            if (at == when) {
-                // Else an earlier one has rung in its place
-                at = Long.MAX_VALUE;
-                ring.run();
-            }
-        });
+        host.after(
+                Math.max(0, when - host.now()),
+                () -> {
+                    if (at == when) {
+                        // Else an earlier one has rung in its place
+                        at = Long.MAX_VALUE;
+                        ring.run();
+                    }
+                });
     }
 }
--- a/lab/src/main/java/junctionhead/lab/capacity/Capacity.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Capacity.java
@@ -9,8 +9,8 @@
 
 /** Plays all trials of a plan, one after another. */
 final class Capacity {
-    private static final List<String> WORST = List.of("most", "worst", "last", "unknownPairs",
-        "overtakenPairs");
+    private static final List<String> WORST =
+            List.of("most", "worst", "last", "unknownPairs", "overtakenPairs");
     private static final int SMALL = 3;
     // µs
     private static final long SHORT = 4_000_000;
@@ -43,8 +43,17 @@
                     String name = "n" + n + ".u" + u + "." + c.key();
                     List<Map<String, Double>> seeds = new java.util.ArrayList<>();
                     for (long seed : plan.seeds()) {
-                        seeds.add(one(new Site(n, u, plan.zones(), plan.classes(), plan.rate(), plan.parts()),
-                            c, seed));
+                        seeds.add(
+                                one(
+                                        new Site(
+                                                n,
+                                                u,
+                                                plan.zones(),
+                                                plan.classes(),
+                                                plan.rate(),
+                                                plan.parts()),
+                                        c,
+                                        seed));
                     }
                     Map<String, Double> together = together(seeds);
                     together.forEach((figure, value) -> figures.put(name + "." + figure, value));
@@ -56,7 +65,8 @@
         return figures;
     }
 
-    // What the program itself keeps must not count as the first fleet's: with 3 balancers that was a third.
+    // What the program itself keeps must not count as the first fleet's: with 3 balancers that was
+    // a third.
     private void loadClasses() throws IOException {
         Site site = new Site(SMALL, 1, 1, plan.classes(), plan.rate(), plan.parts());
         try (Drive drive = new SimulatedDrive(site, 1)) {
@@ -69,8 +79,13 @@
     private void fits(int balancers, int upstreams) throws IOException {
         long wanted = plan.parts().contains(Part.MODULE) ? ENTRY_BYTES * balancers * upstreams : 0;
         if (wanted > Runtime.getRuntime().maxMemory()) {
-            throw new IOException(balancers + " balancers with " + upstreams + " upstreams want some "
-                + (wanted >> 20) + " MB of heap: give more with java -Xmx, or ask for fewer");
+            throw new IOException(
+                    balancers
+                            + " balancers with "
+                            + upstreams
+                            + " upstreams want some "
+                            + (wanted >> 20)
+                            + " MB of heap: give more with java -Xmx, or ask for fewer");
         }
     }
 
@@ -80,22 +95,37 @@
             Trial trial = new Trial(site, drive, plan.length());
             trial.start(plan.warmUp(), seed);
             Map<String, Double> figures = trial.measure(condition);
-            figures.put("heap.bytesPerBalancer", (double) (Heap.live() - before) / site.balancers());
+            figures.put(
+                    "heap.bytesPerBalancer", (double) (Heap.live() - before) / site.balancers());
             return figures;
         }
     }
 
     private static Map<String, Double> together(List<Map<String, Double>> seeds) {
-        return seeds.stream().flatMap(m -> m.entrySet().stream()).collect(Collectors.groupingBy(
-            Map.Entry::getKey, TreeMap::new, Collectors.collectingAndThen(Collectors.toList(), same -> {
-                String name = same.get(0).getKey();
-                var values = same.stream().mapToDouble(Map.Entry::getValue);
-                return (WORST.contains(name.substring(name.lastIndexOf('.') + 1)) ? values.max()
-                    : values.average()).orElseThrow();
-            })));
+        return seeds.stream()
+                .flatMap(m -> m.entrySet().stream())
+                .collect(
+                        Collectors.groupingBy(
+                                Map.Entry::getKey,
+                                TreeMap::new,
+                                Collectors.collectingAndThen(
+                                        Collectors.toList(),
+                                        same -> {
+                                            String name = same.get(0).getKey();
+                                            var values =
+                                                    same.stream().mapToDouble(Map.Entry::getValue);
+                                            return (WORST.contains(
+                                                                    name.substring(
+                                                                            name.lastIndexOf('.')
+                                                                                    + 1))
+                                                            ? values.max()
+                                                            : values.average())
+                                                    .orElseThrow();
+                                        })));
     }
 
-    // Of live heap, what one more upstream takes in a balancer, and one more balancer in each of the others.
+    // Of live heap, what one more upstream takes in a balancer, and one more balancer in each of
+    // the others.
     private void slopes(Map<String, Double> figures) {
         for (Condition c : plan.conditions()) {
             List<Integer> us = plan.upstreams().stream().sorted().toList();
@@ -104,16 +134,19 @@
             int many = us.get(us.size() - 1);
             for (int n : ns) {
                 if (few < many) {
-                    figures.put("n" + n + "." + c.key() + ".heap.bytesPerUpstream",
-                        (heap(figures, n, many, c) - heap(figures, n, few, c)) / (many - few));
+                    figures.put(
+                            "n" + n + "." + c.key() + ".heap.bytesPerUpstream",
+                            (heap(figures, n, many, c) - heap(figures, n, few, c)) / (many - few));
                 }
             }
             int small = ns.get(0);
             int large = ns.get(ns.size() - 1);
             for (int u : us) {
                 if (small < large) {
-                    figures.put("u" + u + "." + c.key() + ".heap.bytesPerPeer",
-                        (heap(figures, large, u, c) - heap(figures, small, u, c)) / (large - small));
+                    figures.put(
+                            "u" + u + "." + c.key() + ".heap.bytesPerPeer",
+                            (heap(figures, large, u, c) - heap(figures, small, u, c))
+                                    / (large - small));
                 }
             }
         }
@@ -124,10 +157,15 @@
     }
 
     private static String line(Map<String, Double> f) {
-        return String.format(java.util.Locale.ROOT, "sent %.1f datagrams/s, %.0f bytes/s; received %.1f, "
-            + "%.0f; %.5f of a core; %.2f MB live", f.get("sent.datagramsPerSecond.mean"),
-            f.get("sent.bytesPerSecond.mean"), f.get("received.datagramsPerSecond.mean"),
-            f.get("received.bytesPerSecond.mean"), f.get("cpu.shareOfCore.total"),
-            f.get("heap.bytesPerBalancer") / 1e6);
+        return String.format(
+                java.util.Locale.ROOT,
+                "sent %.1f datagrams/s, %.0f bytes/s; received %.1f, "
+                        + "%.0f; %.5f of a core; %.2f MB live",
+                f.get("sent.datagramsPerSecond.mean"),
+                f.get("sent.bytesPerSecond.mean"),
+                f.get("received.datagramsPerSecond.mean"),
+                f.get("received.bytesPerSecond.mean"),
+                f.get("cpu.shareOfCore.total"),
+                f.get("heap.bytesPerBalancer") / 1e6);
     }
 }
--- a/lab/src/main/java/junctionhead/lab/capacity/CapacityReport.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/CapacityReport.java
@@ -36,7 +36,8 @@
         try {
             Files.createDirectories(folder);
         } catch (IOException e) {
-            throw new IOException("can't make the folder " + folder + " for " + file.getFileName(), e);
+            throw new IOException(
+                    "can't make the folder " + folder + " for " + file.getFileName(), e);
         }
     }
 
@@ -47,14 +48,19 @@
      */
     void write(Path file) throws IOException {
         Map<String, Object> rounded = new LinkedHashMap<>();
-        figures.forEach((name, value) ->
-            rounded.put(name, new BigDecimal(value).round(DIGITS).doubleValue()));
+        figures.forEach(
+                (name, value) ->
+                        rounded.put(name, new BigDecimal(value).round(DIGITS).doubleValue()));
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("command", command);
         all.put("seeds", seeds);
         all.put("figures", rounded);
         prepare(file);
-        Files.writeString(file, new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT)
-            .writeValueAsString(all) + "\n");
+        Files.writeString(
+                file,
+                new ObjectMapper()
+                                .enable(SerializationFeature.INDENT_OUTPUT)
+                                .writeValueAsString(all)
+                        + "\n");
     }
 }
--- a/lab/src/main/java/junctionhead/lab/capacity/Condition.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Condition.java
@@ -26,8 +26,10 @@
     ZONE {
         @Override
         void play(Trial t) {
-            int[] lost = IntStream.range(0, t.site().balancers())
-                .filter(b -> t.site().zoneOfBalancer(b) == 0).toArray();
+            int[] lost =
+                    IntStream.range(0, t.site().balancers())
+                            .filter(b -> t.site().zoneOfBalancer(b) == 0)
+                            .toArray();
             IntStream.of(lost).forEach(t.drive()::kill);
             t.drive().news(() -> zone(t.site(), Policy.State.GONE, 0));
             t.play(t.length() / 2);
@@ -37,14 +39,20 @@
             t.play(t.length() - t.length() / 2);
         }
     },
-    /** All leave in order, a tenth at a time, and are back after half of the time until the next tenth. */
+    /**
+     * All leave in order, a tenth at a time, and are back after half of the time until the next
+     * tenth.
+     */
     RESTARTS {
         @Override
         void play(Trial t) {
             long step = t.length() / WAVES;
             for (int wave = 0; wave < WAVES; wave++) {
                 int of = wave;
-                int[] some = IntStream.range(0, t.site().balancers()).filter(b -> b % WAVES == of).toArray();
+                int[] some =
+                        IntStream.range(0, t.site().balancers())
+                                .filter(b -> b % WAVES == of)
+                                .toArray();
                 IntStream.of(some).forEach(t.drive()::leave);
                 t.play(step / 2);
                 IntStream.of(some).forEach(t.drive()::start);
@@ -90,7 +98,9 @@
     }
 
     private static List<Policy.Server> zone(Site site, Policy.State state, long startedAt) {
-        return IntStream.range(0, site.upstreams()).filter(u -> site.zoneOfUpstream(u) == 0)
-            .mapToObj(u -> site.server(u, state, startedAt)).toList();
+        return IntStream.range(0, site.upstreams())
+                .filter(u -> site.zoneOfUpstream(u) == 0)
+                .mapToObj(u -> site.server(u, state, startedAt))
+                .toList();
     }
 }
--- a/lab/src/main/java/junctionhead/lab/capacity/Drive.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Drive.java
@@ -29,7 +29,10 @@
     /** From now on datagrams pass only between balancers on the same side. */
     void cut(IntPredicate side);
 
-    /** Each balancer that runs hears of it, after a delay of its own; {@code changes} makes its copies. */
+    /**
+     * Each balancer that runs hears of it, after a delay of its own; {@code changes} makes its
+     * copies.
+     */
     void news(Supplier<List<Policy.Server>> changes);
 
     /** Lets so many µs pass. */
@@ -44,7 +47,10 @@
     /** ns of CPU of the threads that ran balancers since then. */
     long cpuNanos();
 
-    /** The part of a balancer's own elapsed time that was CPU: less than 1 where the thread had to wait. */
+    /**
+     * The part of a balancer's own elapsed time that was CPU: less than 1 where the thread had to
+     * wait.
+     */
     double cpuPart();
 
     /** By balancer, {@link Policy#othersRate}; NaN where none is known. */
--- a/lab/src/main/java/junctionhead/lab/capacity/FanOut.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/FanOut.java
@@ -21,10 +21,10 @@
 import java.util.function.IntPredicate;
 
 /**
- * The datagram paths between balancers on loopback, and the platform's path from one to all. Everybody knows
- * balancer i by one address, i's face: what comes to a face goes on to its balancer, and comes from the
- * sender's face; what comes to {@link #everyone} goes on to all others. So a fleet takes two sockets a
- * balancer and one. All of it is on one thread.
+ * The datagram paths between balancers on loopback, and the platform's path from one to all.
+ * Everybody knows balancer i by one address, i's face: what comes to a face goes on to its
+ * balancer, and comes from the sender's face; what comes to {@link #everyone} goes on to all
+ * others. So a fleet takes two sockets a balancer and one. All of it is on one thread.
  */
 final class FanOut implements AutoCloseable {
     private static final int LONGEST = 256;
@@ -55,34 +55,43 @@
     }
 
     private Channel bind(int to) {
-        return socket(group, new SimpleChannelInboundHandler<DatagramPacket>() {
-            @Override
-            protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-                arrived(to, packet);
-            }
-
-            @Override
-            public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                // One that is not there makes the system report an unreachable port.
-            }
-        });
+        return socket(
+                group,
+                new SimpleChannelInboundHandler<DatagramPacket>() {
+                    @Override
+                    protected void channelRead0(
+                            ChannelHandlerContext context, DatagramPacket packet) {
+                        arrived(to, packet);
+                    }
+
+                    @Override
+                    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+                        // One that is not there makes the system report an unreachable port.
+                    }
+                });
     }
 
     /** A socket on a free port of loopback. */
-    static Channel socket(NioEventLoopGroup group, SimpleChannelInboundHandler<DatagramPacket> handler) {
-        return new Bootstrap().group(group)
-            .channelFactory(() -> new NioDatagramChannel(InternetProtocolFamily.IPv4))
-            .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(LONGEST + 1))
-            .option(ChannelOption.SO_RCVBUF, BUFFER).handler(handler)
-            .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly().channel();
+    static Channel socket(
+            NioEventLoopGroup group, SimpleChannelInboundHandler<DatagramPacket> handler) {
+        return new Bootstrap()
+                .group(group)
+                .channelFactory(() -> new NioDatagramChannel(InternetProtocolFamily.IPv4))
+                .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(LONGEST + 1))
+                .option(ChannelOption.SO_RCVBUF, BUFFER)
+                .handler(handler)
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .syncUninterruptibly()
+                .channel();
     }
 
     /** A balancer listens there. */
     void home(int balancer, InetSocketAddress at) {
-        onThread(() -> {
-            homes[balancer] = at;
-            numbers.put(at, balancer);
-        });
+        onThread(
+                () -> {
+                    homes[balancer] = at;
+                    numbers.put(at, balancer);
+                });
     }
 
     /** Where others send what is for that balancer. */
@@ -110,7 +119,8 @@
     }
 
     private void pass(int from, int to, byte[] data) {
-        if (homes[to] != null && side.test(from) == side.test(to)
+        if (homes[to] != null
+                && side.test(from) == side.test(to)
                 && (loss == 0 || random.nextDouble() >= loss)) {
             ledgers[to].received(Kind.of(data), data.length);
             faces[from].writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(data), homes[to]));
@@ -140,6 +150,7 @@
 
     @Override
     public void close() {
-        group.shutdownGracefully(0, 2, java.util.concurrent.TimeUnit.SECONDS).awaitUninterruptibly(5_000);
+        group.shutdownGracefully(0, 2, java.util.concurrent.TimeUnit.SECONDS)
+                .awaitUninterruptibly(5_000);
     }
 }
--- a/lab/src/main/java/junctionhead/lab/capacity/Heap.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Heap.java
@@ -7,7 +7,7 @@
     // What the first one frees may free more
     private static final int COLLECTIONS = 3;
 
-    private Heap() { }
+    private Heap() {}
 
     /** Bytes, after full collections. */
     static long live() {
--- a/lab/src/main/java/junctionhead/lab/capacity/HollowBalancer.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/HollowBalancer.java
@@ -15,8 +15,9 @@
 import junctionhead.membership.View;
 
 /**
- * A balancer without a data path: the module, membership and duties as balancers run them, with no sockets of
- * clients or upstreams. One process of it; a restarted one is a new object. Used by one thread.
+ * A balancer without a data path: the module, membership and duties as balancers run them, with no
+ * sockets of clients or upstreams. One process of it; a restarted one is a new object. Used by one
+ * thread.
  */
 final class HollowBalancer implements Policy.Actions {
     // µs until an asked list comes
@@ -38,7 +39,7 @@
     private final Queue<Letter> outbox = new ArrayDeque<>();
     private boolean ended;
 
-    private record Letter(int peer, byte[] data) { }
+    private record Letter(int peer, byte[] data) {}
 
     /** {@code incarnation}: the wall clock in ms at its start; {@code ledger} has its costs. */
     HollowBalancer(Host host, Site site, int rank, long incarnation, long seed, Ledger ledger) {
@@ -48,30 +49,50 @@
         this.ledger = ledger;
         int size = site.balancers();
         module = site.parts().contains(Part.MODULE) ? new Balance(site.settings(rank), seed) : null;
-        requests = module == null || site.rate() <= 0 ? null
-            : new Requests(module, this, host, site, rank, new SplittableRandom(seed));
-        members = site.parts().contains(Part.MEMBERSHIP) ? new Membership(rank, size, Timing.USUAL,
-            incarnation, host.now()) : null;
-        duties = site.parts().contains(Part.DUTIES) ? new Duties(rank, size, Terms.USUAL, null, false,
-            incarnation, incarnation << 14 ^ seed ^ rank, host.now()) : null;
-        membersAlarm = new Alarm(host, () -> charge(Kind.MEMBERSHIP, () -> act(members.tick(host.now()))));
-        dutiesAlarm = new Alarm(host, () -> charge(Kind.DUTIES, () -> work(duties.tick(host.now()))));
+        requests =
+                module == null || site.rate() <= 0
+                        ? null
+                        : new Requests(module, this, host, site, rank, new SplittableRandom(seed));
+        members =
+                site.parts().contains(Part.MEMBERSHIP)
+                        ? new Membership(rank, size, Timing.USUAL, incarnation, host.now())
+                        : null;
+        duties =
+                site.parts().contains(Part.DUTIES)
+                        ? new Duties(
+                                rank,
+                                size,
+                                Terms.USUAL,
+                                null,
+                                false,
+                                incarnation,
+                                incarnation << 14 ^ seed ^ rank,
+                                host.now())
+                        : null;
+        membersAlarm =
+                new Alarm(host, () -> charge(Kind.MEMBERSHIP, () -> act(members.tick(host.now()))));
+        dutiesAlarm =
+                new Alarm(host, () -> charge(Kind.DUTIES, () -> work(duties.tick(host.now()))));
     }
 
     /** Begins: takes the list that it has and asks who is there. */
     void start() {
         if (module != null) {
             List<Policy.Server> list = site.servers();
-            charge(Kind.LIST, () -> module.servers(host.now(), Policy.ListKind.PERSISTED, list, this));
+            charge(
+                    Kind.LIST,
+                    () -> module.servers(host.now(), Policy.ListKind.PERSISTED, list, this));
         }
         if (members != null) {
             membersAlarm.set(members.next());
         }
         if (duties != null) {
-            charge(Kind.DUTIES, () -> {
-                duties.opened(host.now());
-                work(duties.tick(host.now()));
-            });
+            charge(
+                    Kind.DUTIES,
+                    () -> {
+                        duties.opened(host.now());
+                        work(duties.tick(host.now()));
+                    });
         }
         if (requests != null) {
             requests.begin();
@@ -114,25 +135,32 @@
         }
         Kind kind = Kind.of(data);
         ledger.received(kind, data.length);
-        charge(kind, () -> {
-            if (kind == Kind.MEMBERSHIP && members != null) {
-                act(members.heard(host.now(), from, Message.decode(data)));
-            } else if (kind == Kind.DUTIES && duties != null) {
-                work(duties.heard(host.now(), from, Word.decode(data)));
-            } else if (module != null) {
-                module.peerMessage(host.now(), from, data, this);
-            }
-        });
+        charge(
+                kind,
+                () -> {
+                    if (kind == Kind.MEMBERSHIP && members != null) {
+                        act(members.heard(host.now(), from, Message.decode(data)));
+                    } else if (kind == Kind.DUTIES && duties != null) {
+                        work(duties.heard(host.now(), from, Word.decode(data)));
+                    } else if (module != null) {
+                        module.peerMessage(host.now(), from, data, this);
+                    }
+                });
     }
 
     /** News of the list has come. */
     void listed(List<Policy.Server> changes) {
         if (module != null) {
-            charge(Kind.LIST, () -> module.servers(host.now(), Policy.ListKind.PARTIAL, changes, this));
+            charge(
+                    Kind.LIST,
+                    () -> module.servers(host.now(), Policy.ListKind.PARTIAL, changes, this));
         }
     }
 
-    /** Does some of the balancer's work, unless it has ended: its time counts, that of sending doesn't. */
+    /**
+     * Does some of the balancer's work, unless it has ended: its time counts, that of sending
+     * doesn't.
+     */
     private void charge(Kind kind, Runnable work) {
         if (ended) {
             return;
@@ -141,7 +169,10 @@
         work.run();
         ledger.spent(kind, System.nanoTime() - from);
         for (Letter letter = outbox.poll(); letter != null; letter = outbox.poll()) {
-            ledger.sent(Kind.of(letter.data), letter.data.length, letter.peer < 0 ? site.balancers() - 1 : 1);
+            ledger.sent(
+                    Kind.of(letter.data),
+                    letter.data.length,
+                    letter.peer < 0 ? site.balancers() - 1 : 1);
             host.tell(letter.peer, letter.data);
         }
     }
@@ -196,21 +227,37 @@
 
     @Override
     public void wakeAfter(long delay) {
-        host.after(Math.max(1, delay), () -> charge(Kind.MODULE, () -> module.wake(host.now(), this)));
+        host.after(
+                Math.max(1, delay), () -> charge(Kind.MODULE, () -> module.wake(host.now(), this)));
     }
 
     @Override
     public void fetchList() {
-        host.after(LIST_AFTER, () -> {
-            List<Policy.Server> list = site.servers();
-            charge(Kind.LIST, () -> module.servers(host.now(), Policy.ListKind.COMPLETE, list, this));
-        });
+        host.after(
+                LIST_AFTER,
+                () -> {
+                    List<Policy.Server> list = site.servers();
+                    charge(
+                            Kind.LIST,
+                            () -> module.servers(host.now(), Policy.ListKind.COMPLETE, list, this));
+                });
     }
 
     @Override
     public void probe(String server) {
-        host.after(PROBE_TAKES, () -> charge(Kind.MODULE, () -> module.probed(host.now(), server,
-            Policy.Outcome.OK, PROBE_TAKES, null, this)));
+        host.after(
+                PROBE_TAKES,
+                () ->
+                        charge(
+                                Kind.MODULE,
+                                () ->
+                                        module.probed(
+                                                host.now(),
+                                                server,
+                                                Policy.Outcome.OK,
+                                                PROBE_TAKES,
+                                                null,
+                                                this)));
     }
 
     @Override
--- a/lab/src/main/java/junctionhead/lab/capacity/Kind.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Kind.java
@@ -3,7 +3,9 @@
 import junctionhead.duties.Word;
 import junctionhead.membership.Message;
 
-/** What the control of a balancer costs something for. The first three are kinds of datagrams too. */
+/**
+ * What the control of a balancer costs something for. The first three are kinds of datagrams too.
+ */
 enum Kind {
     /** What modules tell one another; as CPU, the taking in of it. */
     WORD,
--- a/lab/src/main/java/junctionhead/lab/capacity/Ledger.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Ledger.java
@@ -1,8 +1,8 @@
 package junctionhead.lab.capacity;
 
 /**
- * What one hollow balancer sent, received and spent since it was last cleared. Owned by the thread that runs
- * the balancer.
+ * What one hollow balancer sent, received and spent since it was last cleared. Owned by the thread
+ * that runs the balancer.
  */
 final class Ledger {
     private final long[] sent = new long[Kind.values().length];
--- a/lab/src/main/java/junctionhead/lab/capacity/ListStand.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/ListStand.java
@@ -24,7 +24,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** Discovery for real balancers of a quiet fleet: one list that never changes, and watches that only beat. */
+/**
+ * Discovery for real balancers of a quiet fleet: one list that never changes, and watches that only
+ * beat.
+ */
 final class ListStand implements AutoCloseable {
     private static final long BEAT_MS = 2_000;
     private static final int REQUEST_MOST = 4 << 10;
@@ -36,15 +39,24 @@
     /** {@code list} in discovery's form. */
     ListStand(String list) {
         this.list = list;
-        listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel channel) {
-                    channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(REQUEST_MOST),
-                        new Answers());
-                }
-            }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly()
-            .channel();
+        listener =
+                new ServerBootstrap()
+                        .group(group)
+                        .channel(NioServerSocketChannel.class)
+                        .childHandler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel channel) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        new HttpServerCodec(),
+                                                        new HttpObjectAggregator(REQUEST_MOST),
+                                                        new Answers());
+                                    }
+                                })
+                        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                        .syncUninterruptibly()
+                        .channel();
     }
 
     InetSocketAddress address() {
@@ -55,26 +67,29 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (request.uri().startsWith("/api/targets?watch=1")) {
-                DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.OK);
+                DefaultHttpResponse head =
+                        new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, "chunked");
                 context.write(head);
                 line(context, request.uri().endsWith("from=1") ? "" : list);
-                context.channel().eventLoop().scheduleWithFixedDelay(() -> line(context, ""), BEAT_MS,
-                    BEAT_MS, TimeUnit.MILLISECONDS);
+                context.channel()
+                        .eventLoop()
+                        .scheduleWithFixedDelay(
+                                () -> line(context, ""), BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
                 return;
             }
             var body = Unpooled.copiedBuffer(list, StandardCharsets.UTF_8);
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.OK, body);
+            DefaultFullHttpResponse answer =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
             HttpUtil.setContentLength(answer, body.readableBytes());
             context.writeAndFlush(answer);
         }
 
         private void line(ChannelHandlerContext context, String text) {
             if (context.channel().isActive()) {
-                context.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(text + "\n",
-                    StandardCharsets.UTF_8)));
+                context.writeAndFlush(
+                        new DefaultHttpContent(
+                                Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8)));
             }
         }
 
--- a/lab/src/main/java/junctionhead/lab/capacity/Notices.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Notices.java
@@ -8,8 +8,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How soon each balancer that should know of a death or a return does. Safe for use by several threads, as
- * balancers on sockets have theirs.
+ * How soon each balancer that should know of a death or a return does. Safe for use by several
+ * threads, as balancers on sockets have theirs.
  */
 final class Notices {
     private final Awaited[] deaths;
@@ -58,14 +58,20 @@
         }
     }
 
-    /** One is back, for those of {@code observers} that knew that it was gone; others learn nothing. */
+    /**
+     * One is back, for those of {@code observers} that knew that it was gone; others learn nothing.
+     */
     synchronized void back(int member, long now, long incarnation, IntPredicate observers) {
         Awaited back = returns[member];
         back.at = now;
         back.incarnation = incarnation;
         for (int i = 0; i < returns.length; i++) {
-            back.by.set(i, i != member && observers.test(i) && !deaths[member].by.get(i)
-                && bornAt[i] < deaths[member].at);
+            back.by.set(
+                    i,
+                    i != member
+                            && observers.test(i)
+                            && !deaths[member].by.get(i)
+                            && bornAt[i] < deaths[member].at);
         }
         overtaken += deaths[member].by.cardinality();
         deaths[member].by.clear();
--- a/lab/src/main/java/junctionhead/lab/capacity/Part.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Part.java
@@ -1,4 +1,8 @@
 package junctionhead.lab.capacity;
 
 /** What hollow balancers consist of. */
-enum Part { MODULE, MEMBERSHIP, DUTIES }
+enum Part {
+    MODULE,
+    MEMBERSHIP,
+    DUTIES
+}
--- a/lab/src/main/java/junctionhead/lab/capacity/Requests.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Requests.java
@@ -2,14 +2,15 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import java.util.Set;
 import junctionhead.Policy;
 
 /**
- * The requests of one hollow balancer: they come at random, and each attempt is served after a plain time
- * that knows no queue. What is wanted is the rate that modules tell of, and the cost of deciding.
+ * The requests of one hollow balancer: they come at random, and each attempt is served after a
+ * plain time that knows no queue. What is wanted is the rate that modules tell of, and the cost of
+ * deciding.
  */
 final class Requests {
     // µs
@@ -35,7 +36,12 @@
         private boolean closed;
     }
 
-    Requests(Policy module, HollowBalancer balancer, Host host, Site site, int rank,
+    Requests(
+            Policy module,
+            HollowBalancer balancer,
+            Host host,
+            Site site,
+            int rank,
             SplittableRandom random) {
         this.module = module;
         this.balancer = balancer;
@@ -53,15 +59,27 @@
     // Counted from the last one's own time: a timer that comes late must not make the rate lower.
     private void await() {
         next += 1 + (long) (-Math.log(1 - random.nextDouble()) / rate * 1e6);
-        host.after(Math.max(1, next - host.now()), () -> {
-            if (balancer.runs()) {
-                String id = "r" + number++;
-                open.put(id, new Open());
-                balancer.moduleWork(() -> module.request(host.now(), id, random.nextInt(classes), 0, null,
-                    TIME_LEFT, -1, false, balancer));
-                await();
-            }
-        });
+        host.after(
+                Math.max(1, next - host.now()),
+                () -> {
+                    if (balancer.runs()) {
+                        String id = "r" + number++;
+                        open.put(id, new Open());
+                        balancer.moduleWork(
+                                () ->
+                                        module.request(
+                                                host.now(),
+                                                id,
+                                                random.nextInt(classes),
+                                                0,
+                                                null,
+                                                TIME_LEFT,
+                                                -1,
+                                                false,
+                                                balancer));
+                        await();
+                    }
+                });
     }
 
     void send(String id) {
@@ -86,8 +104,10 @@
         }
         boolean closed = of.closed;
         forget(id, of);
-        balancer.moduleWork(() -> module.outcome(host.now(), id, attempt, outcome, took, closed, null,
-            balancer));
+        balancer.moduleWork(
+                () ->
+                        module.outcome(
+                                host.now(), id, attempt, outcome, took, closed, null, balancer));
     }
 
     void cancel(String id, int attempt) {
--- a/lab/src/main/java/junctionhead/lab/capacity/SimulatedDrive.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/SimulatedDrive.java
@@ -61,8 +61,14 @@
 
         Process(int rank) {
             this.rank = rank;
-            this.balancer = new HollowBalancer(this, site, rank, WALL + now / 1000,
-                Seeds.number(seed, "hollow " + rank + " start " + starts++), ledgers[rank]);
+            this.balancer =
+                    new HollowBalancer(
+                            this,
+                            site,
+                            rank,
+                            WALL + now / 1000,
+                            Seeds.number(seed, "hollow " + rank + " start " + starts++),
+                            ledgers[rank]);
         }
 
         @Override
@@ -113,12 +119,14 @@
         if (loss > 0 && random.nextDouble() < loss || side.test(from) != side.test(to)) {
             return;
         }
-        at(now + DELAY_LEAST + (long) (random.nextDouble() * (DELAY_MOST - DELAY_LEAST)), () -> {
-            Process target = processes[to];
-            if (target != null) {
-                target.balancer.heard(from, data);
-            }
-        });
+        at(
+                now + DELAY_LEAST + (long) (random.nextDouble() * (DELAY_MOST - DELAY_LEAST)),
+                () -> {
+                    Process target = processes[to];
+                    if (target != null) {
+                        target.balancer.heard(from, data);
+                    }
+                });
     }
 
     @Override
@@ -179,14 +187,17 @@
         }
         for (Process p : processes) {
             if (p != null) {
-                at(now + NEWS_LEAST + (long) (random.nextDouble() * (NEWS_MOST - NEWS_LEAST)), () -> {
-                    List<Policy.Server> mine = changes.get();
-                    long began = System.nanoTime();
-                    p.balancer.listed(mine);
-                    if (p.balancer.runs()) {
-                        listTimes.recordValue(now - from + (System.nanoTime() - began) / 1000);
-                    }
-                });
+                at(
+                        now + NEWS_LEAST + (long) (random.nextDouble() * (NEWS_MOST - NEWS_LEAST)),
+                        () -> {
+                            List<Policy.Server> mine = changes.get();
+                            long began = System.nanoTime();
+                            p.balancer.listed(mine);
+                            if (p.balancer.runs()) {
+                                listTimes.recordValue(
+                                        now - from + (System.nanoTime() - began) / 1000);
+                            }
+                        });
             }
         }
     }
@@ -230,8 +241,9 @@
 
     @Override
     public double[] othersRates() {
-        return Arrays.stream(processes).mapToDouble(p -> p == null ? Double.NaN : p.balancer.othersRate())
-            .toArray();
+        return Arrays.stream(processes)
+                .mapToDouble(p -> p == null ? Double.NaN : p.balancer.othersRate())
+                .toArray();
     }
 
     @Override
--- a/lab/src/main/java/junctionhead/lab/capacity/Site.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Site.java
@@ -35,9 +35,16 @@
 
     /** An entry of the list; each call makes its own, as each process has its own. */
     Policy.Server server(int upstream, Policy.State state, long startedAt) {
-        String id = "10." + (upstream >> 16) + "." + (upstream >> 8 & 255) + "." + (upstream & 255) + ":8080";
-        return new Policy.Server(id, state, startedAt, 1, upstream / CELL, upstream % 2,
-            zoneOfUpstream(upstream));
+        String id =
+                "10."
+                        + (upstream >> 16)
+                        + "."
+                        + (upstream >> 8 & 255)
+                        + "."
+                        + (upstream & 255)
+                        + ":8080";
+        return new Policy.Server(
+                id, state, startedAt, 1, upstream / CELL, upstream % 2, zoneOfUpstream(upstream));
     }
 
     /** The whole list. */
@@ -47,13 +54,38 @@
 
     /** The module's settings; prices and limits are those of the proving ground's fleets. */
     Policy.Settings settings(int balancer) {
-        List<Policy.RequestClass> kinds = IntStream.range(0, classes).mapToObj(c -> new Policy.RequestClass(
-            c % 2 == 0 ? Policy.Effect.SAFE : Policy.Effect.UNSAFE, Policy.Scope.ALL, 0, 150_000, 1_500_000,
-            0, 1, 0.3, false)).toList();
-        return new Policy.Settings(balancers, balancer, zoneOfBalancer(balancer), kinds, List.of(), 0.2,
-            new Policy.Goal(0.65, 0.05, 0.2, 0.1), new Policy.Prices(zones > 1 ? 0.015 : 0, 0, 0.03), false,
-            Policy.Discovery.PUSH, Policy.Reports.NONE, false,
-            new Policy.Limits(4, true, true, true, 150_000, 2_500_000, true),
-            new Policy.Bounds(20_000, 2_500_000, 0, 0.3, 8_000_000, 1.3, 2_000_000, 100_000), 5_000);
+        List<Policy.RequestClass> kinds =
+                IntStream.range(0, classes)
+                        .mapToObj(
+                                c ->
+                                        new Policy.RequestClass(
+                                                c % 2 == 0
+                                                        ? Policy.Effect.SAFE
+                                                        : Policy.Effect.UNSAFE,
+                                                Policy.Scope.ALL,
+                                                0,
+                                                150_000,
+                                                1_500_000,
+                                                0,
+                                                1,
+                                                0.3,
+                                                false))
+                        .toList();
+        return new Policy.Settings(
+                balancers,
+                balancer,
+                zoneOfBalancer(balancer),
+                kinds,
+                List.of(),
+                0.2,
+                new Policy.Goal(0.65, 0.05, 0.2, 0.1),
+                new Policy.Prices(zones > 1 ? 0.015 : 0, 0, 0.03),
+                false,
+                Policy.Discovery.PUSH,
+                Policy.Reports.NONE,
+                false,
+                new Policy.Limits(4, true, true, true, 150_000, 2_500_000, true),
+                new Policy.Bounds(20_000, 2_500_000, 0, 0.3, 8_000_000, 1.3, 2_000_000, 100_000),
+                5_000);
     }
 }
--- a/lab/src/main/java/junctionhead/lab/capacity/SocketDrive.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/SocketDrive.java
@@ -29,8 +29,8 @@
 import org.HdrHistogram.SynchronizedHistogram;
 
 /**
- * Real time over loopback: a socket a hollow balancer, some threads for all of them and one for what lies
- * between. The last balancers of the site may be real processes.
+ * Real time over loopback: a socket a hollow balancer, some threads for all of them and one for
+ * what lies between. The last balancers of the site may be real processes.
  */
 final class SocketDrive implements Drive {
     // µs until discovery's news come
@@ -38,7 +38,10 @@
     private static final long NEWS_MOST = 1_500_000;
     private static final int DESCRIPTORS_SPARE = 200;
 
-    /** How late timers came, s, of 99 in 100: what a machine too busy makes of a fleet is not the fleet's. */
+    /**
+     * How late timers came, s, of 99 in 100: what a machine too busy makes of a fleet is not the
+     * fleet's.
+     */
     static final String LATE = "timersLate.seconds.p99";
 
     private final Site site;
@@ -58,7 +61,10 @@
     private final RealBalancers real;
     private long cpuFrom;
 
-    /** One balancer over all its processes: its socket, its thread and its costs. On that thread only. */
+    /**
+     * One balancer over all its processes: its socket, its thread and its costs. On that thread
+     * only.
+     */
     private final class Seat extends SimpleChannelInboundHandler<DatagramPacket> implements Host {
         private final int rank;
         private final Ledger ledger = new Ledger();
@@ -95,16 +101,21 @@
         @Override
         public void after(long delay, Runnable what) {
             long wanted = now() + delay;
-            loop.schedule(() -> {
-                lateness.recordValue(Math.max(0, now() - wanted));
-                what.run();
-            }, delay, TimeUnit.MICROSECONDS);
+            loop.schedule(
+                    () -> {
+                        lateness.recordValue(Math.max(0, now() - wanted));
+                        what.run();
+                    },
+                    delay,
+                    TimeUnit.MICROSECONDS);
         }
 
         @Override
         public void tell(int peer, byte[] data) {
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(data),
-                peer < 0 ? paths.everyone() : paths.face(peer)));
+            channel.writeAndFlush(
+                    new DatagramPacket(
+                            Unpooled.wrappedBuffer(data),
+                            peer < 0 ? paths.everyone() : paths.face(peer)));
         }
 
         @Override
@@ -118,8 +129,14 @@
             if (starts > 0) {
                 notices.back(rank, now(), incarnation, SocketDrive.this::runs);
             }
-            balancer = new HollowBalancer(this, site, rank, incarnation,
-                Seeds.number(seed, "hollow " + rank + " start " + starts++), ledger);
+            balancer =
+                    new HollowBalancer(
+                            this,
+                            site,
+                            rank,
+                            incarnation,
+                            Seeds.number(seed, "hollow " + rank + " start " + starts++),
+                            ledger);
             balancer.start();
         }
 
@@ -150,7 +167,8 @@
      * Opens all sockets and starts the real balancers.
      *
      * @param threadCount for all hollow balancers; 0: one for each, as real ones have
-     * @throws IOException where the system allows too few descriptors, or a process can't be started
+     * @throws IOException where the system allows too few descriptors, or a process can't be
+     *     started
      */
     SocketDrive(Site site, long seed, int threadCount, int realOnes) throws IOException {
         this.site = site;
@@ -158,8 +176,13 @@
         int wanted = 2 * site.balancers() + DESCRIPTORS_SPARE;
         if (ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system
                 && system.getMaxFileDescriptorCount() < wanted) {
-            throw new IOException(site.balancers() + " balancers want " + wanted + " descriptors, allowed "
-                + "are " + system.getMaxFileDescriptorCount());
+            throw new IOException(
+                    site.balancers()
+                            + " balancers want "
+                            + wanted
+                            + " descriptors, allowed "
+                            + "are "
+                            + system.getMaxFileDescriptorCount());
         }
         group = new NioEventLoopGroup(threadCount > 0 ? threadCount : site.balancers() - realOnes);
         random = new SplittableRandom(seed);
@@ -174,8 +197,12 @@
             seats.add(seat);
             paths.home(b, (InetSocketAddress) seat.channel.localAddress());
         }
-        group.forEach(loop -> threads.add(loop.submit(() -> Thread.currentThread().getId())
-            .syncUninterruptibly().getNow()));
+        group.forEach(
+                loop ->
+                        threads.add(
+                                loop.submit(() -> Thread.currentThread().getId())
+                                        .syncUninterruptibly()
+                                        .getNow()));
         real = realOnes == 0 ? null : new RealBalancers(site, this, realOnes, seed);
     }
 
@@ -236,12 +263,14 @@
         long from = now();
         for (Seat seat : seats) {
             long delay = random.nextLong(NEWS_LEAST, NEWS_MOST);
-            seat.after(delay, () -> {
-                if (seat.balancer != null) {
-                    seat.balancer.listed(changes.get());
-                    listTimes.recordValue(now() - from);
-                }
-            });
+            seat.after(
+                    delay,
+                    () -> {
+                        if (seat.balancer != null) {
+                            seat.balancer.listed(changes.get());
+                            listTimes.recordValue(now() - from);
+                        }
+                    });
         }
     }
 
@@ -280,7 +309,8 @@
         return cpu() - cpuFrom;
     }
 
-    // Threads that rest most of the time are seldom kept waiting; what they are counts as the balancers' own.
+    // Threads that rest most of the time are seldom kept waiting; what they are counts as the
+    // balancers' own.
     @Override
     public double cpuPart() {
         return 1;
@@ -288,8 +318,15 @@
 
     @Override
     public double[] othersRates() {
-        return seats.stream().mapToDouble(seat -> seat.ask(() ->
-            seat.balancer == null ? Double.NaN : seat.balancer.othersRate())).toArray();
+        return seats.stream()
+                .mapToDouble(
+                        seat ->
+                                seat.ask(
+                                        () ->
+                                                seat.balancer == null
+                                                        ? Double.NaN
+                                                        : seat.balancer.othersRate()))
+                .toArray();
     }
 
     @Override
@@ -304,7 +341,8 @@
 
     @Override
     public Map<String, Double> others(double seconds) throws IOException {
-        Map<String, Double> figures = new TreeMap<>(real == null ? Map.of() : real.figures(seconds));
+        Map<String, Double> figures =
+                new TreeMap<>(real == null ? Map.of() : real.figures(seconds));
         figures.put(LATE, lateness.getValueAtPercentile(99) / 1e6);
         return figures;
     }
--- a/lab/src/main/java/junctionhead/lab/capacity/Trial.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Trial.java
@@ -44,12 +44,19 @@
         return length;
     }
 
-    /** Starts all balancers within a period of membership, and lets the rest of {@code warmUp} µs pass. */
+    /**
+     * Starts all balancers within a period of membership, and lets the rest of {@code warmUp} µs
+     * pass.
+     */
     void start(long warmUp, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        long[] at = IntStream.range(0, site.balancers()).mapToLong(b -> random.nextLong(START)).sorted()
-            .toArray();
-        List<Integer> order = new ArrayList<>(IntStream.range(0, site.balancers()).boxed().toList());
+        long[] at =
+                IntStream.range(0, site.balancers())
+                        .mapToLong(b -> random.nextLong(START))
+                        .sorted()
+                        .toArray();
+        List<Integer> order =
+                new ArrayList<>(IntStream.range(0, site.balancers()).boxed().toList());
         java.util.Collections.shuffle(order, new java.util.Random(seed));
         long from = drive.now();
         for (int i = 0; i < at.length; i++) {
@@ -74,7 +81,11 @@
 
     private void look() {
         double[] known = drive.othersRates();
-        double all = IntStream.range(0, site.balancers()).filter(drive::runs).mapToDouble(site::rate).sum();
+        double all =
+                IntStream.range(0, site.balancers())
+                        .filter(drive::runs)
+                        .mapToDouble(site::rate)
+                        .sum();
         for (int b = 0; b < known.length; b++) {
             if (!Double.isNaN(known[b])) {
                 double others = all - site.rate(b);
@@ -121,8 +132,18 @@
         for (Kind k : TRAFFIC) {
             mean("sent.datagramsPerSecond." + k.key(), ledgers, seconds, l -> l.sent(k), figures);
             mean("sent.bytesPerSecond." + k.key(), ledgers, seconds, l -> l.sentBytes(k), figures);
-            mean("received.datagramsPerSecond." + k.key(), ledgers, seconds, l -> l.received(k), figures);
-            mean("received.bytesPerSecond." + k.key(), ledgers, seconds, l -> l.receivedBytes(k), figures);
+            mean(
+                    "received.datagramsPerSecond." + k.key(),
+                    ledgers,
+                    seconds,
+                    l -> l.received(k),
+                    figures);
+            mean(
+                    "received.bytesPerSecond." + k.key(),
+                    ledgers,
+                    seconds,
+                    l -> l.receivedBytes(k),
+                    figures);
         }
     }
 
@@ -135,8 +156,11 @@
         double had = drive.cpuPart();
         double all = 0;
         for (Kind k : Kind.values()) {
-            double share = ledgers.stream().mapToDouble(l -> l.nanos(k)).average().orElse(0) * had / 1e9
-                / seconds;
+            double share =
+                    ledgers.stream().mapToDouble(l -> l.nanos(k)).average().orElse(0)
+                            * had
+                            / 1e9
+                            / seconds;
             figures.put("cpu.shareOfCore." + k.key(), share);
             all += share;
         }
@@ -144,10 +168,15 @@
         figures.put("cpu.shareOfCore.threads", drive.cpuNanos() / 1e9 / seconds / ledgers.size());
         double changes = ledgers.stream().mapToDouble(Ledger::listChanges).sum();
         if (changes > 0) {
-            figures.put("cpu.listChangeMs.mean", ledgers.stream().mapToDouble(l -> l.nanos(Kind.LIST)).sum()
-                * had / 1e6 / changes);
-            figures.put("cpu.listChangeMs.most", ledgers.stream().mapToDouble(Ledger::listNanosMost).max()
-                .orElse(0) / 1e6);
+            figures.put(
+                    "cpu.listChangeMs.mean",
+                    ledgers.stream().mapToDouble(l -> l.nanos(Kind.LIST)).sum()
+                            * had
+                            / 1e6
+                            / changes);
+            figures.put(
+                    "cpu.listChangeMs.most",
+                    ledgers.stream().mapToDouble(Ledger::listNanosMost).max().orElse(0) / 1e6);
         }
     }
 
@@ -165,23 +194,37 @@
             return;
         }
         double[] sorted = errors.stream().mapToDouble(Math::abs).sorted().toArray();
-        figures.put("othersRate.relativeError.bias", errors.stream().mapToDouble(e -> e).average().orElse(0));
+        figures.put(
+                "othersRate.relativeError.bias",
+                errors.stream().mapToDouble(e -> e).average().orElse(0));
         figures.put("othersRate.relativeError.p50", at(sorted, 0.5));
         figures.put("othersRate.relativeError.p99", at(sorted, 0.99));
         figures.put("othersRate.relativeError.worst", sorted[sorted.length - 1]);
         double requests = ledgers.stream().mapToDouble(Ledger::requests).sum();
-        figures.put("requests.unservedShare", requests == 0 ? 0
-            : ledgers.stream().mapToDouble(Ledger::requestsUnserved).sum() / requests);
-    }
-
-    private static void mean(String name, List<Ledger> ledgers, double seconds,
-            ToDoubleFunction<Ledger> figure, Map<String, Double> figures) {
+        figures.put(
+                "requests.unservedShare",
+                requests == 0
+                        ? 0
+                        : ledgers.stream().mapToDouble(Ledger::requestsUnserved).sum() / requests);
+    }
+
+    private static void mean(
+            String name,
+            List<Ledger> ledgers,
+            double seconds,
+            ToDoubleFunction<Ledger> figure,
+            Map<String, Double> figures) {
         figures.put(name, ledgers.stream().mapToDouble(figure).average().orElse(0) / seconds);
     }
 
-    private static void spread(String name, List<Ledger> ledgers, double seconds,
-            ToDoubleFunction<Ledger> figure, Map<String, Double> figures) {
-        double[] sorted = ledgers.stream().mapToDouble(figure).map(v -> v / seconds).sorted().toArray();
+    private static void spread(
+            String name,
+            List<Ledger> ledgers,
+            double seconds,
+            ToDoubleFunction<Ledger> figure,
+            Map<String, Double> figures) {
+        double[] sorted =
+                ledgers.stream().mapToDouble(figure).map(v -> v / seconds).sorted().toArray();
         figures.put(name + ".mean", java.util.Arrays.stream(sorted).average().orElse(0));
         figures.put(name + ".p99", at(sorted, 0.99));
         figures.put(name + ".most", sorted[sorted.length - 1]);
--- a/lab/src/main/java/junctionhead/lab/cold/ColdCount.java
+++ b/lab/src/main/java/junctionhead/lab/cold/ColdCount.java
@@ -6,8 +6,9 @@
 import java.util.List;
 
 /**
- * What one cold server got, beside its budget. The settings allow it N requests in a window, a multiple of
- * what it can do at its present warmth; it falls at more than N + 2 √N + 2. Times are µs.
+ * What one cold server got, beside its budget. The settings allow it N requests in a window, a
+ * multiple of what it can do at its present warmth; it falls at more than N + 2 √N + 2. Times are
+ * µs.
  */
 final class ColdCount {
     // Roots of N for chance, and requests more
@@ -20,7 +21,7 @@
     private final Deque<Long> recent = new ArrayDeque<>();
     private Peak peak = new Peak(0, 0, 0, 1);
 
-    private record Got(long at, double perSecond) { }
+    private record Got(long at, double perSecond) {}
 
     /** The fullest window: what it got, N, and the most that it bears, at that time. */
     record Peak(int got, long at, double budget, double bound) {
@@ -47,7 +48,8 @@
             recent.pollFirst();
         }
         double budget = factor * perSecond * window / 1e6;
-        Peak here = new Peak(recent.size(), now, budget, budget + SLACK * Math.sqrt(budget) + SLACK);
+        Peak here =
+                new Peak(recent.size(), now, budget, budget + SLACK * Math.sqrt(budget) + SLACK);
         peak = here.part() > peak.part() ? here : peak;
     }
 
--- a/lab/src/main/java/junctionhead/lab/cost/Cost.java
+++ b/lab/src/main/java/junctionhead/lab/cost/Cost.java
@@ -18,13 +18,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures one real process at a size: its start, its rest, single changes of its list, a zone's worth of
- * changes in one line, the whole list again, and what it holds. Figures: {@code ready_s}, {@code
- * start_cpu_s}, {@code rest_cpu} (part of a core), {@code change_cpu_ms} (an entry), {@code zone_cpu_ms} and
- * {@code whole_cpu_ms} (a line), {@code resident_mb}, {@code live_mb} (of the heap), {@code collections.*}
- * (ms), {@code told.*} (a second), {@code list_bytes}, {@code kept_bytes} (of the newest snapshot); with
- * requests {@code direct_ms.*}, {@code rest_ms.*}, {@code change_ms.*}, {@code zone_ms.*}, {@code
- * whole_ms.*}, from when a request was due until its answer; {@code ended} where the process did not last.
+ * Measures one real process at a size: its start, its rest, single changes of its list, a zone's
+ * worth of changes in one line, the whole list again, and what it holds. Figures: {@code ready_s},
+ * {@code start_cpu_s}, {@code rest_cpu} (part of a core), {@code change_cpu_ms} (an entry), {@code
+ * zone_cpu_ms} and {@code whole_cpu_ms} (a line), {@code resident_mb}, {@code live_mb} (of the
+ * heap), {@code collections.*} (ms), {@code told.*} (a second), {@code list_bytes}, {@code
+ * kept_bytes} (of the newest snapshot); with requests {@code direct_ms.*}, {@code rest_ms.*},
+ * {@code change_ms.*}, {@code zone_ms.*}, {@code whole_ms.*}, from when a request was due until its
+ * answer; {@code ended} where the process did not last.
  */
 public final class Cost {
     private static final int SETTLE_MS = 5_000;
@@ -44,10 +45,16 @@
     private final Consumer<String> say;
 
     /**
-     * {@code out}: a folder for logs; {@code restMs}: how long its rest is watched; {@code own}: variables of
-     * the process, of which a state's folder is made here; {@code figures} takes all that is measured.
+     * {@code out}: a folder for logs; {@code restMs}: how long its rest is watched; {@code own}:
+     * variables of the process, of which a state's folder is made here; {@code figures} takes all
+     * that is measured.
      */
-    public Cost(Launch launch, Path out, int restMs, Map<String, String> own, Repeats figures,
+    public Cost(
+            Launch launch,
+            Path out,
+            int restMs,
+            Map<String, String> own,
+            Repeats figures,
             Consumer<String> say) {
         this.own = Map.copyOf(own);
         this.launch = launch;
@@ -62,11 +69,23 @@
         Addresses addresses = new Addresses();
         Path folder = Files.createDirectories(out.resolve(size.key() + repeat));
         InetSocketAddress peerListen = addresses.free(addresses.peers(0));
-        try (Spawner spawner = new Spawner(); CostStand stand = new CostStand(size, addresses.parties(0));
-                CostPeers peers = size.balancers() == 1 ? null
-                    : new CostPeers(size.balancers() - 1, size.speakers(), peerListen);
-                CostProcess process = new CostProcess(spawner, launch, folder, size, stand, addresses,
-                        peerListen, peers == null ? null : peers.addresses(), own)) {
+        try (Spawner spawner = new Spawner();
+                CostStand stand = new CostStand(size, addresses.parties(0));
+                CostPeers peers =
+                        size.balancers() == 1
+                                ? null
+                                : new CostPeers(size.balancers() - 1, size.speakers(), peerListen);
+                CostProcess process =
+                        new CostProcess(
+                                spawner,
+                                launch,
+                                folder,
+                                size,
+                                stand,
+                                addresses,
+                                peerListen,
+                                peers == null ? null : peers.addresses(),
+                                own)) {
             figures.add(size.key() + "list_bytes", Json.text(stand.known()).length());
             boolean lasted = false;
             try {
@@ -104,22 +123,24 @@
             int collected = process.pauses(false).size();
             long told = peers == null ? 0 : peers.datagrams();
             long bytes = peers == null ? 0 : peers.bytes();
-            double rest = cpuOf(process, restMs, () -> { });
+            double rest = cpuOf(process, restMs, () -> {});
             if (peers != null) {
                 figures.add(key + "told.datagrams", (peers.datagrams() - told) * 1e3 / restMs);
                 figures.add(key + "told.bytes", (peers.bytes() - bytes) * 1e3 / restMs);
             }
             double share = rest / (restMs / 1e3);
             figures.add(key + "rest_cpu", share);
-            figures.add(key + "collections.a_minute",
-                (process.pauses(false).size() - collected) * 6e4 / restMs);
+            figures.add(
+                    key + "collections.a_minute",
+                    (process.pauses(false).size() - collected) * 6e4 / restMs);
             times(key + "rest_ms.", taken(load));
             changes(stand, WARM_CHANGES);
             taken(load);
             int changing = CHANGES * CHANGE_EVERY_MS;
             double cpu = cpuOf(process, AFTER_MS / 2, () -> changes(stand, CHANGES));
-            figures.add(key + "change_cpu_ms",
-                1e3 * (cpu - share * (changing + AFTER_MS / 2) / 1e3) / CHANGES);
+            figures.add(
+                    key + "change_cpu_ms",
+                    1e3 * (cpu - share * (changing + AFTER_MS / 2) / 1e3) / CHANGES);
             times(key + "change_ms.", taken(load));
             int zone = Math.max(1, size.servers() / ZONES);
             stand.drain(zone, true);
@@ -144,8 +165,13 @@
         if (process.kept() >= 0) {
             figures.add(key + "kept_bytes", process.kept());
         }
-        say.accept(String.format(Locale.ROOT, "%s ready after %.2f s, %s", key, ready, "resident "
-            + Math.round(process.resident()) + " MB"));
+        say.accept(
+                String.format(
+                        Locale.ROOT,
+                        "%s ready after %.2f s, %s",
+                        key,
+                        ready,
+                        "resident " + Math.round(process.resident()) + " MB"));
         return true;
     }
 
@@ -170,8 +196,10 @@
     }
 
     private static CostLoad load(CostCase size, InetSocketAddress to) throws IOException {
-        return new CostLoad(to, size.rate(), size.tenants() == 0 ? null
-            : i -> size.tenant((int) (i * 7919L % size.tenants())));
+        return new CostLoad(
+                to,
+                size.rate(),
+                size.tenants() == 0 ? null : i -> size.tenant((int) (i * 7919L % size.tenants())));
     }
 
     private static Histogram taken(CostLoad load) {
@@ -190,8 +218,9 @@
         List<Double> young = process.pauses(false);
         List<Double> full = process.pauses(true);
         if (!young.isEmpty()) {
-            figures.add(key + "collections.young_ms",
-                young.stream().mapToDouble(p -> p).average().orElse(0));
+            figures.add(
+                    key + "collections.young_ms",
+                    young.stream().mapToDouble(p -> p).average().orElse(0));
             figures.add(key + "collections.young_ms_max", Collections.max(young));
         }
         figures.add(key + "collections.full", full.size());
--- a/lab/src/main/java/junctionhead/lab/cost/CostLoad.java
+++ b/lab/src/main/java/junctionhead/lab/cost/CostLoad.java
@@ -12,8 +12,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * One client that asks at an even pace over one connection and notes how long answers take, from when each
- * request was due: what a stall keeps waiting counts.
+ * One client that asks at an even pace over one connection and notes how long answers take, from
+ * when each request was due: what a stall keeps waiting counts.
  */
 final class CostLoad implements AutoCloseable {
     private static final long SECOND = 1_000_000_000;
@@ -83,9 +83,12 @@
 
     // A connection may be closed for what was before it: the next request then takes a new one.
     private boolean served(int number) throws IOException {
-        String text = "GET /api HTTP/1.1\r\nHost: backend.local\r\nReq-Id: "
-            + String.format(Locale.ROOT, "%016x", number) + "\r\nReq-Kind: safe\r\nReq-Deadline-Ms: 1000\r\n"
-            + (tenant == null ? "" : "Req-Owner: " + tenant.apply(number) + "\r\n") + "\r\n";
+        String text =
+                "GET /api HTTP/1.1\r\nHost: backend.local\r\nReq-Id: "
+                        + String.format(Locale.ROOT, "%016x", number)
+                        + "\r\nReq-Kind: safe\r\nReq-Deadline-Ms: 1000\r\n"
+                        + (tenant == null ? "" : "Req-Owner: " + tenant.apply(number) + "\r\n")
+                        + "\r\n";
         try {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
             return answer();
--- a/lab/src/main/java/junctionhead/lab/cost/CostPeers.java
+++ b/lab/src/main/java/junctionhead/lab/cost/CostPeers.java
@@ -13,11 +13,13 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * The other balancers of a tier as one of them hears them: each has an address of its own, says once a second
- * how many requests it gets and where three of its attempts are, and counts what it is told.
+ * The other balancers of a tier as one of them hears them: each has an address of its own, says
+ * once a second how many requests it gets and where three of its attempts are, and counts what it
+ * is told.
  */
 final class CostPeers implements AutoCloseable {
-    // Format 3 of balancers' messages: zone 0, 62 requests a second, three queues of one, nothing else.
+    // Format 3 of balancers' messages: zone 0, 62 requests a second, three queues of one, nothing
+    // else.
     private static final byte[] WORD = {3, 0, 0, 62, 3, 0, 0x10, 1, 0x20, 1, 0x30, 1};
     // Of one /24
     private static final int HOSTS = 250;
@@ -30,13 +32,13 @@
     private final AtomicLong bytes = new AtomicLong();
     private final InetSocketAddress to;
     private final int speakers;
-    private final List<Thread> threads = List.of(new Thread(this::speak, "peers speak"),
-        new Thread(this::hear, "peers hear"));
+    private final List<Thread> threads =
+            List.of(new Thread(this::speak, "peers speak"), new Thread(this::hear, "peers hear"));
     private volatile boolean over;
 
     /**
-     * So many peers, of one that listens at {@code to}, at addresses of its network; {@code speakers} of them
-     * speak: the first ones and the last ones.
+     * So many peers, of one that listens at {@code to}, at addresses of its network; {@code
+     * speakers} of them speak: the first ones and the last ones.
      */
     CostPeers(int count, int speakers, InetSocketAddress to) throws IOException {
         this.to = to;
@@ -44,16 +46,18 @@
         byte[] own = to.getAddress().getAddress();
         for (int i = 0; i < count; i++) {
             byte[] address = {own[0], own[1], (byte) (10 + i / HOSTS), (byte) (1 + i % HOSTS)};
-            DatagramChannel peer = DatagramChannel.open()
-                .bind(new InetSocketAddress(InetAddress.getByAddress(address), 0));
+            DatagramChannel peer =
+                    DatagramChannel.open()
+                            .bind(new InetSocketAddress(InetAddress.getByAddress(address), 0));
             peer.configureBlocking(false);
             peer.register(selector, SelectionKey.OP_READ);
             peers.add(peer);
         }
-        threads.forEach(t -> {
-            t.setDaemon(true);
-            t.start();
-        });
+        threads.forEach(
+                t -> {
+                    t.setDaemon(true);
+                    t.start();
+                });
     }
 
     /** Their addresses in order. */
@@ -85,7 +89,7 @@
                 }
                 int turn = (int) (i % speakers);
                 peers.get(turn % 2 == 0 ? turn / 2 : peers.size() - 1 - turn / 2)
-                    .send(ByteBuffer.wrap(WORD), to);
+                        .send(ByteBuffer.wrap(WORD), to);
             }
         } catch (IOException e) {
             // Closed
@@ -97,16 +101,19 @@
         ByteBuffer into = ByteBuffer.allocate(MESSAGE_MOST);
         try {
             while (!over) {
-                selector.select(key -> {
-                    try {
-                        while (((DatagramChannel) key.channel()).receive(into.clear()) != null) {
-                            datagrams.incrementAndGet();
-                            bytes.addAndGet(into.position());
-                        }
-                    } catch (IOException e) {
-                        key.cancel();
-                    }
-                }, 100);
+                selector.select(
+                        key -> {
+                            try {
+                                while (((DatagramChannel) key.channel()).receive(into.clear())
+                                        != null) {
+                                    datagrams.incrementAndGet();
+                                    bytes.addAndGet(into.position());
+                                }
+                            } catch (IOException e) {
+                                key.cancel();
+                            }
+                        },
+                        100);
             }
         } catch (IOException e) {
             // Closed
--- a/lab/src/main/java/junctionhead/lab/cost/CostProcess.java
+++ b/lab/src/main/java/junctionhead/lab/cost/CostProcess.java
@@ -31,7 +31,7 @@
     private static final long END_S = 5;
     private static final Path JCMD = Path.of(System.getProperty("java.home"), "bin", "jcmd");
     private static final Pattern USED =
-        Pattern.compile("(?:new|tenured) generation\\s+total \\d+K, used (\\d+)K");
+            Pattern.compile("(?:new|tenured) generation\\s+total \\d+K, used (\\d+)K");
 
     private static final String STATE = "TANSYFERRY_STATE_DIR";
 
@@ -46,12 +46,20 @@
     private final Map<String, Long> threads = new HashMap<>();
 
     /**
-     * Starts it in a folder of its own; {@code peers} is null where it has none; {@code own}: variables that
-     * switch on parts of the program.
+     * Starts it in a folder of its own; {@code peers} is null where it has none; {@code own}:
+     * variables that switch on parts of the program.
      */
-    CostProcess(Spawner spawner, Launch launch, Path folder, CostCase size, CostStand stand,
-            Addresses addresses, InetSocketAddress peerListen, List<InetSocketAddress> peers,
-            Map<String, String> own) throws IOException {
+    CostProcess(
+            Spawner spawner,
+            Launch launch,
+            Path folder,
+            CostCase size,
+            CostStand stand,
+            Addresses addresses,
+            InetSocketAddress peerListen,
+            List<InetSocketAddress> peers,
+            Map<String, String> own)
+            throws IOException {
         listen = addresses.free(addresses.own(0));
         door = addresses.free(addresses.own(0));
         log = folder.resolve("log");
@@ -72,8 +80,10 @@
         all.put("known", stand.known());
         all.put("settings", size.settings());
         Path config = Files.writeString(folder.resolve("config.json"), Json.text(all));
-        ProcessBuilder builder = new ProcessBuilder().redirectOutput(ProcessBuilder.Redirect.DISCARD)
-            .redirectError(log.toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder()
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .redirectError(log.toFile());
         Map<String, String> environment = builder.environment();
         environment.keySet().retainAll(List.of("PATH", "HOME", "LANG", "JAVA_HOME"));
         environment.put("ROUTER_NAME", "n0");
@@ -98,9 +108,13 @@
         return process.isAlive();
     }
 
-    /** s from its start until it says that it is ready; -1 where it has ended, or is not within a minute. */
+    /**
+     * s from its start until it says that it is ready; -1 where it has ended, or is not within a
+     * minute.
+     */
     double untilReady() throws InterruptedException {
-        while (process.isAlive() && System.nanoTime() - startedAt < TimeUnit.SECONDS.toNanos(READY_S)) {
+        while (process.isAlive()
+                && System.nanoTime() - startedAt < TimeUnit.SECONDS.toNanos(READY_S)) {
             if (call("ready").startsWith("200")) {
                 return (System.nanoTime() - startedAt) / 1e9;
             }
@@ -125,8 +139,10 @@
         try (var tasks = Files.list(Path.of("/proc", Long.toString(process.pid()), "task"))) {
             for (Path task : tasks.toList()) {
                 try {
-                    threads.put(task.getFileName().toString(),
-                        Long.parseLong(Files.readString(task.resolve("schedstat")).split(" ")[0]));
+                    threads.put(
+                            task.getFileName().toString(),
+                            Long.parseLong(
+                                    Files.readString(task.resolve("schedstat")).split(" ")[0]));
                 } catch (NoSuchFileException e) {
                     // It has ended meanwhile
                     continue;
@@ -166,18 +182,25 @@
     /** Its pauses for collections so far, in order, ms; {@code full}: those of the whole heap. */
     List<Double> pauses(boolean full) throws IOException {
         Pattern pause = Pattern.compile((full ? "Pause Full" : "Pause Young") + ".* ([0-9.]+)ms$");
-        return Files.readAllLines(collections).stream().map(pause::matcher).filter(Matcher::find)
-            .map(m -> Double.valueOf(m.group(1))).toList();
+        return Files.readAllLines(collections).stream()
+                .map(pause::matcher)
+                .filter(Matcher::find)
+                .map(m -> Double.valueOf(m.group(1)))
+                .toList();
     }
 
-    /** Bytes of the newest snapshot of its state; 0 where none is kept, -1 where none is asked for. */
+    /**
+     * Bytes of the newest snapshot of its state; 0 where none is kept, -1 where none is asked for.
+     */
     long kept() throws IOException {
         if (!Files.exists(state)) {
             return -1;
         }
         try (var files = Files.list(state)) {
             return files.filter(f -> f.getFileName().toString().startsWith("snapshot-"))
-                .mapToLong(f -> f.toFile().length()).max().orElse(0);
+                    .mapToLong(f -> f.toFile().length())
+                    .max()
+                    .orElse(0);
         }
     }
 
--- a/lab/src/main/java/junctionhead/lab/cost/CostStand.java
+++ b/lab/src/main/java/junctionhead/lab/cost/CostStand.java
@@ -34,8 +34,8 @@
 import junctionhead.lab.stand.Json;
 
 /**
- * What one measured process talks to: discovery with a list of any length, and the one upstream that all
- * entries of it lead to, which answers at once. Both live on a loop of their own.
+ * What one measured process talks to: discovery with a list of any length, and the one upstream
+ * that all entries of it lead to, which answers at once. Both live on a loop of their own.
  */
 final class CostStand implements AutoCloseable {
     // Between empty lines of a watch
@@ -57,21 +57,36 @@
         draining = new boolean[size.servers()];
         upstream = listen(at, true);
         discovery = listen(at, false);
-        group.next().scheduleWithFixedDelay(() -> watches.forEach(w -> write(w, "\n")), BEAT_S, BEAT_S,
-            TimeUnit.SECONDS);
+        group.next()
+                .scheduleWithFixedDelay(
+                        () -> watches.forEach(w -> write(w, "\n")),
+                        BEAT_S,
+                        BEAT_S,
+                        TimeUnit.SECONDS);
     }
 
     private InetSocketAddress listen(InetAddress at, boolean work) throws IOException {
         try {
-            return (InetSocketAddress) new ServerBootstrap().group(group)
-                .channel(NioServerSocketChannel.class).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(),
-                            new HttpObjectAggregator(REQUEST_MOST), work ? new Work() : new Asked());
-                    }
-                }).bind(at, 0).sync().channel().localAddress();
+            return (InetSocketAddress)
+                    new ServerBootstrap()
+                            .group(group)
+                            .channel(NioServerSocketChannel.class)
+                            .childOption(ChannelOption.TCP_NODELAY, true)
+                            .childHandler(
+                                    new ChannelInitializer<SocketChannel>() {
+                                        @Override
+                                        protected void initChannel(SocketChannel channel) {
+                                            channel.pipeline()
+                                                    .addLast(
+                                                            new HttpServerCodec(),
+                                                            new HttpObjectAggregator(REQUEST_MOST),
+                                                            work ? new Work() : new Asked());
+                                        }
+                                    })
+                            .bind(at, 0)
+                            .sync()
+                            .channel()
+                            .localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException(e);
@@ -93,42 +108,64 @@
 
     private Map<String, Object> message(boolean all, List<Integer> numbers) {
         String endpoint = Addresses.text(upstream);
-        return Map.of("rev", rev, "all", all, "targets", numbers.stream().map(n -> size.entry(n,
-            draining[n] ? "terminating" : "in_service", endpoint, 0)).toList());
+        return Map.of(
+                "rev",
+                rev,
+                "all",
+                all,
+                "targets",
+                numbers.stream()
+                        .map(
+                                n ->
+                                        size.entry(
+                                                n,
+                                                draining[n] ? "terminating" : "in_service",
+                                                endpoint,
+                                                0))
+                        .toList());
     }
 
-    /** Tells of so many entries that have changed, in one line: some begin to drain, some are back. */
+    /**
+     * Tells of so many entries that have changed, in one line: some begin to drain, some are back.
+     */
     void change(int count) {
-        group.next().execute(() -> {
-            List<Integer> changed = new ArrayList<>();
-            for (int i = 0; i < count; i++) {
-                // by turns one that drains and the one before it that is back: the list stays as long
-                int n = next++ / 2 % size.servers();
-                draining[n] = !draining[n];
-                changed.add(n);
-            }
-            rev++;
-            tell(message(false, changed));
-        });
+        group.next()
+                .execute(
+                        () -> {
+                            List<Integer> changed = new ArrayList<>();
+                            for (int i = 0; i < count; i++) {
+                                // by turns one that drains and the one before it that is back: the
+                                // list stays as long
+                                int n = next++ / 2 % size.servers();
+                                draining[n] = !draining[n];
+                                changed.add(n);
+                            }
+                            rev++;
+                            tell(message(false, changed));
+                        });
     }
 
     /** Has a run of neighbours drain, or come back, in one line. */
     void drain(int count, boolean on) {
-        group.next().execute(() -> {
-            for (int n = 0; n < count; n++) {
-                draining[n] = on;
-            }
-            rev++;
-            tell(message(false, IntStream.range(0, count).boxed().toList()));
-        });
+        group.next()
+                .execute(
+                        () -> {
+                            for (int n = 0; n < count; n++) {
+                                draining[n] = on;
+                            }
+                            rev++;
+                            tell(message(false, IntStream.range(0, count).boxed().toList()));
+                        });
     }
 
     /** Tells the whole list again. */
     void whole() {
-        group.next().execute(() -> {
-            rev++;
-            tell(known());
-        });
+        group.next()
+                .execute(
+                        () -> {
+                            rev++;
+                            tell(known());
+                        });
     }
 
     private void tell(Map<String, Object> message) {
@@ -137,7 +174,8 @@
     }
 
     private static void write(Channel to, String text) {
-        to.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
+        to.writeAndFlush(
+                new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
     }
 
     /** Whole lists on demand, or a watch. */
@@ -148,7 +186,8 @@
                 answer(context.channel(), Json.text(known()));
                 return;
             }
-            DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            DefaultHttpResponse head =
+                    new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, "chunked");
             context.write(head);
             boolean newest = request.uri().endsWith("from=" + rev);
@@ -181,8 +220,11 @@
     }
 
     private static void answer(Channel to, String body) {
-        DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-            HttpResponseStatus.OK, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+        DefaultFullHttpResponse answer =
+                new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1,
+                        HttpResponseStatus.OK,
+                        Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
         answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
         to.writeAndFlush(answer);
     }
--- a/lab/src/main/java/junctionhead/lab/explore/DutiesExplorer.java
+++ b/lab/src/main/java/junctionhead/lab/explore/DutiesExplorer.java
@@ -9,11 +9,11 @@
 import junctionhead.duties.Word;
 
 /**
- * Looks at what may happen to a few members of {@link Duties} and one slot: messages in any order, lost and
- * repeated; disks that take their time, fail, or come back emptied or older; crashes, pauses, clocks 5% fast
- * and slow and hours apart, views of who is present that are simply wrong. In each state one member at most
- * may act, epochs have not gone back, and nobody has taken an older holder's word after a newer one's. After
- * the last fault there is a holder again.
+ * Looks at what may happen to a few members of {@link Duties} and one slot: messages in any order,
+ * lost and repeated; disks that take their time, fail, or come back emptied or older; crashes,
+ * pauses, clocks 5% fast and slow and hours apart, views of who is present that are simply wrong.
+ * In each state one member at most may act, epochs have not gone back, and nobody has taken an
+ * older holder's word after a newer one's. After the last fault there is a holder again.
  */
 public final class DutiesExplorer implements Search.Model<DutiesExplorer.World> {
     // µs that time moves on by
@@ -36,25 +36,42 @@
 
     /** A mistake built in, to see that it is found. */
     public enum Fault {
-        NONE, NO_WAIT_AFTER_START, ANSWER_BEFORE_SYNC, MARGIN_TOO_SMALL, MAJORITY_OF_PRESENT,
-            EPOCH_NOT_CHECKED,
+        NONE,
+        NO_WAIT_AFTER_START,
+        ANSWER_BEFORE_SYNC,
+        MARGIN_TOO_SMALL,
+        MAJORITY_OF_PRESENT,
+        EPOCH_NOT_CHECKED,
         NO_LOOK_AT_CLOCK
     }
 
     /**
-     * A state: the members, their disks ({@code kept}, the copy before it, and what is under way), what each
-     * took for a holder's newest word, and the newest epoch that was ever held, by whom.
+     * A state: the members, their disks ({@code kept}, the copy before it, and what is under way),
+     * what each took for a holder's newest word, and the newest epoch that was ever held, by whom.
      */
-    record World(Duties[] members, boolean[] down, boolean[] still, boolean[][] views,
-        List<List<Promise>> kept,
-            List<List<Promise>> older, Duties.Keep[] writing, long[] heard, boolean[] said, boolean[] rests,
+    record World(
+            Duties[] members,
+            boolean[] down,
+            boolean[] still,
+            boolean[][] views,
+            List<List<Promise>> kept,
+            List<List<Promise>> older,
+            Duties.Keep[] writing,
+            long[] heard,
+            boolean[] said,
+            boolean[] rests,
             long newest,
             int newestBy,
-            String flaw, List<Flight> flying, long now, int faultsLeft, World from, String step)
-            implements Search.State<World> { }
+            String flaw,
+            List<Flight> flying,
+            long now,
+            int faultsLeft,
+            World from,
+            String step)
+            implements Search.State<World> {}
 
     /** {@code act}: the epoch under which its sender acted, in place of a word; else 0. */
-    record Flight(int from, int to, Word word, long act) { }
+    record Flight(int from, int to, Word word, long act) {}
 
     /** A world that is being changed. */
     private final class Next {
@@ -124,8 +141,15 @@
 
         private void took(int m, long epoch) {
             if (epoch < newest || epoch == newest && newestBy != m) {
-                flaw = "n" + m + " holds it under epoch " + epoch + ", and n" + newestBy + " held it under "
-                    + newest;
+                flaw =
+                        "n"
+                                + m
+                                + " holds it under epoch "
+                                + epoch
+                                + ", and n"
+                                + newestBy
+                                + " held it under "
+                                + newest;
             }
             newest = epoch;
             newestBy = m;
@@ -133,25 +157,37 @@
         }
 
         private void fly(int m, Duties.Send send) {
-            if (planted == Fault.MAJORITY_OF_PRESENT && send.word().kind() == Word.Kind.ASK
+            if (planted == Fault.MAJORITY_OF_PRESENT
+                    && send.word().kind() == Word.Kind.ASK
                     && !views[m][send.to()]) {
                 Word w = send.word();
-                play(m, all[m].heard(clock(m, now), send.to(),
-                    new Word(Word.Kind.GRANTED, w.process(), w.number(),
-                    w.entries())));
+                play(
+                        m,
+                        all[m].heard(
+                                clock(m, now),
+                                send.to(),
+                                new Word(Word.Kind.GRANTED, w.process(), w.number(), w.entries())));
                 return;
             }
             if (send.word().kind() == Word.Kind.GRANTED) {
                 long safe = kept.get(m) == null ? -1 : kept.get(m).get(0).epoch();
-                send.word().entries().stream().filter(e -> e.epoch() > safe).forEach(e -> flaw = "n" + m
-                    + " tells that it granted epoch " + e.epoch() + ", and a crash now would undo it");
+                send.word().entries().stream()
+                        .filter(e -> e.epoch() > safe)
+                        .forEach(
+                                e ->
+                                        flaw =
+                                                "n"
+                                                        + m
+                                                        + " tells that it granted epoch "
+                                                        + e.epoch()
+                                                        + ", and a crash now would undo it");
             }
             add(new Flight(m, send.to(), send.word(), 0));
         }
 
         void add(Flight flight) {
             flying.add(flight);
-            for (int i = 0; flying.size() > FLYING_MOST && i < flying.size();) {
+            for (int i = 0; flying.size() > FLYING_MOST && i < flying.size(); ) {
                 // Acts stay: late ones are what the fence is for.
                 if (flying.get(i).word == null) {
                     i++;
@@ -162,10 +198,25 @@
         }
 
         World done(String step) {
-            return new World(all, down, still, views, kept, older, writing, heard, said, rests, newest,
-                newestBy,
-                flaw,
-                flying, now, faultsLeft, w, step);
+            return new World(
+                    all,
+                    down,
+                    still,
+                    views,
+                    kept,
+                    older,
+                    writing,
+                    heard,
+                    said,
+                    rests,
+                    newest,
+                    newestBy,
+                    flaw,
+                    flying,
+                    now,
+                    faultsLeft,
+                    w,
+                    step);
         }
     }
 
@@ -183,8 +234,9 @@
 
     private Duties started(int m, List<Promise> promises, long now) {
         long wall = WALL + now / 1000;
-        Duties d = new Duties(m, members, terms, promises, true, wall,
-            wall * members + m, clock(m, now));
+        Duties d =
+                new Duties(
+                        m, members, terms, promises, true, wall, wall * members + m, clock(m, now));
         if (planted == Fault.NO_WAIT_AFTER_START) {
             d.opened(clock(m, now) - terms.lease());
         }
@@ -207,27 +259,57 @@
             Arrays.fill(views[m], true);
             none.add(null);
         }
-        return new Search<>(this).walk(new World(all, new boolean[members], new boolean[members], views,
-            none, none,
-            new Duties.Keep[members], new long[members], new boolean[members], new boolean[members], 0, -1,
-                "", List.of(), 0,
-            faults, null,
-            "all start"), states, steps, settleEach, seed);
+        return new Search<>(this)
+                .walk(
+                        new World(
+                                all,
+                                new boolean[members],
+                                new boolean[members],
+                                views,
+                                none,
+                                none,
+                                new Duties.Keep[members],
+                                new long[members],
+                                new boolean[members],
+                                new boolean[members],
+                                0,
+                                -1,
+                                "",
+                                List.of(),
+                                0,
+                                faults,
+                                null,
+                                "all start"),
+                        states,
+                        steps,
+                        settleEach,
+                        seed);
     }
 
     @Override
     public long fingerprint(World w) {
         long h = w.faultsLeft * 31L + w.newest * 7 + w.newestBy;
         for (int m = 0; m < members; m++) {
-            h = h * 1_000_003 + (w.down[m] ? 1 : (w.still[m] ? 2 : 3)
-                + w.members[m].fingerprint(clock(m, w.now)));
-            h = h * 31 + Arrays.hashCode(w.views[m]) + w.heard[m] * 17 + (w.writing[m] == null ? 0 : 5);
+            h =
+                    h * 1_000_003
+                            + (w.down[m]
+                                    ? 1
+                                    : (w.still[m] ? 2 : 3)
+                                            + w.members[m].fingerprint(clock(m, w.now)));
+            h =
+                    h * 31
+                            + Arrays.hashCode(w.views[m])
+                            + w.heard[m] * 17
+                            + (w.writing[m] == null ? 0 : 5);
             h = h * 31 + (w.kept.get(m) == null ? 0 : w.kept.get(m).hashCode());
         }
         // A set: their order does not matter
         long flights = 0;
         for (Flight f : w.flying) {
-            long one = (f.from * 31L + f.to) * 31 + f.act * 7 + (f.word == null ? 0 : f.word.hashCode());
+            long one =
+                    (f.from * 31L + f.to) * 31
+                            + f.act * 7
+                            + (f.word == null ? 0 : f.word.hashCode());
             flights += (one ^ one >>> 17) * 0x9e3779b97f4a7c15L;
         }
         return (h ^ flights) * 0xbf58476d1ce4e5b9L;
@@ -268,8 +350,9 @@
                 }
             }
             // Few acts at a time: more would push out what leases are made of.
-            if (!w.still[m] && acts(w, m) > 0
-                && w.flying.stream().filter(f -> f.word == null).count() < members) {
+            if (!w.still[m]
+                    && acts(w, m) > 0
+                    && w.flying.stream().filter(f -> f.word == null).count() < members) {
                 next.add(acted(w, m));
             }
             if (w.faultsLeft > 0) {
@@ -280,8 +363,11 @@
     }
 
     private static String text(Flight f) {
-        return (f.word == null ? "act under " + f.act : f.word.kind().toString()) + " of n" + f.from
-            + " to n" + f.to;
+        return (f.word == null ? "act under " + f.act : f.word.kind().toString())
+                + " of n"
+                + f.from
+                + " to n"
+                + f.to;
     }
 
     private World delivered(World w, Flight f, boolean once) {
@@ -297,8 +383,13 @@
             n.play(f.to, n.own(f.to).heard(clock(f.to, w.now), f.from, f.word));
         } else if (n.own(f.to).fence().passes(0, f.act) || planted == Fault.EPOCH_NOT_CHECKED) {
             if (f.act < n.heard[f.to]) {
-                n.flaw = "n" + f.to + " takes a word under epoch " + f.act + " after one under "
-                    + n.heard[f.to];
+                n.flaw =
+                        "n"
+                                + f.to
+                                + " takes a word under epoch "
+                                + f.act
+                                + " after one under "
+                                + n.heard[f.to];
             }
             n.heard[f.to] = f.act;
         }
@@ -367,8 +458,13 @@
                 view.views[m] = w.views[m].clone();
                 view.views[m][other] = !w.views[m][other];
                 view.play(m, view.own(m).present(clock(m, w.now), who -> view.views[m][who]));
-                next.add(view.done("n" + m + " holds n" + other
-                    + (w.views[m][other] ? " gone" : " present")));
+                next.add(
+                        view.done(
+                                "n"
+                                        + m
+                                        + " holds n"
+                                        + other
+                                        + (w.views[m][other] ? " gone" : " present")));
             }
         }
         return next;
--- a/lab/src/main/java/junctionhead/lab/explore/Finding.java
+++ b/lab/src/main/java/junctionhead/lab/explore/Finding.java
@@ -10,4 +10,4 @@
  * @param wrong the first thing that must not be; empty where nothing is wrong
  * @param story the steps that led to it
  */
-public record Finding(long states, long settled, String wrong, List<String> story) { }
+public record Finding(long states, long settled, String wrong, List<String> story) {}
--- a/lab/src/main/java/junctionhead/lab/explore/MembersExplorer.java
+++ b/lab/src/main/java/junctionhead/lab/explore/MembersExplorer.java
@@ -10,12 +10,11 @@
 import junctionhead.membership.Timing;
 
 /**
- * Looks at what may happen to a few members of {@link Membership}: messages delivered in any order, lost and
- * repeated, members that stand still, crash and start anew. Each state once, by its
- * fingerprint, from the newest found and from any in turn. In each state no incarnation has gone back;
- * and from a part of the states, once faults
- * end,
- * all live members must come to hold each other present and the others not.
+ * Looks at what may happen to a few members of {@link Membership}: messages delivered in any order,
+ * lost and repeated, members that stand still, crash and start anew. Each state once, by its
+ * fingerprint, from the newest found and from any in turn. In each state no incarnation has gone
+ * back; and from a part of the states, once faults end, all live members must come to hold each
+ * other present and the others not.
  */
 public final class MembersExplorer implements Search.Model<MembersExplorer.World> {
     // µs that time moves on by
@@ -32,13 +31,26 @@
     private final Fault planted;
 
     /** A mistake built in, to see that it is found. */
-    public enum Fault { NONE, FORGETS_ALL, DENIES_NOTHING, DEAD_STAY_DEAD }
+    public enum Fault {
+        NONE,
+        FORGETS_ALL,
+        DENIES_NOTHING,
+        DEAD_STAY_DEAD
+    }
 
     /** A state of the world, and how it was come to. */
-    record World(Membership[] members, boolean[] down, boolean[] still, List<Flight> flying, long now,
-            int faultsLeft, World from, String step) implements Search.State<World> { }
+    record World(
+            Membership[] members,
+            boolean[] down,
+            boolean[] still,
+            List<Flight> flying,
+            long now,
+            int faultsLeft,
+            World from,
+            String step)
+            implements Search.State<World> {}
 
-    record Flight(int from, int to, Message message) { }
+    record Flight(int from, int to, Message message) {}
 
     /** {@code timing}: small times make more happen within few steps. */
     public MembersExplorer(int members, Timing timing, Fault planted) {
@@ -58,9 +70,20 @@
         for (int m = 0; m < members; m++) {
             all[m] = new Membership(m, members, timing, CLOCK, 0);
         }
-        return new Search<>(this).explore(new World(all, new boolean[members], new boolean[members],
-            List.of(), 0,
-            faults, null, "all start"), states, settleEach, seed);
+        return new Search<>(this)
+                .explore(
+                        new World(
+                                all,
+                                new boolean[members],
+                                new boolean[members],
+                                List.of(),
+                                0,
+                                faults,
+                                null,
+                                "all start"),
+                        states,
+                        settleEach,
+                        seed);
     }
 
     @Override
@@ -77,8 +100,13 @@
     public long fingerprint(World w) {
         long h = w.faultsLeft;
         for (int m = 0; m < members; m++) {
-            h = h * 1_000_003 + (w.down[m] ? 1 : w.still[m] ? 2 + w.members[m].fingerprint(w.now)
-                : w.members[m].fingerprint(w.now));
+            h =
+                    h * 1_000_003
+                            + (w.down[m]
+                                    ? 1
+                                    : w.still[m]
+                                            ? 2 + w.members[m].fingerprint(w.now)
+                                            : w.members[m].fingerprint(w.now));
         }
         // A set: their order does not matter
         long flights = 0;
@@ -102,10 +130,24 @@
                 next.add(delivered(w, f, rest, w.faultsLeft, "arrives"));
             }
             if (w.faultsLeft > 0) {
-                next.add(new World(w.members, w.down, w.still, rest, w.now, w.faultsLeft - 1, w,
-                    text(f) + " is lost"));
+                next.add(
+                        new World(
+                                w.members,
+                                w.down,
+                                w.still,
+                                rest,
+                                w.now,
+                                w.faultsLeft - 1,
+                                w,
+                                text(f) + " is lost"));
                 if (!w.still[f.to]) {
-                    next.add(delivered(w, f, w.flying, w.faultsLeft - 1, "arrives, and will once more"));
+                    next.add(
+                            delivered(
+                                    w,
+                                    f,
+                                    w.flying,
+                                    w.faultsLeft - 1,
+                                    "arrives, and will once more"));
                 }
             }
         }
@@ -127,8 +169,15 @@
 
     private World delivered(World w, Flight f, List<Flight> rest, int faultsLeft, String how) {
         if (w.down[f.to]) {
-            return new World(w.members, w.down, w.still, rest, w.now, faultsLeft, w, text(f)
-                + " finds nobody");
+            return new World(
+                    w.members,
+                    w.down,
+                    w.still,
+                    rest,
+                    w.now,
+                    faultsLeft,
+                    w,
+                    text(f) + " finds nobody");
         }
         Membership[] all = w.members.clone();
         all[f.to] = new Membership(all[f.to]);
@@ -141,16 +190,33 @@
     private List<Membership.Act> hear(Membership member, long now, Flight f) {
         Message m = f.message;
         if (planted == Fault.DENIES_NOTHING) {
-            m = new Message(m.kind(), m.subject(), m.number(), m.incarnation(), m.news().stream()
-                .filter(n -> n.member() != f.to).toList());
+            m =
+                    new Message(
+                            m.kind(),
+                            m.subject(),
+                            m.number(),
+                            m.incarnation(),
+                            m.news().stream().filter(n -> n.member() != f.to).toList());
         } else if (planted == Fault.DEAD_STAY_DEAD) {
             var view = member.view();
             if (view.members().get(f.from).status() == Status.DEAD) {
                 return List.of();
             }
-            m = new Message(m.kind(), m.subject(), m.number(), m.incarnation(), m.news().stream()
-                .filter(n -> n.member() >= members || view.members().get(n.member()).status() != Status.DEAD)
-                .toList());
+            m =
+                    new Message(
+                            m.kind(),
+                            m.subject(),
+                            m.number(),
+                            m.incarnation(),
+                            m.news().stream()
+                                    .filter(
+                                            n ->
+                                                    n.member() >= members
+                                                            || view.members()
+                                                                            .get(n.member())
+                                                                            .status()
+                                                                    != Status.DEAD)
+                                    .toList());
         }
         return member.heard(now, f.from, m);
     }
@@ -182,8 +248,15 @@
     private World crashed(World w, int m) {
         boolean[] down = w.down.clone();
         down[m] = true;
-        return new World(w.members, down, w.still, w.flying, w.now, w.faultsLeft - 1, w, "n" + m
-            + " crashes");
+        return new World(
+                w.members,
+                down,
+                w.still,
+                w.flying,
+                w.now,
+                w.faultsLeft - 1,
+                w,
+                "n" + m + " crashes");
     }
 
     private World started(World w, int m) {
@@ -192,11 +265,19 @@
         down[m] = false;
         still[m] = false;
         Membership[] all = w.members.clone();
-        // Each second start finds the clock set back: peers know a higher incarnation than this one.
+        // Each second start finds the clock set back: peers know a higher incarnation than this
+        // one.
         boolean back = w.faultsLeft % 2 == 0;
         all[m] = new Membership(m, members, timing, back ? 1 : CLOCK + w.now / 1000, w.now);
-        return new World(all, down, still, w.flying, w.now, w.faultsLeft - 1, w, "n" + m
-            + (back ? " starts with its clock set back" : " starts"));
+        return new World(
+                all,
+                down,
+                still,
+                w.flying,
+                w.now,
+                w.faultsLeft - 1,
+                w,
+                "n" + m + (back ? " starts with its clock set back" : " starts"));
     }
 
     private World stood(World w, int m) {
@@ -206,8 +287,15 @@
         if (planted == Fault.FORGETS_ALL && !still[m]) {
             all[m] = new Membership(m, members, timing, CLOCK, w.now);
         }
-        return new World(all, w.down, still, w.flying, w.now, w.faultsLeft - 1, w, "n" + m
-            + (still[m] ? " stands still" : " goes on"));
+        return new World(
+                all,
+                w.down,
+                still,
+                w.flying,
+                w.now,
+                w.faultsLeft - 1,
+                w,
+                "n" + m + (still[m] ? " stands still" : " goes on"));
     }
 
     // ------------------------------------------------------------ what must hold
@@ -221,7 +309,14 @@
                 long was = before.members[m].view().members().get(other).incarnation();
                 long is = after.members[m].view().members().get(other).incarnation();
                 if (is < was) {
-                    return "n" + m + " holds incarnation " + is + " of n" + other + ", and held " + was;
+                    return "n"
+                            + m
+                            + " holds incarnation "
+                            + is
+                            + " of n"
+                            + other
+                            + ", and held "
+                            + was;
                 }
             }
         }
@@ -252,8 +347,16 @@
         for (int m = 0; m < members; m++) {
             for (int other = 0; !w.down[m] && other < members; other++) {
                 if (all[m].view().isPresent(other) == w.down[other]) {
-                    return "n" + m + " holds n" + other + (w.down[other] ? ", which is down, present"
-                        : " away, though it lives") + " after " + SETTLE / 1000 + " ms without a fault";
+                    return "n"
+                            + m
+                            + " holds n"
+                            + other
+                            + (w.down[other]
+                                    ? ", which is down, present"
+                                    : " away, though it lives")
+                            + " after "
+                            + SETTLE / 1000
+                            + " ms without a fault";
                 }
             }
         }
--- a/lab/src/main/java/junctionhead/lab/explore/Search.java
+++ b/lab/src/main/java/junctionhead/lab/explore/Search.java
@@ -9,9 +9,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Looks at the states that a model of some processes can come to, each once by its fingerprint. {@link
- * #explore} goes on from the newest found as often as from any; {@link #walk} goes long ways from the start,
- * with a fault now and then, for what takes somebody's death and a lease or two to show.
+ * Looks at the states that a model of some processes can come to, each once by its fingerprint.
+ * {@link #explore} goes on from the newest found as often as from any; {@link #walk} goes long ways
+ * from the start, with a fault now and then, for what takes somebody's death and a lease or two to
+ * show.
  *
  * @param <W> a state, which knows how it was come to
  */
@@ -55,13 +56,17 @@
         this.model = model;
     }
 
-    /** Goes on from a state until so many were seen; from one of them in {@code settleEach} faults end. */
+    /**
+     * Goes on from a state until so many were seen; from one of them in {@code settleEach} faults
+     * end.
+     */
     Finding explore(W start, long states, int settleEach, long seed) {
         UniformRandomProvider random = Seeds.stream(seed, "explorer");
         List<W> frontier = new ArrayList<>(List.of(start));
         while (!frontier.isEmpty() && seen.size() < states) {
             int last = frontier.size() - 1;
-            Collections.swap(frontier, random.nextBoolean() ? last : random.nextInt(last + 1), last);
+            Collections.swap(
+                    frontier, random.nextBoolean() ? last : random.nextInt(last + 1), last);
             W state = frontier.remove(last);
             for (W next : model.after(state)) {
                 if (seen.add(model.fingerprint(next))) {
@@ -85,7 +90,8 @@
                 List<W> calm = new ArrayList<>();
                 List<W> struck = new ArrayList<>();
                 for (W next : model.after(at)) {
-                    Finding finding = seen.add(model.fingerprint(next)) ? look(at, next, settleEach) : null;
+                    Finding finding =
+                            seen.add(model.fingerprint(next)) ? look(at, next, settleEach) : null;
                     if (finding != null) {
                         return finding;
                     }
--- a/lab/src/main/java/junctionhead/lab/explore/SumsExplorer.java
+++ b/lab/src/main/java/junctionhead/lab/explore/SumsExplorer.java
@@ -7,11 +7,12 @@
 import junctionhead.aggregation.Blocks;
 
 /**
- * Looks at what may happen to a few balancers of {@link BlockSums}: datagrams late by up to a step of time,
- * in any order, lost and repeated, balancers that crash and start anew, halves cut apart and joined. Each
- * state once, by its fingerprint. In each state every record tells of its block as it was at the time it
- * names, or later, but for the time on the way, which an age does not count; and from a part of the states,
- * once faults end, all live balancers must come to know the sum of the live ones.
+ * Looks at what may happen to a few balancers of {@link BlockSums}: datagrams late by up to a step
+ * of time, in any order, lost and repeated, balancers that crash and start anew, halves cut apart
+ * and joined. Each state once, by its fingerprint. In each state every record tells of its block as
+ * it was at the time it names, or later, but for the time on the way, which an age does not count;
+ * and from a part of the states, once faults end, all live balancers must come to know the sum of
+ * the live ones.
  */
 public final class SumsExplorer implements Search.Model<SumsExplorer.World> {
     // µs that time moves on by
@@ -39,14 +40,24 @@
     /**
      * A state of the world, and how it was come to.
      *
-     * @param past of each block the sums of its live balancers, newest last, each with when it began to hold
+     * @param past of each block the sums of its live balancers, newest last, each with when it
+     *     began to hold
      */
-    record World(BlockSums[] all, boolean[] down, boolean cut, List<Flight> flying, long now, int faultsLeft,
-            List<List<Since>> past, World from, String step) implements Search.State<World> { }
+    record World(
+            BlockSums[] all,
+            boolean[] down,
+            boolean cut,
+            List<Flight> flying,
+            long now,
+            int faultsLeft,
+            List<List<Since>> past,
+            World from,
+            String step)
+            implements Search.State<World> {}
 
-    record Since(long at, int rate) { }
+    record Since(long at, int rate) {}
 
-    record Flight(long at, int from, int to, byte[] data) { }
+    record Flight(long at, int from, int to, byte[] data) {}
 
     /** {@code blocks}: few, of few. */
     public SumsExplorer(Blocks blocks, Fault planted) {
@@ -122,9 +133,19 @@
             rest.remove(i);
             next.add(delivered(w, f, rest, w.faultsLeft, "arrives"));
             if (w.faultsLeft > 0) {
-                next.add(new World(w.all, w.down, w.cut, rest, w.now, w.faultsLeft - 1, w.past, w,
-                    text(f) + " is lost"));
-                next.add(delivered(w, f, w.flying, w.faultsLeft - 1, "arrives, and will once more"));
+                next.add(
+                        new World(
+                                w.all,
+                                w.down,
+                                w.cut,
+                                rest,
+                                w.now,
+                                w.faultsLeft - 1,
+                                w.past,
+                                w,
+                                text(f) + " is lost"));
+                next.add(
+                        delivered(w, f, w.flying, w.faultsLeft - 1, "arrives, and will once more"));
             }
         }
         next.add(passed(w));
@@ -132,8 +153,17 @@
             for (int m = 0; m < w.all.length; m++) {
                 next.add(turned(w, m));
             }
-            next.add(new World(w.all, w.down, !w.cut, w.flying, w.now, w.faultsLeft - 1, w.past, w,
-                w.cut ? "the halves are joined" : "the halves are cut apart"));
+            next.add(
+                    new World(
+                            w.all,
+                            w.down,
+                            !w.cut,
+                            w.flying,
+                            w.now,
+                            w.faultsLeft - 1,
+                            w.past,
+                            w,
+                            w.cut ? "the halves are joined" : "the halves are cut apart"));
         }
         return next;
     }
@@ -148,13 +178,22 @@
 
     private World delivered(World w, Flight f, List<Flight> rest, int faultsLeft, String how) {
         if (w.down[f.to] || parted(w, f.from, f.to)) {
-            return new World(w.all, w.down, w.cut, rest, w.now, faultsLeft, w.past, w, text(f)
-                + " finds nobody");
+            return new World(
+                    w.all,
+                    w.down,
+                    w.cut,
+                    rest,
+                    w.now,
+                    faultsLeft,
+                    w.past,
+                    w,
+                    text(f) + " finds nobody");
         }
         BlockSums[] all = w.all.clone();
         all[f.to] = new BlockSums(all[f.to]);
         hear(all[f.to], w.now, f);
-        return new World(all, w.down, w.cut, rest, w.now, faultsLeft, w.past, w, text(f) + " " + how);
+        return new World(
+                all, w.down, w.cut, rest, w.now, faultsLeft, w.past, w, text(f) + " " + how);
     }
 
     private void hear(BlockSums member, long now, Flight f) {
@@ -176,20 +215,26 @@
         }
         all[m].own(now, there, rate(block, down));
         BlockSums member = all[m];
-        member.tick(now, i -> !down[i], (to, data) -> {
-            boolean mute = planted == Fault.ONE_TELLS && m != blocks.first(block);
-            boolean trial = planted == Fault.TRY_NOBODY && !member.knows(now, blocks.of(to))
-                && now - START > BlockSums.FORGET;
-            if (!mute && !trial) {
-                flying.add(new Flight(now, m, to, data));
-            }
-        });
+        member.tick(
+                now,
+                i -> !down[i],
+                (to, data) -> {
+                    boolean mute = planted == Fault.ONE_TELLS && m != blocks.first(block);
+                    boolean trial =
+                            planted == Fault.TRY_NOBODY
+                                    && !member.knows(now, blocks.of(to))
+                                    && now - START > BlockSums.FORGET;
+                    if (!mute && !trial) {
+                        flying.add(new Flight(now, m, to, data));
+                    }
+                });
     }
 
     private World passed(World w) {
         long now = w.now + STEP;
         BlockSums[] all = w.all.clone();
-        List<Flight> flying = new ArrayList<>(w.flying.stream().filter(f -> f.at == w.now).toList());
+        List<Flight> flying =
+                new ArrayList<>(w.flying.stream().filter(f -> f.at == w.now).toList());
         for (int m = 0; m < all.length; m++) {
             if (!w.down[m]) {
                 all[m] = new BlockSums(all[m]);
@@ -214,8 +259,16 @@
         List<Since> of = new ArrayList<>(past.get(block));
         of.add(new Since(w.now, rate(block, down)));
         past.set(block, of);
-        return new World(all, down, w.cut, w.flying, w.now, w.faultsLeft - 1, past, w, "n" + m
-            + (down[m] ? " crashes" : " starts"));
+        return new World(
+                all,
+                down,
+                w.cut,
+                w.flying,
+                w.now,
+                w.faultsLeft - 1,
+                past,
+                w,
+                "n" + m + (down[m] ? " crashes" : " starts"));
     }
 
     // ------------------------------------------------------------ what must hold
@@ -225,19 +278,29 @@
         for (int m = 0; m < w.all.length; m++) {
             for (int block = 0; !w.down[m] && block < blocks.count(); block++) {
                 BlockSums.Total known = w.all[m].known(w.now, block);
-                // Half of its way at the most it was under way: it is told on a step after it came at the
+                // Half of its way at the most it was under way: it is told on a step after it came
+                // at the
                 // soonest.
-                if (known != null && !heldAfter(w, block, w.now - 2 * known.age() - STEP,
-                        (int) known.rate())) {
-                    return "n" + m + " takes block " + block + " to have had " + Long.toBinaryString(
-                        (long) known.rate()) + " " + known.age() / 1000 + " ms ago, and it had not since";
+                if (known != null
+                        && !heldAfter(
+                                w, block, w.now - 2 * known.age() - STEP, (int) known.rate())) {
+                    return "n"
+                            + m
+                            + " takes block "
+                            + block
+                            + " to have had "
+                            + Long.toBinaryString((long) known.rate())
+                            + " "
+                            + known.age() / 1000
+                            + " ms ago, and it had not since";
                 }
             }
         }
         return "";
     }
 
-    // Whether a block's sum was this one at that time or later. What a balancer says of its own block may be
+    // Whether a block's sum was this one at that time or later. What a balancer says of its own
+    // block may be
     // as old as its last look.
     private static boolean heldAfter(World w, int block, long at, int rate) {
         List<Since> past = w.past.get(block);
@@ -277,9 +340,17 @@
                 BlockSums.Total known = all[m].known(now, block);
                 int mine = known == null ? 0 : (int) known.rate();
                 if (mine != rate(block, w.down)) {
-                    return "n" + m + " knows " + Integer.toBinaryString(mine) + " of block " + block + " and "
-                        + Integer.toBinaryString(sum) + " live, " + SETTLE / 1000
-                        + " ms after the last fault";
+                    return "n"
+                            + m
+                            + " knows "
+                            + Integer.toBinaryString(mine)
+                            + " of block "
+                            + block
+                            + " and "
+                            + Integer.toBinaryString(sum)
+                            + " live, "
+                            + SETTLE / 1000
+                            + " ms after the last fault";
                 }
             }
         }
--- a/lab/src/main/java/junctionhead/lab/figures/Expression.java
+++ b/lab/src/main/java/junctionhead/lab/figures/Expression.java
@@ -6,13 +6,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Arithmetic over figures: numbers, keys, {@code + - * /} and parentheses. A key is dotted and begins with a
- * letter; one of another file has that file's name before it and a colon, as {@code serve-before:s40.cpu}. An
- * operator stands between spaces, as file names hold hyphens.
+ * Arithmetic over figures: numbers, keys, {@code + - * /} and parentheses. A key is dotted and
+ * begins with a letter; one of another file has that file's name before it and a colon, as {@code
+ * serve-before:s40.cpu}. An operator stands between spaces, as file names hold hyphens.
  */
 final class Expression {
-    private static final Pattern TOKEN = Pattern.compile(
-        "\\s*(?:(\\d[\\d.]*(?:[eE]-?\\d+)?)|((?:[a-z][a-z0-9-]*:)?[A-Za-z][\\w.]*)|([-+*/()]))");
+    private static final Pattern TOKEN =
+            Pattern.compile(
+                    "\\s*(?:(\\d[\\d.]*(?:[eE]-?\\d+)?)|((?:[a-z][a-z0-9-]*:)?[A-Za-z][\\w.]*)|([-+*/()]))");
 
     /** What a key stands for; throws IllegalArgumentException where there is no such figure. */
     interface Figures {
@@ -38,7 +39,8 @@
     /**
      * Its value.
      *
-     * @throws IllegalArgumentException where it is no expression, or a figure is missing, with what is wrong
+     * @throws IllegalArgumentException where it is no expression, or a figure is missing, with what
+     *     is wrong
      */
     static double value(String text, Figures figures) {
         Expression e = new Expression(text, figures);
--- a/lab/src/main/java/junctionhead/lab/figures/FigurePage.java
+++ b/lab/src/main/java/junctionhead/lab/figures/FigurePage.java
@@ -15,21 +15,22 @@
 import java.util.regex.Pattern;
 
 /**
- * A page of Markdown whose figures stand on files. A figure is a link, {@code [394 m][quiet]}: the first
- * number of its text is held against what its label says, {@code [quiet]: capacity/members.json
- * "n1600.bytes * 8"}, a file beside the page and an {@link Expression} over its keys. A figure agrees if what
- * the file gives, rounded to as many decimals as are shown, is what is shown. A number that says of itself to
- * be measured, {@code m}, and is no such link is a fault, as is a label that nothing refers to.
+ * A page of Markdown whose figures stand on files. A figure is a link, {@code [394 m][quiet]}: the
+ * first number of its text is held against what its label says, {@code [quiet]:
+ * capacity/members.json "n1600.bytes * 8"}, a file beside the page and an {@link Expression} over
+ * its keys. A figure agrees if what the file gives, rounded to as many decimals as are shown, is
+ * what is shown. A number that says of itself to be measured, {@code m}, and is no such link is a
+ * fault, as is a label that nothing refers to.
  */
 public final class FigurePage {
     private static final Pattern LABEL =
-        Pattern.compile("^\\[([^\\]]+)]: (\\S+\\.json) \"([^\"]+)\"\\s*$");
+            Pattern.compile("^\\[([^\\]]+)]: (\\S+\\.json) \"([^\"]+)\"\\s*$");
     private static final Pattern FIGURE = Pattern.compile("\\[([^\\[\\]]+)]\\[([^\\[\\]]+)]");
     private static final Pattern NUMBER = Pattern.compile("-?\\d[\\d,]*(?:\\.(\\d+))?");
     private static final Pattern UNMARKED = Pattern.compile("\\d[^|]{0,30}? m(?![\\w-])");
     private static final Pattern CODE = Pattern.compile("`[^`]*`");
 
-    private record Label(String name, String file, String expression, int line) { }
+    private record Label(String name, String file, String expression, int line) {}
 
     private final Path page;
     private final Map<String, Label> labels = new LinkedHashMap<>();
@@ -42,7 +43,7 @@
     }
 
     /** How many figures agreed or not, and a line for each fault. */
-    public record Check(int figures, List<String> faults) { }
+    public record Check(int figures, List<String> faults) {}
 
     /**
      * Holds a page to its files.
@@ -58,8 +59,12 @@
     private void read(List<String> lines) {
         for (int i = 0; i < lines.size(); i++) {
             Matcher label = LABEL.matcher(lines.get(i));
-            if (label.matches() && labels.put(label.group(1),
-                    new Label(label.group(1), label.group(2), label.group(3), i + 1)) != null) {
+            if (label.matches()
+                    && labels.put(
+                                    label.group(1),
+                                    new Label(
+                                            label.group(1), label.group(2), label.group(3), i + 1))
+                            != null) {
                 fault(i + 1, "two labels " + label.group(1));
             }
         }
@@ -79,8 +84,9 @@
                 fault(i + 1, "said to be measured, but refers to no file: " + unmarked.group());
             }
         }
-        labels.values().stream().filter(l -> !used.contains(l.name))
-            .forEach(l -> fault(l.line, "nothing refers to " + l.name));
+        labels.values().stream()
+                .filter(l -> !used.contains(l.name))
+                .forEach(l -> fault(l.line, "nothing refers to " + l.name));
     }
 
     private void fault(int line, String what) {
@@ -100,10 +106,18 @@
                 double is = Expression.value(label.expression, key -> figure(label.file, key));
                 int decimals = number.group(1) == null ? 0 : number.group(1).length();
                 double says = Double.parseDouble(number.group().replace(",", ""));
-                // a hair more than half of the last digit: what lies just between may be rounded either way
+                // a hair more than half of the last digit: what lies just between may be rounded
+                // either way
                 if (!(Math.abs(is - says) <= 0.5 * Math.pow(10, -decimals) * (1 + 1e-6))) {
-                    fault(line, String.format(Locale.ROOT, "%s is %." + (decimals + 2) + "f by %s \"%s\"",
-                        shown, is, label.file, label.expression));
+                    fault(
+                            line,
+                            String.format(
+                                    Locale.ROOT,
+                                    "%s is %." + (decimals + 2) + "f by %s \"%s\"",
+                                    shown,
+                                    is,
+                                    label.file,
+                                    label.expression));
                 }
             } catch (IllegalArgumentException e) {
                 fault(line, name + ": " + e.getMessage());
@@ -125,7 +139,8 @@
         }
         Double value = files.get(of).figures().get(key.substring(colon + 1));
         if (value == null) {
-            throw new IllegalArgumentException("no figure " + key.substring(colon + 1) + " in " + of);
+            throw new IllegalArgumentException(
+                    "no figure " + key.substring(colon + 1) + " in " + of);
         }
         return value;
     }
--- a/lab/src/main/java/junctionhead/lab/figures/Measured.java
+++ b/lab/src/main/java/junctionhead/lab/figures/Measured.java
@@ -15,11 +15,12 @@
 import java.util.TreeMap;
 
 /**
- * What a run measured, as it lies in a file that pages refer to: the command line, the seeds it was played
- * with, and figures by dotted keys, each in the unit that its key or the page names.
+ * What a run measured, as it lies in a file that pages refer to: the command line, the seeds it was
+ * played with, and figures by dotted keys, each in the unit that its key or the page names.
  */
 public record Measured(String command, List<Long> seeds, SortedMap<String, Double> figures) {
-    private static final ObjectMapper MAPPER = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
+    private static final ObjectMapper MAPPER =
+            new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
     public Measured {
         seeds = List.copyOf(seeds);
@@ -29,7 +30,8 @@
     /**
      * Reads what {@link #write} wrote.
      *
-     * @throws IOException where the file can't be read or has no figures, with a message that names it
+     * @throws IOException where the file can't be read or has no figures, with a message that names
+     *     it
      */
     public static Measured read(Path file) throws IOException {
         JsonNode json = MAPPER.readTree(Files.readString(file));
@@ -39,11 +41,14 @@
         List<Long> seeds = new ArrayList<>();
         json.path("seeds").forEach(seed -> seeds.add(seed.asLong()));
         SortedMap<String, Double> figures = new TreeMap<>();
-        json.get("figures").properties().forEach(f -> {
-            if (f.getValue().isNumber()) {
-                figures.put(f.getKey(), f.getValue().asDouble());
-            }
-        });
+        json.get("figures")
+                .properties()
+                .forEach(
+                        f -> {
+                            if (f.getValue().isNumber()) {
+                                figures.put(f.getKey(), f.getValue().asDouble());
+                            }
+                        });
         return new Measured(json.path("command").asText(), seeds, figures);
     }
 
--- a/lab/src/main/java/junctionhead/lab/fleet/Balancer.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Balancer.java
@@ -15,8 +15,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * One balancer over all its processes: its present one, its log with the lab's times, and what it used. The
- * fleet's thread starts and ends it; a thread for each process reads its log.
+ * One balancer over all its processes: its present one, its log with the lab's times, and what it
+ * used. The fleet's thread starts and ends it; a thread for each process reads its log.
  */
 public final class Balancer {
     // Bytes kept of a run
@@ -35,8 +35,11 @@
     private int descriptors;
     private boolean expectedToEnd;
 
-    /** One process: from its start until its end, by {@link System#nanoTime}; {@code end} null: it runs. */
-    public record Life(long from, long to, String end) { }
+    /**
+     * One process: from its start until its end, by {@link System#nanoTime}; {@code end} null: it
+     * runs.
+     */
+    public record Life(long from, long to, String end) {}
 
     /** {@code lines} hears each line of its log with the time, on the reader's thread. */
     Balancer(int number, Path log, LongSupplier clock, BiConsumer<Long, String> lines) {
@@ -58,13 +61,13 @@
 
     private void read(Process of) {
         try (BufferedReader in = of.errorReader(StandardCharsets.UTF_8);
-                Writer out = Files.newBufferedWriter(log, StandardOpenOption.CREATE,
-                        StandardOpenOption.APPEND)) {
+                Writer out =
+                        Files.newBufferedWriter(
+                                log, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 long now = clock.getAsLong();
                 lines.accept(now, line);
-                String timed = String.format(Locale.ROOT, "%.6f n%d %s%n", now / 1e6, number,
-                    line);
+                String timed = String.format(Locale.ROOT, "%.6f n%d %s%n", now / 1e6, number, line);
                 logged += timed.length();
                 // read on past it: a full pipe would stop the balancer
                 if (logged < LOG_MOST) {
--- a/lab/src/main/java/junctionhead/lab/fleet/Fleet.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Fleet.java
@@ -22,9 +22,9 @@
 import junctionhead.lab.stand.World;
 
 /**
- * The balancers' processes: starts, ends, pauses and restarts them as the plan says, and watches that
- * they stay
- * within their limits. One thread does all of it; what concerns the rules is told on the world's loop.
+ * The balancers' processes: starts, ends, pauses and restarts them as the plan says, and watches
+ * that they stay within their limits. One thread does all of it; what concerns the rules is told on
+ * the world's loop.
  */
 public final class Fleet implements AutoCloseable {
     private static final long MEASURE_MS = 250;
@@ -40,11 +40,13 @@
     private final StateDirs states;
     private final List<Property> properties;
     private final Spawner spawner = new Spawner();
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(work -> {
-        Thread t = new Thread(work, "fleet");
-        t.setDaemon(true);
-        return t;
-    });
+    private final ScheduledExecutorService thread =
+            Executors.newSingleThreadScheduledExecutor(
+                    work -> {
+                        Thread t = new Thread(work, "fleet");
+                        t.setDaemon(true);
+                        return t;
+                    });
     private final List<Balancer> balancers = new ArrayList<>();
     private final int[] starts;
     private boolean overLimit;
@@ -60,8 +62,17 @@
         this.states = new StateDirs(out.resolve("state"));
         for (int b = 0; b < scenario.fleet().balancers(); b++) {
             int of = b;
-            balancers.add(new Balancer(b, out.resolve("n" + b + ".log"), world::now, (at, line) ->
-                world.loop().execute(() -> properties.forEach(p -> p.line(of, at, line)))));
+            balancers.add(
+                    new Balancer(
+                            b,
+                            out.resolve("n" + b + ".log"),
+                            world::now,
+                            (at, line) ->
+                                    world.loop()
+                                            .execute(
+                                                    () ->
+                                                            properties.forEach(
+                                                                    p -> p.line(of, at, line)))));
         }
         starts = new int[balancers.size()];
     }
@@ -86,9 +97,11 @@
         Path tmp = empty(out.resolve("tmp").resolve("n" + n));
         Path config = out.resolve("n" + n + ".json");
         long seed = Seeds.number(world.plan().seed(), "balancer " + n + " start " + starts[n]++);
-        Files.writeString(config, new ObjectMapper().writeValueAsString(onLoop(() ->
-            stage.configuration(n, seed))));
-        ProcessBuilder builder = new ProcessBuilder().redirectOutput(ProcessBuilder.Redirect.DISCARD);
+        Files.writeString(
+                config,
+                new ObjectMapper().writeValueAsString(onLoop(() -> stage.configuration(n, seed))));
+        ProcessBuilder builder =
+                new ProcessBuilder().redirectOutput(ProcessBuilder.Redirect.DISCARD);
         Map<String, String> environment = builder.environment();
         environment.keySet().retainAll(List.of("PATH", "HOME", "LANG", "JAVA_HOME"));
         environment.put("ROUTER_NAME", "n" + n);
@@ -130,15 +143,27 @@
         int code = process.exitValue();
         b.ended(expected ? "ended as asked" : "crashed");
         if (!expected) {
-            world.loop().execute(() -> world.rules().breach("no crash", world.now(), null, "n" + b.number()
-                + " ended by itself with exit code " + code));
+            world.loop()
+                    .execute(
+                            () ->
+                                    world.rules()
+                                            .breach(
+                                                    "no crash",
+                                                    world.now(),
+                                                    null,
+                                                    "n"
+                                                            + b.number()
+                                                            + " ended by itself with exit code "
+                                                            + code));
         }
     }
 
     /** Has every process fault of the plan begin and end at its time. */
     public void play() {
         for (Plan.Fault f : world.plan().faults()) {
-            if (f.kind() != FaultKind.KILL && f.kind() != FaultKind.TERM && f.kind() != FaultKind.PAUSE) {
+            if (f.kind() != FaultKind.KILL
+                    && f.kind() != FaultKind.TERM
+                    && f.kind() != FaultKind.PAUSE) {
                 continue;
             }
             later(f.at(), () -> begin(f));
@@ -153,14 +178,25 @@
     }
 
     private void later(long at, Work work) {
-        thread.schedule(() -> {
-            try {
-                work.run();
-            } catch (IOException | RuntimeException e) {
-                world.loop().execute(() -> world.rules().breach("lab", world.now(), null,
-                    "a fault could not be played: " + e));
-            }
-        }, Math.max(0, at - world.now()), TimeUnit.MICROSECONDS);
+        thread.schedule(
+                () -> {
+                    try {
+                        work.run();
+                    } catch (IOException | RuntimeException e) {
+                        world.loop()
+                                .execute(
+                                        () ->
+                                                world.rules()
+                                                        .breach(
+                                                                "lab",
+                                                                world.now(),
+                                                                null,
+                                                                "a fault could not be played: "
+                                                                        + e));
+                    }
+                },
+                Math.max(0, at - world.now()),
+                TimeUnit.MICROSECONDS);
     }
 
     private void begin(Plan.Fault f) throws IOException {
@@ -174,17 +210,20 @@
             return;
         }
         // Told before the signal: what happens after it is nobody's fault.
-        onLoop(() -> {
-            on.forEach(b -> world.rules().outFrom(b.number(), world.now()));
-            boolean paused = f.kind() == FaultKind.PAUSE;
-            return tell(on, (p, b) -> {
-                if (paused) {
-                    p.paused(b, world.now(), true);
-                } else {
-                    p.down(b, world.now(), false);
-                }
-            });
-        });
+        onLoop(
+                () -> {
+                    on.forEach(b -> world.rules().outFrom(b.number(), world.now()));
+                    boolean paused = f.kind() == FaultKind.PAUSE;
+                    return tell(
+                            on,
+                            (p, b) -> {
+                                if (paused) {
+                                    p.paused(b, world.now(), true);
+                                } else {
+                                    p.down(b, world.now(), false);
+                                }
+                            });
+                });
         if (f.kind() == FaultKind.KILL) {
             on.forEach(Balancer::expectEnd);
             Spawner.signal("KILL", processes);
@@ -208,10 +247,11 @@
                 start(b);
             }
         }
-        onLoop(() -> {
-            on.forEach(b -> world.rules().backAt(b.number(), world.now()));
-            return null;
-        });
+        onLoop(
+                () -> {
+                    on.forEach(b -> world.rules().backAt(b.number(), world.now()));
+                    return null;
+                });
     }
 
     // A process that was killed is gone a little later, on a busy machine.
@@ -232,32 +272,60 @@
     }
 
     private void endsInTime(Process process) {
-        thread.schedule(() -> {
-            if (process.isAlive()) {
-                process.destroyForcibly();
-                world.loop().execute(() -> world.rules().breach("an orderly end", world.now(), null,
-                    "a process still ran " + END_MS + " ms after SIGTERM"));
-            }
-        }, END_MS, TimeUnit.MILLISECONDS);
+        thread.schedule(
+                () -> {
+                    if (process.isAlive()) {
+                        process.destroyForcibly();
+                        world.loop()
+                                .execute(
+                                        () ->
+                                                world.rules()
+                                                        .breach(
+                                                                "an orderly end",
+                                                                world.now(),
+                                                                null,
+                                                                "a process still ran "
+                                                                        + END_MS
+                                                                        + " ms after SIGTERM"));
+                    }
+                },
+                END_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     private void measure() {
         for (Balancer b : balancers) {
             b.measure();
             long memory = b.residentKb() >> 10;
-            if (!overLimit && (memory > scenario.fleet().memoryMb()
-                    || b.descriptors() > scenario.fleet().sockets())) {
+            if (!overLimit
+                    && (memory > scenario.fleet().memoryMb()
+                            || b.descriptors() > scenario.fleet().sockets())) {
                 overLimit = true;
-                world.loop().execute(() -> world.rules().breach("limits", world.now(), null, "n" + b.number()
-                    + " had " + memory + " MB and " + b.descriptors() + " descriptors"));
+                world.loop()
+                        .execute(
+                                () ->
+                                        world.rules()
+                                                .breach(
+                                                        "limits",
+                                                        world.now(),
+                                                        null,
+                                                        "n"
+                                                                + b.number()
+                                                                + " had "
+                                                                + memory
+                                                                + " MB and "
+                                                                + b.descriptors()
+                                                                + " descriptors"));
             }
         }
     }
 
     /** SIGTERM to all that run; returns when all have ended, by force if they don't. */
     public void stopAll() throws IOException, InterruptedException {
-        List<Balancer> running = balancers.stream().filter(b -> b.process() != null && b.process().isAlive())
-            .toList();
+        List<Balancer> running =
+                balancers.stream()
+                        .filter(b -> b.process() != null && b.process().isAlive())
+                        .toList();
         running.forEach(Balancer::expectEnd);
         List<Process> processes = running.stream().map(Balancer::process).toList();
         Spawner.signal("TERM", processes);
@@ -266,11 +334,23 @@
             Process p = b.process();
             if (!p.waitFor(Math.max(0, until - System.nanoTime()), TimeUnit.NANOSECONDS)) {
                 p.destroyForcibly().waitFor();
-                world.rules().breach("an orderly end", world.now(), null, "n" + b.number()
-                    + " still ran " + END_MS + " ms after SIGTERM");
+                world.rules()
+                        .breach(
+                                "an orderly end",
+                                world.now(),
+                                null,
+                                "n" + b.number() + " still ran " + END_MS + " ms after SIGTERM");
             } else if (p.exitValue() != 0) {
-                world.rules().breach("an orderly end", world.now(), null, "n" + b.number()
-                    + " ended with exit code " + p.exitValue() + " after SIGTERM");
+                world.rules()
+                        .breach(
+                                "an orderly end",
+                                world.now(),
+                                null,
+                                "n"
+                                        + b.number()
+                                        + " ended with exit code "
+                                        + p.exitValue()
+                                        + " after SIGTERM");
             }
             // the system tells of it on a thread of its own, later
             b.ended("ended as asked");
--- a/lab/src/main/java/junctionhead/lab/fleet/Launch.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Launch.java
@@ -9,8 +9,9 @@
 import java.util.List;
 
 /**
- * How a balancer is started: the command of {@code run} in the deploy file, with the jar that is to be tried
- * in place of the deployed one and the class archive that lies beside that jar, if there is one.
+ * How a balancer is started: the command of {@code run} in the deploy file, with the jar that is to
+ * be tried in place of the deployed one and the class archive that lies beside that jar, if there
+ * is one.
  */
 public record Launch(List<String> command) {
     private static final String ARCHIVE = "-XX:SharedArchiveFile=";
@@ -33,7 +34,9 @@
         if (!Files.isReadable(whole)) {
             throw new IOException("no jar " + whole + ": build it first, or name one with --build");
         }
-        Path archive = whole.resolveSibling(whole.getFileName().toString().replaceFirst("\\.jar$", ".jsa"));
+        Path archive =
+                whole.resolveSibling(
+                        whole.getFileName().toString().replaceFirst("\\.jar$", ".jsa"));
         List<String> command = new ArrayList<>();
         for (String word : run.asText().strip().split("\\s+")) {
             if (word.endsWith(".jar")) {
--- a/lab/src/main/java/junctionhead/lab/fleet/ProcFigures.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/ProcFigures.java
@@ -20,9 +20,12 @@
             String stat = Files.readString(proc.resolve("stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             long ticks = Long.parseLong(fields[USER]) + Long.parseLong(fields[SYSTEM]);
-            long resident = Files.readAllLines(proc.resolve("status")).stream()
-                .filter(line -> line.startsWith("VmRSS:"))
-                .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).findFirst().orElse(-1);
+            long resident =
+                    Files.readAllLines(proc.resolve("status")).stream()
+                            .filter(line -> line.startsWith("VmRSS:"))
+                            .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
+                            .findFirst()
+                            .orElse(-1);
             String[] open = new File(proc.toFile(), "fd").list();
             return new ProcFigures(ticks * TICK_MS, resident, open == null ? -1 : open.length);
         } catch (IOException e) {
--- a/lab/src/main/java/junctionhead/lab/fleet/Run.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Run.java
@@ -62,16 +62,30 @@
         Files.createDirectories(out);
         RuleBook rules = new RuleBook(plan.scenario(), this::heard);
         List<Property> properties = properties();
-        try (World world = new World(plan, rules); Stage stage = new Stage(world);
+        try (World world = new World(plan, rules);
+                Stage stage = new Stage(world);
                 Fleet fleet = new Fleet(world, stage, launch, out, properties)) {
             long asked = System.nanoTime();
-            say.accept(plan.scenario().name() + ": seed " + plan.seed() + ", plan " + plan.digest() + ", "
-                + plan.arrivals().size() + " requests; starting " + fleet.balancers().size() + " balancers");
+            say.accept(
+                    plan.scenario().name()
+                            + ": seed "
+                            + plan.seed()
+                            + ", plan "
+                            + plan.digest()
+                            + ", "
+                            + plan.arrivals().size()
+                            + " requests; starting "
+                            + fleet.balancers().size()
+                            + " balancers");
             fleet.startAll();
             stage.look();
             boolean ready = ready(world, stage);
-            say.accept(String.format(Locale.ROOT, "%s after %.1f s", ready ? "all ready" : "not all ready",
-                (System.nanoTime() - asked) / 1e9));
+            say.accept(
+                    String.format(
+                            Locale.ROOT,
+                            "%s after %.1f s",
+                            ready ? "all ready" : "not all ready",
+                            (System.nanoTime() - asked) / 1e9));
             if (ready) {
                 CountDownLatch done = new CountDownLatch(1);
                 world.beginsIn(LEAD);
@@ -79,13 +93,19 @@
                 fleet.play();
                 progress(world, done);
             } else {
-                rules.breach("a start", world.now(), null, "not every balancer was ready within " + READY_S
-                    + " s; nothing was played");
+                rules.breach(
+                        "a start",
+                        world.now(),
+                        null,
+                        "not every balancer was ready within "
+                                + READY_S
+                                + " s; nothing was played");
             }
             world.loop().submit(() -> rules.close(world.now())).syncUninterruptibly();
             SortedMap<String, Double> measured = new TreeMap<>();
-            world.loop().submit(() -> properties.forEach(p -> p.end(world.now(), rules, measured)))
-                .syncUninterruptibly();
+            world.loop()
+                    .submit(() -> properties.forEach(p -> p.end(world.now(), rules, measured)))
+                    .syncUninterruptibly();
             fleet.stopAll();
             Result result = world.loop().submit(() -> result(world, stage, fleet, measured)).get();
             result.write(out);
@@ -110,8 +130,12 @@
         while (System.nanoTime() < until && world.rules().broken() == 0) {
             TimeUnit.MILLISECONDS.sleep(50);
             try {
-                if (world.loop().submit(() -> IntStream.range(0, plan.scenario().fleet().balancers())
-                        .allMatch(stage::has)).get()) {
+                if (world.loop()
+                        .submit(
+                                () ->
+                                        IntStream.range(0, plan.scenario().fleet().balancers())
+                                                .allMatch(stage::has))
+                        .get()) {
                     return true;
                 }
             } catch (java.util.concurrent.ExecutionException e) {
@@ -126,10 +150,14 @@
         for (int i = 0; i < steps && !done.await(1, TimeUnit.SECONDS); i++) {
             long now = world.now();
             if (i % 5 == 4 && now < plan.scenario().length()) {
-                say.accept(String.format(Locale.ROOT,
-                    "%4.0f of %.0f s, served %.3f of the last 5 s, %d rules broken",
-                    now / 1e6, plan.scenario().lengthS(),
-                    world.windows().servedShare(now - 6_000_000, now - 1_000_000), world.rules().broken()));
+                say.accept(
+                        String.format(
+                                Locale.ROOT,
+                                "%4.0f of %.0f s, served %.3f of the last 5 s, %d rules broken",
+                                now / 1e6,
+                                plan.scenario().lengthS(),
+                                world.windows().servedShare(now - 6_000_000, now - 1_000_000),
+                                world.rules().broken()));
             }
         }
         if (done.getCount() > 0) {
@@ -142,72 +170,133 @@
         List<Property> all = new ArrayList<>();
         Double notice = s.expect().membersNoticeWithinS();
         if (notice != null) {
-            all.add(new MembersAgree(s.fleet().balancers(), Math.round(notice * 1e6),
-                plan.faults().stream().noneMatch(f -> f.kind().path())));
+            all.add(
+                    new MembersAgree(
+                            s.fleet().balancers(),
+                            Math.round(notice * 1e6),
+                            plan.faults().stream().noneMatch(f -> f.kind().path())));
         }
         if (s.expect().dutiesRestS() != null) {
             all.add(new ActsInOrder(s.expect().dutiesRestS()));
         }
         Double left = s.expect().zoneLeftWithinS();
         if (left != null) {
-            Plan.Fault lost = plan.faults().stream().filter(f -> f.kind() == FaultKind.CRASH
-                || f.kind() == FaultKind.VANISH).findFirst().orElseThrow();
-            all.add(new ZoneLeft(s.fleet().balancers(), s.zoneOfUpstream(lost.upstreams().first()), lost.at(),
-                Math.round(left * 1e6)));
+            Plan.Fault lost =
+                    plan.faults().stream()
+                            .filter(
+                                    f ->
+                                            f.kind() == FaultKind.CRASH
+                                                    || f.kind() == FaultKind.VANISH)
+                            .findFirst()
+                            .orElseThrow();
+            all.add(
+                    new ZoneLeft(
+                            s.fleet().balancers(),
+                            s.zoneOfUpstream(lost.upstreams().first()),
+                            lost.at(),
+                            Math.round(left * 1e6)));
         }
-        s.expect().neverTwo().forEach(one -> all.add(new NeverTwo(one.what(), Pattern.compile(one.takes()),
-            Pattern.compile(one.leaves()))));
+        s.expect()
+                .neverTwo()
+                .forEach(
+                        one ->
+                                all.add(
+                                        new NeverTwo(
+                                                one.what(),
+                                                Pattern.compile(one.takes()),
+                                                Pattern.compile(one.leaves()))));
         return all;
     }
 
-    private Result result(World world, Stage stage, Fleet fleet, SortedMap<String, Double> figures) {
-        figures.put("cold_worst", stage.servers().stream().mapToDouble(ServerStand::coldWorst).max()
-            .orElse(0));
-        figures.put("connects", (double) stage.servers().stream().mapToLong(ServerStand::connects).sum());
+    private Result result(
+            World world, Stage stage, Fleet fleet, SortedMap<String, Double> figures) {
+        figures.put(
+                "cold_worst",
+                stage.servers().stream().mapToDouble(ServerStand::coldWorst).max().orElse(0));
+        figures.put(
+                "connects",
+                (double) stage.servers().stream().mapToLong(ServerStand::connects).sum());
         figures.put("cpu_s", fleet.balancers().stream().mapToLong(Balancer::cpuMs).sum() / 1e3);
-        double late = Math.max(world.lag().getValueAtPercentile(99),
-            stage.clients().lateness().getValueAtPercentile(99));
+        double late =
+                Math.max(
+                        world.lag().getValueAtPercentile(99),
+                        stage.clients().lateness().getValueAtPercentile(99));
         figures.put("lab_late_ms", late / 1e3);
-        String doubt = late <= LATE_MOST ? "" : String.format(Locale.ROOT,
-            "the lab itself was late by %.0f ms (99th percentile), %.0f are allowed", late / 1e3,
-            LATE_MOST / 1e3);
-        return Figures.of(plan, world.windows(), world.rules(), figures,
-            fleet.balancers().stream().map(b -> process(b, world, stage)).toList(), doubt);
+        String doubt =
+                late <= LATE_MOST
+                        ? ""
+                        : String.format(
+                                Locale.ROOT,
+                                "the lab itself was late by %.0f ms (99th percentile), %.0f are allowed",
+                                late / 1e3,
+                                LATE_MOST / 1e3);
+        return Figures.of(
+                plan,
+                world.windows(),
+                world.rules(),
+                figures,
+                fleet.balancers().stream().map(b -> process(b, world, stage)).toList(),
+                doubt);
     }
 
     private Result.Process process(Balancer b, World world, Stage stage) {
         int n = b.number();
-        return new Result.Process(n, plan.scenario().fleet().zones().get(plan.scenario().zoneOfBalancer(n)),
-            b.lives().stream().map(l -> new double[] {l.from() / 1e6, l.to() < 0 ? -1 : l.to() / 1e6})
-                .toList(),
-            b.cpuMs() / 1e3, b.residentKb() / 1024.0, b.descriptors(), stage.mesh().sent(n),
-            stage.mesh().bytes(n), stage.agents().get(n).calls());
+        return new Result.Process(
+                n,
+                plan.scenario().fleet().zones().get(plan.scenario().zoneOfBalancer(n)),
+                b.lives().stream()
+                        .map(l -> new double[] {l.from() / 1e6, l.to() < 0 ? -1 : l.to() / 1e6})
+                        .toList(),
+                b.cpuMs() / 1e3,
+                b.residentKb() / 1024.0,
+                b.descriptors(),
+                stage.mesh().sent(n),
+                stage.mesh().bytes(n),
+                stage.agents().get(n).calls());
     }
 
-    // Of the first breaches that are about a request: all that its parties saw and all that balancers logged.
+    // Of the first breaches that are about a request: all that its parties saw and all that
+    // balancers logged.
     private void stories(RuleBook rules, Fleet fleet) throws IOException {
-        List<String> ids = rules.breaches().stream().map(Breach::request).filter(id -> id != null).distinct()
-            .limit(STORIES_MOST).toList();
+        List<String> ids =
+                rules.breaches().stream()
+                        .map(Breach::request)
+                        .filter(id -> id != null)
+                        .distinct()
+                        .limit(STORIES_MOST)
+                        .toList();
         for (String id : ids) {
             List<Line> story = new ArrayList<>();
             Call call = rules.call(id);
             if (call != null) {
-                call.notes().forEach(n -> story.add(new Line(n.at() / 1e6, n.who() + ": " + n.what())));
+                call.notes()
+                        .forEach(n -> story.add(new Line(n.at() / 1e6, n.who() + ": " + n.what())));
             }
             for (Balancer b : fleet.balancers()) {
                 if (Files.exists(b.log())) {
                     try (Stream<String> lines = Files.lines(b.log())) {
-                        lines.filter(line -> line.contains(id)).forEach(line -> story.add(new Line(
-                            Double.parseDouble(line.substring(0, line.indexOf(' '))),
-                            line.substring(line.indexOf(' ') + 1))));
+                        lines.filter(line -> line.contains(id))
+                                .forEach(
+                                        line ->
+                                                story.add(
+                                                        new Line(
+                                                                Double.parseDouble(
+                                                                        line.substring(
+                                                                                0,
+                                                                                line.indexOf(' '))),
+                                                                line.substring(
+                                                                        line.indexOf(' ') + 1))));
                     }
                 }
             }
             story.sort(Comparator.comparingDouble(Line::at));
             say.accept("the story of " + id + ":");
-            story.forEach(line -> say.accept(String.format(Locale.ROOT, "  %11.6f %s", line.at, line.text)));
+            story.forEach(
+                    line ->
+                            say.accept(
+                                    String.format(Locale.ROOT, "  %11.6f %s", line.at, line.text)));
         }
     }
 
-    private record Line(double at, String text) { }
+    private record Line(double at, String text) {}
 }
--- a/lab/src/main/java/junctionhead/lab/fleet/Spawner.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Spawner.java
@@ -14,20 +14,23 @@
 import java.util.stream.Collectors;
 
 /**
- * Starts processes and signals them. All are started by one thread that lives as long as the lab: the system
- * ends a process with the thread that started it, so that none outlives a lab that was itself killed.
+ * Starts processes and signals them. All are started by one thread that lives as long as the lab:
+ * the system ends a process with the thread that started it, so that none outlives a lab that was
+ * itself killed.
  */
 public final class Spawner implements AutoCloseable {
     private static final Path SETPRIV = Path.of("/usr/bin/setpriv");
 
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(work -> {
-        Thread t = new Thread(work, "spawner");
-        t.setDaemon(true);
-        return t;
-    });
+    private final ExecutorService thread =
+            Executors.newSingleThreadExecutor(
+                    work -> {
+                        Thread t = new Thread(work, "spawner");
+                        t.setDaemon(true);
+                        return t;
+                    });
     private final Set<Process> alive = ConcurrentHashMap.newKeySet();
-    private final Thread atEnd = new Thread(() -> alive.forEach(Process::destroyForcibly),
-            "end of processes");
+    private final Thread atEnd =
+            new Thread(() -> alive.forEach(Process::destroyForcibly), "end of processes");
 
     /** Processes that it starts end with this one, however this one ends. */
     public Spawner() {
@@ -39,9 +42,15 @@
      *
      * @throws IOException where it can't be started
      */
-    public Process start(List<String> command, int descriptors, ProcessBuilder into) throws IOException {
-        List<String> all = new ArrayList<>(List.of("/bin/sh", "-c", "ulimit -n " + descriptors
-            + "; exec \"$@\"", "sh"));
+    public Process start(List<String> command, int descriptors, ProcessBuilder into)
+            throws IOException {
+        List<String> all =
+                new ArrayList<>(
+                        List.of(
+                                "/bin/sh",
+                                "-c",
+                                "ulimit -n " + descriptors + "; exec \"$@\"",
+                                "sh"));
         if (Files.isExecutable(SETPRIV)) {
             all.addAll(List.of(SETPRIV.toString(), "--pdeathsig", "KILL", "--"));
         }
@@ -61,13 +70,17 @@
 
     /** One signal to many at one moment; those that have ended are passed over. */
     static void signal(String name, Collection<Process> processes) throws IOException {
-        String pids = processes.stream().filter(Process::isAlive).map(p -> Long.toString(p.pid()))
-            .collect(Collectors.joining(" "));
+        String pids =
+                processes.stream()
+                        .filter(Process::isAlive)
+                        .map(p -> Long.toString(p.pid()))
+                        .collect(Collectors.joining(" "));
         if (!pids.isEmpty()) {
             try {
                 // Of a process that ends meanwhile kill only complains.
-                new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + pids + " 2>/dev/null").start()
-                    .waitFor();
+                new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + pids + " 2>/dev/null")
+                        .start()
+                        .waitFor();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/lab/src/main/java/junctionhead/lab/fleet/StateDirs.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/StateDirs.java
@@ -13,10 +13,9 @@
 import java.util.stream.Stream;
 
 /**
- * The directories that outlive balancers, one each, and what may become of one while its process is down:
- * kept,
- * emptied, its newest file cut short at a byte or with a bit flipped there, or put back to the copy that was
- * taken before the process that has just ended.
+ * The directories that outlive balancers, one each, and what may become of one while its process is
+ * down: kept, emptied, its newest file cut short at a byte or with a bit flipped there, or put back
+ * to the copy that was taken before the process that has just ended.
  */
 final class StateDirs {
     private final Path root;
@@ -39,7 +38,10 @@
         replace(of(balancer), copyOf(balancer));
     }
 
-    /** Does to it what a fault's {@code state} says; {@code at} is a byte of the newest file, from 0. */
+    /**
+     * Does to it what a fault's {@code state} says; {@code at} is a byte of the newest file, from
+     * 0.
+     */
     void change(int balancer, String state, int at) throws IOException {
         Path dir = of(balancer);
         switch (state) {
@@ -47,7 +49,7 @@
             case "older" -> replace(copyOf(balancer), dir);
             case "cut" -> onNewest(dir, file -> file.truncate(Math.min(at, file.size())));
             case "flipped" -> onNewest(dir, file -> flip(file, at));
-            default -> { }
+            default -> {}
         }
         of(balancer);
     }
@@ -59,12 +61,16 @@
     private static void onNewest(Path dir, Change change) throws IOException {
         Optional<Path> newest;
         try (Stream<Path> files = Files.walk(dir)) {
-            newest = files.filter(Files::isRegularFile).max(Comparator
-                .comparing((Path f) -> f.toFile().lastModified()).thenComparing(Comparator.naturalOrder()));
+            newest =
+                    files.filter(Files::isRegularFile)
+                            .max(
+                                    Comparator.comparing((Path f) -> f.toFile().lastModified())
+                                            .thenComparing(Comparator.naturalOrder()));
         }
         if (newest.isPresent()) {
-            try (FileChannel file = FileChannel.open(newest.get(), StandardOpenOption.READ,
-                    StandardOpenOption.WRITE)) {
+            try (FileChannel file =
+                    FileChannel.open(
+                            newest.get(), StandardOpenOption.READ, StandardOpenOption.WRITE)) {
                 change.to(file);
             }
         }
@@ -89,8 +95,10 @@
             all = files.toList();
         }
         for (Path file : all) {
-            Files.copy(file, to.resolve(from.relativize(file).toString()),
-                StandardCopyOption.COPY_ATTRIBUTES);
+            Files.copy(
+                    file,
+                    to.resolve(from.relativize(file).toString()),
+                    StandardCopyOption.COPY_ATTRIBUTES);
         }
     }
 
--- a/lab/src/main/java/junctionhead/lab/measure/Bootstrap.java
+++ b/lab/src/main/java/junctionhead/lab/measure/Bootstrap.java
@@ -6,9 +6,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The mean of differences by seed, with an interval by resampling them: 95% for all figures of a comparison
- * together (Bonferroni), since of nine figures that differ in nothing one in three comparisons would show
- * one.
+ * The mean of differences by seed, with an interval by resampling them: 95% for all figures of a
+ * comparison together (Bonferroni), since of nine figures that differ in nothing one in three
+ * comparisons would show one.
  */
 public record Bootstrap(double mean, double low, double high) {
     private static final int DRAWS = 10_000;
@@ -29,9 +29,10 @@
         }
         Arrays.sort(means);
         double tail = TAIL / figures;
-        return new Bootstrap(differences.stream().mapToDouble(d -> d).average().orElseThrow(),
-            means[(int) (tail * DRAWS)],
-            means[(int) Math.ceil((1 - tail) * DRAWS) - 1]);
+        return new Bootstrap(
+                differences.stream().mapToDouble(d -> d).average().orElseThrow(),
+                means[(int) (tail * DRAWS)],
+                means[(int) Math.ceil((1 - tail) * DRAWS) - 1]);
     }
 
     /** Whether zero lies outside of the interval. */
--- a/lab/src/main/java/junctionhead/lab/measure/Windows.java
+++ b/lab/src/main/java/junctionhead/lab/measure/Windows.java
@@ -9,8 +9,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How clients were served, by the time of their first try in windows of 100 ms, and their latencies by class
- * and zone. Served means within the aim of the class.
+ * How clients were served, by the time of their first try in windows of 100 ms, and their latencies
+ * by class and zone. Served means within the aim of the class.
  */
 public final class Windows {
     /** µs. */
@@ -80,9 +80,13 @@
                     window.late++;
                 }
                 earned += kind.worth() * (inTime ? 1 : kind.lateShare());
-                latencies.computeIfAbsent(kind.name() + "/"
-                        + scenario.fleet().zones().get(order.arrival().zone()), k -> new Histogram(3))
-                    .recordValue(Math.max(0, order.latency()));
+                latencies
+                        .computeIfAbsent(
+                                kind.name()
+                                        + "/"
+                                        + scenario.fleet().zones().get(order.arrival().zone()),
+                                k -> new Histogram(3))
+                        .recordValue(Math.max(0, order.latency()));
             }
             case REFUSED -> window.refused++;
             default -> window.failed++;
@@ -128,13 +132,16 @@
     }
 
     /**
-     * µs from {@code at} until the served part is 95% of that in the five seconds before, for one second; 0
-     * where it never fell below that in five seconds after, -1 where it is not back within the run.
+     * µs from {@code at} until the served part is 95% of that in the five seconds before, for one
+     * second; 0 where it never fell below that in five seconds after, -1 where it is not back
+     * within the run.
      */
     public long backAfter(long at) {
         double before = servedShare(at - LOOK, at);
         boolean gone = false;
-        for (int i = index(at); i + STEADY <= windows.size() && (gone || i * WINDOW < at + LOOK); i++) {
+        for (int i = index(at);
+                i + STEADY <= windows.size() && (gone || i * WINDOW < at + LOOK);
+                i++) {
             double share = servedShare(i * WINDOW, (i + STEADY) * WINDOW);
             // Where nobody came nothing is missing
             boolean good = !(share < BACK * before);
--- a/lab/src/main/java/junctionhead/lab/model/ColdBudget.java
+++ b/lab/src/main/java/junctionhead/lab/model/ColdBudget.java
@@ -4,10 +4,10 @@
 import java.util.Deque;
 
 /**
- * The rule on cold servers, as the operators have it for many balancers: with N requests of mean work as the
- * budget of a window (a multiple of what the server can do at that moment), N + 3 √N + 3 of them from all
- * balancers together push it over. A breach counts only if two thirds of that work came from balancers that
- * had been told of its start. Times are µs.
+ * The rule on cold servers, as the operators have it for many balancers: with N requests of mean
+ * work as the budget of a window (a multiple of what the server can do at that moment), N + 3 √N +
+ * 3 of them from all balancers together push it over. A breach counts only if two thirds of that
+ * work came from balancers that had been told of its start. Times are µs.
  */
 public final class ColdBudget {
     // Roots of N for chance, and as many requests more
@@ -24,11 +24,11 @@
     private double worst;
     private boolean broken;
 
-    private record Sent(long at, long work, boolean told) { }
+    private record Sent(long at, long work, boolean told) {}
 
     /**
-     * {@code factor} times its capacity over {@code window} µs is allowed; a request's mean work is {@code
-     * mean}.
+     * {@code factor} times its capacity over {@code window} µs is allowed; a request's mean work is
+     * {@code mean}.
      */
     public ColdBudget(double factor, long window, double mean) {
         this.factor = factor;
@@ -58,7 +58,9 @@
         double budget = factor * capacity * window;
         worst = Math.max(worst, all / budget);
         double allowed = budget / mean;
-        broken = all > mean * (allowed + SLACK * Math.sqrt(allowed) + SLACK) && told >= TOLD_PART * all;
+        broken =
+                all > mean * (allowed + SLACK * Math.sqrt(allowed) + SLACK)
+                        && told >= TOLD_PART * all;
         return broken;
     }
 
--- a/lab/src/main/java/junctionhead/lab/model/ServerModel.java
+++ b/lab/src/main/java/junctionhead/lab/model/ServerModel.java
@@ -6,16 +6,14 @@
 import java.util.PriorityQueue;
 
 /**
- * What a server does with its requests, without sockets or clock of its own: cores that work on one request
- * each, a waiting room in order of arrival, and a capacity that grows after a start. A request keeps the
- * speed
- * that the server has when work on it begins. Driven by real stand-ins and by the simulated fleet alike.
- * Times
- * are µs of the caller's clock, which never goes back.
+ * What a server does with its requests, without sockets or clock of its own: cores that work on one
+ * request each, a waiting room in order of arrival, and a capacity that grows after a start. A
+ * request keeps the speed that the server has when work on it begins. Driven by real stand-ins and
+ * by the simulated fleet alike. Times are µs of the caller's clock, which never goes back.
  */
 public final class ServerModel {
     private static final Comparator<Job> BY_END =
-        Comparator.<Job>comparingLong(Job::endsAt).thenComparingLong(Job::number);
+            Comparator.<Job>comparingLong(Job::endsAt).thenComparingLong(Job::number);
 
     private final int cores;
     private final int waiting;
--- a/lab/src/main/java/junctionhead/lab/model/Way.java
+++ b/lab/src/main/java/junctionhead/lab/model/Way.java
@@ -7,8 +7,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * One direction between two parties, and what is wrong with it now. Faults add and take back their parts, so
- * that several may hold at one time. Times are µs.
+ * One direction between two parties, and what is wrong with it now. Faults add and take back their
+ * parts, so that several may hold at one time. Times are µs.
  */
 public final class Way {
     // What loss costs a TCP connection
@@ -21,7 +21,13 @@
     private long freeAt;
 
     /** What a fault does to a way; 0 and false leave it as it is. {@code thin}: bytes a second. */
-    public record Trouble(boolean cut, double loss, long delay, long spread, double repeat, double reorder,
+    public record Trouble(
+            boolean cut,
+            double loss,
+            long delay,
+            long spread,
+            double repeat,
+            double reorder,
             double thin) {
         /** Nothing passes. */
         public static Trouble cutOff() {
@@ -91,7 +97,10 @@
         return false;
     }
 
-    /** The delays of a datagram's copies; a copy that is to be passed by later ones waits for longer. */
+    /**
+     * The delays of a datagram's copies; a copy that is to be passed by later ones waits for
+     * longer.
+     */
     public List<Long> copies() {
         List<Long> delays = new ArrayList<>(2);
         long delay = delay();
@@ -111,8 +120,9 @@
         long delay = base;
         for (Trouble t : troubles) {
             boolean ofDatagrams = t.repeat > 0 || t.reorder > 0;
-            delay += (ofDatagrams ? 0 : t.delay)
-                + (t.spread > 0 ? (long) (random.nextDouble() * t.spread) : 0);
+            delay +=
+                    (ofDatagrams ? 0 : t.delay)
+                            + (t.spread > 0 ? (long) (random.nextDouble() * t.spread) : 0);
         }
         return delay;
     }
--- a/lab/src/main/java/junctionhead/lab/plan/Plan.java
+++ b/lab/src/main/java/junctionhead/lab/plan/Plan.java
@@ -17,8 +17,9 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * All that a run draws ahead, from the scenario and the seed alone: when which request comes, who the servers
- * are, whom each fault is about. Two plans of one scenario and seed are equal, and so are their digests.
+ * All that a run draws ahead, from the scenario and the seed alone: when which request comes, who
+ * the servers are, whom each fault is about. Two plans of one scenario and seed are equal, and so
+ * are their digests.
  */
 public final class Plan {
     private static final int KEY_LENGTH = 16;
@@ -33,9 +34,13 @@
     private final Set<String> uids = new HashSet<>();
 
     /** A first try: {@code work} in µs at speed 1; a hasty client gives up at half of its time. */
-    public record Arrival(long at, int zone, int requestClass, int tenant, long work, boolean hasty) { }
+    public record Arrival(
+            long at, int zone, int requestClass, int tenant, long work, boolean hasty) {}
 
-    /** A server, there from the start or, with {@code replaces} not negative, the successor of another. */
+    /**
+     * A server, there from the start or, with {@code replaces} not negative, the successor of
+     * another.
+     */
     public record Server(int number, String uid, int zone, int kind, double speed, int replaces) {
         /** Where it lies: a successor lies where the server lay that it replaces. */
         public int place() {
@@ -44,8 +49,14 @@
     }
 
     /** A fault with all that it is about; {@code until} is -1 where it does not end. */
-    public record Fault(FaultKind kind, long at, long until, SortedSet<Integer> balancers,
-            SortedSet<Integer> upstreams, SortedSet<Integer> toBalancers, SortedSet<Integer> toUpstreams,
+    public record Fault(
+            FaultKind kind,
+            long at,
+            long until,
+            SortedSet<Integer> balancers,
+            SortedSet<Integer> upstreams,
+            SortedSet<Integer> toBalancers,
+            SortedSet<Integer> toUpstreams,
             Scenario.Fault text) {
         private boolean bothWays() {
             return !text.oneWay();
@@ -53,13 +64,15 @@
 
         /** Whether datagrams from the one balancer to the other are troubled. */
         public boolean troublesPeers(int from, int to) {
-            return from != to && (balancers.contains(from) && toBalancers.contains(to)
-                || bothWays() && balancers.contains(to) && toBalancers.contains(from));
+            return from != to
+                    && (balancers.contains(from) && toBalancers.contains(to)
+                            || bothWays() && balancers.contains(to) && toBalancers.contains(from));
         }
 
         private boolean named(int balancer, int place, boolean there) {
-            return there ? balancers.contains(balancer) && toUpstreams.contains(place)
-                : upstreams.contains(place) && toBalancers.contains(balancer);
+            return there
+                    ? balancers.contains(balancer) && toUpstreams.contains(place)
+                    : upstreams.contains(place) && toBalancers.contains(balancer);
         }
 
         /** Whether what a balancer sends to the servers of that place is troubled. */
@@ -101,8 +114,14 @@
         double[] shares = kinds.stream().mapToDouble(Scenario.Kind::share).toArray();
         for (int i = 0; i < scenario.upstreams().count(); i++) {
             int kind = weighted(shares, random);
-            servers.add(new Server(i, uid(random), scenario.zoneOfUpstream(i), kind, kinds.get(kind).speed(),
-                -1));
+            servers.add(
+                    new Server(
+                            i,
+                            uid(random),
+                            scenario.zoneOfUpstream(i),
+                            kind,
+                            kinds.get(kind).speed(),
+                            -1));
         }
     }
 
@@ -120,15 +139,32 @@
         for (Scenario.Fault f : scenario.faults()) {
             FaultKind kind = FaultKind.of(f.kind());
             Selector on = Selector.of(f.on(), scenario, random);
-            Selector to = kind.path() ? Selector.of(f.to(), scenario, random)
-                : new Selector(new TreeSet<>(), new TreeSet<>());
+            Selector to =
+                    kind.path()
+                            ? Selector.of(f.to(), scenario, random)
+                            : new Selector(new TreeSet<>(), new TreeSet<>());
             long until = f.untilS() == null ? -1 : Math.round(f.untilS() * 1e6);
-            faults.add(new Fault(kind, Math.round(f.atS() * 1e6), until, on.balancers(), on.upstreams(),
-                to.balancers(), to.upstreams(), f));
+            faults.add(
+                    new Fault(
+                            kind,
+                            Math.round(f.atS() * 1e6),
+                            until,
+                            on.balancers(),
+                            on.upstreams(),
+                            to.balancers(),
+                            to.upstreams(),
+                            f));
             if (kind == FaultKind.REPLACE) {
                 for (int old : on.upstreams()) {
                     Server s = servers.get(old);
-                    servers.add(new Server(servers.size(), uid(random), s.zone(), s.kind(), s.speed(), old));
+                    servers.add(
+                            new Server(
+                                    servers.size(),
+                                    uid(random),
+                                    s.zone(),
+                                    s.kind(),
+                                    s.speed(),
+                                    old));
                 }
             }
         }
@@ -137,13 +173,18 @@
     private void drawArrivals() {
         UniformRandomProvider random = Seeds.stream(seed, "arrivals");
         ZigguratSampler.Exponential gap =
-            ZigguratSampler.Exponential.of(random, 1e6 / scenario.load().rate());
+                ZigguratSampler.Exponential.of(random, 1e6 / scenario.load().rate());
         int zones = scenario.fleet().zones().size();
-        double[] byZone = scenario.load().zoneShares().isEmpty() ? even(zones)
-            : scenario.load().zoneShares().stream().mapToDouble(d -> d).toArray();
-        double[] byClass = scenario.classes().stream().mapToDouble(Scenario.RequestClass::share).toArray();
-        double[] byTenant = scenario.tenants().isEmpty() ? even(1)
-            : scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray();
+        double[] byZone =
+                scenario.load().zoneShares().isEmpty()
+                        ? even(zones)
+                        : scenario.load().zoneShares().stream().mapToDouble(d -> d).toArray();
+        double[] byClass =
+                scenario.classes().stream().mapToDouble(Scenario.RequestClass::share).toArray();
+        double[] byTenant =
+                scenario.tenants().isEmpty()
+                        ? even(1)
+                        : scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray();
         double rise = scenario.load().riseS() * 1e6;
         for (double at = gap.sample(); at < scenario.length(); at += gap.sample()) {
             if (at < rise && random.nextDouble() > FIRST_PART + (1 - FIRST_PART) * at / rise) {
@@ -153,9 +194,18 @@
             int number = weighted(byClass, random);
             int tenant = weighted(byTenant, random);
             List<Double> work = scenario.classes().get(number).workMs();
-            arrivals.add(new Arrival((long) at, zone, number, tenant,
-                Math.round(1e3 * (work.get(0) + random.nextDouble() * (work.get(1) - work.get(0)))),
-                random.nextDouble() < scenario.load().hasty()));
+            arrivals.add(
+                    new Arrival(
+                            (long) at,
+                            zone,
+                            number,
+                            tenant,
+                            Math.round(
+                                    1e3
+                                            * (work.get(0)
+                                                    + random.nextDouble()
+                                                            * (work.get(1) - work.get(0)))),
+                            random.nextDouble() < scenario.load().hasty()));
         }
     }
 
@@ -208,8 +258,17 @@
     public String digest() {
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
-            arrivals.forEach(a -> sha.update(ByteBuffer.allocate(32).putLong(a.at).putInt(a.zone)
-                .putInt(a.requestClass).putInt(a.tenant).putLong(a.work).putInt(a.hasty ? 1 : 0).flip()));
+            arrivals.forEach(
+                    a ->
+                            sha.update(
+                                    ByteBuffer.allocate(32)
+                                            .putLong(a.at)
+                                            .putInt(a.zone)
+                                            .putInt(a.requestClass)
+                                            .putInt(a.tenant)
+                                            .putLong(a.work)
+                                            .putInt(a.hasty ? 1 : 0)
+                                            .flip()));
             sha.update((servers + " " + faults).getBytes(java.nio.charset.StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(sha.digest()).substring(0, KEY_LENGTH);
         } catch (NoSuchAlgorithmException e) {
--- a/lab/src/main/java/junctionhead/lab/plan/Seeds.java
+++ b/lab/src/main/java/junctionhead/lab/plan/Seeds.java
@@ -3,19 +3,22 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Streams of random numbers that depend on a seed and a purpose, not on what other purposes draw. */
+/**
+ * Streams of random numbers that depend on a seed and a purpose, not on what other purposes draw.
+ */
 public final class Seeds {
     // Odd, from the LXM generators' multipliers
     private static final long SPREAD = 0xD1342543DE82EF95L;
 
-    private Seeds() { }
+    private Seeds() {}
 
     /** The stream of that purpose. */
     public static UniformRandomProvider stream(long seed, String purpose) {
         // From one long the library makes the whole state by SplitMix; an array would be the state
         // itself, and
         // neighbouring seeds would begin with like numbers.
-        return RandomSource.XO_RO_SHI_RO_128_PP.create(Long.valueOf(seed ^ SPREAD * purpose.hashCode()));
+        return RandomSource.XO_RO_SHI_RO_128_PP.create(
+                Long.valueOf(seed ^ SPREAD * purpose.hashCode()));
     }
 
     /** One number of a purpose, as a seed for somebody else. */
