--- a/lab/src/test/java/junctionhead/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/junctionhead/lab/scenario/ScenarioReaderTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ScenarioReaderTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
         length_s = 10
         [fleet]
         balancers = 3
@@ -24,57 +25,69 @@
         """;
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "lenght_s = 10 | s.toml: lenght_s: unknown field",
-        "[fleet]; ballancers = 3 | s.toml: fleet.ballancers: unknown field",
-        "length_s = 0 | s.toml: length_s: 0 is not between 1 and 3600",
-        "length_s = = | s.toml: line 1: Unknown token",
-        "[fleet]; balancers = 41 | s.toml: fleet.balancers: 41 is not between 1 and 40",
-        "length_s = 10 | s.toml: class: no class of requests",
-        "[[class]]; effect = `often` | s.toml: class[0].effect: 'often' is none of keyed, safe, unsafe",
-        "[[class]]; [[expect.never_two]]; what = `x`; takes = `(`; leaves = `y` "
-            + "| s.toml: expect.never_two[0].takes: no regular expression: Unclosed group",
-        "[[class]]; name = `a b` | s.toml: class[0].name: no plain name: 'a b'",
-        "[[class]]; name = `a`; [[class]]; name = `a` "
-            + "| s.toml: class[1].name: there is one of that name already: 'a'",
-        "[[class]]; work_ms = [2.0, 1.0] | s.toml: class[0].work_ms: not a range [least, most]: [2.0, 1.0]",
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "lenght_s = 10 | s.toml: lenght_s: unknown field",
+                "[fleet]; ballancers = 3 | s.toml: fleet.ballancers: unknown field",
+                "length_s = 0 | s.toml: length_s: 0 is not between 1 and 3600",
+                "length_s = = | s.toml: line 1: Unknown token",
+                "[fleet]; balancers = 41 | s.toml: fleet.balancers: 41 is not between 1 and 40",
+                "length_s = 10 | s.toml: class: no class of requests",
+                "[[class]]; effect = `often` | s.toml: class[0].effect: 'often' is none of keyed, safe, unsafe",
+                "[[class]]; [[expect.never_two]]; what = `x`; takes = `(`; leaves = `y` "
+                        + "| s.toml: expect.never_two[0].takes: no regular expression: Unclosed group",
+                "[[class]]; name = `a b` | s.toml: class[0].name: no plain name: 'a b'",
+                "[[class]]; name = `a`; [[class]]; name = `a` "
+                        + "| s.toml: class[1].name: there is one of that name already: 'a'",
+                "[[class]]; work_ms = [2.0, 1.0] | s.toml: class[0].work_ms: not a range [least, most]: [2.0, 1.0]",
+            })
     void aFaultInAFileIsOneLineWithFileAndPlace(String text, String complaint) {
         String lines = text.replace("; ", "\n").replace('`', '"');
-        BadScenario bad = assertThrows(BadScenario.class, () -> ScenarioReader.parse("s.toml", lines, false));
+        BadScenario bad =
+                assertThrows(BadScenario.class, () -> ScenarioReader.parse("s.toml", lines, false));
         assertEquals(complaint, bad.getMessage());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "kind = `kil`; at_s = 1; on = `balancers` | kind: unknown kind of fault: 'kil'",
-        "kind = `kill`; on = `balancers` | at_s: missing: when it begins",
-        "kind = `kill`; at_s = 11; on = `balancers` | at_s: 11 is not between 0 and 10",
-        "kind = `pause`; at_s = 1; on = `balancers` | until_s: missing: when it ends",
-        "kind = `pause`; at_s = 5; until_s = 4; on = `balancers` | until_s: 4 is not between 5 and 10",
-        "kind = `kill`; at_s = 1; on = `balancers:3` | on: not a number from 0 to 2: '3'",
-        "kind = `kill`; at_s = 1; on = `zone:c` | on: no zone 'c'",
-        "kind = `kill`; at_s = 1; on = `upstreams` | on: kill is for balancers",
-        "kind = `cut`; at_s = 1; until_s = 2; on = `balancers` | to: missing: whom it is about",
-        "kind = `hang`; at_s = 1; until_s = 2; on = `upstreams`; to = `zone:a` | to: hang is about no path",
-        "kind = `loss`; at_s = 1; until_s = 2; on = `zone:a`; to = `zone:b`; amount = 2.0 "
-            + "| amount: 2 is not between 0 and 1",
-        "kind = `fail`; at_s = 1; until_s = 2; on = `upstreams`; class = `y` | class: no class 'y'",
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "kind = `kil`; at_s = 1; on = `balancers` | kind: unknown kind of fault: 'kil'",
+                "kind = `kill`; on = `balancers` | at_s: missing: when it begins",
+                "kind = `kill`; at_s = 11; on = `balancers` | at_s: 11 is not between 0 and 10",
+                "kind = `pause`; at_s = 1; on = `balancers` | until_s: missing: when it ends",
+                "kind = `pause`; at_s = 5; until_s = 4; on = `balancers` | until_s: 4 is not between 5 and 10",
+                "kind = `kill`; at_s = 1; on = `balancers:3` | on: not a number from 0 to 2: '3'",
+                "kind = `kill`; at_s = 1; on = `zone:c` | on: no zone 'c'",
+                "kind = `kill`; at_s = 1; on = `upstreams` | on: kill is for balancers",
+                "kind = `cut`; at_s = 1; until_s = 2; on = `balancers` | to: missing: whom it is about",
+                "kind = `hang`; at_s = 1; until_s = 2; on = `upstreams`; to = `zone:a` | to: hang is about no path",
+                "kind = `loss`; at_s = 1; until_s = 2; on = `zone:a`; to = `zone:b`; amount = 2.0 "
+                        + "| amount: 2 is not between 0 and 1",
+                "kind = `fail`; at_s = 1; until_s = 2; on = `upstreams`; class = `y` | class: no class 'y'",
+            })
     void aFaultOfTheScenarioMustBePlayable(String fields, String complaint) {
         String text = GOOD + "[[fault]]\n" + fields.replace("; ", "\n").replace('`', '"');
-        BadScenario bad = assertThrows(BadScenario.class, () -> ScenarioReader.parse("s.toml", text, false));
+        BadScenario bad =
+                assertThrows(BadScenario.class, () -> ScenarioReader.parse("s.toml", text, false));
         assertEquals("s.toml: fault[0]." + complaint, bad.getMessage());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "[fleet]; balancers = 1601 | s.toml: fleet.balancers: 1601 is not between 1 and 1600",
-        "[upstreams]; count = 14001 | s.toml: upstreams.count: 14001 is not between 1 and 14000",
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "[fleet]; balancers = 1601 | s.toml: fleet.balancers: 1601 is not between 1 and 1600",
+                "[upstreams]; count = 14001 | s.toml: upstreams.count: 14001 is not between 1 and 14000",
+            })
     void simulatedTimeHasItsOwnBounds(String text, String complaint) {
         String lines = text.replace("; ", "\n");
-        BadScenario bad = assertThrows(BadScenario.class, () -> ScenarioReader.parse("s.toml", lines, true));
+        BadScenario bad =
+                assertThrows(BadScenario.class, () -> ScenarioReader.parse("s.toml", lines, true));
         assertEquals(complaint, bad.getMessage());
         String most = lines.replace("1601", "1600").replace("14001", "14000") + "\n[[class]]\n";
         assertEquals(1, ScenarioReader.parse("s.toml", most, true).classes().size());
@@ -83,9 +96,17 @@
 
     @Test
     void aZoneThatIsToBeLeftMustBeLost() {
-        BadScenario bad = assertThrows(BadScenario.class, () -> ScenarioReader.parse("s.toml",
-            GOOD + "[expect]\nzone_left_within_s = 1\n", false));
-        assertEquals("s.toml: expect.zone_left_within_s: no upstreams crash or vanish", bad.getMessage());
+        BadScenario bad =
+                assertThrows(
+                        BadScenario.class,
+                        () ->
+                                ScenarioReader.parse(
+                                        "s.toml",
+                                        GOOD + "[expect]\nzone_left_within_s = 1\n",
+                                        false));
+        assertEquals(
+                "s.toml: expect.zone_left_within_s: no upstreams crash or vanish",
+                bad.getMessage());
     }
 
     @Test
@@ -99,8 +120,17 @@
 
     @TestFactory
     Stream<DynamicTest> everyScenarioOfTheProjectCanBePlayed() throws IOException {
-        return Files.walk(Path.of("scenarios")).filter(Files::isRegularFile).sorted()
-            .map(file -> DynamicTest.dynamicTest(file.toString(),
-            () -> assertEquals(true, ScenarioReader.read(file, true).lengthS() > 0)));
+        return Files.walk(Path.of("scenarios"))
+                .filter(Files::isRegularFile)
+                .sorted()
+                .map(
+                        file ->
+                                DynamicTest.dynamicTest(
+                                        file.toString(),
+                                        () ->
+                                                assertEquals(
+                                                        true,
+                                                        ScenarioReader.read(file, true).lengthS()
+                                                                > 0)));
     }
 }
--- a/lab/src/test/java/junctionhead/lab/sim/PaperExperimentTest.java
+++ b/lab/src/test/java/junctionhead/lab/sim/PaperExperimentTest.java
@@ -14,15 +14,18 @@
     /** Nobody waits where hardly anyone comes: the mean is that of the servers' own times. */
     @Test
     void withoutLoadTheMeanIsTheServiceTime() {
-        assertEquals(1 / 1.95 * 0.3 + 1 / 0.6 * 0.7, new PaperExperiment(1000, 0.01, 30_000, 5)
-            .play(Dispatching.JSQ_D).meanResponse(), 0.05);
+        assertEquals(
+                1 / 1.95 * 0.3 + 1 / 0.6 * 0.7,
+                new PaperExperiment(1000, 0.01, 30_000, 5).play(Dispatching.JSQ_D).meanResponse(),
+                0.05);
     }
 
     @Test
     void atHighLoadAccomplishmentFindsTheFastServersAndBeatsBlindPolling() {
         PaperExperiment.Outcome das = play(0.9, Dispatching.JSQ_DAS);
         assertTrue(das.fastFound() > 0.95, das.toString());
-        assertTrue(das.meanResponse() < play(0.9, Dispatching.JSQ_D).meanResponse(), das.toString());
+        assertTrue(
+                das.meanResponse() < play(0.9, Dispatching.JSQ_D).meanResponse(), das.toString());
     }
 
     @Test
--- a/lab/src/test/java/junctionhead/lab/sim/SimDutiesTest.java
+++ b/lab/src/test/java/junctionhead/lab/sim/SimDutiesTest.java
@@ -13,8 +13,8 @@
     /** Also with a tenth of the datagrams lost, and with promises that don't outlive a process. */
     @ParameterizedTest
     @CsvSource({"10, 0, true, 1", "10, 0.1, false, 2", "60, 0.05, true, 3"})
-    void dutiesArePassedOnWithinTwoLeasesAndNeverHeldByTwo(int members, double loss, boolean durable,
-        long seed) {
+    void dutiesArePassedOnWithinTwoLeasesAndNeverHeldByTwo(
+            int members, double loss, boolean durable, long seed) {
         SimDuties fleet = new SimDuties(members, loss, durable, Terms.USUAL, seed);
         fleet.play(10_000_000);
         assertEquals(Terms.USUAL.slots(), fleet.held());
@@ -26,9 +26,11 @@
             fleet.play(6_000_000);
         }
         assertEquals(List.of(), fleet.twice());
-        assertTrue(fleet.passed().getTotalCount() >= 6, fleet.passed().getTotalCount() + " passed on");
-        assertTrue(fleet.passed().getMaxValue() <= 2 * Terms.USUAL.lease(), fleet.passed().getMaxValue()
-            + " µs");
+        assertTrue(
+                fleet.passed().getTotalCount() >= 6, fleet.passed().getTotalCount() + " passed on");
+        assertTrue(
+                fleet.passed().getMaxValue() <= 2 * Terms.USUAL.lease(),
+                fleet.passed().getMaxValue() + " µs");
     }
 
     @Test
@@ -42,6 +44,8 @@
             // Of all members
             paid[i] = (fleet.bytes() - before) / 5.0;
         }
-        assertTrue(paid[1] < 1.5 * paid[0] && paid[0] > 0, paid[0] + " and " + paid[1] + " bytes a second");
+        assertTrue(
+                paid[1] < 1.5 * paid[0] && paid[0] > 0,
+                paid[0] + " and " + paid[1] + " bytes a second");
     }
 }
--- a/lab/src/test/java/junctionhead/lab/sim/TimelineTest.java
+++ b/lab/src/test/java/junctionhead/lab/sim/TimelineTest.java
@@ -12,13 +12,14 @@
 
 /** Simulated time: what comes when, whatever it is kept in. */
 class TimelineTest {
-    private record Entry(long at, long number) { }
+    private record Entry(long at, long number) {}
 
     @Test
     void whatIsDueComesInOrderOfTimeAndThenOfAsking() {
         SplittableRandom random = new SplittableRandom(7);
-        PriorityQueue<Entry> plain = new PriorityQueue<>(
-            Comparator.comparingLong(Entry::at).thenComparingLong(Entry::number));
+        PriorityQueue<Entry> plain =
+                new PriorityQueue<>(
+                        Comparator.comparingLong(Entry::at).thenComparingLong(Entry::number));
         EventQueue queue = new EventQueue();
         List<Long> got = new ArrayList<>();
         List<Long> wanted = new ArrayList<>();
@@ -48,14 +49,18 @@
         List<String> seen = new ArrayList<>();
         time.at(5, () -> seen.add("before"));
         long[] at = {5, 5, 7};
-        time.series(at.length, i -> at[i], i -> {
-            seen.add("part " + i);
-            time.after(0, () -> seen.add("of part " + i));
-        });
+        time.series(
+                at.length,
+                i -> at[i],
+                i -> {
+                    seen.add("part " + i);
+                    time.after(0, () -> seen.add("of part " + i));
+                });
         time.at(5, () -> seen.add("after"));
         time.at(7, () -> seen.add("last"));
         time.run(6);
-        assertEquals(List.of("before", "part 0", "part 1", "after", "of part 0", "of part 1"), seen);
+        assertEquals(
+                List.of("before", "part 0", "part 1", "after", "of part 0", "of part 1"), seen);
         time.run(7);
         assertEquals(List.of("part 2", "last", "of part 2"), seen.subList(6, 9));
     }
--- a/lab/src/test/java/junctionhead/lab/stand/FaultsTest.java
+++ b/lab/src/test/java/junctionhead/lab/stand/FaultsTest.java
@@ -46,7 +46,11 @@
 
     // Three balancers, played by the test, and three servers, one of each in each zone.
     private void stage(String fault) throws IOException {
-        plan = Plan.of(ScenarioReader.parse("s.toml", """
+        plan =
+                Plan.of(
+                        ScenarioReader.parse(
+                                "s.toml",
+                                """
             length_s = 10
             [fleet]
             balancers = 3
@@ -64,8 +68,12 @@
             [[fault]]
             at_s = 0
             until_s = 10
-            """ + fault.replace("; ", "\n").replace('`', '"') + "\n", false), 1);
-        RuleBook rules = new RuleBook(plan.scenario(), breach -> { });
+            """
+                                        + fault.replace("; ", "\n").replace('`', '"')
+                                        + "\n",
+                                false),
+                        1);
+        RuleBook rules = new RuleBook(plan.scenario(), breach -> {});
         world = new World(plan, rules);
         stage = new Stage(world);
         director = new Director(world, stage);
@@ -96,25 +104,41 @@
     /** Sends a request of the first class on a connection, and returns the status of its answer. */
     private int ask(Socket socket, int balancer) throws IOException {
         String id = "r" + calls++;
-        world.loop().submit(() -> world.rules()
-            .taken(new Call(id, new Order(new Plan.Arrival(0, 0, 0, 0, 1000,
-            false)), 5_000_000), balancer, world.now())).syncUninterruptibly();
-        socket.getOutputStream().write(("GET /api HTTP/1.1\r\nReq-Id: " + id + "\r\n\r\n")
-            .getBytes(StandardCharsets.US_ASCII));
+        world.loop()
+                .submit(
+                        () ->
+                                world.rules()
+                                        .taken(
+                                                new Call(
+                                                        id,
+                                                        new Order(
+                                                                new Plan.Arrival(
+                                                                        0, 0, 0, 0, 1000, false)),
+                                                        5_000_000),
+                                                balancer,
+                                                world.now()))
+                .syncUninterruptibly();
+        socket.getOutputStream()
+                .write(
+                        ("GET /api HTTP/1.1\r\nReq-Id: " + id + "\r\n\r\n")
+                                .getBytes(StandardCharsets.US_ASCII));
         return status(socket);
     }
 
     private static int status(Socket socket) throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-            StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(
+                        new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         String first = in.readLine();
         if (first == null) {
             throw new SocketException("ended");
         }
         int length = 0;
         for (String line = in.readLine(); !line.isEmpty(); line = in.readLine()) {
-            length = line.toLowerCase(java.util.Locale.ROOT).startsWith("content-length:")
-                ? Integer.parseInt(line.substring(15).strip()) : length;
+            length =
+                    line.toLowerCase(java.util.Locale.ROOT).startsWith("content-length:")
+                            ? Integer.parseInt(line.substring(15).strip())
+                            : length;
         }
         for (int i = 0; i < length; i++) {
             in.read();
@@ -127,7 +151,9 @@
     }
 
     private void back(int balancer, int server) {
-        await().ignoreExceptions().atMost(Duration.ofSeconds(10)).until(() -> ask(balancer, server) == 200);
+        await().ignoreExceptions()
+                .atMost(Duration.ofSeconds(10))
+                .until(() -> ask(balancer, server) == 200);
     }
 
     @Test
@@ -173,8 +199,8 @@
     void whatIsRefusedIsRefusedThereOnly() throws IOException {
         stage("kind = `refuse`; on = `balancers:0`; to = `upstreams:0`");
         set(true);
-        await().ignoreExceptions().until(() ->
-            assertThrows(ConnectException.class, () -> connect(0, 0)) != null);
+        await().ignoreExceptions()
+                .until(() -> assertThrows(ConnectException.class, () -> connect(0, 0)) != null);
         assertEquals(200, ask(0, 1));
         assertEquals(200, ask(1, 0));
         set(false);
@@ -195,8 +221,11 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"'kind = `delay`; delay_ms = 150', 150", "'kind = `loss`; amount = 1.0', 200",
-        "'kind = `thin`; amount = 250.0', 140"})
+    @CsvSource({
+        "'kind = `delay`; delay_ms = 150', 150",
+        "'kind = `loss`; amount = 1.0', 200",
+        "'kind = `thin`; amount = 250.0', 140"
+    })
     void whatIsDelayedComesLaterByThatMuch(String fault, long least) throws IOException {
         stage(fault + "; on = `balancers:0`; to = `upstreams:0`");
         Socket slow = connect(0, 0);
@@ -216,8 +245,8 @@
         assertEquals(200, ask(held, 1));
         set(true);
         assertThrows(SocketException.class, () -> ask(held, 1));
-        await().ignoreExceptions().until(() ->
-            assertThrows(ConnectException.class, () -> connect(0, 0)) != null);
+        await().ignoreExceptions()
+                .until(() -> assertThrows(ConnectException.class, () -> connect(0, 0)) != null);
         await().until(() -> list(0).size() == 2);
         set(false);
         back(0, 0);
@@ -226,7 +255,8 @@
     }
 
     private List<?> list(int balancer) throws Exception {
-        return (List<?>) world.loop().submit(() -> stage.agent(balancer).known()).get().get("targets");
+        return (List<?>)
+                world.loop().submit(() -> stage.agent(balancer).known()).get().get("targets");
     }
 
     @Test
@@ -278,8 +308,8 @@
         await().until(() -> list(0).toString().contains("terminating"));
         set(false);
         back(0, 3);
-        await().ignoreExceptions().until(() ->
-            assertThrows(ConnectException.class, () -> connect(0, 0)) != null);
+        await().ignoreExceptions()
+                .until(() -> assertThrows(ConnectException.class, () -> connect(0, 0)) != null);
         await().until(() -> !list(0).toString().contains("terminating") && list(0).size() == 3);
     }
 
@@ -292,16 +322,21 @@
             socket.setSoTimeout(SHORT_MS);
             String request = "GET /api/targets HTTP/1.1\r\n\r\n";
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            return new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                StandardCharsets.US_ASCII)).readLine();
+            return new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.US_ASCII))
+                    .readLine();
         }
     }
 
     private void crash() {
-        world.loop().submit(() -> {
-            stage.server(2).crash();
-            stage.news(new Listing(2, Listing.GONE, 0));
-        }).syncUninterruptibly();
+        world.loop()
+                .submit(
+                        () -> {
+                            stage.server(2).crash();
+                            stage.news(new Listing(2, Listing.GONE, 0));
+                        })
+                .syncUninterruptibly();
     }
 
     @Test
@@ -318,7 +353,8 @@
     void aDiscoveryThatDeniesRefusesItsBalancersOnly() throws IOException {
         stage("kind = `deny`; on = `balancers:0`");
         set(true);
-        await().ignoreExceptions().until(() -> assertThrows(ConnectException.class, () -> call(0)) != null);
+        await().ignoreExceptions()
+                .until(() -> assertThrows(ConnectException.class, () -> call(0)) != null);
         assertEquals("HTTP/1.1 200 OK", call(1));
         set(false);
         await().ignoreExceptions().until(() -> call(0).equals("HTTP/1.1 200 OK"));
@@ -358,8 +394,11 @@
     private void send(DatagramSocket from, int balancer, int to, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
         String[] at = stage.mesh().peers(balancer).get(to).split(":");
-        from.send(new DatagramPacket(bytes, bytes.length,
-            new InetSocketAddress(at[0], Integer.parseInt(at[1]))));
+        from.send(
+                new DatagramPacket(
+                        bytes,
+                        bytes.length,
+                        new InetSocketAddress(at[0], Integer.parseInt(at[1]))));
     }
 
     /** What comes within a moment. */
@@ -369,7 +408,12 @@
             while (true) {
                 DatagramPacket packet = new DatagramPacket(new byte[300], 300);
                 at.receive(packet);
-                all.add(new String(packet.getData(), 0, packet.getLength(), StandardCharsets.US_ASCII));
+                all.add(
+                        new String(
+                                packet.getData(),
+                                0,
+                                packet.getLength(),
+                                StandardCharsets.US_ASCII));
             }
         } catch (SocketTimeoutException e) {
             return all;
@@ -393,25 +437,29 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '\'', value = {
-        "on = `balancers:0`; to = `balancers:1`; one_way = true | 1to0 2to0 | 2to1 | 0to2 1to2",
-        "on = `balancers:0`; to = `balancers:1` | 2to0 | 2to1 | 0to2 1to2",
-        "on = `balancers:0`; to = `balancers`; one_way = true | 1to0 2to0 | 2to1 | 1to2",
-        "on = `zone:c`; to = `zone:a` | 1to0 | 0to1 2to1 | 1to2",
-    })
-    void aCutBetweenBalancersLosesWhatItShouldAndNoOther(String paths, String first, String second,
-            String third)
-            throws IOException {
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '\'',
+            value = {
+                "on = `balancers:0`; to = `balancers:1`; one_way = true | 1to0 2to0 | 2to1 | 0to2 1to2",
+                "on = `balancers:0`; to = `balancers:1` | 2to0 | 2to1 | 0to2 1to2",
+                "on = `balancers:0`; to = `balancers`; one_way = true | 1to0 2to0 | 2to1 | 1to2",
+                "on = `zone:c`; to = `zone:a` | 1to0 | 0to1 2to1 | 1to2",
+            })
+    void aCutBetweenBalancersLosesWhatItShouldAndNoOther(
+            String paths, String first, String second, String third) throws IOException {
         stage("kind = `cut`; " + paths);
         set(true);
-        assertEquals(List.of(first, second, third), exchange().stream().map(l -> String.join(" ", l))
-            .toList());
+        assertEquals(
+                List.of(first, second, third),
+                exchange().stream().map(l -> String.join(" ", l)).toList());
     }
 
     @Test
     void repeatsComeTwiceAndLossLosesAll() throws IOException {
-        stage("kind = `repeat`; amount = 1.0; delay_ms = 20; on = `balancers:0`; to = `balancers:1`; "
-            + "one_way = true");
+        stage(
+                "kind = `repeat`; amount = 1.0; delay_ms = 20; on = `balancers:0`; to = `balancers:1`; "
+                        + "one_way = true");
         set(true);
         assertEquals(List.of("0to1", "0to1", "2to1"), exchange().get(1));
     }
@@ -425,7 +473,8 @@
 
     @Test
     void changedOrderLosesNothing() throws IOException {
-        stage("kind = `reorder`; amount = 0.5; delay_ms = 30; on = `balancers:0`; to = `balancers:1`");
+        stage(
+                "kind = `reorder`; amount = 0.5; delay_ms = 30; on = `balancers:0`; to = `balancers:1`");
         set(true);
         DatagramSocket from = home(0);
         DatagramSocket to = home(1);
@@ -444,8 +493,11 @@
         stage("kind = `cut`; on = `balancers:0`; to = `balancers:1`");
         DatagramSocket[] homes = {home(0), home(1), home(2)};
         String[] at = stage.mesh().everyone(0).split(":");
-        homes[0].send(new DatagramPacket(new byte[] {'x'}, 1, new InetSocketAddress(at[0],
-            Integer.parseInt(at[1]))));
+        homes[0].send(
+                new DatagramPacket(
+                        new byte[] {'x'},
+                        1,
+                        new InetSocketAddress(at[0], Integer.parseInt(at[1]))));
         assertEquals(List.of("x"), received(homes[1]));
         assertEquals(List.of("x"), received(homes[2]));
         assertEquals(List.of(), received(homes[0]));
