--- a/balancer/src/main/java/junctionhead/Policy.java
+++ b/balancer/src/main/java/junctionhead/Policy.java
@@ -120,10 +120,10 @@
         public RequestClass {
             zones = Set.copyOf(zones);
             machineKinds = Set.copyOf(machineKinds);
-            require(aim > 0, "aim", aim);
-            require(deadline > 0, "deadline", deadline);
-            require(keyMemory >= 0, "keyMemory", keyMemory);
-            require(aimStretch >= 0, "aimStretch", aimStretch);
+            SettingsValidation.require(aim > 0, "aim", aim);
+            SettingsValidation.require(deadline > 0, "deadline", deadline);
+            SettingsValidation.require(keyMemory >= 0, "keyMemory", keyMemory);
+            SettingsValidation.require(aimStretch >= 0, "aimStretch", aimStretch);
         }
 
         /** Rule 6: a class may be bound to zones and kinds of machine, at every attempt. */
@@ -162,7 +162,8 @@
     /** A tenant: requests per second within its share, over all balancers. */
     record Tenant(double allowancePerSecond) {
         public Tenant {
-            require(allowancePerSecond >= 0, "allowancePerSecond", allowancePerSecond);
+            SettingsValidation.require(
+                    allowancePerSecond >= 0, "allowancePerSecond", allowancePerSecond);
         }
     }
 
@@ -175,9 +176,9 @@
      */
     record Prices(double crossZone, double handshake, double peer) {
         public Prices {
-            require(crossZone >= 0, "crossZone", crossZone);
-            require(handshake >= 0, "handshake", handshake);
-            require(peer >= 0, "peer", peer);
+            SettingsValidation.require(crossZone >= 0, "crossZone", crossZone);
+            SettingsValidation.require(handshake >= 0, "handshake", handshake);
+            SettingsValidation.require(peer >= 0, "peer", peer);
         }
 
         /** Prices where messages between balancers are free. */
@@ -196,7 +197,7 @@
             long retryAfterMax,
             boolean mayTell) {
         public Limits {
-            require(maxAttempts > 0, "maxAttempts", maxAttempts);
+            SettingsValidation.require(maxAttempts > 0, "maxAttempts", maxAttempts);
         }
 
         /** Limits where balancers may not send one another messages. */
@@ -232,11 +233,11 @@
             long fallWindow,
             long orderPause) {
         public Bounds {
-            require(orderPause >= 0, "orderPause", orderPause);
-            require(coldFrom > 0 && coldFrom <= 1, "coldFrom", coldFrom);
-            require(rampTime >= 0, "rampTime", rampTime);
-            require(overloadFactor > 0, "overloadFactor", overloadFactor);
-            require(fallWindow >= 0, "fallWindow", fallWindow);
+            SettingsValidation.require(orderPause >= 0, "orderPause", orderPause);
+            SettingsValidation.require(coldFrom > 0 && coldFrom <= 1, "coldFrom", coldFrom);
+            SettingsValidation.require(rampTime >= 0, "rampTime", rampTime);
+            SettingsValidation.require(overloadFactor > 0, "overloadFactor", overloadFactor);
+            SettingsValidation.require(fallWindow >= 0, "fallWindow", fallWindow);
         }
     }
 
@@ -264,10 +265,10 @@
         public Settings {
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
-            require(balancers > 0, "balancers", balancers);
-            require(rank >= 0 && rank < balancers, "rank", rank);
-            require(!classes.isEmpty(), "classes", "none");
-            require(tick > 0, "tick", tick);
+            SettingsValidation.require(balancers > 0, "balancers", balancers);
+            SettingsValidation.require(rank >= 0 && rank < balancers, "rank", rank);
+            SettingsValidation.require(!classes.isEmpty(), "classes", "none");
+            SettingsValidation.require(tick > 0, "tick", tick);
         }
     }
 
@@ -282,12 +283,6 @@
             double throughput,
             double errorsPerSecond) {}
 
-    private static void require(boolean holds, String name, Object value) {
-        if (!holds) {
-            throw new IllegalArgumentException("impossible " + name + ": " + value);
-        }
-    }
-
     /** News of the list of servers; {@code servers} is empty for {@link ListKind#FAILED}. */
     void servers(long now, ListKind kind, List<Server> servers, Actions out);
 
--- a/balancer/src/main/java/junctionhead/SettingsReader.java
+++ b/balancer/src/main/java/junctionhead/SettingsReader.java
@@ -14,6 +14,28 @@
  * wire or from the configuration of a real balancer; keys that it doesn't know are passed over.
  */
 public final class SettingsReader {
+    // The words of the settings, in upper case; they stay whatever the constants are called.
+    private static final Map<String, Policy.Discovery> DISCOVERY_MODES =
+            Map.of("PUSH", Policy.Discovery.PUSH, "ASK", Policy.Discovery.ASK);
+    private static final Map<String, Policy.Reports> LOAD_REPORTS =
+            Map.of(
+                    "ANSWERS",
+                    Policy.Reports.ANSWERS,
+                    "PROBE",
+                    Policy.Reports.PROBE,
+                    "NONE",
+                    Policy.Reports.NONE);
+    private static final Map<String, Policy.Effect> IDEMPOTENCY =
+            Map.of(
+                    "SAFE",
+                    Policy.Effect.SAFE,
+                    "KEYED",
+                    Policy.Effect.KEYED,
+                    "UNSAFE",
+                    Policy.Effect.UNSAFE);
+    private static final Map<String, Policy.Scope> SCOPES =
+            Map.of("ALL", Policy.Scope.ALL, "ZONE", Policy.Scope.ZONE, "CELL", Policy.Scope.CELL);
+
     private final Map<String, String> values;
     private final BiFunction<String, String, ? extends RuntimeException> complaint;
 
@@ -96,7 +118,7 @@
                         whole("Limits.DialTimeout", 0L),
                         advice ? whole("Limits.MaxRetryAfter", 0L) : 0L,
                         flag("Limits.PeerMessages", false));
-        boolean ask = word(Policy.Discovery.class, "MembershipMode", null) == Policy.Discovery.ASK;
+        boolean ask = word(DISCOVERY_MODES, "MembershipMode", null) == Policy.Discovery.ASK;
         Policy.Bounds bounds =
                 new Policy.Bounds(
                         whole("Rules.AnswerSlack", null),
@@ -127,7 +149,7 @@
                         decimal("Prices.Peer", 0.0)),
                 text("WorthBy", "request").equals("work"),
                 ask ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
-                word(Policy.Reports.class, "Stats.How", "none"),
+                word(LOAD_REPORTS, "Stats.How", "none"),
                 flag("Specifics.WarmKeys", false),
                 limits,
                 bounds,
@@ -138,8 +160,8 @@
         String at = path + ".";
         try {
             return new Policy.RequestClass(
-                    word(Policy.Effect.class, at + "Idempotency", null),
-                    word(Policy.Scope.class, at + "DedupScope", "all"),
+                    word(IDEMPOTENCY, at + "Idempotency", null),
+                    word(SCOPES, at + "DedupScope", "all"),
                     whole(at + "KeyTtl", 0L),
                     whole(at + "GoalTime", null),
                     whole(at + "GiveUp", null),
@@ -227,12 +249,13 @@
         return found;
     }
 
-    private <E extends Enum<E>> E word(Class<E> type, String path, String otherwise) {
+    /** The value that a setting's word stands for, in upper or lower case. */
+    private <E> E word(Map<String, E> byWord, String path, String otherwise) {
         String value = text(path, otherwise);
-        try {
-            return Enum.valueOf(type, value.toUpperCase(Locale.ROOT));
-        } catch (IllegalArgumentException e) {
+        E found = byWord.get(value.toUpperCase(Locale.ROOT));
+        if (found == null) {
             throw complaint.apply(path, "unknown word: '" + value + "'");
         }
+        return found;
     }
 }
--- a/balancer/src/test/java/junctionhead/AdapterTest.java
+++ b/balancer/src/test/java/junctionhead/AdapterTest.java
@@ -220,7 +220,8 @@
                 run(
                         "TICK\t1\n"
                                 + enlist("balancer/0", SETTINGS)
-                                + "RESPONSE\tz\t0\t10.0.0.1:80\t502\t1\t0\t-\nWITHDRAWN\tz\nACK_FIRST\tz\t0\t10.0.0.1:80\t5\n"
+                                + "RESPONSE\tz\t0\t10.0.0.1:80\t502\t1\t0\t-\n"
+                                + "WITHDRAWN\tz\nACK_FIRST\tz\t0\t10.0.0.1:80\t5\n"
                                 + "PROBE_RESULT\t10.0.0.1:80\t5\t200\t1,2\nMAIL\t1\tAAAA\nDUE\told\nGO\n");
         assertTrue(
                 out.endsWith("DONE\n") && !out.contains("ERROR") && !out.contains("BAIL_OUT"), out);
@@ -255,7 +256,8 @@
                                 + enlist("balancer/0", settings)
                                 + "LIST\t1\t1\n"
                                 + "ITEM\t-\t10.0.0.7:80\tU\t1\t0\t0\t1\nSYNC\tPartial\t2\t1\n"
-                                + "INBOUND\ta\t0\t-\tab\t600000\t-\t0\nINBOUND\tb\t0\t-\tab\t600000\t-\t0\nGO\n");
+                                + "INBOUND\ta\t0\t-\tab\t600000\t-\t0\n"
+                                + "INBOUND\tb\t0\t-\tab\t600000\t-\t0\nGO\n");
         assertTrue(out.contains("DELIVER\ta\t10.0.0.7:80"), out);
         assertTrue(!out.contains("DELIVER\tb"), "b waits for its turn: " + out);
     }
--- a/balancer/src/test/java/junctionhead/net/AnswersTest.java
+++ b/balancer/src/test/java/junctionhead/net/AnswersTest.java
@@ -47,7 +47,8 @@
                 OK + "Transfer-Encoding: identity\r\nContent-Length: 5\r\n\r\nhello",
                 OK + "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
                 OK
-                        + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+                        + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n"
+                        + "2\r\nhi\r\n0\r\n\r\n",
                 OK + "Content-Length: 5\r\nContent-Length: 4\r\n\r\nhello",
                 OK + "Content-Length: five\r\n\r\nhello",
                 OK + "Content-Length: 2\r\n\r\nhello",
--- a/balancer/src/test/java/junctionhead/net/Crossing.java
+++ b/balancer/src/test/java/junctionhead/net/Crossing.java
@@ -117,7 +117,8 @@
                                         settings,
                                         "known",
                                         JSON.std.mapFrom(
-                                                "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s1\",\"endpoint\":\""
+                                                "{\"rev\":1,\"all\":true,\"targets\":["
+                                                        + "{\"uid\":\"s1\",\"endpoint\":\""
                                                         + endpoint
                                                         + "\",\"state\":\"in_service\",\"boot_ms\":0}]}"))),
                         (s, seed) -> module,
--- a/balancer/src/test/java/junctionhead/net/FramingTest.java
+++ b/balancer/src/test/java/junctionhead/net/FramingTest.java
@@ -162,7 +162,8 @@
     void chunkedBodiesThatComeByteByByteAreTaken() throws Exception {
         String request =
                 HEAD
-                        + "transfer-encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\n00002\r\nde\r\n0\r\nX: y\r\n\r\n";
+                        + "transfer-encoding: Chunked\r\n\r\n"
+                        + "3;x=y\r\nabc\r\n00002\r\nde\r\n0\r\nX: y\r\n\r\n";
         try (Client client = new Client(at)) {
             for (int i = 0; i < 2; i++) {
                 for (char c : request.toCharArray()) {
--- a/balancer/src/test/java/junctionhead/net/LeavingTest.java
+++ b/balancer/src/test/java/junctionhead/net/LeavingTest.java
@@ -245,7 +245,8 @@
                     new Client(at)
                             .send(
                                     "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: gone\r\n"
-                                            + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\nContent-Length: 200000\r\n\r\n");
+                                            + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n"
+                                            + "Content-Length: 200000\r\n\r\n");
             gone.socket.getOutputStream().write(new byte[180_000]);
             assertEquals("uploading", module.next());
             gone.close();
--- a/balancer/src/test/java/junctionhead/net/NodeTest.java
+++ b/balancer/src/test/java/junctionhead/net/NodeTest.java
@@ -785,8 +785,10 @@
             delimiter = '|',
             value = {
                 "{} | ROUTER_LISTEN is not set, and the configuration has no listen",
-                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"localhost:1\"} | discovery: not an address: 'localhost'",
-                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\"} | the configuration has no settings",
+                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"localhost:1\"} "
+                        + "| discovery: not an address: 'localhost'",
+                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\"} "
+                        + "| the configuration has no settings",
                 "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"Quantum\":1}} "
                         + "| settings: ",
             })
--- a/lab/src/main/java/junctionhead/lab/capacity/Kind.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Kind.java
@@ -8,13 +8,19 @@
  */
 enum Kind {
     /** What modules tell one another; as CPU, the taking in of it. */
-    WORD,
-    MEMBERSHIP,
-    DUTIES,
+    WORD("word"),
+    MEMBERSHIP("membership"),
+    DUTIES("duties"),
     /** Lists of servers and changes of them. */
-    LIST,
+    LIST("list"),
     /** The module's own wakes, in which its word is written, and its requests. */
-    MODULE;
+    MODULE("module");
+
+    private final String key;
+
+    Kind(String key) {
+        this.key = key;
+    }
 
     /** The kind of a datagram. */
     static Kind of(byte[] datagram) {
@@ -23,6 +29,6 @@
 
     /** As figures are named. */
     String key() {
-        return name().toLowerCase(java.util.Locale.ROOT);
+        return key;
     }
 }
--- a/lab/src/main/java/junctionhead/lab/capacity/Plan.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Plan.java
@@ -5,7 +5,6 @@
 import java.util.Arrays;
 import java.util.EnumSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
 import java.util.function.Function;
 
@@ -46,12 +45,7 @@
                         number("--zones", o.zones, 1, 256),
                         number("--classes", o.classes, 1, 256),
                         decimal("--rate", o.rate, 0, 100_000),
-                        EnumSet.copyOf(
-                                words(
-                                        "--parts",
-                                        o.parts,
-                                        Part.class,
-                                        p -> p.name().toLowerCase(Locale.ROOT))),
+                        EnumSet.copyOf(words("--parts", o.parts, Part.class, Part::key)),
                         number("--threads", o.threads, 0, 64),
                         number("--real", o.real, 0, 10));
         if (plan.parts.contains(Part.DUTIES) && !plan.parts.contains(Part.MEMBERSHIP)) {
--- a/lab/src/main/java/junctionhead/lab/capacity/Told.java
+++ b/lab/src/main/java/junctionhead/lab/capacity/Told.java
@@ -87,9 +87,7 @@
                                                 "Name",
                                                 "c",
                                                 "Idempotency",
-                                                c.effect()
-                                                        .name()
-                                                        .toLowerCase(java.util.Locale.ROOT),
+                                                settingsWord(c.effect()),
                                                 "GoalTime",
                                                 c.aim(),
                                                 "GiveUp",
@@ -152,4 +150,12 @@
                         s.bounds().fallWindow()));
         return all;
     }
+
+    private static String settingsWord(Policy.Effect effect) {
+        return switch (effect) {
+            case SAFE -> "safe";
+            case KEYED -> "keyed";
+            case UNSAFE -> "unsafe";
+        };
+    }
 }
--- a/lab/src/main/java/junctionhead/lab/scenario/Scenario.java
+++ b/lab/src/main/java/junctionhead/lab/scenario/Scenario.java
@@ -10,16 +10,16 @@
  * here. Times are seconds or milliseconds, as each name's end says.
  */
 public record Scenario(
-        String name,
-        Double lengthS,
-        Fleet fleet,
-        Upstreams upstreams,
-        Load load,
+        @JsonProperty("name") String name,
+        @JsonProperty("length_s") Double lengthS,
+        @JsonProperty("fleet") Fleet fleet,
+        @JsonProperty("upstreams") Upstreams upstreams,
+        @JsonProperty("load") Load load,
         @JsonProperty("class") List<RequestClass> classes,
         @JsonProperty("tenant") List<Tenant> tenants,
-        Network network,
+        @JsonProperty("network") Network network,
         @JsonProperty("fault") List<Fault> faults,
-        Expect expect) {
+        @JsonProperty("expect") Expect expect) {
     public Scenario {
         name = name == null ? "unnamed" : name;
         lengthS = or(lengthS, 30.0);
@@ -43,14 +43,14 @@
      * program.
      */
     public record Fleet(
-            Integer balancers,
-            List<String> zones,
-            Integer memoryMb,
-            Integer sockets,
-            String start,
-            Integer stepMs,
-            Boolean stateDir,
-            Map<String, String> environment) {
+            @JsonProperty("balancers") Integer balancers,
+            @JsonProperty("zones") List<String> zones,
+            @JsonProperty("memory_mb") Integer memoryMb,
+            @JsonProperty("sockets") Integer sockets,
+            @JsonProperty("start") String start,
+            @JsonProperty("step_ms") Integer stepMs,
+            @JsonProperty("state_dir") Boolean stateDir,
+            @JsonProperty("environment") Map<String, String> environment) {
         public Fleet {
             balancers = or(balancers, 2);
             zones = zones == null ? List.of("a") : List.copyOf(zones);
@@ -70,16 +70,16 @@
      * handshakeMs}: what a new connection costs it.
      */
     public record Upstreams(
-            Integer count,
-            Integer cores,
-            Integer waiting,
-            Integer connections,
-            Double coldFrom,
-            Double rampS,
-            Double overloadFactor,
-            Double fallS,
-            Double handshakeMs,
-            List<Kind> kinds) {
+            @JsonProperty("count") Integer count,
+            @JsonProperty("cores") Integer cores,
+            @JsonProperty("waiting") Integer waiting,
+            @JsonProperty("connections") Integer connections,
+            @JsonProperty("cold_from") Double coldFrom,
+            @JsonProperty("ramp_s") Double rampS,
+            @JsonProperty("overload_factor") Double overloadFactor,
+            @JsonProperty("fall_s") Double fallS,
+            @JsonProperty("handshake_ms") Double handshakeMs,
+            @JsonProperty("kinds") List<Kind> kinds) {
         public Upstreams {
             count = or(count, 4);
             cores = or(cores, 2);
@@ -95,7 +95,10 @@
     }
 
     /** A kind of machine: its part of the servers, and its speed beside 1. */
-    public record Kind(String name, Double share, Double speed) {
+    public record Kind(
+            @JsonProperty("name") String name,
+            @JsonProperty("share") Double share,
+            @JsonProperty("speed") Double speed) {
         public Kind {
             name = or(name, "plain");
             share = or(share, 1.0);
@@ -111,13 +114,13 @@
      * tenth.
      */
     public record Load(
-            Double rate,
-            List<Double> zoneShares,
-            Integer retries,
-            Double retryWaitMs,
-            Double hasty,
-            Double frontNoticeMs,
-            Double riseS) {
+            @JsonProperty("rate") Double rate,
+            @JsonProperty("zone_shares") List<Double> zoneShares,
+            @JsonProperty("retries") Integer retries,
+            @JsonProperty("retry_wait_ms") Double retryWaitMs,
+            @JsonProperty("hasty") Double hasty,
+            @JsonProperty("front_notice_ms") Double frontNoticeMs,
+            @JsonProperty("rise_s") Double riseS) {
         public Load {
             rate = or(rate, 100.0);
             riseS = or(riseS, 0.0);
@@ -134,16 +137,16 @@
      * {@code scope}.
      */
     public record RequestClass(
-            String name,
-            Double share,
-            String effect,
-            String scope,
-            Double keyMemoryMs,
-            Double aimMs,
-            Double deadlineMs,
-            Double worth,
-            Double lateShare,
-            List<Double> workMs) {
+            @JsonProperty("name") String name,
+            @JsonProperty("share") Double share,
+            @JsonProperty("effect") String effect,
+            @JsonProperty("scope") String scope,
+            @JsonProperty("key_memory_ms") Double keyMemoryMs,
+            @JsonProperty("aim_ms") Double aimMs,
+            @JsonProperty("deadline_ms") Double deadlineMs,
+            @JsonProperty("worth") Double worth,
+            @JsonProperty("late_share") Double lateShare,
+            @JsonProperty("work_ms") List<Double> workMs) {
         public RequestClass {
             name = or(name, "plain");
             share = or(share, 1.0);
@@ -159,7 +162,10 @@
     }
 
     /** A tenant: its part of the requests, and how many a second are within its share. */
-    public record Tenant(String name, Double share, Double allowance) {
+    public record Tenant(
+            @JsonProperty("name") String name,
+            @JsonProperty("share") Double share,
+            @JsonProperty("allowance") Double allowance) {
         public Tenant {
             name = or(name, "plain");
             share = or(share, 1.0);
@@ -172,10 +178,10 @@
      * of 1.
      */
     public record Network(
-            List<Double> zoneDelayMs,
-            List<Double> peerDelayMs,
-            Double peerLoss,
-            List<Double> newsDelayMs) {
+            @JsonProperty("zone_delay_ms") List<Double> zoneDelayMs,
+            @JsonProperty("peer_delay_ms") List<Double> peerDelayMs,
+            @JsonProperty("peer_loss") Double peerLoss,
+            @JsonProperty("news_delay_ms") List<Double> newsDelayMs) {
         public Network {
             zoneDelayMs = zoneDelayMs == null ? List.of(0.0, 0.0) : List.copyOf(zoneDelayMs);
             peerDelayMs = peerDelayMs == null ? List.of(1.2, 10.0) : List.copyOf(peerDelayMs);
@@ -190,17 +196,17 @@
      * Selector} reads them.
      */
     public record Fault(
-            String kind,
-            Double atS,
-            Double untilS,
-            String on,
-            String to,
-            Boolean oneWay,
-            Double amount,
-            Double delayMs,
-            Double spreadMs,
-            String state,
-            Integer at,
+            @JsonProperty("kind") String kind,
+            @JsonProperty("at_s") Double atS,
+            @JsonProperty("until_s") Double untilS,
+            @JsonProperty("on") String on,
+            @JsonProperty("to") String to,
+            @JsonProperty("one_way") Boolean oneWay,
+            @JsonProperty("amount") Double amount,
+            @JsonProperty("delay_ms") Double delayMs,
+            @JsonProperty("spread_ms") Double spreadMs,
+            @JsonProperty("state") String state,
+            @JsonProperty("at") Integer at,
             @JsonProperty("class") String requestClass) {
         public Fault {
             oneWay = or(oneWay, false);
@@ -219,11 +225,11 @@
      * with no longer rest than that.
      */
     public record Expect(
-            Double backWithinS,
-            Double membersNoticeWithinS,
-            Double dutiesRestS,
-            Double zoneLeftWithinS,
-            List<One> neverTwo) {
+            @JsonProperty("back_within_s") Double backWithinS,
+            @JsonProperty("members_notice_within_s") Double membersNoticeWithinS,
+            @JsonProperty("duties_rest_s") Double dutiesRestS,
+            @JsonProperty("zone_left_within_s") Double zoneLeftWithinS,
+            @JsonProperty("never_two") List<One> neverTwo) {
         public Expect {
             neverTwo = neverTwo == null ? List.of() : List.copyOf(neverTwo);
         }
@@ -234,7 +240,10 @@
      * one says that it has it ({@code takes}, the first group says which of them) and has it no
      * longer ({@code leaves}).
      */
-    public record One(String what, String takes, String leaves) {}
+    public record One(
+            @JsonProperty("what") String what,
+            @JsonProperty("takes") String takes,
+            @JsonProperty("leaves") String leaves) {}
 
     private static <T> T or(T value, T otherwise) {
         return value == null ? otherwise : value;
