--- /dev/null
+++ b/balancer/src/test/java/junctionhead/aggregation/GoldenBlockSumsTest.java
@@ -0,0 +1,154 @@
+package junctionhead.aggregation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import junctionhead.GoldenFiles;
+import org.junit.jupiter.api.Test;
+
+/** Datagrams of fleet-wide sums, byte for byte: one record and as many as fit, with extreme values. */
+class GoldenBlockSumsTest {
+    private static final String LONE = "sums/lone-block.hex";
+    private static final String FORWARD = "sums/most-records-forward.hex";
+    private static final String BACKWARD = "sums/most-records-backward.hex";
+
+    private static final Blocks MOST_BLOCKS = new Blocks(Blocks.BALANCERS_MOST);
+    private static final int BLOCK_COUNT = 114;
+    private static final int RECORDS = 50;
+    private static final int UNKNOWN_BLOCK = 7;
+    private static final long STEP_MICROS = 142_857;
+    private static final long FIRST_STEP_AT = 7_000 * STEP_MICROS;
+    private static final long LAST_STEP_AT = FIRST_STEP_AT + 6 * STEP_MICROS;
+    private static final long AGE_UNIT_MICROS = 50_000;
+
+    private record Datagram(int to, byte[] data) { }
+
+    /** Requests a second of a block: the extremes of the shortened form, then values all over its range. */
+    private static long rate(int block) {
+        long[] extremes = {Integer.MAX_VALUE, 0, 1, 4_095, 4_096, 4_097, 134_184_960, 134_184_959};
+        return block < extremes.length ? extremes[block] : 37L * block * block;
+    }
+
+    /** The rate of a block after it was shortened: literal where it loses digits. */
+    private static double receivedRate(int block) {
+        return switch (block) {
+            case 0 -> 134_184_960;
+            case 5 -> 4_096;
+            default -> rate(block) < 4_096 ? rate(block) : roundedDown(rate(block));
+        };
+    }
+
+    private static long roundedDown(long rate) {
+        int lostBits = 64 - Long.numberOfLeadingZeros(rate) - 12;
+        return rate >> lostBits << lostBits;
+    }
+
+    private static int present(int block) {
+        return 1 + block % 16;
+    }
+
+    private static long ageAtFirstStep(int block) {
+        return block == 1 ? 0 : Math.min(81, block) * AGE_UNIT_MICROS;
+    }
+
+    /** Age of a record in the golden datagrams, whole units rounded up, µs. */
+    private static long receivedAge(int block) {
+        if (block == 0) {
+            return 0;
+        }
+        long micros = ageAtFirstStep(block) + LAST_STEP_AT - FIRST_STEP_AT;
+        return (micros + AGE_UNIT_MICROS - 1) / AGE_UNIT_MICROS * AGE_UNIT_MICROS;
+    }
+
+    /** The datagram by which a block's first balancer tells of its own block. */
+    private static byte[] ownRecord(int block) {
+        BlockSums sums = new BlockSums(MOST_BLOCKS.first(block), MOST_BLOCKS);
+        sums.own(FIRST_STEP_AT - ageAtFirstStep(block), present(block), rate(block));
+        return sent(sums, FIRST_STEP_AT).get(0).data();
+    }
+
+    private static List<Datagram> sent(BlockSums sums, long now) {
+        List<Datagram> sent = new ArrayList<>();
+        sums.tick(now, balancer -> true, (to, data) -> sent.add(new Datagram(to, data)));
+        return sent;
+    }
+
+    /** What balancer 0 of the largest fleet sends in the last step, knowing all blocks but one. */
+    private static List<Datagram> lastStep() {
+        BlockSums sums = new BlockSums(0, MOST_BLOCKS);
+        sums.own(FIRST_STEP_AT, present(0), rate(0));
+        for (int block = 1; block < BLOCK_COUNT; block++) {
+            if (block != UNKNOWN_BLOCK) {
+                assertTrue(sums.heard(FIRST_STEP_AT, MOST_BLOCKS.first(block), ownRecord(block)));
+            }
+        }
+        sums.own(LAST_STEP_AT, present(0), rate(0));
+        return sent(sums, LAST_STEP_AT);
+    }
+
+    static byte[] forward() {
+        return lastStep().get(0).data();
+    }
+
+    static byte[] backward() {
+        List<Datagram> sent = lastStep();
+        return sent.get(sent.size() - 1).data();
+    }
+
+    /** The only block left of three, whose own figures are older than the format can say. */
+    static byte[] lone() {
+        BlockSums sums = new BlockSums(0, new Blocks(34));
+        sums.own(0, 11, 0);
+        return sent(sums, 20_000_000).get(0).data();
+    }
+
+    private static void assertBlocks(String file, int first, int direction) {
+        byte[] data = GoldenFiles.bytes(file);
+        assertEquals(4 + 5 * RECORDS, data.length);
+        BlockSums receiver = new BlockSums(MOST_BLOCKS.first(57), MOST_BLOCKS);
+        assertTrue(receiver.heard(LAST_STEP_AT, 0, data));
+        for (int i = 0; i < RECORDS; i++) {
+            int block = Math.floorMod(first + direction * i, BLOCK_COUNT);
+            BlockSums.Total expected = block == UNKNOWN_BLOCK ? null
+                : new BlockSums.Total(receivedRate(block), present(block), receivedAge(block));
+            assertEquals(expected, receiver.known(LAST_STEP_AT, block), "block " + block);
+        }
+        assertNull(receiver.known(LAST_STEP_AT, Math.floorMod(first + direction * RECORDS, BLOCK_COUNT)));
+    }
+
+    @Test
+    void forwardBytesGiveValues() {
+        assertBlocks(FORWARD, 0, -1);
+    }
+
+    @Test
+    void backwardBytesGiveValues() {
+        assertBlocks(BACKWARD, 0, 1);
+    }
+
+    @Test
+    void valuesGiveForwardBytes() {
+        assertEquals(GoldenFiles.text(FORWARD), GoldenFiles.hexLines(forward()));
+    }
+
+    @Test
+    void valuesGiveBackwardBytes() {
+        assertEquals(GoldenFiles.text(BACKWARD), GoldenFiles.hexLines(backward()));
+    }
+
+    /** The greatest age of the format is past the time after which a record counts. */
+    @Test
+    void loneBytesAreTakenButDoNotCount() {
+        BlockSums receiver = new BlockSums(33, new Blocks(34));
+        assertTrue(receiver.heard(20_000_000, 0, GoldenFiles.bytes(LONE)));
+        assertNull(receiver.known(20_000_000, 0));
+    }
+
+    @Test
+    void valuesGiveLoneBytes() {
+        assertEquals(GoldenFiles.text(LONE), GoldenFiles.hexLines(lone()));
+    }
+}
