--- /dev/null
+++ b/balancer/src/test/java/junctionhead/state/GoldenSnapshotTest.java
@@ -0,0 +1,81 @@
+package junctionhead.state;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import junctionhead.GoldenFiles;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** The file format of snapshots, byte for byte: header, checksum and content. */
+class GoldenSnapshotTest {
+    private static final String STORED = "snapshot/first-stored.hex";
+    private static final String OWNER = "site-1/balancer-1";
+    private static final long STORED_AT_MS = 1_764_680_000_123L;
+
+    /** The snapshots by the names of their golden files. */
+    static Map<String, Snapshot> snapshots() {
+        Map<String, Snapshot> snapshots = new LinkedHashMap<>();
+        snapshots.put("least.hex", new Snapshot(0, 0, 0, "", new byte[0]));
+        snapshots.put("greatest.hex", new Snapshot(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE,
+            "m\u00e1sodik/n\u0151-2", new byte[] {0, 1, 127, -128, -1}));
+        snapshots.put("negative.hex", new Snapshot(-1, Long.MIN_VALUE, -2, OWNER, new byte[] {0}));
+        return snapshots;
+    }
+
+    static byte[] storedContent() {
+        return new byte[] {'{', '}', '\n', -1};
+    }
+
+    static List<String> names() {
+        return List.copyOf(snapshots().keySet());
+    }
+
+    private static void assertSnapshot(Snapshot expected, byte[] bytes) {
+        Snapshot.Reading reading = Snapshot.read(bytes, expected.owner());
+        assertEquals(Snapshot.Flaw.NONE, reading.flaw());
+        assertEquals(expected.sequence(), reading.snapshot().sequence());
+        assertEquals(expected.at(), reading.snapshot().at());
+        assertEquals(expected.incarnation(), reading.snapshot().incarnation());
+        assertEquals(expected.owner(), reading.snapshot().owner());
+        assertArrayEquals(expected.content(), reading.snapshot().content());
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void bytesGiveValues(String name) {
+        assertSnapshot(snapshots().get(name), GoldenFiles.bytes("snapshot/" + name));
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void valuesGiveBytes(String name) {
+        assertEquals(GoldenFiles.text("snapshot/" + name),
+            GoldenFiles.hexLines(snapshots().get(name).encode()));
+    }
+
+    @Test
+    void directoryGivesStoredValues(@TempDir Path directory) throws IOException {
+        Files.write(directory.resolve("promises-1"), GoldenFiles.bytes(STORED));
+        Snapshots.Recovered recovered = new Snapshots(new FolderDisk(directory), OWNER, "promises").recover();
+        assertEquals(List.of(), recovered.dropped());
+        Snapshot expected = new Snapshot(1, STORED_AT_MS, 7, OWNER, storedContent());
+        assertSnapshot(expected, recovered.newest().encode());
+    }
+
+    @Test
+    void valuesGiveStoredFile(@TempDir Path directory) throws IOException {
+        new Snapshots(new FolderDisk(directory), OWNER, "promises").keep(STORED_AT_MS, 7, storedContent());
+        assertEquals(List.of("promises-1"), new FolderDisk(directory).list());
+        assertEquals(GoldenFiles.text(STORED),
+            GoldenFiles.hexLines(Files.readAllBytes(directory.resolve("promises-1"))));
+    }
+}
