--- a/balancer/src/test/java/junctionhead/GoldenSimulatorSessionTest.java
+++ b/balancer/src/test/java/junctionhead/GoldenSimulatorSessionTest.java
@@ -52,7 +52,7 @@
         assertEquals(Set.of("ACK_FIRST", "AT", "DUE", "ENLIST", "EXIT", "GO", "INBOUND", "ITEM", "LIST",
             "MAIL", "RESPONSE", "SYNC", "TICK", "WITHDRAWN"),
             messageNames(GoldenFiles.text("simulator-wire/session-in.tsv")));
-        assertEquals(Set.of("BROADCAST_TO", "DELIVER", "DONE", "ERROR", "ON_BEHALF", "REFUSE", REMARK, "SLEEP",
-            "UNDO_SEND", "WATCH"), messageNames(GoldenFiles.text("simulator-wire/session-out.tsv")));
+        assertEquals(Set.of("BROADCAST_TO", "DELIVER", "DONE", "ERROR", "ON_BEHALF", "REFUSE", REMARK,
+            "SLEEP", "UNDO_SEND", "WATCH"), messageNames(GoldenFiles.text("simulator-wire/session-out.tsv")));
     }
 }
--- a/balancer/src/test/java/junctionhead/duties/GoldenVoterPromisesTest.java
+++ b/balancer/src/test/java/junctionhead/duties/GoldenVoterPromisesTest.java
@@ -6,7 +6,7 @@
 import junctionhead.GoldenFiles;
 import org.junit.jupiter.api.Test;
 
-/** The promises that a voter keeps on disk, byte for byte, with the least and greatest value of each field. */
+/** The promises that a voter keeps on disk, byte for byte, with the extremes of each field. */
 class GoldenVoterPromisesTest {
     private static final String FILE = "lease/voter-promises.hex";
     private static final int GREATEST_MEMBER = (1 << 14) - 1;
