--- a/balancer/src/test/java/junctionhead/GoldenFiles.java
+++ b/balancer/src/test/java/junctionhead/GoldenFiles.java
@@ -10,16 +10,19 @@
 import java.util.stream.IntStream;
 
 /**
- * Golden files of the test resources: what the program wrote when they were recorded. They fix the bytes of
- * every format that other processes, earlier releases or operators read; tests only read them.
+ * Golden files of the test resources: what the program wrote when they were recorded. They fix the
+ * bytes of every format that other processes, earlier releases or operators read; tests only read
+ * them.
  */
 public final class GoldenFiles {
     private static final String FOLDER = "/golden/";
     private static final int BYTES_PER_LINE = 16;
 
-    private GoldenFiles() { }
+    private GoldenFiles() {}
 
-    /** The text of a golden file, named relative to the folder {@code golden} of the test resources. */
+    /**
+     * The text of a golden file, named relative to the folder {@code golden} of the test resources.
+     */
     public static String text(String name) {
         try (InputStream in = GoldenFiles.class.getResourceAsStream(FOLDER + name)) {
             if (in == null) {
@@ -39,7 +42,11 @@
     /** Bytes in the form of the binary golden files, so that a difference is reported as text. */
     public static String hexLines(byte[] bytes) {
         return IntStream.iterate(0, from -> from < bytes.length, from -> from + BYTES_PER_LINE)
-            .mapToObj(from -> Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + BYTES_PER_LINE)))
-            .map(line -> HexFormat.of().formatHex(line) + "\n").collect(Collectors.joining());
+                .mapToObj(
+                        from ->
+                                Arrays.copyOfRange(
+                                        bytes, from, Math.min(bytes.length, from + BYTES_PER_LINE)))
+                .map(line -> HexFormat.of().formatHex(line) + "\n")
+                .collect(Collectors.joining());
     }
 }
--- a/balancer/src/test/java/junctionhead/GoldenSimulatorSessionTest.java
+++ b/balancer/src/test/java/junctionhead/GoldenSimulatorSessionTest.java
@@ -13,46 +13,79 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A session on the simulator's wire with the real routing policy, byte for byte: two balancers, a restart,
- * failing and overloaded endpoints, list changes and gossip. The wording of log lines is no part of the wire
- * and has a golden file of its own; the session's output has only the places of these lines.
+ * A session on the simulator's wire with the real routing policy, byte for byte: two balancers, a
+ * restart, failing and overloaded endpoints, list changes and gossip. The wording of log lines is
+ * no part of the wire and has a golden file of its own; the session's output has only the places of
+ * these lines.
  */
 class GoldenSimulatorSessionTest {
     private static final String REMARK = "REMARK";
 
     private static String output() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        BufferedReader in = new BufferedReader(
-            new StringReader(GoldenFiles.text("simulator-wire/session-in.tsv")));
+        BufferedReader in =
+                new BufferedReader(
+                        new StringReader(GoldenFiles.text("simulator-wire/session-in.tsv")));
         new Adapter(Balance::new, in, out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
     private static Set<String> messageNames(String frames) {
-        return frames.lines().map(line -> line.split("\t")[0]).collect(Collectors.toCollection(TreeSet::new));
+        return frames.lines()
+                .map(line -> line.split("\t")[0])
+                .collect(Collectors.toCollection(TreeSet::new));
     }
 
     @Test
     void framesInGiveFramesOut() throws IOException {
-        String withoutWording = output().lines()
-            .map(line -> line.startsWith(REMARK + "\t") ? REMARK : line)
-            .collect(Collectors.joining("\n", "", "\n"));
+        String withoutWording =
+                output().lines()
+                        .map(line -> line.startsWith(REMARK + "\t") ? REMARK : line)
+                        .collect(Collectors.joining("\n", "", "\n"));
         assertEquals(GoldenFiles.text("simulator-wire/session-out.tsv"), withoutWording);
     }
 
     @Test
     void framesInGiveLogLines() throws IOException {
-        String wording = output().lines().filter(line -> line.startsWith(REMARK + "\t"))
-            .map(line -> line.substring(REMARK.length() + 1)).collect(Collectors.joining("\n", "", "\n"));
+        String wording =
+                output().lines()
+                        .filter(line -> line.startsWith(REMARK + "\t"))
+                        .map(line -> line.substring(REMARK.length() + 1))
+                        .collect(Collectors.joining("\n", "", "\n"));
         assertEquals(GoldenFiles.text("simulator-wire/session-remarks.txt"), wording);
     }
 
     @Test
     void sessionHasTheMessagesThatTheRoutingPolicyMeets() {
-        assertEquals(Set.of("ACK_FIRST", "AT", "DUE", "ENLIST", "EXIT", "GO", "INBOUND", "ITEM", "LIST",
-            "MAIL", "RESPONSE", "SYNC", "TICK", "WITHDRAWN"),
-            messageNames(GoldenFiles.text("simulator-wire/session-in.tsv")));
-        assertEquals(Set.of("BROADCAST_TO", "DELIVER", "DONE", "ERROR", "ON_BEHALF", "REFUSE", REMARK,
-            "SLEEP", "UNDO_SEND", "WATCH"), messageNames(GoldenFiles.text("simulator-wire/session-out.tsv")));
+        assertEquals(
+                Set.of(
+                        "ACK_FIRST",
+                        "AT",
+                        "DUE",
+                        "ENLIST",
+                        "EXIT",
+                        "GO",
+                        "INBOUND",
+                        "ITEM",
+                        "LIST",
+                        "MAIL",
+                        "RESPONSE",
+                        "SYNC",
+                        "TICK",
+                        "WITHDRAWN"),
+                messageNames(GoldenFiles.text("simulator-wire/session-in.tsv")));
+        assertEquals(
+                Set.of(
+                        "BROADCAST_TO",
+                        "DELIVER",
+                        "DONE",
+                        "ERROR",
+                        "ON_BEHALF",
+                        "REFUSE",
+                        REMARK,
+                        "SLEEP",
+                        "UNDO_SEND",
+                        "WATCH"),
+                messageNames(GoldenFiles.text("simulator-wire/session-out.tsv")));
     }
 }
--- a/balancer/src/test/java/junctionhead/aggregation/GoldenBlockSumsTest.java
+++ b/balancer/src/test/java/junctionhead/aggregation/GoldenBlockSumsTest.java
@@ -9,7 +9,9 @@
 import junctionhead.GoldenFiles;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams of fleet-wide sums, byte for byte: one record and as many as fit, with extreme values. */
+/**
+ * Datagrams of fleet-wide sums, byte for byte: one record and as many as fit, with extreme values.
+ */
 class GoldenBlockSumsTest {
     private static final String LONE = "sums/lone-block.hex";
     private static final String FORWARD = "sums/most-records-forward.hex";
@@ -24,9 +26,12 @@
     private static final long LAST_STEP_AT = FIRST_STEP_AT + 6 * STEP_MICROS;
     private static final long AGE_UNIT_MICROS = 50_000;
 
-    private record Datagram(int to, byte[] data) { }
+    private record Datagram(int to, byte[] data) {}
 
-    /** Requests a second of a block: the extremes of the shortened form, then values all over its range. */
+    /**
+     * Requests a second of a block: the extremes of the shortened form, then values all over its
+     * range.
+     */
     private static long rate(int block) {
         long[] extremes = {Integer.MAX_VALUE, 0, 1, 4_095, 4_096, 4_097, 134_184_960, 134_184_959};
         return block < extremes.length ? extremes[block] : 37L * block * block;
@@ -112,11 +117,16 @@
         assertTrue(receiver.heard(LAST_STEP_AT, 0, data));
         for (int i = 0; i < RECORDS; i++) {
             int block = Math.floorMod(first + direction * i, BLOCK_COUNT);
-            BlockSums.Total expected = block == UNKNOWN_BLOCK ? null
-                : new BlockSums.Total(receivedRate(block), present(block), receivedAge(block));
+            BlockSums.Total expected =
+                    block == UNKNOWN_BLOCK
+                            ? null
+                            : new BlockSums.Total(
+                                    receivedRate(block), present(block), receivedAge(block));
             assertEquals(expected, receiver.known(LAST_STEP_AT, block), "block " + block);
         }
-        assertNull(receiver.known(LAST_STEP_AT, Math.floorMod(first + direction * RECORDS, BLOCK_COUNT)));
+        assertNull(
+                receiver.known(
+                        LAST_STEP_AT, Math.floorMod(first + direction * RECORDS, BLOCK_COUNT)));
     }
 
     @Test
--- a/balancer/src/test/java/junctionhead/duties/GoldenLeaseMessageTest.java
+++ b/balancer/src/test/java/junctionhead/duties/GoldenLeaseMessageTest.java
@@ -19,17 +19,38 @@
     static Map<String, Word> messages() {
         Map<String, Word> messages = new LinkedHashMap<>();
         messages.put("pre-vote-least.hex", new Word(Word.Kind.SOUND, 0, 0, List.of()));
-        messages.put("pre-vote-granted-greatest.hex", new Word(Word.Kind.WOULD, GREATEST_PROCESS,
-            Integer.MAX_VALUE, List.of(new Word.Entry(255, GREATEST_EPOCH))));
+        messages.put(
+                "pre-vote-granted-greatest.hex",
+                new Word(
+                        Word.Kind.WOULD,
+                        GREATEST_PROCESS,
+                        Integer.MAX_VALUE,
+                        List.of(new Word.Entry(255, GREATEST_EPOCH))));
         messages.put("request-most-entries.hex", new Word(Word.Kind.ASK, 258, -1, mostEntries()));
-        messages.put("granted.hex", new Word(Word.Kind.GRANTED, 1, Integer.MIN_VALUE,
-            List.of(new Word.Entry(0, 0), new Word.Entry(31, 1))));
-        messages.put("denied.hex", new Word(Word.Kind.REFUSED, 2, 1,
-            List.of(new Word.Entry(127, 1L << 31), new Word.Entry(128, 1L << 32))));
-        messages.put("release.hex", new Word(Word.Kind.RELEASE, 255, 65_536,
-            List.of(new Word.Entry(1, (1L << 32) - 1))));
-        messages.put("transfer.hex", new Word(Word.Kind.PASS, 256, 16_909_060,
-            List.of(new Word.Entry(2, 1L << 47))));
+        messages.put(
+                "granted.hex",
+                new Word(
+                        Word.Kind.GRANTED,
+                        1,
+                        Integer.MIN_VALUE,
+                        List.of(new Word.Entry(0, 0), new Word.Entry(31, 1))));
+        messages.put(
+                "denied.hex",
+                new Word(
+                        Word.Kind.REFUSED,
+                        2,
+                        1,
+                        List.of(new Word.Entry(127, 1L << 31), new Word.Entry(128, 1L << 32))));
+        messages.put(
+                "release.hex",
+                new Word(
+                        Word.Kind.RELEASE,
+                        255,
+                        65_536,
+                        List.of(new Word.Entry(1, (1L << 32) - 1))));
+        messages.put(
+                "transfer.hex",
+                new Word(Word.Kind.PASS, 256, 16_909_060, List.of(new Word.Entry(2, 1L << 47))));
         return messages;
     }
 
@@ -54,6 +75,8 @@
     @ParameterizedTest
     @MethodSource("names")
     void valuesGiveBytes(String name) {
-        assertEquals(GoldenFiles.text("lease/" + name), GoldenFiles.hexLines(messages().get(name).encode()));
+        assertEquals(
+                GoldenFiles.text("lease/" + name),
+                GoldenFiles.hexLines(messages().get(name).encode()));
     }
 }
--- a/balancer/src/test/java/junctionhead/duties/GoldenVoterPromisesTest.java
+++ b/balancer/src/test/java/junctionhead/duties/GoldenVoterPromisesTest.java
@@ -14,8 +14,12 @@
     private static final int GREATEST_CLAIMANT = 0x7fff3fff;
 
     static List<Promise> promises() {
-        return List.of(new Promise(0, -1), new Promise(0, 0), new Promise(1, 65_537),
-            new Promise((1L << 48) - 1, GREATEST_CLAIMANT), new Promise(1L << 32, 16_909_060));
+        return List.of(
+                new Promise(0, -1),
+                new Promise(0, 0),
+                new Promise(1, 65_537),
+                new Promise((1L << 48) - 1, GREATEST_CLAIMANT),
+                new Promise(1L << 32, 16_909_060));
     }
 
     @Test
--- a/balancer/src/test/java/junctionhead/membership/GoldenMembershipMessageTest.java
+++ b/balancer/src/test/java/junctionhead/membership/GoldenMembershipMessageTest.java
@@ -10,7 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Membership datagrams, byte for byte: each kind, with the least and greatest value of each field. */
+/**
+ * Membership datagrams, byte for byte: each kind, with the least and greatest value of each field.
+ */
 class GoldenMembershipMessageTest {
     private static final int GREATEST_MEMBER = (1 << 14) - 1;
     private static final long GREATEST_INCARNATION = (1L << 48) - 1;
@@ -20,15 +22,28 @@
     static Map<String, Message> messages() {
         Map<String, Message> messages = new LinkedHashMap<>();
         messages.put("ping-least.hex", new Message(Message.Kind.PING, 0, 0, 0, List.of()));
-        messages.put("ack-greatest.hex", new Message(Message.Kind.ACK, GREATEST_MEMBER, Integer.MAX_VALUE,
-            GREATEST_INCARNATION, List.of(new News(GREATEST_MEMBER, Status.LEFT, GREATEST_INCARNATION))));
-        messages.put("ask-each-status.hex", new Message(Message.Kind.ASK, 258, Integer.MIN_VALUE,
-            RECENT_INCARNATION, List.of(
-                new News(0, Status.ALIVE, 0),
-                new News(1, Status.SUSPECTED, 1),
-                new News(255, Status.DEAD, RECENT_INCARNATION),
-                new News(256, Status.LEFT, 1L << 32))));
-        messages.put("tell-most-news.hex", new Message(Message.Kind.TELL, 13, -1, 1L << 47, mostNews()));
+        messages.put(
+                "ack-greatest.hex",
+                new Message(
+                        Message.Kind.ACK,
+                        GREATEST_MEMBER,
+                        Integer.MAX_VALUE,
+                        GREATEST_INCARNATION,
+                        List.of(new News(GREATEST_MEMBER, Status.LEFT, GREATEST_INCARNATION))));
+        messages.put(
+                "ask-each-status.hex",
+                new Message(
+                        Message.Kind.ASK,
+                        258,
+                        Integer.MIN_VALUE,
+                        RECENT_INCARNATION,
+                        List.of(
+                                new News(0, Status.ALIVE, 0),
+                                new News(1, Status.SUSPECTED, 1),
+                                new News(255, Status.DEAD, RECENT_INCARNATION),
+                                new News(256, Status.LEFT, 1L << 32))));
+        messages.put(
+                "tell-most-news.hex", new Message(Message.Kind.TELL, 13, -1, 1L << 47, mostNews()));
         return messages;
     }
 
@@ -53,7 +68,8 @@
     @ParameterizedTest
     @MethodSource("names")
     void valuesGiveBytes(String name) {
-        assertEquals(GoldenFiles.text("membership/" + name),
-            GoldenFiles.hexLines(messages().get(name).encode()));
+        assertEquals(
+                GoldenFiles.text("membership/" + name),
+                GoldenFiles.hexLines(messages().get(name).encode()));
     }
 }
--- a/balancer/src/test/java/junctionhead/net/GoldenFleetRecordTest.java
+++ b/balancer/src/test/java/junctionhead/net/GoldenFleetRecordTest.java
@@ -20,23 +20,29 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The lines of the fleet's audit record, byte for byte but for the time of writing, which is the wall clock's
- * and stands as {@link #RECORDED_AT_MS} in the golden file.
+ * The lines of the fleet's audit record, byte for byte but for the time of writing, which is the
+ * wall clock's and stands as {@link #RECORDED_AT_MS} in the golden file.
  */
 class GoldenFleetRecordTest {
     private static final String FILE = "fleet-record/record.jsonl";
     private static final long RECORDED_AT_MS = 1_764_680_000_123L;
     private static final long GREATEST_EPOCH = (1L << 48) - 1;
-    private static final Pattern WRITTEN_AT = Pattern.compile("^\\{\"at_ms\":(\\d+),", Pattern.MULTILINE);
+    private static final Pattern WRITTEN_AT =
+            Pattern.compile("^\\{\"at_ms\":(\\d+),", Pattern.MULTILINE);
 
-    @TempDir
-    private Path directory;
+    @TempDir private Path directory;
     private final List<String> log = new ArrayList<>();
 
     private static View viewOfEachStatus() {
-        return new View(Long.MAX_VALUE, 3, List.of(new News(0, Status.ALIVE, 1),
-            new News(1, Status.SUSPECTED, 2), new News(2, Status.DEAD, 3), new News(3, Status.ALIVE, 4),
-            new News(4, Status.LEFT, 5)));
+        return new View(
+                Long.MAX_VALUE,
+                3,
+                List.of(
+                        new News(0, Status.ALIVE, 1),
+                        new News(1, Status.SUSPECTED, 2),
+                        new News(2, Status.DEAD, 3),
+                        new News(3, Status.ALIVE, 4),
+                        new News(4, Status.LEFT, 5)));
     }
 
     private static View viewWithoutQuorum() {
@@ -46,19 +52,24 @@
     /** The file that a lease holder writes in this directory. */
     static String written(Path directory, List<String> log) throws IOException {
         FleetRecord greatest = new FleetRecord(directory, 16_383, log::add);
-        greatest.offer(new Duties.Hold(GREATEST_EPOCH, Long.MAX_VALUE), viewOfEachStatus(), Runnable::run);
+        greatest.offer(
+                new Duties.Hold(GREATEST_EPOCH, Long.MAX_VALUE), viewOfEachStatus(), Runnable::run);
         FleetRecord least = new FleetRecord(directory, 0, log::add);
         least.offer(new Duties.Hold(0, Long.MAX_VALUE), viewWithoutQuorum(), Runnable::run);
-        return WRITTEN_AT.matcher(Files.readString(directory.resolve("record-1")))
-            .replaceAll("{\"at_ms\":" + RECORDED_AT_MS + ",");
+        return WRITTEN_AT
+                .matcher(Files.readString(directory.resolve("record-1")))
+                .replaceAll("{\"at_ms\":" + RECORDED_AT_MS + ",");
     }
 
     @Test
     void valuesGiveBytes() throws IOException {
         assertEquals(GoldenFiles.text(FILE), written(directory, log));
-        assertTrue(log.get(0).matches("duties: acts for fleet-record, epoch 281474976710655, at \\d+"),
-            log.toString());
-        assertTrue(log.get(1).matches("duties: acts for fleet-record, epoch 0, at \\d+"), log.toString());
+        assertTrue(
+                log.get(0).matches("duties: acts for fleet-record, epoch 281474976710655, at \\d+"),
+                log.toString());
+        assertTrue(
+                log.get(1).matches("duties: acts for fleet-record, epoch 0, at \\d+"),
+                log.toString());
         assertEquals(2, log.size());
     }
 
@@ -66,7 +77,7 @@
     void timeOfWritingIsThatOfTheWallClock() throws IOException {
         long before = System.currentTimeMillis();
         new FleetRecord(directory, 0, log::add)
-            .offer(new Duties.Hold(0, Long.MAX_VALUE), viewWithoutQuorum(), Runnable::run);
+                .offer(new Duties.Hold(0, Long.MAX_VALUE), viewWithoutQuorum(), Runnable::run);
         Object at = JSON.std.mapFrom(Files.readString(directory.resolve("record-1"))).get("at_ms");
         assertTrue(before <= (Long) at && (Long) at <= System.currentTimeMillis(), "at_ms " + at);
     }
@@ -75,10 +86,35 @@
     void bytesGiveValues() throws IOException {
         String[] lines = GoldenFiles.text(FILE).split("\n");
         assertEquals(2, lines.length);
-        assertEquals(Map.of("at_ms", RECORDED_AT_MS, "epoch", GREATEST_EPOCH, "balancer", 16_383,
-            "view", Long.MAX_VALUE, "with_most", true, "present", List.of(0, 1, 3)),
-            JSON.std.mapFrom(lines[0]));
-        assertEquals(Map.of("at_ms", RECORDED_AT_MS, "epoch", 0, "balancer", 0, "view", 0,
-            "with_most", false, "present", List.of()), JSON.std.mapFrom(lines[1]));
+        assertEquals(
+                Map.of(
+                        "at_ms",
+                        RECORDED_AT_MS,
+                        "epoch",
+                        GREATEST_EPOCH,
+                        "balancer",
+                        16_383,
+                        "view",
+                        Long.MAX_VALUE,
+                        "with_most",
+                        true,
+                        "present",
+                        List.of(0, 1, 3)),
+                JSON.std.mapFrom(lines[0]));
+        assertEquals(
+                Map.of(
+                        "at_ms",
+                        RECORDED_AT_MS,
+                        "epoch",
+                        0,
+                        "balancer",
+                        0,
+                        "view",
+                        0,
+                        "with_most",
+                        false,
+                        "present",
+                        List.of()),
+                JSON.std.mapFrom(lines[1]));
     }
 }
--- a/balancer/src/test/java/junctionhead/net/GoldenStatsdTest.java
+++ b/balancer/src/test/java/junctionhead/net/GoldenStatsdTest.java
@@ -12,12 +12,19 @@
     private static final String EXTREMES = "statsd/extremes.txt";
     private static final String COUNTED = "statsd/counted.txt";
 
-    private record Figure(String name, long value, String type) { }
+    private record Figure(String name, long value, String type) {}
 
     static Stats extremes() {
-        return new Stats(true, List.of(new Stats.Ends("browse", 0, 0, 0),
-            new Stats.Ends("order", Long.MAX_VALUE, Long.MAX_VALUE - 1, Long.MAX_VALUE - 2)),
-            Long.MAX_VALUE, Integer.MAX_VALUE, 0, Integer.MIN_VALUE);
+        return new Stats(
+                true,
+                List.of(
+                        new Stats.Ends("browse", 0, 0, 0),
+                        new Stats.Ends(
+                                "order", Long.MAX_VALUE, Long.MAX_VALUE - 1, Long.MAX_VALUE - 2)),
+                Long.MAX_VALUE,
+                Integer.MAX_VALUE,
+                0,
+                Integer.MIN_VALUE);
     }
 
     /** Each counter with another count, as the balancer's events raise them. */
@@ -56,14 +63,18 @@
 
     @Test
     void bytesGiveValues() {
-        assertEquals(List.of(new Figure("app.transactions.browse.answered", 1, "c"),
-            new Figure("app.transactions.browse.deferred", 3, "c"),
-            new Figure("app.transactions.browse.errored", 5, "c"),
-            new Figure("app.transactions.order.answered", 2, "c"),
-            new Figure("app.transactions.order.deferred", 4, "c"),
-            new Figure("app.transactions.order.errored", 6, "c"),
-            new Figure("app.sends", 7, "c"), new Figure("app.current", 8, "g"),
-            new Figure("app.cluster_size", 9, "g"), new Figure("app.cluster_unhealthy", 10, "g")),
-            figures(GoldenFiles.text(COUNTED)));
+        assertEquals(
+                List.of(
+                        new Figure("app.transactions.browse.answered", 1, "c"),
+                        new Figure("app.transactions.browse.deferred", 3, "c"),
+                        new Figure("app.transactions.browse.errored", 5, "c"),
+                        new Figure("app.transactions.order.answered", 2, "c"),
+                        new Figure("app.transactions.order.deferred", 4, "c"),
+                        new Figure("app.transactions.order.errored", 6, "c"),
+                        new Figure("app.sends", 7, "c"),
+                        new Figure("app.current", 8, "g"),
+                        new Figure("app.cluster_size", 9, "g"),
+                        new Figure("app.cluster_unhealthy", 10, "g")),
+                figures(GoldenFiles.text(COUNTED)));
     }
 }
--- a/balancer/src/test/java/junctionhead/state/GoldenSnapshotTest.java
+++ b/balancer/src/test/java/junctionhead/state/GoldenSnapshotTest.java
@@ -25,8 +25,14 @@
     static Map<String, Snapshot> snapshots() {
         Map<String, Snapshot> snapshots = new LinkedHashMap<>();
         snapshots.put("least.hex", new Snapshot(0, 0, 0, "", new byte[0]));
-        snapshots.put("greatest.hex", new Snapshot(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE,
-            "m\u00e1sodik/n\u0151-2", new byte[] {0, 1, 127, -128, -1}));
+        snapshots.put(
+                "greatest.hex",
+                new Snapshot(
+                        Long.MAX_VALUE,
+                        Long.MAX_VALUE,
+                        Long.MAX_VALUE,
+                        "m\u00e1sodik/n\u0151-2",
+                        new byte[] {0, 1, 127, -128, -1}));
         snapshots.put("negative.hex", new Snapshot(-1, Long.MIN_VALUE, -2, OWNER, new byte[] {0}));
         return snapshots;
     }
@@ -58,14 +64,16 @@
     @ParameterizedTest
     @MethodSource("names")
     void valuesGiveBytes(String name) {
-        assertEquals(GoldenFiles.text("snapshot/" + name),
-            GoldenFiles.hexLines(snapshots().get(name).encode()));
+        assertEquals(
+                GoldenFiles.text("snapshot/" + name),
+                GoldenFiles.hexLines(snapshots().get(name).encode()));
     }
 
     @Test
     void directoryGivesStoredValues(@TempDir Path directory) throws IOException {
         Files.write(directory.resolve("promises-1"), GoldenFiles.bytes(STORED));
-        Snapshots.Recovered recovered = new Snapshots(new FolderDisk(directory), OWNER, "promises").recover();
+        Snapshots.Recovered recovered =
+                new Snapshots(new FolderDisk(directory), OWNER, "promises").recover();
         assertEquals(List.of(), recovered.dropped());
         Snapshot expected = new Snapshot(1, STORED_AT_MS, 7, OWNER, storedContent());
         assertSnapshot(expected, recovered.newest().encode());
@@ -73,9 +81,11 @@
 
     @Test
     void valuesGiveStoredFile(@TempDir Path directory) throws IOException {
-        new Snapshots(new FolderDisk(directory), OWNER, "promises").keep(STORED_AT_MS, 7, storedContent());
+        new Snapshots(new FolderDisk(directory), OWNER, "promises")
+                .keep(STORED_AT_MS, 7, storedContent());
         assertEquals(List.of("promises-1"), new FolderDisk(directory).list());
-        assertEquals(GoldenFiles.text(STORED),
-            GoldenFiles.hexLines(Files.readAllBytes(directory.resolve("promises-1"))));
+        assertEquals(
+                GoldenFiles.text(STORED),
+                GoldenFiles.hexLines(Files.readAllBytes(directory.resolve("promises-1"))));
     }
 }
