--- a/balancer/src/main/java/junctionhead/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import java.io.BufferedOutputStream;
 import java.io.BufferedReader;
@@ -9,7 +9,10 @@
 import java.io.InputStreamReader;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
-import junctionhead.net.Node;
+import loadbalancer.routing.RoutingEngine;
+import loadbalancer.server.BalancerServer;
+import loadbalancer.simulator.SimulatorAdapter;
+import loadbalancer.simulator.WireFormatException;
 
 /**
  * Starts a real balancer, or the adapter on standard input and output; {@code prepare} starts a
@@ -21,27 +24,27 @@
 
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(Node.serve(System.getenv()));
+            System.exit(BalancerServer.serve(System.getenv()));
         }
         if (args.length == 1 && args[0].equals("prepare")) {
-            System.exit(Node.prepare());
+            System.exit(BalancerServer.runWarmUpOnly());
         }
         if (args.length != 1 || !args[0].equals("wirehost")) {
-            System.err.println("usage: java -jar junctionhead.jar serve | prepare | wirehost");
+            System.err.println("usage: java -jar load-balancer.jar serve | prepare | wirehost");
             System.exit(2);
         }
-        try (BufferedReader in =
+        try (BufferedReader input =
                         new BufferedReader(
                                 new InputStreamReader(
                                         new FileInputStream(FileDescriptor.in),
                                         StandardCharsets.UTF_8),
                                 1 << 16);
-                OutputStream out =
+                OutputStream output =
                         new BufferedOutputStream(
                                 new FileOutputStream(FileDescriptor.out), 1 << 16)) {
-            new Adapter(Balance::new, in, out).run();
-        } catch (WireException | IOException e) {
-            System.err.println("junctionhead: " + e.getMessage());
+            new SimulatorAdapter(RoutingEngine::new, input, output).run();
+        } catch (WireFormatException | IOException e) {
+            System.err.println("load-balancer: " + e.getMessage());
             System.exit(1);
         }
     }
--- a/balancer/src/main/java/junctionhead/net/AdminServer.java
+++ b/balancer/src/main/java/loadbalancer/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.admin;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -28,36 +28,27 @@
  * busy the balancer is. It reads what the balancer last published, and hands on what operators ask
  * for.
  */
-final class AdminServer {
+public final class AdminServer {
     /** Callers at one time; one more takes the place of the earliest. */
-    static final int CALLERS_MOST = 12;
+    static final int MAX_CONNECTIONS = 12;
 
-    static final int LINE_MOST = 128;
+    static final int MAX_LINE_BYTES = 128;
     // For a line to be whole, and for its answer to be taken
-    private static final long CALL_MS = 3_000;
+    private static final long CONNECTION_TIMEOUT_MS = 3_000;
     private static final int BACKLOG = 64;
 
-    /** What the door leads to; called on the door's thread. */
-    interface Desk {
-        Stats stats();
-
-        void drain();
-
-        void resume();
-    }
-
-    private final Desk desk;
+    private final AdminOperations operations;
     private final NioEventLoopGroup group =
             new NioEventLoopGroup(1, new DefaultThreadFactory("admin", true));
     // The earliest first
-    private final Set<Channel> callers = new LinkedHashSet<>();
+    private final Set<Channel> connections = new LinkedHashSet<>();
 
-    AdminServer(Desk desk) {
-        this.desk = desk;
+    public AdminServer(AdminOperations operations) {
+        this.operations = operations;
     }
 
     /** Listens; returns the address in use. */
-    InetSocketAddress listen(InetSocketAddress at) throws IOException {
+    public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         EventLoop loop = group.next();
         Channel listener =
                 new ServerBootstrap()
@@ -67,54 +58,61 @@
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(
                                 ChannelOption.RCVBUF_ALLOCATOR,
-                                new FixedRecvByteBufAllocator(LINE_MOST))
+                                new FixedRecvByteBufAllocator(MAX_LINE_BYTES))
                         .childHandler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        admit(channel);
+                                        addConnection(channel);
                                     }
                                 })
-                        .bind(at)
+                        .bind(address)
                         .awaitUninterruptibly()
                         .channel();
         if (!listener.isActive()) {
-            throw new IOException("can't listen on " + at);
+            throw new IOException("can't listen on " + address);
         }
         return (InetSocketAddress) listener.localAddress();
     }
 
-    void close() {
+    public void close() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private void admit(Channel channel) {
-        if (callers.size() >= CALLERS_MOST) {
-            callers.iterator().next().close();
+    private void addConnection(Channel channel) {
+        if (connections.size() >= MAX_CONNECTIONS) {
+            connections.iterator().next().close();
         }
-        callers.add(channel);
+        connections.add(channel);
         Future<?> timer =
-                channel.eventLoop().schedule(() -> channel.close(), CALL_MS, TimeUnit.MILLISECONDS);
+                channel.eventLoop()
+                        .schedule(
+                                () -> channel.close(),
+                                CONNECTION_TIMEOUT_MS,
+                                TimeUnit.MILLISECONDS);
         channel.closeFuture()
                 .addListener(
                         closed -> {
                             timer.cancel(false);
-                            callers.remove(channel);
+                            connections.remove(channel);
                         });
-        channel.pipeline().addLast(new LineBasedFrameDecoder(LINE_MOST, true, true), new Caller());
+        channel.pipeline()
+                .addLast(
+                        new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true),
+                        new ConnectionHandler());
     }
 
-    private String answer(String call) {
-        switch (call) {
+    private String execute(String command) {
+        switch (command) {
             case "ready":
-                return desk.stats().ready() ? "200 ready\n" : "400 not ready\n";
+                return operations.stats().ready() ? "200 ready\n" : "400 not ready\n";
             case "show-stat":
-                return "200 figures\n" + desk.stats().text() + "EOF\n";
+                return "200 figures\n" + operations.stats().toStatsdText() + "EOF\n";
             case "drain":
-                desk.drain();
+                operations.drain();
                 return "200 draining\n";
             case "resume":
-                desk.resume();
+                operations.resume();
                 return "200 back to work\n";
             default:
                 return "400 not a call: ready, show-stat, drain or resume\n";
@@ -122,14 +120,14 @@
     }
 
     /** One connection. */
-    private final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
-        private boolean answered;
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private boolean replied;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
-            if (!answered) {
+            if (!replied) {
                 // One line to a connection: what follows is passed over
-                say(context, answer(line.toString(StandardCharsets.UTF_8).strip()));
+                reply(context, execute(line.toString(StandardCharsets.UTF_8).strip()));
             }
         }
 
@@ -138,13 +136,13 @@
             if (cause instanceof IOException) {
                 context.close();
             } else {
-                say(context, "400 that line is too long\n");
+                reply(context, "400 that line is too long\n");
             }
         }
 
-        private void say(ChannelHandlerContext context, String text) {
-            if (!answered) {
-                answered = true;
+        private void reply(ChannelHandlerContext context, String text) {
+            if (!replied) {
+                replied = true;
                 context.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8))
                         .addListener(ChannelFutureListener.CLOSE);
             }
--- a/balancer/src/main/java/junctionhead/net/Events.java
+++ b/balancer/src/main/java/loadbalancer/admin/EventLog.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.admin;
 
 import java.util.Arrays;
 import java.util.Locale;
@@ -11,9 +11,9 @@
  * a second that carry the request's id. Guards against a log that grows with the trouble it tells
  * of. It belongs to the event loop's thread.
  */
-final class Events {
+public final class EventLog {
     /** What is counted; the names are those of the log. */
-    enum Kind {
+    public enum Kind {
         /** A client's input that was turned away before it could become a request. */
         REJECTED,
         /** A request that came before the one ahead of it on its connection was answered. */
@@ -31,53 +31,53 @@
         /** A datagram that is no peer's message. */
         STRAY;
 
-        String word() {
+        String label() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
     // Of one kind in a second
-    private static final int LINES = 5;
-    private static final long SECOND = 1_000_000_000;
-    private static final int ID_MOST = 40;
+    private static final int MAX_LINES_PER_SECOND = 5;
+    private static final long SECOND_NANOS = 1_000_000_000;
+    private static final int MAX_REQUEST_ID_CHARS = 40;
 
     private final Consumer<String> log;
-    private final Supplier<Long> nanos;
+    private final Supplier<Long> nanoClock;
     private final long[] counts = new long[Kind.values().length];
-    private final int[] lines = new int[counts.length];
-    private long[] told = counts.clone();
-    private long second;
+    private final int[] linesInWindow = new int[counts.length];
+    private long[] lastReportedCounts = counts.clone();
+    private long windowStartNanos;
 
-    Events(Consumer<String> log, Supplier<Long> nanos) {
+    public EventLog(Consumer<String> log, Supplier<Long> nanoClock) {
         this.log = log;
-        this.nanos = nanos;
-        this.second = nanos.get();
+        this.nanoClock = nanoClock;
+        this.windowStartNanos = nanoClock.get();
     }
 
     /**
-     * Counts an event, and tells of it unless its kind has had its lines; {@code request} may be
+     * Counts an event, and tells of it unless its kind has had its lines; {@code requestId} may be
      * null.
      */
-    void tell(Kind kind, String request, Supplier<String> what) {
+    public void record(Kind kind, String requestId, Supplier<String> detail) {
         counts[kind.ordinal()]++;
-        long now = nanos.get();
-        if (now - second >= SECOND) {
-            second = now;
-            Arrays.fill(lines, 0);
+        long nowNanos = nanoClock.get();
+        if (nowNanos - windowStartNanos >= SECOND_NANOS) {
+            windowStartNanos = nowNanos;
+            Arrays.fill(linesInWindow, 0);
         }
-        if (lines[kind.ordinal()]++ < LINES) {
-            log.accept(kind.word() + " " + printable(request) + ": " + what.get());
+        if (linesInWindow[kind.ordinal()]++ < MAX_LINES_PER_SECOND) {
+            log.accept(kind.label() + " " + printable(requestId) + ": " + detail.get());
         }
     }
 
-    long count(Kind kind) {
+    public long count(Kind kind) {
         return counts[kind.ordinal()];
     }
 
     /** Writes the counters, unless nothing has been counted since the last time. */
-    void summary(Supplier<String> state) {
-        if (!Arrays.equals(counts, told)) {
-            told = counts.clone();
+    public void logSummary(Supplier<String> state) {
+        if (!Arrays.equals(counts, lastReportedCounts)) {
+            lastReportedCounts = counts.clone();
             log.accept("counters: " + this + "; " + state.get());
         }
     }
@@ -85,7 +85,7 @@
     @Override
     public String toString() {
         return Arrays.stream(Kind.values())
-                .map(k -> k.word() + " " + count(k))
+                .map(k -> k.label() + " " + count(k))
                 .collect(Collectors.joining(", "));
     }
 
@@ -94,6 +94,7 @@
         if (id == null || id.isEmpty()) {
             return "-";
         }
-        return id.substring(0, Math.min(ID_MOST, id.length())).replaceAll("[^!-~]", "?");
+        return id.substring(0, Math.min(MAX_REQUEST_ID_CHARS, id.length()))
+                .replaceAll("[^!-~]", "?");
     }
 }
--- a/balancer/src/main/java/junctionhead/net/PeerLink.java
+++ b/balancer/src/main/java/loadbalancer/cluster/PeerTransport.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.cluster;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -18,41 +18,43 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import loadbalancer.admin.EventLog;
+import loadbalancer.config.PeerAddresses;
 
 /**
  * Datagrams between this balancer and its peers. Each is sent once and may be lost; what does not
  * fit, comes from nobody known or can't be sent now is dropped and counted.
  */
-final class PeerLink {
-    static final int MESSAGE_MOST = 256;
+public final class PeerTransport {
+    static final int MAX_MESSAGE_BYTES = 256;
     // While a process that leaves still holds the address
-    private static final long AGAIN_MS = 100;
+    private static final long BIND_RETRY_MS = 100;
 
     /** Where a peer's message goes, with the peer's number. */
-    interface Listener {
-        void heard(int from, byte[] data);
+    public interface Listener {
+        void onPeerMessage(int from, byte[] data);
 
         /** The address is this process's own from now on. */
-        default void bound() {}
+        default void onAddressBound() {}
     }
 
     private final EventLoop loop;
-    private final Config.Peers peers;
+    private final PeerAddresses peers;
     // Each datagram is looked up
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> peerIndexByAddress = new HashMap<>();
     private final Listener listener;
-    private final Events events;
+    private final EventLog events;
     // Null until bound, and where there is no peer
     private Channel channel;
     // That it can't be bound
-    private boolean told;
+    private boolean bindFailureLogged;
     private boolean closed;
 
-    PeerLink(EventLoop loop, Config.Peers peers, Listener listener, Events events) {
+    public PeerTransport(EventLoop loop, PeerAddresses peers, Listener listener, EventLog events) {
         this.loop = loop;
         this.peers = peers;
-        for (int i = peers.all().size() - 1; i >= 0; i--) {
-            numbers.put(peers.all().get(i), i);
+        for (int i = peers.addresses().size() - 1; i >= 0; i--) {
+            peerIndexByAddress.put(peers.addresses().get(i), i);
         }
         this.listener = listener;
         this.events = events;
@@ -62,8 +64,8 @@
      * Binds; a failure is told once and tried again, as the process that this one takes over from
      * may still hold the address. A balancer can do without messages.
      */
-    Future<Void> start(Consumer<String> log) {
-        if (peers.listen() == null || peers.all().isEmpty()) {
+    public Future<Void> start(Consumer<String> log) {
+        if (peers.listenAddress() == null || peers.addresses().isEmpty()) {
             return loop.newSucceededFuture(null);
         }
         return new Bootstrap()
@@ -72,21 +74,21 @@
                 // One byte more than a message may have: a longer one is seen to be too long.
                 .option(
                         ChannelOption.RCVBUF_ALLOCATOR,
-                        new FixedRecvByteBufAllocator(MESSAGE_MOST + 1))
-                .handler(new Arrivals())
-                .bind(peers.listen())
+                        new FixedRecvByteBufAllocator(MAX_MESSAGE_BYTES + 1))
+                .handler(new DatagramHandler())
+                .bind(peers.listenAddress())
                 .addListener(
-                        bound -> {
-                            if (bound.isSuccess() || closed) {
+                        bindFuture -> {
+                            if (bindFuture.isSuccess() || closed) {
                                 return;
                             }
-                            if (!told) {
-                                told = true;
+                            if (!bindFailureLogged) {
+                                bindFailureLogged = true;
                                 log.accept(
                                         "no messages between balancers yet: can't listen on "
-                                                + peers.listen()
+                                                + peers.listenAddress()
                                                 + ": "
-                                                + bound.cause().getMessage());
+                                                + bindFuture.cause().getMessage());
                             }
                             loop.schedule(
                                     () -> {
@@ -94,46 +96,50 @@
                                             start(log);
                                         }
                                     },
-                                    AGAIN_MS,
+                                    BIND_RETRY_MS,
                                     TimeUnit.MILLISECONDS);
                         });
     }
 
     /** Sends to the peer of that number, or to all where it is negative. */
-    void tell(int peer, byte[] data) {
-        if (channel == null || data.length > MESSAGE_MOST || peer >= peers.all().size()) {
+    public void send(int peer, byte[] data) {
+        if (channel == null
+                || data.length > MAX_MESSAGE_BYTES
+                || peer >= peers.addresses().size()) {
             return;
         }
         if (peer >= 0) {
-            send(peers.all().get(peer), data);
-        } else if (peers.everyone() != null) {
-            send(peers.everyone(), data);
+            writeDatagram(peers.addresses().get(peer), data);
+        } else if (peers.broadcastAddress() != null) {
+            writeDatagram(peers.broadcastAddress(), data);
         } else {
-            peers.all().stream().filter(p -> !p.equals(peers.listen())).forEach(p -> send(p, data));
+            peers.addresses().stream()
+                    .filter(p -> !p.equals(peers.listenAddress()))
+                    .forEach(p -> writeDatagram(p, data));
         }
     }
 
-    private void send(InetSocketAddress to, byte[] data) {
+    private void writeDatagram(InetSocketAddress to, byte[] data) {
         if (channel.isWritable()) {
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(data), to));
         }
     }
 
-    void close() {
+    public void close() {
         closed = true;
         if (channel != null) {
             channel.close();
         }
     }
 
-    private final class Arrivals extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
             channel = context.channel();
             if (closed) {
                 channel.close();
             } else {
-                listener.bound();
+                listener.onAddressBound();
             }
         }
 
@@ -144,24 +150,24 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-            if (packet.sender().equals(peers.listen())) {
+            if (packet.sender().equals(peers.listenAddress())) {
                 // To everyone was to this one too
                 return;
             }
-            Integer from = numbers.get(packet.sender());
-            if (from == null || packet.content().readableBytes() > MESSAGE_MOST) {
-                events.tell(
-                        Events.Kind.STRAY,
+            Integer from = peerIndexByAddress.get(packet.sender());
+            if (from == null || packet.content().readableBytes() > MAX_MESSAGE_BYTES) {
+                events.record(
+                        EventLog.Kind.STRAY,
                         null,
                         () -> packet.content().readableBytes() + " bytes from " + packet.sender());
                 return;
             }
-            listener.heard(from, ByteBufUtil.getBytes(packet.content()));
+            listener.onPeerMessage(from, ByteBufUtil.getBytes(packet.content()));
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            events.tell(Events.Kind.STRAY, null, () -> String.valueOf(cause));
+            events.record(EventLog.Kind.STRAY, null, () -> String.valueOf(cause));
         }
     }
 }
--- a/balancer/src/main/java/junctionhead/net/Config.java
+++ b/balancer/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.config;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
@@ -13,59 +13,42 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
-import junctionhead.SettingsReader;
+import loadbalancer.discovery.EndpointList;
 
 /**
  * What a balancer is told at its start, by its environment and its configuration file. {@code
- * admin} is null where operators have no door; {@code inherited}: the clients' listening socket
- * came as descriptor 0; {@code own}: the program's own settings.
+ * admin} is null where operators have no door; {@code listenSocketInherited}: the clients'
+ * listening socket came as descriptor 0; {@code localSettings}: the program's own settings.
  */
-record Config(
+public record BalancerConfig(
         String name,
-        InetSocketAddress listen,
-        InetSocketAddress discovery,
+        InetSocketAddress listenAddress,
+        InetSocketAddress discoveryAddress,
         long seed,
-        int sockets,
-        Targets known,
-        SettingsReader.Boot boot,
-        Peers peers,
-        InetSocketAddress admin,
-        boolean inherited,
-        OwnSettings own) {
-    private static final Path LIMITS = Path.of("/proc/self/limits");
+        int maxSockets,
+        EndpointList initialEndpoints,
+        BootSettings boot,
+        PeerAddresses peers,
+        InetSocketAddress adminAddress,
+        boolean listenSocketInherited,
+        LocalSettings localSettings) {
+    private static final Path PROCESS_LIMITS_FILE = Path.of("/proc/self/limits");
     // Assumed where neither file nor system tells
-    private static final int SOCKETS = 1024;
-
-    /**
-     * Where the balancers hear one another, by their numbers; null and empty where they may not.
-     */
-    record Peers(
-            InetSocketAddress listen, List<InetSocketAddress> all, InetSocketAddress everyone) {
-        static final Peers NONE = new Peers(null, List.of(), null);
-    }
-
-    /** What is wrong with the configuration, in one line. */
-    static final class Bad extends RuntimeException {
-        private static final long serialVersionUID = 1L;
-
-        Bad(String message) {
-            super(message);
-        }
-    }
+    private static final int DEFAULT_MAX_SOCKETS = 1024;
 
     /**
      * Reads the file that {@code ROUTER_CONFIG} names; the other variables win over what it says.
      */
-    static Config read(Map<String, String> environment) {
+    public static BalancerConfig read(Map<String, String> environment) {
         String file = environment.get("ROUTER_CONFIG");
         if (file == null || file.isBlank()) {
-            throw new Bad("ROUTER_CONFIG is not set");
+            throw new InvalidConfigException("ROUTER_CONFIG is not set");
         }
         Map<String, Object> json;
         try {
             json = JSON.std.mapFrom(Files.readString(Path.of(file)));
         } catch (IOException | UncheckedIOException | IllegalArgumentException e) {
-            throw new Bad(
+            throw new InvalidConfigException(
                     "can't read the configuration "
                             + file
                             + ": "
@@ -74,78 +57,88 @@
                             + e.getClass().getSimpleName()
                             + ")");
         }
-        return of(environment, json == null ? Map.of() : json);
+        return parse(environment, json == null ? Map.of() : json);
     }
 
     /**
      * As it is after a reload: the environment is that of the start, so the file names discovery.
      */
-    static Config reread(Map<String, String> environment) {
-        Map<String, String> others = new HashMap<>(environment);
-        others.remove("ROUTER_DISCOVERY");
-        return read(others);
+    public static BalancerConfig readForReload(Map<String, String> environment) {
+        Map<String, String> environmentWithoutDiscovery = new HashMap<>(environment);
+        environmentWithoutDiscovery.remove("ROUTER_DISCOVERY");
+        return read(environmentWithoutDiscovery);
     }
 
-    static Config of(Map<String, String> environment, Map<String, Object> json) {
+    public static BalancerConfig parse(Map<String, String> environment, Map<String, Object> json) {
         String name = told(environment, "ROUTER_NAME", json, "name");
-        InetSocketAddress listen =
+        InetSocketAddress listenAddress =
                 address("listen", told(environment, "ROUTER_LISTEN", json, "listen"));
-        InetSocketAddress discovery =
+        InetSocketAddress discoveryAddress =
                 address("discovery", told(environment, "ROUTER_DISCOVERY", json, "discovery"));
-        String door = said(environment, "ROUTER_ADMIN", json, "admin");
-        String accept = said(environment, "ROUTER_ACCEPT_FD", json, "accept_fd");
-        if (accept != null && !accept.strip().equals("0")) {
-            throw new Bad(
-                    "ROUTER_ACCEPT_FD: only descriptor 0 can be taken over, not '" + accept + "'");
+        String adminText = said(environment, "ROUTER_ADMIN", json, "admin");
+        String acceptFd = said(environment, "ROUTER_ACCEPT_FD", json, "accept_fd");
+        if (acceptFd != null && !acceptFd.strip().equals("0")) {
+            throw new InvalidConfigException(
+                    "ROUTER_ACCEPT_FD: only descriptor 0 can be taken over, not '"
+                            + acceptFd
+                            + "'");
         }
         Object settings = json.get("settings");
         if (!(settings instanceof Map)) {
-            throw new Bad("the configuration has no settings");
+            throw new InvalidConfigException("the configuration has no settings");
         }
         Map<String, String> values = new HashMap<>();
         flatten("", settings, values);
-        SettingsReader.Boot boot =
+        BootSettings boot =
                 SettingsReader.read(
-                        values, (path, what) -> new Bad("settings: " + path + ": " + what));
-        Targets known = new Targets(0, true, List.of());
+                        values,
+                        (path, problem) ->
+                                new InvalidConfigException("settings: " + path + ": " + problem));
+        EndpointList initialEndpoints = new EndpointList(0, true, List.of());
         if (json.get("known") != null) {
             try {
-                known = Targets.of(json.get("known"), boot);
+                initialEndpoints = EndpointList.fromJson(json.get("known"), boot);
             } catch (IllegalArgumentException e) {
-                throw new Bad("known: " + e.getMessage());
+                throw new InvalidConfigException("known: " + e.getMessage());
             }
         }
         Object limits = json.get("limits");
-        Object sockets = limits instanceof Map ? ((Map<?, ?>) limits).get("sockets") : null;
-        int told = sockets instanceof Number ? ((Number) sockets).intValue() : Integer.MAX_VALUE;
-        int most = Math.min(told, descriptors());
-        return new Config(
+        Object configuredSockets =
+                limits instanceof Map ? ((Map<?, ?>) limits).get("sockets") : null;
+        int configuredMax =
+                configuredSockets instanceof Number
+                        ? ((Number) configuredSockets).intValue()
+                        : Integer.MAX_VALUE;
+        int maxSockets = Math.min(configuredMax, maxOpenDescriptors());
+        return new BalancerConfig(
                 name,
-                listen,
-                discovery,
+                listenAddress,
+                discoveryAddress,
                 seed(json.get("seed")),
-                most == Integer.MAX_VALUE ? SOCKETS : most,
-                known,
+                maxSockets == Integer.MAX_VALUE ? DEFAULT_MAX_SOCKETS : maxSockets,
+                initialEndpoints,
                 boot,
                 peers(json),
-                door == null ? null : address("admin", door),
-                accept != null,
-                OwnSettings.read(environment));
+                adminText == null ? null : address("admin", adminText),
+                acceptFd != null,
+                LocalSettings.read(environment));
     }
 
-    private static Peers peers(Map<String, Object> json) {
+    private static PeerAddresses peers(Map<String, Object> json) {
         if (json.get("peer_listen") == null) {
-            return Peers.NONE;
+            return PeerAddresses.NONE;
         }
-        Object named = json.get("peers");
-        List<InetSocketAddress> all =
-                (named instanceof List<?> list ? list : List.of())
+        Object configuredPeers = json.get("peers");
+        List<InetSocketAddress> addresses =
+                (configuredPeers instanceof List<?> list ? list : List.of())
                         .stream().map(p -> address("peers", String.valueOf(p))).toList();
-        Object everyone = json.get("peers_all");
-        return new Peers(
+        Object broadcastAddress = json.get("peers_all");
+        return new PeerAddresses(
                 address("peer_listen", String.valueOf(json.get("peer_listen"))),
-                all,
-                everyone == null ? null : address("peers_all", String.valueOf(everyone)));
+                addresses,
+                broadcastAddress == null
+                        ? null
+                        : address("peers_all", String.valueOf(broadcastAddress)));
     }
 
     private static String told(
@@ -155,7 +148,8 @@
             String field) {
         String value = said(environment, variable, json, field);
         if (value == null) {
-            throw new Bad(variable + " is not set, and the configuration has no " + field);
+            throw new InvalidConfigException(
+                    variable + " is not set, and the configuration has no " + field);
         }
         return value;
     }
@@ -170,15 +164,17 @@
         if (value != null && !value.isBlank()) {
             return value;
         }
-        Object other = json.get(field);
-        return other instanceof String && !((String) other).isBlank() ? (String) other : null;
+        Object configured = json.get(field);
+        return configured instanceof String && !((String) configured).isBlank()
+                ? (String) configured
+                : null;
     }
 
-    private static InetSocketAddress address(String what, String text) {
+    private static InetSocketAddress address(String setting, String text) {
         try {
-            return Targets.address(text);
+            return EndpointList.parseAddress(text);
         } catch (IllegalArgumentException e) {
-            throw new Bad(what + ": " + e.getMessage());
+            throw new InvalidConfigException(setting + ": " + e.getMessage());
         }
     }
 
@@ -189,14 +185,14 @@
         try {
             return Long.parseUnsignedLong(String.valueOf(value), 16);
         } catch (NumberFormatException e) {
-            throw new Bad("seed: not hexadecimal: '" + value + "'");
+            throw new InvalidConfigException("seed: not hexadecimal: '" + value + "'");
         }
     }
 
     /**
      * An address literal: there is no DNS here, and a name must not make the start wait for one.
      */
-    static InetSocketAddress literal(String host, int port) {
+    public static InetSocketAddress parseIpLiteral(String host, int port) {
         if (!host.matches("[0-9.]+|\\[?[0-9a-fA-F:.]*:[0-9a-fA-F:.]*]?")) {
             throw new IllegalArgumentException("not an address: '" + host + "'");
         }
@@ -208,7 +204,7 @@
     }
 
     /** The names of the simulator's wire: paths joined by dots, lists of plain values by commas. */
-    static void flatten(String path, Object value, Map<String, String> into) {
+    public static void flatten(String path, Object value, Map<String, String> into) {
         if (value instanceof Map<?, ?> map) {
             map.forEach((k, v) -> flatten(path.isEmpty() ? k.toString() : path + "." + k, v, into));
         } else if (value instanceof List<?> list) {
@@ -218,24 +214,28 @@
                     flatten(path + "." + i, list.get(i), into);
                 }
             } else {
-                into.put(path, list.stream().map(Config::plain).collect(Collectors.joining(",")));
+                into.put(
+                        path,
+                        list.stream()
+                                .map(BalancerConfig::toWireValue)
+                                .collect(Collectors.joining(",")));
             }
         } else if (value != null) {
-            into.put(path, plain(value));
+            into.put(path, toWireValue(value));
         }
     }
 
     /** A value as it stands on the wire, where spaces and commas within values are replaced. */
-    static String plain(Object value) {
+    public static String toWireValue(Object value) {
         return String.valueOf(value).replace(' ', '_').replace(',', '_');
     }
 
     /**
      * The soft limit on descriptors, read without the management classes: they make a start longer.
      */
-    private static int descriptors() {
+    private static int maxOpenDescriptors() {
         try {
-            for (String line : Files.readAllLines(LIMITS)) {
+            for (String line : Files.readAllLines(PROCESS_LIMITS_FILE)) {
                 if (line.toLowerCase(Locale.ROOT).startsWith("max open files")) {
                     return (int)
                             Math.min(
--- a/balancer/src/main/java/junctionhead/net/Discovery.java
+++ b/balancer/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.discovery;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -28,72 +28,77 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import junctionhead.Policy;
-import junctionhead.Policy.ListKind;
-import junctionhead.SettingsReader;
+import loadbalancer.config.BootSettings;
+import loadbalancer.routing.DiscoveryMode;
+import loadbalancer.routing.EndpointListKind;
 
 /**
  * Asks discovery for the list and watches its changes: where discovery is asked, only as the module
  * wishes; where lists are pushed, always.
  */
-final class Discovery {
+public final class DiscoveryClient {
     // Bytes
-    private static final int LIST_MOST = 4 << 20;
+    private static final int MAX_LIST_BYTES = 4 << 20;
     // A line comes every 2 s. What a watch misses that has fallen silent counts as told 6 s later:
     // by then
     // another one has to have brought it, though calls are given up or refused meanwhile, and
     // paused after.
-    private static final long SILENCE_MS = 3_000;
+    private static final long WATCH_SILENCE_TIMEOUT_MS = 3_000;
     // For a call's connection and the first of its answer together. Where lists are pushed the
     // agent answers
     // at once, or is silent while discovery is down. What it gets at the return counts as told at
     // once: calls
     // are repeated within a part of the grace of drains.
-    private static final long FIRST_MOST_MS = 700;
-    private static final long FIRST_LEAST_MS = 100;
-    private static final int FIRST_PART = 4;
+    private static final long MAX_FIRST_RESPONSE_TIMEOUT_MS = 700;
+    private static final long MIN_FIRST_RESPONSE_TIMEOUT_MS = 100;
+    private static final int DRAIN_GRACE_DIVISOR = 4;
     // Of that time, as a pause after a failure
-    private static final int AGAIN_PART = 4;
+    private static final int RETRY_PAUSE_DIVISOR = 4;
 
     private final EventLoop loop;
     private InetSocketAddress address;
-    private final SettingsReader.Boot boot;
-    private final BiConsumer<ListKind, Targets> news;
+    private final BootSettings boot;
+    private final BiConsumer<EndpointListKind, EndpointList> listener;
     private final Consumer<String> log;
     private final boolean pushed;
     // For a call's first answer
-    private final long firstMs;
-    private long rev;
-    private Call watch;
+    private final long firstResponseTimeoutMs;
+    private long revision;
+    private Call activeWatch;
 
     /**
-     * {@code news} gets each list and change; FAILED and null where a call or the watch has failed.
+     * {@code listener} gets each list and change; FAILED and null where a call or the watch has
+     * failed.
      */
-    Discovery(
+    public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
-            SettingsReader.Boot boot,
-            long rev,
-            BiConsumer<ListKind, Targets> news,
+            BootSettings boot,
+            long revision,
+            BiConsumer<EndpointListKind, EndpointList> listener,
             Consumer<String> log) {
         this.loop = loop;
         this.address = address;
         this.boot = boot;
-        this.rev = rev;
-        this.news = news;
+        this.revision = revision;
+        this.listener = listener;
         this.log = log;
-        this.pushed = boot.settings().discovery() == Policy.Discovery.PUSH;
-        long grace = boot.settings().bounds().drainGrace() / 1000;
-        this.firstMs =
+        this.pushed = boot.settings().discoveryMode() == DiscoveryMode.PUSH;
+        long drainGraceMs = boot.settings().bounds().drainGraceMicros() / 1000;
+        this.firstResponseTimeoutMs =
                 !pushed
-                        ? FIRST_MOST_MS
-                        : Math.max(FIRST_LEAST_MS, Math.min(FIRST_MOST_MS, grace / FIRST_PART));
+                        ? MAX_FIRST_RESPONSE_TIMEOUT_MS
+                        : Math.max(
+                                MIN_FIRST_RESPONSE_TIMEOUT_MS,
+                                Math.min(
+                                        MAX_FIRST_RESPONSE_TIMEOUT_MS,
+                                        drainGraceMs / DRAIN_GRACE_DIVISOR));
     }
 
     /** Begins to watch unasked where lists are pushed. */
-    void start() {
+    public void start() {
         if (pushed) {
-            watch(true);
+            setWatching(true);
         }
     }
 
@@ -101,28 +106,28 @@
      * Asks another address from here on; a watch goes on there, from the last version that was
      * heard.
      */
-    void move(InetSocketAddress to) {
-        address = to;
-        if (watch != null) {
-            watch(true);
+    public void reconnectTo(InetSocketAddress newAddress) {
+        address = newAddress;
+        if (activeWatch != null) {
+            setWatching(true);
         }
     }
 
     /** Subscribes to changes, in place of an earlier subscription, or ends it. */
-    void watch(boolean on) {
-        Call earlier = watch;
-        watch = on ? new Call("/api/targets?watch=1&from=" + rev, true) : null;
-        if (earlier != null) {
-            earlier.over = true;
-            earlier.channel.close();
+    public void setWatching(boolean enabled) {
+        Call previous = activeWatch;
+        activeWatch = enabled ? new Call("/api/targets?watch=1&from=" + revision, true) : null;
+        if (previous != null) {
+            previous.finished = true;
+            previous.channel.close();
         }
-        if (on) {
-            watch.open();
+        if (enabled) {
+            activeWatch.open();
         }
     }
 
     /** Asks for the whole list once. */
-    void fetch() {
+    public void fetchList() {
         new Call("/api/targets", false).open();
     }
 
@@ -131,12 +136,12 @@
         private final String uri;
         private final boolean watching;
         private Channel channel;
-        private Future<?> silence;
+        private Future<?> silenceTimer;
         // The module has had what its call was for
         private boolean answered;
-        private boolean over;
-        private final long openedAt = System.nanoTime();
-        private final Lists objects = new Lists();
+        private boolean finished;
+        private final long openedAtNanos = System.nanoTime();
+        private final ListFrameDecoder frameDecoder = new ListFrameDecoder();
 
         Call(String uri, boolean watching) {
             this.uri = uri;
@@ -144,13 +149,15 @@
         }
 
         void open() {
-            await(firstMs);
-            ChannelFuture connected =
+            restartSilenceTimer(firstResponseTimeoutMs);
+            ChannelFuture connectFuture =
                     new Bootstrap()
                             .group(loop)
                             .channel(NioSocketChannel.class)
                             .option(ChannelOption.TCP_NODELAY, true)
-                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) firstMs)
+                            .option(
+                                    ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                                    (int) firstResponseTimeoutMs)
                             .handler(
                                     new ChannelInitializer<Channel>() {
                                         @Override
@@ -158,50 +165,50 @@
                                             ch.pipeline()
                                                     .addLast(
                                                             new HttpClientCodec(),
-                                                            new Bodies(Call.this),
-                                                            objects,
+                                                            new ResponseBodyDecoder(Call.this),
+                                                            frameDecoder,
                                                             Call.this);
                                         }
                                     })
                             .connect(address);
-            channel = connected.channel();
-            channel.closeFuture().addListener(closed -> ended());
-            connected.addListener(
+            channel = connectFuture.channel();
+            channel.closeFuture().addListener(closed -> onClosed());
+            connectFuture.addListener(
                     done -> {
                         if (done.isSuccess()) {
-                            DefaultFullHttpRequest ask =
+                            DefaultFullHttpRequest request =
                                     new DefaultFullHttpRequest(
                                             HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
-                            ask.headers()
+                            request.headers()
                                     .set(
                                             HttpHeaderNames.HOST,
                                             address.getAddress().getHostAddress()
                                                     + ":"
                                                     + address.getPort());
-                            channel.writeAndFlush(ask);
+                            channel.writeAndFlush(request);
                             // The connection's time was its own
-                            await(firstMs);
+                            restartSilenceTimer(firstResponseTimeoutMs);
                         } else {
-                            ended();
+                            onClosed();
                         }
                     });
         }
 
         // Guards against a discovery that is cut off: its connection stays open and silent.
-        private void await(long most) {
-            if (silence != null) {
-                silence.cancel(false);
+        private void restartSilenceTimer(long timeoutMs) {
+            if (silenceTimer != null) {
+                silenceTimer.cancel(false);
             }
-            if (!over) {
-                silence =
+            if (!finished) {
+                silenceTimer =
                         loop.schedule(
                                 () -> {
                                     if (channel != null) {
                                         channel.close();
                                     }
-                                    ended();
+                                    onClosed();
                                 },
-                                most,
+                                timeoutMs,
                                 TimeUnit.MILLISECONDS);
             }
         }
@@ -209,14 +216,14 @@
         /**
          * A part of the answer has come; an empty line between lists says that nothing has changed.
          */
-        void heard(ByteBuf part) {
-            if (!objects.isBetween()) {
+        void onBodyPart(ByteBuf part) {
+            if (!frameDecoder.isBetweenLists()) {
                 // A list that never ends must not pass for news
                 return;
             }
-            await(SILENCE_MS);
-            if (watching && !answered && !over && isBlank(part)) {
-                accept(new Targets(rev, false, List.of()));
+            restartSilenceTimer(WATCH_SILENCE_TIMEOUT_MS);
+            if (watching && !answered && !finished && isBlank(part)) {
+                accept(new EndpointList(revision, false, List.of()));
             }
         }
 
@@ -226,108 +233,113 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf list) {
-            if (over) {
+            if (finished) {
                 return;
             }
             try {
-                Targets targets = Targets.parse(list, boot);
-                if ((answered || !watching) && targets.rev() < rev) {
+                EndpointList endpointList = EndpointList.parse(list, boot);
+                if ((answered || !watching) && endpointList.revision() < revision) {
                     // Older than what has been heard already
-                    finish();
+                    finishUnlessWatching();
                 } else {
-                    accept(targets);
+                    accept(endpointList);
                 }
             } catch (IllegalArgumentException e) {
-                unreadable(e.getMessage());
+                onUnreadableList(e.getMessage());
             }
         }
 
         // A change may be lost with it: the next watch, from the last good version, brings it.
-        private void unreadable(String why) {
-            log.accept("discovery sent a list that can't be read: " + why);
+        private void onUnreadableList(String reason) {
+            log.accept("discovery sent a list that can't be read: " + reason);
             channel.close();
-            ended();
+            onClosed();
         }
 
-        private void accept(Targets targets) {
-            rev = targets.rev();
+        private void accept(EndpointList endpointList) {
+            revision = endpointList.revision();
             answered = true;
-            news.accept(targets.all() ? ListKind.COMPLETE : ListKind.PARTIAL, targets);
-            finish();
+            listener.accept(
+                    endpointList.complete() ? EndpointListKind.COMPLETE : EndpointListKind.DELTA,
+                    endpointList);
+            finishUnlessWatching();
         }
 
-        private void finish() {
+        private void finishUnlessWatching() {
             if (!watching) {
-                over = true;
+                finished = true;
                 channel.close();
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            if (cause instanceof DecoderException && !over) {
-                unreadable(cause.getMessage());
+            if (cause instanceof DecoderException && !finished) {
+                onUnreadableList(cause.getMessage());
             }
             channel.close();
         }
 
-        private void ended() {
-            silence.cancel(false);
-            if (over) {
+        private void onClosed() {
+            silenceTimer.cancel(false);
+            if (finished) {
                 return;
             }
-            over = true;
-            if (watch == this) {
-                watch = null;
+            finished = true;
+            if (activeWatch == this) {
+                activeWatch = null;
             }
             if (!pushed) {
-                news.accept(ListKind.FAILED, null);
+                listener.accept(EndpointListKind.FAILED, null);
             } else if (watching) {
                 // What the agent has counts as told, watched or not: a watch that worked is renewed
                 // at once.
-                boolean worked = answered && System.nanoTime() - openedAt > firstMs * 1_000_000;
+                boolean watchWorked =
+                        answered
+                                && System.nanoTime() - openedAtNanos
+                                        > firstResponseTimeoutMs * 1_000_000;
                 loop.schedule(
                         () -> {
-                            if (watch == null) {
-                                watch(true);
+                            if (activeWatch == null) {
+                                setWatching(true);
                             }
                         },
-                        worked ? 0 : firstMs / AGAIN_PART,
+                        watchWorked ? 0 : firstResponseTimeoutMs / RETRY_PAUSE_DIVISOR,
                         TimeUnit.MILLISECONDS);
             }
         }
     }
 
     /** Tells lists apart, each a JSON object, on one line or many. */
-    private static final class Lists extends JsonObjectDecoder {
-        Lists() {
-            super(LIST_MOST);
+    private static final class ListFrameDecoder extends JsonObjectDecoder {
+        ListFrameDecoder() {
+            super(MAX_LIST_BYTES);
         }
 
         /** Whether no part of a list is held. */
-        boolean isBetween() {
+        boolean isBetweenLists() {
             return actualReadableBytes() == 0;
         }
     }
 
     /** Passes the body of a 200 answer on, and ends the call for any other. */
-    private static final class Bodies extends MessageToMessageDecoder<HttpObject> {
+    private static final class ResponseBodyDecoder extends MessageToMessageDecoder<HttpObject> {
         private final Call call;
 
-        Bodies(Call call) {
+        ResponseBodyDecoder(Call call) {
             this.call = call;
         }
 
         @Override
         protected void decode(ChannelHandlerContext context, HttpObject part, List<Object> out) {
-            if (part instanceof HttpResponse answer
-                    && (answer.status().code() != 200 || !answer.decoderResult().isSuccess())) {
+            if (part instanceof HttpResponse response
+                    && (response.status().code() != 200 || !response.decoderResult().isSuccess())) {
                 context.close();
                 return;
             }
             if (part instanceof HttpContent content && context.channel().isActive()) {
                 if (content.content().isReadable()) {
-                    call.heard(content.content());
+                    call.onBodyPart(content.content());
                     out.add(content.content().retain());
                 }
                 if (part instanceof LastHttpContent && call.watching) {
--- a/balancer/src/main/java/junctionhead/net/Presence.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientLiveness.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.http;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -11,36 +11,36 @@
  * system's buffer until it is read, and in a long turn of the loop, or after it stood still, others
  * are read before it.
  */
-final class Presence extends ChannelInboundHandlerAdapter {
+final class ClientLiveness extends ChannelInboundHandlerAdapter {
     // An attempt may begin for 0.1 s after its client's end: what was found that lately need not be
     // looked
     // for again, and as a rule a request is sent on right after it was read.
-    private static final long FRESH_NS = 20_000_000;
+    private static final long FRESHNESS_NS = 20_000_000;
     // Of several reads each, where much stands before an end
-    private static final int LOOKS_MOST = 4;
+    private static final int MAX_READ_ATTEMPTS = 4;
     private final Channel channel;
-    private final int readsMost;
+    private final int maxReadsPerLoop;
     // This connection is being read further up the stack
     private boolean reading;
     // Of this look
-    private int reads;
+    private int readCount;
     // When a read last found nothing more
-    private long emptyAt;
+    private long lastEmptyReadNanos;
 
     /**
-     * {@code readsMost}: after so many the loop turns to other connections, whether more is there
-     * or not.
+     * {@code maxReadsPerLoop}: after so many the loop turns to other connections, whether more is
+     * there or not.
      */
-    Presence(Channel channel, int readsMost) {
+    ClientLiveness(Channel channel, int maxReadsPerLoop) {
         this.channel = channel;
-        this.readsMost = readsMost;
-        this.emptyAt = System.nanoTime() - FRESH_NS;
+        this.maxReadsPerLoop = maxReadsPerLoop;
+        this.lastEmptyReadNanos = System.nanoTime() - FRESHNESS_NS;
     }
 
     /** Whether the client has left; what it has sent before is read, and handled, first. */
-    boolean hasLeft() {
+    boolean isDisconnected() {
         if (!reading && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
-            for (int i = 0; i < LOOKS_MOST && channel.isActive() && isStale(); i++) {
+            for (int i = 0; i < MAX_READ_ATTEMPTS && channel.isActive() && isStale(); i++) {
                 socket.read();
             }
         }
@@ -48,23 +48,23 @@
     }
 
     private boolean isStale() {
-        return System.nanoTime() - emptyAt >= FRESH_NS;
+        return System.nanoTime() - lastEmptyReadNanos >= FRESHNESS_NS;
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object bytes) {
+    public void channelRead(ChannelHandlerContext context, Object message) {
         reading = true;
-        reads++;
-        context.fireChannelRead(bytes);
+        readCount++;
+        context.fireChannelRead(message);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         reading = false;
-        if (reads < readsMost) {
-            emptyAt = System.nanoTime();
+        if (readCount < maxReadsPerLoop) {
+            lastEmptyReadNanos = System.nanoTime();
         }
-        reads = 0;
+        readCount = 0;
         context.fireChannelReadComplete();
     }
 }
--- a/balancer/src/main/java/junctionhead/net/Order.java
+++ b/balancer/src/main/java/loadbalancer/http/ProxyRequest.java
@@ -1,15 +1,15 @@
-package junctionhead.net;
+package loadbalancer.http;
 
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
  * A client's request: what goes on to an upstream unchanged, and what the module is told of it.
- * Times are in µs; {@code work} is -1 where the client gives no guess. Where {@code upload} is not
- * null the body comes that way, {@code length} bytes of it or, where that is -1, as many as there
- * are; {@code body} is empty then.
+ * Times are in µs; {@code workEstimate} is -1 where the client gives no guess. Where {@code upload}
+ * is not null the body comes that way, {@code contentLength} bytes of it or, where that is -1, as
+ * many as there are; {@code body} is empty then.
  */
-record Order(
+public record ProxyRequest(
         HttpMethod method,
         String uri,
         HttpHeaders headers,
@@ -17,13 +17,13 @@
         int requestClass,
         int tenant,
         String key,
-        long timeLeft,
-        long work,
+        long timeLeftMicros,
+        long workEstimate,
         boolean resubmission,
-        Relay upload,
-        long length) {
+        BodyRelay upload,
+        long contentLength) {
     /** With a body that is all there. */
-    Order(
+    public ProxyRequest(
             HttpMethod method,
             String uri,
             HttpHeaders headers,
@@ -31,8 +31,8 @@
             int requestClass,
             int tenant,
             String key,
-            long timeLeft,
-            long work,
+            long timeLeftMicros,
+            long workEstimate,
             boolean resubmission) {
         this(
                 method,
@@ -42,37 +42,37 @@
                 requestClass,
                 tenant,
                 key,
-                timeLeft,
-                work,
+                timeLeftMicros,
+                workEstimate,
                 resubmission,
                 null,
                 body.length);
     }
 
     /** The client's name for it, for the log. */
-    String id() {
+    public String clientRequestId() {
         return headers.get("Req-Id");
     }
 
     /** The same for another path. */
-    Order to(String other) {
-        return new Order(
+    ProxyRequest withUri(String newUri) {
+        return new ProxyRequest(
                 method,
-                other,
+                newUri,
                 headers,
                 body,
                 requestClass,
                 tenant,
                 key,
-                timeLeft,
-                work,
+                timeLeftMicros,
+                workEstimate,
                 resubmission,
                 upload,
-                length);
+                contentLength);
     }
 
     /** Whether it can be sent from its first byte on. */
-    boolean sendable() {
-        return upload == null || !upload.begun();
+    public boolean isReplayable() {
+        return upload == null || !upload.hasStarted();
     }
 }
--- a/balancer/src/main/java/junctionhead/net/Framing.java
+++ b/balancer/src/main/java/loadbalancer/http/StrictFraming.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.http;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
@@ -18,34 +18,34 @@
  * means as a body is taken for a message of its own. What they turn down is malformed, and so is
  * all that follows on its connection.
  */
-final class Framing {
-    private Framing() {}
+public final class StrictFraming {
+    private StrictFraming() {}
 
     /** Of clients' requests. */
-    static final class Requests extends HttpRequestDecoder {
+    static final class RequestDecoder extends HttpRequestDecoder {
         /** Whether a part of a line has come that is not read yet. */
-        boolean holdsBytes() {
+        boolean hasUndecodedBytes() {
             return actualReadableBytes() > 0;
         }
 
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
             // The headers are whole, and none has been dropped yet
-            check(message);
+            validateFraming(message);
             return super.isContentAlwaysEmpty(message);
         }
     }
 
     /** Of upstreams' answers. */
-    static final class Answers extends HttpResponseDecoder {
+    public static final class ResponseDecoder extends HttpResponseDecoder {
         /** Whether a part of a line has come that is not read yet. */
-        boolean holdsBytes() {
+        public boolean hasUndecodedBytes() {
             return actualReadableBytes() > 0;
         }
 
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
-            check(message);
+            validateFraming(message);
             if (((HttpResponse) message).status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
                 throw new IllegalArgumentException("another protocol, unasked");
             }
@@ -62,21 +62,21 @@
         }
     }
 
-    private static void check(HttpMessage message) {
+    private static void validateFraming(HttpMessage message) {
         HttpHeaders headers = message.headers();
         HttpVersion version = message.protocolVersion();
         if (!version.protocolName().equals("HTTP") || version.majorVersion() != 1) {
             throw new IllegalArgumentException("not HTTP/1");
         }
-        List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        if (codings.isEmpty()) {
+        List<String> transferCodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        if (transferCodings.isEmpty()) {
             return;
         }
         if (version.minorVersion() == 0) {
             throw new IllegalArgumentException("Transfer-Encoding in HTTP/1.0");
         }
-        if (codings.size() > 1
-                || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
+        if (transferCodings.size() > 1
+                || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(transferCodings.get(0))) {
             throw new IllegalArgumentException("Transfer-Encoding is not just chunked");
         }
         if (headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
--- a/balancer/src/main/java/junctionhead/duties/package-info.java
+++ b/balancer/src/main/java/loadbalancer/lease/package-info.java
@@ -3,4 +3,4 @@
  * machine without sockets, disk or clock of its own. Nothing that is placed on a request waits for
  * it; a duty without a holder rests.
  */
-package junctionhead.duties;
+package loadbalancer.lease;
--- a/balancer/src/main/java/junctionhead/membership/Status.java
+++ b/balancer/src/main/java/loadbalancer/membership/MemberStatus.java
@@ -1,7 +1,7 @@
-package junctionhead.membership;
+package loadbalancer.membership;
 
 /** What is known of a member; of one incarnation, a later status beats an earlier one. */
-public enum Status {
+public enum MemberStatus {
     /** Present. */
     ALIVE,
     /** Somebody can't reach it, directly or through others; it may say otherwise. */
--- a/balancer/src/main/java/junctionhead/membership/News.java
+++ b/balancer/src/main/java/loadbalancer/membership/MemberUpdate.java
@@ -1,4 +1,4 @@
-package junctionhead.membership;
+package loadbalancer.membership;
 
 /**
  * One statement about a member.
@@ -7,9 +7,9 @@
  * @param incarnation raised by each start and by each denial of a suspicion; 0: none was heard of
  *     yet
  */
-public record News(int member, Status status, long incarnation) {
+public record MemberUpdate(int member, MemberStatus status, long incarnation) {
     /** Whether this takes the place of another statement about the same member. */
-    public boolean beats(News other) {
+    public boolean supersedes(MemberUpdate other) {
         return incarnation > other.incarnation
                 || incarnation == other.incarnation && status.ordinal() > other.status.ordinal();
     }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/routing/DeduplicationScope.java
@@ -0,0 +1,8 @@
+package loadbalancer.routing;
+
+/** The servers that drop a repeat of a keyed request. */
+public enum DeduplicationScope {
+    ALL,
+    ZONE,
+    CELL
+}
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/routing/EndpointStatus.java
@@ -0,0 +1,8 @@
+package loadbalancer.routing;
+
+/** A listed server runs, finishes its work without taking more, or has gone. */
+public enum EndpointStatus {
+    UP,
+    DRAINING,
+    REMOVED
+}
--- a/balancer/src/main/java/junctionhead/LoadReport.java
+++ b/balancer/src/main/java/loadbalancer/routing/LoadReportParser.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer.routing;
 
 import java.util.Arrays;
 import java.util.List;
@@ -6,8 +6,8 @@
 /**
  * The values of a server's load report, under the names of the wire and of the protocol on sockets.
  */
-public final class LoadReport {
-    private static final List<String> WIRE =
+public final class LoadReportParser {
+    private static final List<String> SIMULATOR_FIELDS =
             List.of(
                     "outstanding",
                     "backlog",
@@ -15,25 +15,25 @@
                     "recent_ms",
                     "throughput",
                     "errors_per_s");
-    private static final List<String> SOCKET =
+    private static final List<String> HEADER_FIELDS =
             List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
 
-    private LoadReport() {}
+    private LoadReportParser() {}
 
-    static double[] unknown() {
-        double[] values = new double[WIRE.size()];
+    public static double[] unknownValues() {
+        double[] values = new double[SIMULATOR_FIELDS.size()];
         Arrays.fill(values, Double.NaN);
         return values;
     }
 
     /** The place of a value, or -1 for a name that means nothing here. */
-    static int slot(String name) {
-        int slot = WIRE.indexOf(name);
-        return slot >= 0 ? slot : SOCKET.indexOf(name);
+    public static int fieldIndex(String name) {
+        int index = SIMULATOR_FIELDS.indexOf(name);
+        return index >= 0 ? index : HEADER_FIELDS.indexOf(name);
     }
 
-    static Policy.Load of(double[] values) {
-        return new Policy.Load(
+    public static LoadReport toLoadReport(double[] values) {
+        return new LoadReport(
                 values[0], values[1], values[2], values[3] * 1000, values[4], values[5]);
     }
 
@@ -42,25 +42,25 @@
      *
      * @return null where there is no report, or none of its values is known
      */
-    public static Policy.Load parse(String text) {
+    public static LoadReport parse(String text) {
         if (text == null) {
             return null;
         }
-        double[] values = unknown();
-        boolean any = false;
+        double[] values = unknownValues();
+        boolean anyKnown = false;
         for (String pair : text.strip().replaceFirst("^TEXT\\s+", "").split(",")) {
-            int at = pair.indexOf('=');
-            int slot = at < 0 ? -1 : slot(pair.substring(0, at).strip());
-            if (slot >= 0) {
+            int separator = pair.indexOf('=');
+            int field = separator < 0 ? -1 : fieldIndex(pair.substring(0, separator).strip());
+            if (field >= 0) {
                 try {
-                    values[slot] = Double.parseDouble(pair.substring(at + 1).strip());
-                    any = true;
+                    values[field] = Double.parseDouble(pair.substring(separator + 1).strip());
+                    anyKnown = true;
                 } catch (NumberFormatException e) {
                     // One odd value does not spoil the others
                     continue;
                 }
             }
         }
-        return any ? of(values) : null;
+        return anyKnown ? toLoadReport(values) : null;
     }
 }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/routing/LoadReportSource.java
@@ -0,0 +1,8 @@
+package loadbalancer.routing;
+
+/** When servers report their load. */
+public enum LoadReportSource {
+    RESPONSES,
+    HEALTH_CHECKS,
+    NONE
+}
--- a/balancer/src/main/java/junctionhead/SettingsValidation.java
+++ b/balancer/src/main/java/loadbalancer/routing/SettingsValidation.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer.routing;
 
 /** Checks of what a balancer's settings may hold. */
 final class SettingsValidation {
--- a/balancer/src/main/java/junctionhead/WireException.java
+++ b/balancer/src/main/java/loadbalancer/simulator/WireFormatException.java
@@ -1,10 +1,10 @@
-package junctionhead;
+package loadbalancer.simulator;
 
 /** What is wrong with the input, in one line that names the place. */
-final class WireException extends RuntimeException {
+public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    WireFormatException(String message) {
         super(message);
     }
 }
--- a/balancer/src/main/java/junctionhead/state/Disk.java
+++ b/balancer/src/main/java/loadbalancer/storage/SnapshotDirectory.java
@@ -1,4 +1,4 @@
-package junctionhead.state;
+package loadbalancer.storage;
 
 import java.io.IOException;
 import java.util.List;
@@ -7,12 +7,12 @@
  * One folder, with the few operations whose order decides what survives: a real one, or one that
  * tests let fail at any point. Names are plain file names in the folder.
  */
-public interface Disk {
+public interface SnapshotDirectory {
     /** Names of all files. */
     List<String> list() throws IOException;
 
     /** A file's bytes, at most so many: one that is longer is an error. */
-    byte[] read(String name, int most) throws IOException;
+    byte[] read(String name, int maxBytes) throws IOException;
 
     /** Makes or replaces a file; what was written may be lost, in part too, until it is synced. */
     void write(String name, byte[] bytes) throws IOException;
@@ -30,7 +30,7 @@
     void rename(String from, String to) throws IOException;
 
     /** Returns when all names are safe. */
-    void syncFolder() throws IOException;
+    void syncDirectory() throws IOException;
 
     /** Removes a file; may be undone by a crash until the folder is synced. */
     void delete(String name) throws IOException;
--- a/balancer/src/main/java/junctionhead/Hashing.java
+++ b/balancer/src/main/java/loadbalancer/util/Hashing.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer.util;
 
 /** Hash functions that give the same values on every machine and in every run. */
 public final class Hashing {
--- a/balancer/src/test/java/junctionhead/GoldenFiles.java
+++ b/balancer/src/test/java/loadbalancer/GoldenFiles.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import java.io.IOException;
 import java.io.InputStream;
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/membership/GoldenMembershipMessageTest.java
@@ -0,0 +1,86 @@
+package loadbalancer.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import loadbalancer.GoldenFiles;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * Membership datagrams, byte for byte: each kind, with the least and greatest value of each field.
+ */
+class GoldenMembershipMessageTest {
+    private static final int GREATEST_MEMBER = (1 << 14) - 1;
+    private static final long GREATEST_INCARNATION = (1L << 48) - 1;
+    private static final long RECENT_INCARNATION = 1_764_680_000_123L;
+
+    /** The messages by the names of their golden files. */
+    static Map<String, MembershipMessage> messages() {
+        Map<String, MembershipMessage> messages = new LinkedHashMap<>();
+        messages.put(
+                "ping-least.hex",
+                new MembershipMessage(MembershipMessage.Kind.PING, 0, 0, 0, List.of()));
+        messages.put(
+                "ack-greatest.hex",
+                new MembershipMessage(
+                        MembershipMessage.Kind.ACK,
+                        GREATEST_MEMBER,
+                        Integer.MAX_VALUE,
+                        GREATEST_INCARNATION,
+                        List.of(
+                                new MemberUpdate(
+                                        GREATEST_MEMBER,
+                                        MemberStatus.LEFT,
+                                        GREATEST_INCARNATION))));
+        messages.put(
+                "ask-each-status.hex",
+                new MembershipMessage(
+                        MembershipMessage.Kind.PING_REQ,
+                        258,
+                        Integer.MIN_VALUE,
+                        RECENT_INCARNATION,
+                        List.of(
+                                new MemberUpdate(0, MemberStatus.ALIVE, 0),
+                                new MemberUpdate(1, MemberStatus.SUSPECTED, 1),
+                                new MemberUpdate(255, MemberStatus.DEAD, RECENT_INCARNATION),
+                                new MemberUpdate(256, MemberStatus.LEFT, 1L << 32))));
+        messages.put(
+                "tell-most-news.hex",
+                new MembershipMessage(MembershipMessage.Kind.GOSSIP, 13, -1, 1L << 47, mostNews()));
+        return messages;
+    }
+
+    private static List<MemberUpdate> mostNews() {
+        List<MemberUpdate> news = new ArrayList<>();
+        for (int i = 0; i < 30; i++) {
+            news.add(
+                    new MemberUpdate(
+                            i * 550, MemberStatus.values()[i % 4], RECENT_INCARNATION + i));
+        }
+        return news;
+    }
+
+    static List<String> names() {
+        return List.copyOf(messages().keySet());
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void bytesGiveValues(String name) {
+        assertEquals(
+                messages().get(name),
+                MembershipMessage.decode(GoldenFiles.bytes("membership/" + name)));
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void valuesGiveBytes(String name) {
+        assertEquals(
+                GoldenFiles.text("membership/" + name),
+                GoldenFiles.hexLines(messages().get(name).encode()));
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
@@ -0,0 +1,197 @@
+package loadbalancer.recovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.jr.ob.JSON;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CopyOnWriteArrayList;
+import loadbalancer.config.BalancerConfig;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.routing.EndpointListKind;
+import loadbalancer.routing.PolicySnapshot;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+@Timeout(60)
+class RecoveryStoreTest {
+    private static final String LIST_JSON =
+            """
+        {"rev":%d,"all":%s,"targets":[
+          {"uid":"s1","endpoint":"127.0.0.1:81","az":"b","model":"m1","pod_group":3,"state":"%s",
+            "capacity_hint":1.5,"boot_ms":7}]}""";
+
+    @TempDir private Path directory;
+    private final List<String> logLines = new CopyOnWriteArrayList<>();
+    private final BalancerConfig config = config();
+    private RecoveryStore store;
+    private PolicySnapshot policySnapshot;
+
+    private static BalancerConfig config() {
+        try {
+            Map<String, Object> settings =
+                    JSON.std.mapFrom(
+                            """
+                {"Areas":["a","b"],"Kinds":["m0","m1"],"Balancers":1,"Quantum":5000,"MembershipMode":"ask",
+                 "Classes":[{"Name":"a","Idempotency":"safe","GoalTime":600000,"GiveUp":1200000}],
+                 "Limits":{"TryLimit":3,"MayDuplicate":true,"Cancel":true,"Probes":true},
+                 "Rules":{"AnswerSlack":20000,"DrainGrace":1000000,"AskWithin":10000000,"ColdFrom":0.2,
+                   "RampTime":20000000,"OverloadFactor":2.5,"Fall":1500000}}""");
+            return BalancerConfig.parse(
+                    Map.of(),
+                    Map.of(
+                            "name",
+                            "n1",
+                            "listen",
+                            "127.0.0.1:0",
+                            "discovery",
+                            "127.0.0.1:9",
+                            "seed",
+                            "1",
+                            "settings",
+                            settings));
+        } catch (IOException e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    private RecoveryStore open() {
+        return RecoveryStore.open(directory, "n1", config.boot(), 1_000, logLines::add);
+    }
+
+    private EndpointList parseList(long revision, boolean complete, String state) {
+        return EndpointList.parse(LIST_JSON.formatted(revision, complete, state), config.boot());
+    }
+
+    @AfterEach
+    void closeStore() {
+        if (store != null) {
+            store.close();
+        }
+    }
+
+    private void persist(EndpointList endpointList) throws IOException, InterruptedException {
+        store = open();
+        store.onEndpointList(EndpointListKind.COMPLETE, endpointList);
+        store.takeSnapshot(policySnapshot);
+        while (!hasSnapshot()) {
+            Thread.onSpinWait();
+        }
+        store.close();
+    }
+
+    private boolean hasSnapshot() throws IOException {
+        try (var files = Files.list(directory)) {
+            return files.anyMatch(file -> file.getFileName().toString().startsWith("snapshot-"));
+        }
+    }
+
+    @Test
+    void listIsRestoredWithHigherIncarnation() throws IOException, InterruptedException {
+        EndpointList persisted = parseList(41, true, "terminating");
+        persist(persisted);
+        long previousIncarnation = store.incarnation();
+        store = open();
+        assertEquals(persisted, store.newestEndpointList(config.initialEndpoints()));
+        assertTrue(store.incarnation() > previousIncarnation);
+        assertTrue(
+                logLines.get(0).startsWith("state: recovered snapshot 1, "), logLines.toString());
+    }
+
+    @Test
+    void platformListWinsIfAsNew() throws IOException, InterruptedException {
+        persist(parseList(41, true, "in_service"));
+        store = open();
+        EndpointList known = parseList(41, true, "terminating");
+        assertEquals(known, store.newestEndpointList(known));
+        assertEquals(41, store.newestEndpointList(parseList(40, true, "terminating")).revision());
+    }
+
+    @Test
+    void policySnapshotIsRestored() throws IOException, InterruptedException {
+        policySnapshot =
+                new PolicySnapshot(
+                        List.of(
+                                new PolicySnapshot.EndpointSnapshot(
+                                        "s1",
+                                        7,
+                                        12.5,
+                                        3,
+                                        0.25,
+                                        900_000,
+                                        2,
+                                        0,
+                                        List.of(0L, 5_000L))),
+                        List.of(60_000.5));
+        persist(parseList(41, true, "in_service"));
+        store = open();
+        assertEquals(policySnapshot, store.recoveredPolicySnapshot());
+        assertTrue(
+                store.snapshotAgeMicros() >= 0 && store.snapshotAgeMicros() < 30_000_000,
+                store.snapshotAgeMicros() + " µs");
+    }
+
+    @Test
+    void invalidPolicySnapshotIsRejected() {
+        Map<String, Object> invalid =
+                PolicySnapshotCodec.encode(new PolicySnapshot(List.of(), List.of(-1.0)));
+        assertEquals(
+                "no number from 0 to 1.0E9: -1.0",
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> PolicySnapshotCodec.decode(invalid))
+                        .getMessage());
+        for (Object malformed :
+                new Object[] {
+                    "x",
+                    Map.of(),
+                    Map.of("servers", List.of(3), "latencies", List.of()),
+                    Map.of("servers", List.of(Map.of("uid", 3)), "latencies", List.of())
+                }) {
+            assertThrows(
+                    IllegalArgumentException.class,
+                    () -> PolicySnapshotCodec.decode(malformed),
+                    malformed.toString());
+        }
+    }
+
+    @Test
+    void directoryHasOneOwner() {
+        store = open();
+        assertNotNull(store);
+        assertNull(open());
+        assertEquals(
+                List.of("state: this process has " + directory + " already, serving without"),
+                logLines);
+        store.close();
+        store = open();
+        assertNotNull(store);
+    }
+
+    @Test
+    void unusableDirectoryDoesNotFailStart() throws IOException {
+        directory = Files.writeString(directory.resolve("file"), "x");
+        assertNull(open());
+        assertTrue(logLines.get(0).startsWith("state: can't use "), logLines.toString());
+    }
+
+    @Test
+    void corruptSnapshotIsSkipped() throws IOException {
+        Files.writeString(
+                directory.resolve("snapshot-5"),
+                "not one of ours, but as long as one would be, and more");
+        store = open();
+        assertEquals(
+                config.initialEndpoints(), store.newestEndpointList(config.initialEndpoints()));
+        assertEquals(List.of("state: dropped snapshot-5: no mark"), logLines);
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingEngineHarness.java
@@ -0,0 +1,298 @@
+package loadbalancer.routing;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Drives one module by hand and writes down what it asks for. */
+public final class RoutingEngineHarness implements RoutingActions {
+    static final long START_MICROS = 1_000_000_000L;
+    static final long LATENCY_OBJECTIVE_MICROS = 600_000;
+    public static final long DEADLINE_MICROS = 3_000_000;
+    static final long KEY_COOLDOWN_MICROS = 100_000;
+
+    /** An attempt that was sent; {@code ended} once its outcome was told. */
+    public static final class SentAttempt {
+        public final String requestId;
+        final int attemptNumber;
+        public final String endpointId;
+        final long sentAtMicros;
+        final long timeoutMicros;
+        public boolean ended;
+
+        SentAttempt(
+                String requestId,
+                int attemptNumber,
+                String endpointId,
+                long sentAtMicros,
+                long timeoutMicros) {
+            this.requestId = requestId;
+            this.attemptNumber = attemptNumber;
+            this.endpointId = endpointId;
+            this.sentAtMicros = sentAtMicros;
+            this.timeoutMicros = timeoutMicros;
+        }
+    }
+
+    public final RoutingPolicy policy;
+    public final List<SentAttempt> sentAttempts = new ArrayList<>();
+    public final Map<String, Integer> attemptCounts = new LinkedHashMap<>();
+    public final Map<String, String> finalResponses = new LinkedHashMap<>();
+    final List<String> cancelledAttempts = new ArrayList<>();
+    public final List<String> logLines = new ArrayList<>();
+    public final List<byte[]> gossipMessages = new ArrayList<>();
+    // To whom each of them
+    public final List<Integer> gossipReceivers = new ArrayList<>();
+    public long now = START_MICROS;
+    long timerAt = Long.MAX_VALUE;
+    int watchCount;
+    int duplicateFinalResponses;
+    // In-flight figure that outcomes carry, if any
+    double reportedInFlight = Double.NaN;
+
+    public RoutingEngineHarness(RoutingSettings settings, long seed) {
+        policy = new RoutingEngine(settings, seed);
+    }
+
+    public static RequestClass requestClass(Idempotency idempotency, DeduplicationScope scope) {
+        return new RequestClass(
+                idempotency,
+                scope,
+                2_000_000,
+                LATENCY_OBJECTIVE_MICROS,
+                DEADLINE_MICROS,
+                0,
+                1,
+                0.3,
+                false);
+    }
+
+    public static RoutingSettings settings(RequestClass... requestClasses) {
+        return settings(1, true, DiscoveryMode.PUSH, List.of(), requestClasses);
+    }
+
+    public static RoutingSettings settings(
+            int balancerCount,
+            boolean hedgingAllowed,
+            DiscoveryMode discoveryMode,
+            List<Tenant> tenants,
+            RequestClass... requestClasses) {
+        return new RoutingSettings(
+                balancerCount,
+                0,
+                0,
+                List.of(requestClasses),
+                tenants,
+                0.1,
+                new ObjectiveWeights(1, 0, 0, 0),
+                new RoutingCosts(0, 0),
+                true,
+                discoveryMode,
+                LoadReportSource.NONE,
+                false,
+                new RoutingLimits(5, hedgingAllowed, true, true, 250_000, 0),
+                new RoutingBounds(
+                        20_000,
+                        1_000_000,
+                        10_000_000,
+                        0.2,
+                        20_000_000,
+                        2.5,
+                        1_500_000,
+                        KEY_COOLDOWN_MICROS),
+                5_000);
+    }
+
+    public static Endpoint upEndpoint(String id) {
+        return new Endpoint(id, EndpointStatus.UP, 0, 1, 0, 0, 0);
+    }
+
+    public static List<Endpoint> endpoints(int endpointCount) {
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (int i = 0; i < endpointCount; i++) {
+            endpoints.add(new Endpoint("s" + i, EndpointStatus.UP, 0, 1, i % 2, i % 2, i % 2));
+        }
+        return endpoints;
+    }
+
+    public RoutingEngineHarness updateEndpoints(EndpointListKind kind, List<Endpoint> endpoints) {
+        policy.onEndpointList(now, kind, endpoints, this);
+        return this;
+    }
+
+    /** Sends a request in and returns the attempt made at once, or null. */
+    public SentAttempt request(String requestId, int classIndex) {
+        return request(requestId, classIndex, 0, DEADLINE_MICROS);
+    }
+
+    SentAttempt request(String requestId, int classIndex, int tenantIndex, long remainingMicros) {
+        return request(requestId, classIndex, tenantIndex, remainingMicros, false);
+    }
+
+    /** A marked resubmission. */
+    SentAttempt resubmit(String requestId, int classIndex, long remainingMicros) {
+        return request(requestId, classIndex, 0, remainingMicros, true);
+    }
+
+    /** A request that concerns a key. */
+    SentAttempt requestWithKey(String requestId, int classIndex, String key) {
+        return request(requestId, classIndex, 0, key, DEADLINE_MICROS, false);
+    }
+
+    private SentAttempt request(
+            String requestId,
+            int classIndex,
+            int tenantIndex,
+            long remainingMicros,
+            boolean resubmission) {
+        return request(requestId, classIndex, tenantIndex, null, remainingMicros, resubmission);
+    }
+
+    SentAttempt request(
+            String requestId,
+            int classIndex,
+            int tenantIndex,
+            String key,
+            long remainingMicros,
+            boolean resubmission) {
+        int sentBefore = sentAttempts.size();
+        policy.onRequest(
+                now,
+                requestId,
+                classIndex,
+                tenantIndex,
+                key,
+                remainingMicros,
+                -1,
+                resubmission,
+                this);
+        return sentAttempts.size() > sentBefore ? sentAttempts.get(sentAttempts.size() - 1) : null;
+    }
+
+    public void endAttempt(SentAttempt sent, AttemptOutcome outcome) {
+        sent.ended = true;
+        boolean closed = outcome == AttemptOutcome.OK || finalResponses.containsKey(sent.requestId);
+        if (outcome == AttemptOutcome.OK) {
+            finalResponses.putIfAbsent(sent.requestId, "ok");
+        }
+        policy.onAttemptEnded(
+                now,
+                sent.requestId,
+                sent.attemptNumber,
+                outcome,
+                now - sent.sentAtMicros,
+                closed,
+                new LoadReport(
+                        reportedInFlight,
+                        Double.NaN,
+                        Double.NaN,
+                        Double.NaN,
+                        Double.NaN,
+                        Double.NaN),
+                this);
+    }
+
+    /** Lets time pass, waking the module when it asked for it. */
+    public void advanceTime(long durationMicros) {
+        long until = now + durationMicros;
+        while (timerAt <= until) {
+            now = timerAt;
+            timerAt = Long.MAX_VALUE;
+            policy.onTimer(now, this);
+        }
+        now = until;
+    }
+
+    /** Serves requests one after another so that the module learns what is usual. */
+    void warmUp(int requestCount, int classIndex, long latencyMicros) {
+        for (int i = 0; i < requestCount; i++) {
+            SentAttempt sent = request("warm-" + now + "-" + i, classIndex);
+            advanceTime(latencyMicros);
+            endAttempt(sent, AttemptOutcome.OK);
+        }
+    }
+
+    public long countSentTo(String endpointId, long sinceMicros) {
+        return sentAttempts.stream()
+                .filter(
+                        attempt ->
+                                attempt.endpointId.equals(endpointId)
+                                        && attempt.sentAtMicros >= sinceMicros)
+                .count();
+    }
+
+    List<SentAttempt> attemptsOf(String requestId) {
+        return sentAttempts.stream()
+                .filter(attempt -> attempt.requestId.equals(requestId))
+                .toList();
+    }
+
+    @Override
+    public void send(String requestId, String endpointId, long timeoutMicros) {
+        int attemptNumber = attemptCounts.merge(requestId, 1, Integer::sum) - 1;
+        sentAttempts.add(new SentAttempt(requestId, attemptNumber, endpointId, now, timeoutMicros));
+        logLines.add(now + " send " + requestId + " " + endpointId + " " + timeoutMicros);
+    }
+
+    private void recordFinalResponse(String requestId, String response) {
+        if (finalResponses.putIfAbsent(requestId, response) != null) {
+            duplicateFinalResponses++;
+        }
+        logLines.add(now + " " + response + " " + requestId);
+    }
+
+    @Override
+    public void reject(String requestId, long retryAfterMicros) {
+        logLines.add(now + " refuse " + requestId + " " + retryAfterMicros);
+        recordFinalResponse(requestId, "refused");
+    }
+
+    @Override
+    public void fail(String requestId) {
+        recordFinalResponse(requestId, "failed");
+    }
+
+    @Override
+    public void cancel(String requestId, int attemptNumber) {
+        cancelledAttempts.add(requestId + "/" + attemptNumber);
+        logLines.add(now + " cancel " + requestId + " " + attemptNumber);
+    }
+
+    @Override
+    public void checkHealth(String endpointId) {
+        logLines.add(now + " probe " + endpointId);
+    }
+
+    @Override
+    public void watchEndpoints(boolean enabled) {
+        watchCount++;
+    }
+
+    @Override
+    public void fetchEndpointList() {
+        logLines.add(now + " fetch");
+    }
+
+    @Override
+    public void closeIdleConnections(String endpointId) {
+        logLines.add(now + " close " + endpointId);
+    }
+
+    @Override
+    public void sendToPeer(int peer, byte[] payload) {
+        logLines.add(now + " tell " + peer);
+        gossipMessages.add(payload);
+        gossipReceivers.add(peer);
+    }
+
+    @Override
+    public void scheduleTimer(long delayMicros) {
+        timerAt = Math.min(timerAt, now + delayMicros);
+    }
+
+    @Override
+    public void log(String message) {
+        logLines.add(now + " remark " + message);
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
@@ -0,0 +1,265 @@
+package loadbalancer.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.lang.reflect.Field;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Collection;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** What users of the library rely on. */
+class RoutingPolicyEmbeddingTest {
+    private static final RequestClass IDEMPOTENT =
+            RoutingEngineHarness.requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+
+    @Test
+    void readmeExampleRuns() throws IOException {
+        String readme = Files.readString(Path.of("../README.md"));
+        String example =
+                Files.readString(
+                        Path.of("src/test/java/loadbalancer/routing/EmbeddingExample.java"));
+        int codeStart = readme.indexOf("```java\n") + 8;
+        String readmeCode = readme.substring(codeStart, readme.indexOf("```\n", codeStart));
+        assertTrue(
+                example.contains(readmeCode.strip()),
+                "the README shows the code of EmbeddingExample.java");
+        assertEquals(List.of("send r1 to a:80"), EmbeddingExample.run());
+    }
+
+    @Test
+    void invalidSettingIsNamed() {
+        assertEquals(
+                "impossible aim: 0",
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () ->
+                                        new RequestClass(
+                                                Idempotency.IDEMPOTENT,
+                                                DeduplicationScope.ALL,
+                                                0,
+                                                0,
+                                                1,
+                                                0,
+                                                1,
+                                                0,
+                                                false))
+                        .getMessage());
+        assertEquals(
+                "impossible coldFrom: 0.0",
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> new RoutingBounds(1, 1, 1, 0, 1, 2, 1, 0))
+                        .getMessage());
+        assertEquals(
+                "impossible maxAttempts: 0",
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> new RoutingLimits(0, true, true, true, 1, 0))
+                        .getMessage());
+        assertEquals(
+                "impossible classes: none",
+                assertThrows(IllegalArgumentException.class, () -> RoutingEngineHarness.settings())
+                        .getMessage());
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "0, 0, impossible balancers: 0",
+        "2, 2, impossible rank: 2",
+        "2, -1, impossible rank: -1"
+    })
+    void invalidBalancerCountOrRankIsNamed(int balancerCount, int rank, String expectedMessage) {
+        RoutingSettings settings = RoutingEngineHarness.settings(IDEMPOTENT);
+        assertEquals(
+                expectedMessage,
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () ->
+                                        new RoutingSettings(
+                                                balancerCount,
+                                                rank,
+                                                0,
+                                                settings.requestClasses(),
+                                                List.of(),
+                                                1,
+                                                settings.objectiveWeights(),
+                                                settings.costs(),
+                                                false,
+                                                settings.discoveryMode(),
+                                                settings.loadReportSource(),
+                                                false,
+                                                settings.limits(),
+                                                settings.bounds(),
+                                                1_000))
+                        .getMessage());
+    }
+
+    /** Settings unlike any deployment: sensible behaviour, every request answered. */
+    @ParameterizedTest
+    @CsvSource({
+        // servers, balancers, aim, deadline, attempts, copies, rate a second, latency
+        "1, 1, 600000, 1200000, 3, true, 20, 20000",
+        "60, 12, 600000, 1200000, 3, true, 200, 40000",
+        "5, 2, 4000, 10000, 3, true, 500, 1000",
+        "8, 3, 20000000, 60000000, 3, false, 8, 2000000",
+        "6, 1, 600000, 1200000, 1, false, 50, 30000",
+    })
+    void unusualSettingsAreServed(
+            int endpointCount,
+            int balancerCount,
+            long latencyObjectiveMicros,
+            long deadlineMicros,
+            int maxAttempts,
+            boolean hedgingAllowed,
+            int requestsPerSecond,
+            long latencyMicros) {
+        for (Idempotency idempotency : Idempotency.values()) {
+            RequestClass requestClass =
+                    new RequestClass(
+                            idempotency,
+                            DeduplicationScope.CELL,
+                            deadlineMicros,
+                            latencyObjectiveMicros,
+                            deadlineMicros,
+                            0,
+                            1,
+                            0,
+                            false);
+            RoutingSettings baseSettings =
+                    RoutingEngineHarness.settings(
+                            balancerCount,
+                            hedgingAllowed,
+                            DiscoveryMode.PUSH,
+                            List.of(),
+                            requestClass);
+            RoutingEngineHarness harness =
+                    new RoutingEngineHarness(
+                            new RoutingSettings(
+                                    balancerCount,
+                                    0,
+                                    0,
+                                    baseSettings.requestClasses(),
+                                    List.of(),
+                                    1,
+                                    baseSettings.objectiveWeights(),
+                                    baseSettings.costs(),
+                                    false,
+                                    baseSettings.discoveryMode(),
+                                    LoadReportSource.NONE,
+                                    false,
+                                    new RoutingLimits(
+                                            maxAttempts, hedgingAllowed, false, false, 1000, 0),
+                                    baseSettings.bounds(),
+                                    1_000),
+                            9);
+            harness.updateEndpoints(
+                    EndpointListKind.CACHED, RoutingEngineHarness.endpoints(endpointCount));
+            for (int i = 0; i < 400; i++) {
+                harness.request("r" + i, 0, 0, deadlineMicros);
+                harness.advanceTime(1_000_000 / requestsPerSecond);
+                harness.sentAttempts.stream()
+                        .filter(
+                                attempt ->
+                                        !attempt.ended
+                                                && harness.now - attempt.sentAtMicros
+                                                        >= latencyMicros)
+                        .toList()
+                        .forEach(attempt -> harness.endAttempt(attempt, AttemptOutcome.OK));
+            }
+            harness.advanceTime(deadlineMicros);
+            harness.sentAttempts.stream()
+                    .filter(attempt -> !attempt.ended)
+                    .toList()
+                    .forEach(attempt -> harness.endAttempt(attempt, AttemptOutcome.TIMEOUT));
+            harness.advanceTime(deadlineMicros);
+            assertEquals(400, harness.finalResponses.size());
+            assertEquals(0, harness.duplicateFinalResponses);
+            long servedCount =
+                    harness.finalResponses.values().stream().filter("ok"::equals).count();
+            assertTrue(servedCount >= 360, "served " + servedCount + " of 400, " + idempotency);
+        }
+    }
+
+    @Test
+    void memoryStaysBounded() throws ReflectiveOperationException {
+        RoutingEngineHarness harness =
+                new RoutingEngineHarness(RoutingEngineHarness.settings(IDEMPOTENT), 1)
+                        .updateEndpoints(
+                                EndpointListKind.CACHED, RoutingEngineHarness.endpoints(4));
+        for (int i = 0; i < 30_000; i++) {
+            RoutingEngineHarness.SentAttempt sent = harness.request("r" + i, 0);
+            harness.advanceTime(5_000);
+            harness.sentAttempts.stream()
+                    .filter(attempt -> !attempt.ended)
+                    .toList()
+                    .forEach(
+                            attempt ->
+                                    harness.endAttempt(
+                                            attempt,
+                                            attempt.attemptNumber % 7 == 6
+                                                    ? AttemptOutcome.ERROR
+                                                    : AttemptOutcome.OK));
+            if (i % 50 == 0) {
+                // Machines come and go under new names
+                harness.updateEndpoints(
+                        EndpointListKind.COMPLETE,
+                        List.of(
+                                RoutingEngineHarness.upEndpoint("a" + i),
+                                RoutingEngineHarness.upEndpoint("b" + i),
+                                RoutingEngineHarness.upEndpoint("c")));
+                harness.sentAttempts.clear();
+                harness.attemptCounts.clear();
+                harness.finalResponses.clear();
+                harness.logLines.clear();
+            }
+            assertTrue(sent == null || sent.ended);
+        }
+        harness.updateEndpoints(
+                EndpointListKind.COMPLETE,
+                List.of(new Endpoint("c", EndpointStatus.UP, 0, 1, 0, 0, 0)));
+        assertEquals(0, collectionSize(harness.policy, "openRequests"));
+        assertTrue(collectionSize(readField(harness.policy, "registry"), "endpointsById") <= 1);
+    }
+
+    @Test
+    void readmeQuotesLogLinesOfThePolicy() throws IOException {
+        String sources =
+                Files.readString(Path.of("src/main/java/loadbalancer/routing/RoutingEngine.java"))
+                        + Files.readString(
+                                Path.of(
+                                        "src/main/java/loadbalancer/routing/health/OutlierEjection.java"));
+        String readme = Files.readString(Path.of("../README.md"));
+        for (String line :
+                List.of(
+                        "overload: refusing, level ",
+                        "ejected ",
+                        " ms after failures",
+                        "recovered ",
+                        "discovery failed ",
+                        " times, asking again")) {
+            assertTrue(sources.contains(line), "the module writes: " + line);
+            assertTrue(readme.contains(line.strip()), "the README names: " + line);
+        }
+    }
+
+    private static Object readField(Object target, String name)
+            throws ReflectiveOperationException {
+        Field field = target.getClass().getDeclaredField(name);
+        field.setAccessible(true);
+        return field.get(target);
+    }
+
+    private static int collectionSize(Object target, String name)
+            throws ReflectiveOperationException {
+        Object value = readField(target, name);
+        return value instanceof Map ? ((Map<?, ?>) value).size() : ((Collection<?>) value).size();
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointListBenchmark.java
@@ -0,0 +1,176 @@
+package loadbalancer.routing.endpoint;
+
+import com.sun.management.ThreadMXBean;
+import java.lang.management.ManagementFactory;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import loadbalancer.routing.AttemptOutcome;
+import loadbalancer.routing.DeduplicationScope;
+import loadbalancer.routing.Endpoint;
+import loadbalancer.routing.EndpointListKind;
+import loadbalancer.routing.EndpointStatus;
+import loadbalancer.routing.Idempotency;
+import loadbalancer.routing.RoutingEngineHarness;
+import loadbalancer.routing.RoutingSettings;
+
+/**
+ * What the module spends on its list, by the number of servers: CPU and bytes allocated for an idle
+ * wake that looks at them, for one changed entry and for a whole list, and live heap for each.
+ * Played by hand: {@code docs/design/list.md} says how.
+ */
+final class EndpointListBenchmark {
+    static final long REFRESH_MICROS = 100_000;
+    private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
+
+    private final RoutingEngineHarness harness;
+    private final List<Endpoint> endpoints;
+    private long changeCount;
+    private long requestCount;
+
+    EndpointListBenchmark(int endpointCount) {
+        endpoints = endpoints(endpointCount);
+        harness = new RoutingEngineHarness(settings(), 7);
+        harness.updateEndpoints(EndpointListKind.COMPLETE, endpoints);
+    }
+
+    /** Four classes, three zones, four kinds; one balancer that hears of no other. */
+    static RoutingSettings settings() {
+        return RoutingEngineHarness.settings(
+                RoutingEngineHarness.requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                RoutingEngineHarness.requestClass(
+                        Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL),
+                RoutingEngineHarness.requestClass(
+                        Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE),
+                RoutingEngineHarness.requestClass(
+                        Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL));
+    }
+
+    static List<Endpoint> endpoints(int endpointCount) {
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (int i = 0; i < endpointCount; i++) {
+            endpoints.add(endpoint(i, EndpointStatus.UP));
+        }
+        return endpoints;
+    }
+
+    static Endpoint endpoint(int index, EndpointStatus status) {
+        return new Endpoint(
+                "upstream-" + index,
+                status,
+                1_000_000,
+                1 + index % 4 * 0.35,
+                index % 5,
+                index % 4,
+                index % 3);
+    }
+
+    /** One wake with a look at the servers. */
+    void advanceIdle() {
+        harness.advanceTime(REFRESH_MICROS);
+    }
+
+    /** One server leaves; the next time it is back. */
+    void applyChange() {
+        int index = (int) (changeCount / 2 * 7919 % endpoints.size());
+        harness.updateEndpoints(
+                EndpointListKind.DELTA,
+                List.of(
+                        endpoint(
+                                index,
+                                changeCount++ % 2 == 0
+                                        ? EndpointStatus.DRAINING
+                                        : EndpointStatus.UP)));
+    }
+
+    /** The same list as a whole. */
+    void applyCompleteList() {
+        harness.updateEndpoints(EndpointListKind.COMPLETE, endpoints);
+    }
+
+    /** One request in 2 ms, answered at once. */
+    void serveRequest() {
+        harness.advanceTime(2_000);
+        RoutingEngineHarness.SentAttempt sent = harness.request("r" + requestCount++, 0);
+        harness.endAttempt(sent, AttemptOutcome.OK);
+        harness.sentAttempts.clear();
+        harness.attemptCounts.clear();
+        harness.finalResponses.clear();
+        harness.logLines.clear();
+    }
+
+    /** Bytes that one run allocates on this thread, as a mean over {@code iterations}. */
+    static long allocatedBytes(Runnable task, int iterations) {
+        long bytesBefore = THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
+        for (int i = 0; i < iterations; i++) {
+            task.run();
+        }
+        return (THREADS.getThreadAllocatedBytes(Thread.currentThread().getId()) - bytesBefore)
+                / iterations;
+    }
+
+    private static double cpuMicros(Runnable task, int iterations) {
+        long cpuNanosBefore = THREADS.getCurrentThreadCpuTime();
+        for (int i = 0; i < iterations; i++) {
+            task.run();
+        }
+        return (THREADS.getCurrentThreadCpuTime() - cpuNanosBefore) / 1e3 / iterations;
+    }
+
+    static long liveHeapBytes() {
+        for (int i = 0; i < 4; i++) {
+            System.gc();
+        }
+        return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+    }
+
+    /** Bytes of live heap that the module has for each server. */
+    static long liveHeapBytesPerEndpoint(int endpointCount) {
+        List<Endpoint> endpoints = endpoints(endpointCount);
+        RoutingEngineHarness harness = new RoutingEngineHarness(settings(), 7);
+        long heapBefore = liveHeapBytes();
+        harness.updateEndpoints(EndpointListKind.COMPLETE, endpoints);
+        harness.advanceTime(2 * REFRESH_MICROS);
+        long bytesPerEndpoint = (liveHeapBytes() - heapBefore) / endpointCount;
+        // It lives until here
+        harness.updateEndpoints(EndpointListKind.FAILED, List.of());
+        return bytesPerEndpoint;
+    }
+
+    private static void measure(String label, int endpointCount, Runnable task, int iterations) {
+        cpuMicros(task, 2 * iterations);
+        System.out.printf(
+                Locale.ROOT,
+                "%6d servers, %-18s %10.1f us %10d bytes%n",
+                endpointCount,
+                label,
+                cpuMicros(task, iterations),
+                allocatedBytes(task, iterations));
+    }
+
+    public static void main(String[] sizes) {
+        // Loads what is needed once
+        liveHeapBytesPerEndpoint(1_000);
+        for (String size : sizes) {
+            int endpointCount = Integer.parseInt(size);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%6d servers, live heap      %10d bytes each%n",
+                    endpointCount,
+                    liveHeapBytesPerEndpoint(endpointCount));
+            EndpointListBenchmark benchmark = new EndpointListBenchmark(endpointCount);
+            measure("idle look", endpointCount, benchmark::advanceIdle, 500);
+            measure("request", endpointCount, benchmark::serveRequest, 500);
+            measure("one change", endpointCount, benchmark::applyChange, 200);
+            measure(
+                    "change and request",
+                    endpointCount,
+                    () -> {
+                        benchmark.applyChange();
+                        benchmark.serveRequest();
+                    },
+                    200);
+            measure("whole list", endpointCount, benchmark::applyCompleteList, 20);
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointListCostTest.java
@@ -0,0 +1,167 @@
+package loadbalancer.routing.endpoint;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Iterator;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.function.Consumer;
+import java.util.stream.IntStream;
+import loadbalancer.routing.EndpointStatus;
+import org.junit.jupiter.api.Test;
+
+/** Work that must not grow with the list: counted, as times would tell of the machine. */
+class EndpointListCostTest {
+    private static final int SMALL_LIST = 1_000;
+    private static final int LARGE_LIST = 14_000;
+    private static final int ITERATIONS = 200;
+    private static final int TRAVERSED_ENDPOINTS = 40;
+    private static final double MAX_GROWTH_FACTOR = 1.5;
+
+    private static long allocatedBytes(
+            int endpointCount, Consumer<EndpointListBenchmark> operation) {
+        EndpointListBenchmark benchmark = new EndpointListBenchmark(endpointCount);
+        benchmark.advanceIdle();
+        benchmark.advanceIdle();
+        EndpointListBenchmark.allocatedBytes(() -> operation.accept(benchmark), ITERATIONS);
+        return EndpointListBenchmark.allocatedBytes(() -> operation.accept(benchmark), ITERATIONS);
+    }
+
+    // More bytes may be allocated only by so much: any list or array of all servers would show.
+    private static void assertNearlyConstant(Consumer<EndpointListBenchmark> operation) {
+        long smallListBytes = allocatedBytes(SMALL_LIST, operation);
+        long largeListBytes = allocatedBytes(LARGE_LIST, operation);
+        assertTrue(
+                largeListBytes <= MAX_GROWTH_FACTOR * smallListBytes + 512,
+                smallListBytes
+                        + " bytes at "
+                        + SMALL_LIST
+                        + ", "
+                        + largeListBytes
+                        + " at "
+                        + LARGE_LIST);
+    }
+
+    @Test
+    void idleAllocationIsIndependentOfListSize() {
+        assertNearlyConstant(EndpointListBenchmark::advanceIdle);
+    }
+
+    @Test
+    void changeAllocationIsIndependentOfListSize() {
+        assertNearlyConstant(EndpointListBenchmark::applyChange);
+    }
+
+    @Test
+    void requestAllocationIsIndependentOfListSize() {
+        assertNearlyConstant(
+                benchmark -> {
+                    benchmark.applyChange();
+                    benchmark.serveRequest();
+                });
+    }
+
+    /** Servers that an idle look meets: none, of 14,000 that were never sent to. */
+    @Test
+    void idleUpdateVisitsNoSteadyEndpoint() {
+        EndpointRegistry registry =
+                new EndpointRegistry(EndpointListBenchmark.settings(), new SplittableRandom(1));
+        registry.update(EndpointListBenchmark.endpoints(LARGE_LIST), false, 0, line -> {});
+        registry.removeSteadyEndpoints(endpoint -> true, 0);
+        int[] visited = {0};
+        registry.removeSteadyEndpoints(
+                endpoint -> {
+                    visited[0]++;
+                    return true;
+                },
+                0);
+        registry.weightedMean(
+                zone -> 1,
+                endpoint -> {
+                    visited[0]++;
+                    return 1;
+                });
+        registry.zoneTallies(
+                endpoint -> {
+                    visited[0]++;
+                    return false;
+                },
+                zone -> 0);
+        assertTrue(visited[0] == 0 && registry.activeEndpoints().isEmpty(), visited[0] + " met");
+    }
+
+    /** Points of the ring that one changed entry moves: its own. */
+    @Test
+    void changedEntryMovesOnlyItsRingPoints() {
+        EndpointRegistry registry =
+                new EndpointRegistry(EndpointListBenchmark.settings(), new SplittableRandom(1));
+        registry.update(EndpointListBenchmark.endpoints(LARGE_LIST), false, 0, line -> {});
+        List<EndpointState> endpoints = List.copyOf(registry.listedEndpoints());
+        int[] pointsBefore =
+                endpoints.stream().mapToInt(endpoint -> endpoint.ringPointCount).toArray();
+        long movesBefore = registry.ring().pointChanges();
+        registry.update(
+                List.of(endpoints.get(77).descriptor.withStatus(EndpointStatus.DRAINING)),
+                true,
+                0,
+                line -> {});
+        List<Integer> movedIndexes =
+                IntStream.range(0, LARGE_LIST)
+                        .filter(i -> endpoints.get(i).ringPointCount != pointsBefore[i])
+                        .boxed()
+                        .toList();
+        assertTrue(movedIndexes.equals(List.of(77)), movedIndexes + " moved");
+        assertTrue(
+                registry.ring().pointChanges() - movesBefore == pointsBefore[77],
+                registry.ring().pointChanges() - movesBefore + " points moved");
+    }
+
+    /**
+     * Servers that a walk from home meets: little more than it asks for, also when the list has
+     * changed.
+     */
+    @Test
+    void traversalVisitsFewExtraEndpoints() {
+        EndpointRegistry registry =
+                new EndpointRegistry(EndpointListBenchmark.settings(), new SplittableRandom(1));
+        registry.update(EndpointListBenchmark.endpoints(LARGE_LIST), false, 0, line -> {});
+        Iterator<EndpointState> iterator = registry.ring().subsetIterator();
+        EndpointState firstEndpoint = iterator.next();
+        assertTrue(
+                visitedEndpoints(registry) <= 2 * TRAVERSED_ENDPOINTS,
+                visitedEndpoints(registry) + " met");
+        registry.update(
+                List.of(firstEndpoint.descriptor.withStatus(EndpointStatus.DRAINING)),
+                true,
+                0,
+                line -> {});
+        iterator = registry.ring().subsetIterator();
+        for (int i = 0; i < TRAVERSED_ENDPOINTS; i++) {
+            iterator.next();
+        }
+        assertTrue(
+                visitedEndpoints(registry) <= 2 * TRAVERSED_ENDPOINTS,
+                visitedEndpoints(registry) + " met");
+    }
+
+    private static long visitedEndpoints(EndpointRegistry registry) {
+        int latestGeneration =
+                registry.listedEndpoints().stream()
+                        .mapToInt(endpoint -> endpoint.homeVisitGeneration)
+                        .max()
+                        .getAsInt();
+        return registry.listedEndpoints().stream()
+                .filter(endpoint -> endpoint.homeVisitGeneration == latestGeneration)
+                .count();
+    }
+
+    @Test
+    void liveHeapPerEndpointIsBounded() {
+        // Loads what is needed once
+        EndpointListBenchmark.liveHeapBytesPerEndpoint(SMALL_LIST);
+        long bytesPerEndpoint = EndpointListBenchmark.liveHeapBytesPerEndpoint(LARGE_LIST);
+        assertTrue(
+                bytesPerEndpoint > 0 && bytesPerEndpoint <= 600,
+                bytesPerEndpoint + " bytes for each server");
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/GoldenLoadGossipTest.java
@@ -0,0 +1,238 @@
+package loadbalancer.routing.gossip;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.IntStream;
+import loadbalancer.GoldenFiles;
+import loadbalancer.routing.AttemptOutcome;
+import loadbalancer.routing.DeduplicationScope;
+import loadbalancer.routing.DiscoveryMode;
+import loadbalancer.routing.EndpointListKind;
+import loadbalancer.routing.Idempotency;
+import loadbalancer.routing.RequestClass;
+import loadbalancer.routing.RoutingEngineHarness;
+import loadbalancer.routing.RoutingLimits;
+import loadbalancer.routing.RoutingSettings;
+import loadbalancer.routing.gossip.LoadGossipMessage.EjectionEntry;
+import loadbalancer.routing.gossip.LoadGossipMessage.InFlightEntry;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Load reports between balancers, byte for byte: the codec's extremes, and what a balancer sends.
+ */
+class GoldenLoadGossipTest {
+    private static final int GREATEST_CODE = 8_191;
+    private static final byte LOAD_REPORT = 3;
+    private static final int RESTS_OFFSET = 5;
+
+    /** The messages by the names of their golden files. */
+    static Map<String, LoadGossipMessage> messages() {
+        Map<String, LoadGossipMessage> messages = new LinkedHashMap<>();
+        messages.put("least.hex", new LoadGossipMessage(0, 0, List.of(), List.of(), List.of()));
+        messages.put(
+                "greatest.hex",
+                new LoadGossipMessage(
+                        255,
+                        65_535,
+                        List.of(
+                                new InFlightEntry(0, 0),
+                                new InFlightEntry(0, 7),
+                                new InFlightEntry(GREATEST_CODE, 0),
+                                new InFlightEntry(GREATEST_CODE, 7),
+                                new InFlightEntry(4_660, 3)),
+                        List.of(
+                                new EjectionEntry(0, 0, 0),
+                                new EjectionEntry(GREATEST_CODE, 255, 25_500_000),
+                                new EjectionEntry(258, 1, 100_000)),
+                        List.of(0, GREATEST_CODE, 772)));
+        messages.put(
+                "most-queues.hex",
+                new LoadGossipMessage(1, 256, queues(125), List.of(), List.of()));
+        messages.put(
+                "most-rests-and-lost.hex",
+                new LoadGossipMessage(
+                        127,
+                        32_768,
+                        queues(53),
+                        IntStream.range(0, 16)
+                                .mapToObj(i -> new EjectionEntry(i * 511, i * 17, i * 1_600_000L))
+                                .toList(),
+                        IntStream.range(0, 40).mapToObj(i -> i * 210).toList()));
+        return messages;
+    }
+
+    private static List<InFlightEntry> queues(int size) {
+        return IntStream.range(0, size).mapToObj(i -> new InFlightEntry(i * 65, i % 8)).toList();
+    }
+
+    static List<String> names() {
+        return List.copyOf(messages().keySet());
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void bytesGiveValues(String name) {
+        assertEquals(
+                messages().get(name),
+                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/" + name)));
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void valuesGiveBytes(String name) {
+        assertEquals(
+                GoldenFiles.text("load-gossip/" + name),
+                GoldenFiles.hexLines(messages().get(name).encode()));
+    }
+
+    /** What is out of the format's range is written as the nearest value that it has. */
+    @Test
+    void valuesOutOfRangeGiveNearestBytes() {
+        LoadGossipMessage beyond =
+                new LoadGossipMessage(
+                        255,
+                        65_536,
+                        List.of(new InFlightEntry(5, 8)),
+                        List.of(new EjectionEntry(5, 255, 25_600_000)),
+                        List.of());
+        LoadGossipMessage below =
+                new LoadGossipMessage(
+                        0, -1, List.of(), List.of(new EjectionEntry(5, 0, 99_999)), List.of());
+        assertEquals(
+                GoldenFiles.text("load-gossip/beyond-greatest.hex"),
+                GoldenFiles.hexLines(beyond.encode()));
+        assertEquals(
+                GoldenFiles.text("load-gossip/below-least.hex"),
+                GoldenFiles.hexLines(below.encode()));
+        assertEquals(
+                new LoadGossipMessage(
+                        255,
+                        65_535,
+                        List.of(new InFlightEntry(5, 7)),
+                        List.of(new EjectionEntry(5, 255, 25_500_000)),
+                        List.of()),
+                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/beyond-greatest.hex")));
+        assertEquals(
+                new LoadGossipMessage(
+                        0, 0, List.of(), List.of(new EjectionEntry(5, 0, 0)), List.of()),
+                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/below-least.hex")));
+    }
+
+    /** The last report with a failing class that a balancer of a fleet of that size sends. */
+    static byte[] sentInFleetOf(int balancers) {
+        RequestClass unsafe =
+                RoutingEngineHarness.requestClass(
+                        Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
+        RoutingSettings base =
+                RoutingEngineHarness.settings(
+                        balancers, true, DiscoveryMode.PUSH, List.of(), unsafe, unsafe);
+        RoutingLimits limits = new RoutingLimits(5, true, true, true, 250_000, 0, true);
+        RoutingEngineHarness harness =
+                new RoutingEngineHarness(
+                                new RoutingSettings(
+                                        balancers,
+                                        1,
+                                        9,
+                                        base.requestClasses(),
+                                        base.tenants(),
+                                        base.overQuotaWeightFactor(),
+                                        base.objectiveWeights(),
+                                        base.costs(),
+                                        base.weightPerWorkUnit(),
+                                        base.discoveryMode(),
+                                        base.loadReportSource(),
+                                        base.keyAffinityEnabled(),
+                                        limits,
+                                        base.bounds(),
+                                        base.clockTickMicros()),
+                                5)
+                        .updateEndpoints(
+                                EndpointListKind.CACHED, RoutingEngineHarness.endpoints(12));
+        for (int i = 0; i < 400; i++) {
+            RoutingEngineHarness.SentAttempt attempt = harness.request("request-" + i, i % 2);
+            harness.advanceTime(5_000);
+            if (attempt != null && i % 3 > 0) {
+                harness.endAttempt(attempt, outcome(attempt));
+            }
+        }
+        return lastReportOfFailures(harness);
+    }
+
+    private static AttemptOutcome outcome(RoutingEngineHarness.SentAttempt attempt) {
+        if (attempt.endpointId.equals("s5")) {
+            return AttemptOutcome.CONNECT_FAILED;
+        }
+        boolean isOddRequest = attempt.requestId.matches(".*[13579]");
+        boolean failsOddRequests =
+                attempt.endpointId.equals("s3") || attempt.endpointId.equals("s4");
+        return failsOddRequests && isOddRequest ? AttemptOutcome.ERROR : AttemptOutcome.OK;
+    }
+
+    private static byte[] lastReportOfFailures(RoutingEngineHarness harness) {
+        List<byte[]> reports =
+                harness.gossipMessages.stream()
+                        .filter(data -> data[0] == LOAD_REPORT && data[RESTS_OFFSET] > 0)
+                        .toList();
+        return reports.get(reports.size() - 1);
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {14, 100})
+    void balancerSendsBytes(int balancers) {
+        assertEquals(
+                GoldenFiles.text("load-gossip/sent-in-fleet-of-" + balancers + ".hex"),
+                GoldenFiles.hexLines(sentInFleetOf(balancers)));
+    }
+
+    @Test
+    void bytesSentInSmallFleetGiveValues() {
+        assertEquals(
+                new LoadGossipMessage(
+                        9,
+                        171,
+                        List.of(
+                                new InFlightEntry(7_953, 7),
+                                new InFlightEntry(2_386, 7),
+                                new InFlightEntry(3_714, 7),
+                                new InFlightEntry(6_872, 7),
+                                new InFlightEntry(170, 7),
+                                new InFlightEntry(5_063, 7),
+                                new InFlightEntry(4_735, 7),
+                                new InFlightEntry(4_671, 7),
+                                new InFlightEntry(413, 7),
+                                new InFlightEntry(2_204, 7),
+                                new InFlightEntry(870, 7)),
+                        List.of(
+                                new EjectionEntry(4_671, 1, 1_800_000),
+                                new EjectionEntry(6_872, 1, 1_900_000)),
+                        List.of(5_267)),
+                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/sent-in-fleet-of-14.hex")));
+    }
+
+    @Test
+    void bytesSentInLargeFleetGiveValues() {
+        assertEquals(
+                new LoadGossipMessage(
+                        9,
+                        107,
+                        List.of(
+                                new InFlightEntry(2_386, 7),
+                                new InFlightEntry(3_714, 7),
+                                new InFlightEntry(170, 7),
+                                new InFlightEntry(6_872, 7),
+                                new InFlightEntry(7_953, 2),
+                                new InFlightEntry(870, 2),
+                                new InFlightEntry(2_204, 1),
+                                new InFlightEntry(413, 1)),
+                        List.of(new EjectionEntry(6_872, 1, 300_000)),
+                        List.of()),
+                LoadGossipMessage.decode(
+                        GoldenFiles.bytes("load-gossip/sent-in-fleet-of-100.hex")));
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/routing/health/ClassEjectionTest.java
@@ -0,0 +1,90 @@
+package loadbalancer.routing.health;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Set;
+import loadbalancer.routing.AttemptOutcome;
+import loadbalancer.routing.DeduplicationScope;
+import loadbalancer.routing.EndpointListKind;
+import loadbalancer.routing.Idempotency;
+import loadbalancer.routing.RequestClass;
+import loadbalancer.routing.RoutingEngineHarness;
+import org.junit.jupiter.api.Test;
+
+/** Servers that fail one class of requests and serve the others. */
+class ClassEjectionTest {
+    // The number of the class
+    private static final int FAILING_CLASS = 1;
+    private static final RequestClass NON_IDEMPOTENT =
+            RoutingEngineHarness.requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
+
+    private final RoutingEngineHarness harness =
+            new RoutingEngineHarness(
+                            RoutingEngineHarness.settings(NON_IDEMPOTENT, NON_IDEMPOTENT), 7)
+                    .updateEndpoints(EndpointListKind.CACHED, RoutingEngineHarness.endpoints(8));
+    private int requestCount;
+
+    // Both classes in turn, a hundred a second; the bad servers fail two of three of one class at
+    // once.
+    private void serveRequests(int requests, Set<String> failingEndpoints) {
+        for (int i = 0; i < requests; i++) {
+            RoutingEngineHarness.SentAttempt attempt =
+                    harness.request("r" + requestCount, requestCount % 2);
+            requestCount++;
+            harness.advanceTime(10_000);
+            boolean fails =
+                    failingEndpoints.contains(attempt.endpointId)
+                            && attempt.requestId.matches("r\\d*[13579]")
+                            && i % 6 != 1;
+            harness.endAttempt(attempt, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK);
+        }
+    }
+
+    private long countSent(Set<String> endpoints, int classIndex) {
+        return harness.sentAttempts.stream()
+                .filter(
+                        attempt ->
+                                endpoints.contains(attempt.endpointId)
+                                        && Integer.parseInt(attempt.requestId.substring(1)) % 2
+                                                == classIndex)
+                .count();
+    }
+
+    @Test
+    void endpointIsEjectedOnlyForItsFailingClass() {
+        Set<String> failingEndpoints = Set.of("s0", "s1", "s2");
+        // A good record of ten seconds
+        serveRequests(1000, Set.of());
+        harness.sentAttempts.clear();
+        serveRequests(1000, failingEndpoints);
+        long failingClassCount = countSent(failingEndpoints, FAILING_CLASS);
+        assertTrue(failingClassCount < 60, failingClassCount + " of 500 to servers that fail them");
+        long otherClassCount = countSent(failingEndpoints, 0);
+        assertTrue(otherClassCount > 100, otherClassCount + " of 500 to servers that serve them");
+        harness.advanceTime(20_000_000);
+        harness.sentAttempts.clear();
+        serveRequests(1000, Set.of());
+        long recoveredClassCount = countSent(failingEndpoints, FAILING_CLASS);
+        assertTrue(
+                recoveredClassCount > 100,
+                recoveredClassCount + " of 500 to servers that serve them again");
+    }
+
+    /** The neighbour: the class itself may be at fault, and then no server is left out. */
+    @Test
+    void classFailingOnMostEndpointsEjectsNone() {
+        Set<String> failingEndpoints = Set.of("s0", "s1", "s2", "s3", "s4", "s5");
+        serveRequests(1000, Set.of());
+        harness.sentAttempts.clear();
+        serveRequests(1000, failingEndpoints);
+        List<String> rejected =
+                harness.finalResponses.entrySet().stream()
+                        .filter(entry -> entry.getValue().equals("refused"))
+                        .map(entry -> entry.getKey())
+                        .toList();
+        assertEquals(List.of(), rejected);
+        assertEquals(1000, harness.sentAttempts.size());
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/routing/health/SlowStartTest.java
@@ -0,0 +1,119 @@
+package loadbalancer.routing.health;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.stream.IntStream;
+import loadbalancer.routing.AttemptOutcome;
+import loadbalancer.routing.DeduplicationScope;
+import loadbalancer.routing.DiscoveryMode;
+import loadbalancer.routing.Endpoint;
+import loadbalancer.routing.EndpointListKind;
+import loadbalancer.routing.EndpointStatus;
+import loadbalancer.routing.Idempotency;
+import loadbalancer.routing.RequestClass;
+import loadbalancer.routing.RoutingEngineHarness;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** A cold server's budget holds for the sum of all balancers. */
+class SlowStartTest {
+    private static final RequestClass IDEMPOTENT =
+            RoutingEngineHarness.requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+    private static final int WARM_ENDPOINT_COUNT = 4;
+
+    private static RoutingEngineHarness newBalancer(int balancerCount, int rank) {
+        return new RoutingEngineHarness(
+                        RoutingEngineHarness.settings(
+                                balancerCount, true, DiscoveryMode.PUSH, List.of(), IDEMPOTENT),
+                        rank)
+                .updateEndpoints(
+                        EndpointListKind.CACHED,
+                        RoutingEngineHarness.endpoints(WARM_ENDPOINT_COUNT));
+    }
+
+    private static RoutingEngineHarness addWarmingEndpoint(RoutingEngineHarness harness) {
+        return harness.updateEndpoints(
+                EndpointListKind.DELTA,
+                List.of(new Endpoint("cold", EndpointStatus.UP, harness.now, 1, 0, 0, 0)));
+    }
+
+    /**
+     * Brings requests to all balancers in turn, each served at once; returns how many went to
+     * "cold".
+     */
+    private static int driveTraffic(
+            List<RoutingEngineHarness> fleet,
+            int requestsPerSecond,
+            int seconds,
+            int[] sentToWarm) {
+        int sentToWarming = 0;
+        long startMicros = fleet.get(0).now;
+        for (int i = 0; i < seconds * requestsPerSecond; i++) {
+            RoutingEngineHarness harness = fleet.get(i % fleet.size());
+            harness.advanceTime(startMicros + (long) (i * 1e6 / requestsPerSecond) - harness.now);
+            RoutingEngineHarness.SentAttempt sent = harness.request("r" + harness.now + "/" + i, 0);
+            sentToWarming += sent.endpointId.equals("cold") ? 1 : 0;
+            sentToWarm[0] += sent.endpointId.equals("cold") ? 0 : 1;
+            harness.endAttempt(sent, AttemptOutcome.OK);
+        }
+        fleet.forEach(
+                harness -> harness.advanceTime(startMicros + seconds * 1_000_000L - harness.now));
+        return sentToWarming;
+    }
+
+    /** Each balancer saved one request in a quiet time: a burst had a cold server get them all. */
+    @ParameterizedTest
+    @ValueSource(ints = {20, 100, 1_000})
+    void burstAfterIdleKeepsSlowStartBudget(int balancerCount) {
+        List<RoutingEngineHarness> fleet =
+                IntStream.range(0, balancerCount)
+                        .mapToObj(i -> newBalancer(balancerCount, i))
+                        .toList();
+        int requestsPerSecond = 200;
+        driveTraffic(fleet, requestsPerSecond, 10, new int[1]);
+        fleet.forEach(SlowStartTest::addWarmingEndpoint);
+        int idleSeconds = 6;
+        int sentToWarming = 0;
+        for (RoutingEngineHarness harness : fleet) {
+            harness.advanceTime(idleSeconds * 1_000_000L);
+            for (int i = 0; i < 6; i++) {
+                RoutingEngineHarness.SentAttempt sent = harness.request("b" + i, 0);
+                sentToWarming += sent != null && sent.endpointId.equals("cold") ? 1 : 0;
+            }
+        }
+        // What the settings allow it in the window of 1 s: 2.5 times its part of what a warm one
+        // carries.
+        double budget =
+                2.5 * (0.2 + 0.8 * idleSeconds / 20) * requestsPerSecond / WARM_ENDPOINT_COUNT;
+        double allowed = budget + 2 * Math.sqrt(budget) + 2;
+        assertTrue(
+                sentToWarming <= allowed,
+                sentToWarming + " at once where " + allowed + " are allowed in all of 1 s");
+    }
+
+    /**
+     * Under steady load the budget is used: a third at the least of what a warm one's part comes
+     * to.
+     */
+    @ParameterizedTest
+    @ValueSource(ints = {5, 30, 100})
+    void steadyLoadUsesSlowStartBudget(int balancerCount) {
+        int requestsPerSecond = 500;
+        List<RoutingEngineHarness> fleet =
+                IntStream.range(0, balancerCount)
+                        .mapToObj(i -> addWarmingEndpoint(newBalancer(balancerCount, i)))
+                        .toList();
+        driveTraffic(fleet, requestsPerSecond, 4, new int[1]);
+        int[] sentToWarm = new int[1];
+        int sentToWarming = driveTraffic(fleet, requestsPerSecond, 4, sentToWarm);
+        double capacityFraction = 0.2 + 0.8 * 6 / 20;
+        double fairShare = capacityFraction * sentToWarm[0] / WARM_ENDPOINT_COUNT;
+        assertTrue(
+                sentToWarming >= fairShare / 3,
+                sentToWarming + " where a warm one's part would be " + fairShare);
+        assertTrue(
+                sentToWarming <= 2.5 * fairShare,
+                sentToWarming + " where a warm one's part would be " + fairShare);
+    }
+}
