--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
@@ -0,0 +1,222 @@
+package loadbalancer.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Where a request ends: nothing that stood within another, or behind a broken one, is taken for
+ * one.
+ */
+@Timeout(60)
+class RequestFramingTest {
+    private static final String INNER_REQUEST =
+            BalancerServerTest.IDEMPOTENT_REQUEST.replace("Req-Id: r1", "Req-Id: inner");
+    private static final String OUTER_HEAD =
+            "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: outer\r\n"
+                    + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n";
+
+    private final ScriptedPolicy policy = new ScriptedPolicy();
+    private FakeHttpServer upstream;
+    private BalancerServer balancer;
+    private InetSocketAddress address;
+
+    @BeforeEach
+    void open() throws IOException, InterruptedException {
+        upstream = new FakeHttpServer();
+        balancer =
+                BalancerServerFixtures.readyBalancer(
+                        upstream, policy, BalancerServerTest.settings(), 1024, line -> {});
+        address = balancer.start();
+        assertEquals("CACHED [s1=UP]", policy.nextEvent());
+    }
+
+    @AfterEach
+    void close() throws IOException {
+        balancer.stop();
+        upstream.close();
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "HEAD Transfer-Encoding: chunked\r\nContent-Length: ALL\r\n\r\n0\r\n\r\n",
+                "HEAD Content-Length: ALL\r\nTransfer-Encoding: Chunked\r\n\r\n0\r\n\r\n",
+                "HEAD Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "HEAD Transfer-Encoding: xchunked\r\n\r\n",
+                "HEAD Transfer-Encoding: xchunked\r\nContent-Length: 0\r\n\r\n",
+                "HEAD Transfer-Encoding: identity\r\nContent-Length: 0\r\n\r\n",
+                "HEAD Transfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n",
+                "HEAD Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+                "HEAD Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n",
+                "HEAD Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "HEAD Transfer-Encoding:\r\n\r\n",
+                "HEAD Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n",
+                "HEAD10 Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "HEAD10 Transfer-Encoding: chunked\r\nContent-Length: ALL\r\n\r\n0\r\n\r\n",
+                "HEAD Content-Length: 0\r\nContent-Length: ALL\r\n\r\n",
+                "HEAD Content-Length: 0, 7\r\n\r\n",
+                "HEAD Content-Length: -1\r\n\r\n",
+                "HEAD Content-Length: +0\r\n\r\n",
+                "HEAD Expect: the-unknown\r\nContent-Length: ALL\r\n\r\n",
+                "HEAD Expect: 100-continue\r\nContent-Length: 33554433\r\n\r\n",
+                "HEAD Content-Length: 33554433\r\n\r\n",
+                "HEAD Transfer-Encoding: chunked\r\n\r\nx\r\n",
+                "POST /api/k1 HTTP/1.1\r\nReq-Kind: other\r\nContent-Length: 0\r\n\r\n",
+                "POST /api/k1 HTTP/2.0\r\nReq-Id: outer\r\nReq-Kind: book\r\nReq-Deadline-Ms: 20000\r\n\r\n",
+                "POST /api/k1 RTSP/1.0\r\nReq-Id: outer\r\nReq-Kind: book\r\nReq-Deadline-Ms: 20000\r\n\r\n",
+                "NONSENSE\r\n\r\n",
+            })
+    void malformedRequestAndItsTailAreRejected(String request) throws Exception {
+        String outer =
+                request.replace("HEAD10 ", OUTER_HEAD.replace("1.1", "1.0"))
+                        .replace("HEAD ", OUTER_HEAD)
+                        .replace("ALL", Integer.toString(INNER_REQUEST.length() + 5));
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            client.send(outer + INNER_REQUEST);
+            int status = client.readStatus();
+            assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
+            assertNull(responseOrNull(client));
+        }
+        assertTrue(policy.acceptedRequests.isEmpty());
+        assertEquals(0, upstream.connectionCount());
+    }
+
+    // What it left unread may end a connection with a reset, which is an end like any other.
+    private static String responseOrNull(HttpTestClient client) {
+        try {
+            return client.readResponse();
+        } catch (IOException e) {
+            return null;
+        }
+    }
+
+    /** A long body is on its way to an upstream by the time it turns out to be too long. */
+    @Test
+    void oversizedChunkedBodyIsRejected() throws Exception {
+        String chunk = "100000\r\n" + "x".repeat(0x100000) + "\r\n";
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            client.send(OUTER_HEAD + "Transfer-Encoding: chunked\r\n\r\n");
+            for (int i = 0; i < 32; i++) {
+                client.send(chunk);
+            }
+            client.send("1\r\nx\r\n");
+            assertEquals(413, client.readStatus());
+            assertNull(responseOrNull(client));
+        }
+        assertEquals("uploading", policy.nextEvent());
+        assertEquals("gone", policy.nextEvent());
+        assertTrue(upstream.isEmpty());
+    }
+
+    @Test
+    void nothingIsReadAfterConnectionClose() throws Exception {
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            client.send(
+                    "GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+                            + INNER_REQUEST);
+            assertEquals(200, client.readStatus());
+            assertNull(responseOrNull(client));
+        }
+        assertTrue(policy.acceptedRequests.isEmpty());
+    }
+
+    @Test
+    void pipelinedRequestIsAnsweredBeforeMalformed() throws Exception {
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            client.send(
+                    INNER_REQUEST
+                            + OUTER_HEAD
+                            + "Content-Length: 33554433\r\n\r\n"
+                            + INNER_REQUEST);
+            assertNotNull(policy.acceptedRequests.poll(20, TimeUnit.SECONDS));
+            upstream.nextRequest().respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
+            assertNull(responseOrNull(client));
+        }
+        assertTrue(policy.acceptedRequests.isEmpty());
+    }
+
+    /** The limit on requests sent ahead: those within it are answered, and the connection ends. */
+    @Test
+    void pipeliningIsServedUpToTheLimit() throws Exception {
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            client.send(INNER_REQUEST.repeat(30));
+            for (int i = 0; i < 17; i++) {
+                upstream.nextRequest().respond(200, "", "ok");
+                assertEquals(200, client.readStatus(), "answer " + i);
+            }
+            assertNull(responseOrNull(client));
+        }
+        assertEquals(17, policy.acceptedRequests.size());
+    }
+
+    // ---------------------------------------------------------------- valid requests pass
+
+    @Test
+    void chunkedBodyMayArriveByteByByte() throws Exception {
+        String request =
+                OUTER_HEAD
+                        + "transfer-encoding: Chunked\r\n\r\n"
+                        + "3;x=y\r\nabc\r\n00002\r\nde\r\n0\r\nX: y\r\n\r\n";
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            for (int i = 0; i < 2; i++) {
+                for (char character : request.toCharArray()) {
+                    client.send(String.valueOf(character));
+                }
+                FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
+                assertEquals("abcde", new String(receivedRequest.body(), StandardCharsets.UTF_8));
+                assertNull(receivedRequest.header("Transfer-Encoding"));
+                receivedRequest.respond(200, "", "ok");
+                assertEquals(200, client.readStatus());
+            }
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {0, 1, 65_536})
+    void bodiesUpToTheLimitAreAccepted(int length) throws Exception {
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            client.send(
+                    OUTER_HEAD
+                            + "Content-Length: "
+                            + length
+                            + "\r\n\r\n"
+                            + "x".repeat(length)
+                            + INNER_REQUEST);
+            FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
+            assertEquals(length, receivedRequest.body().length);
+            receivedRequest.respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
+            // A request of its own
+            upstream.nextRequest().respond(200, "", "inner");
+            assertEquals(200, client.readStatus());
+        }
+    }
+
+    @Test
+    void expectContinueIsHonored() throws Exception {
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            client.send(OUTER_HEAD + "Expect: 100-continue\r\nContent-Length: 5\r\n\r\n");
+            assertTrue(FakeHttpServer.readHead(client.input).startsWith("HTTP/1.1 100"));
+            client.send("hello");
+            FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
+            assertEquals("hello", new String(receivedRequest.body(), StandardCharsets.UTF_8));
+            assertNull(receivedRequest.header("Expect"));
+            receivedRequest.respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
@@ -0,0 +1,164 @@
+package loadbalancer.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** What upstreams answer: only a whole, readable answer to this request is passed on. */
+@Timeout(60)
+class ResponseFramingTest {
+    private static final String OK_STATUS_LINE = "HTTP/1.1 200 OK\r\n";
+
+    private final ScriptedPolicy policy = new ScriptedPolicy();
+    private FakeHttpServer upstream;
+    private BalancerServer balancer;
+    private InetSocketAddress address;
+
+    @BeforeEach
+    void open() throws IOException, InterruptedException {
+        upstream = new FakeHttpServer();
+        balancer =
+                BalancerServerFixtures.readyBalancer(
+                        upstream, policy, BalancerServerTest.settings(), 1024, line -> {});
+        address = balancer.start();
+        assertEquals("CACHED [s1=UP]", policy.nextEvent());
+    }
+
+    @AfterEach
+    void close() throws IOException {
+        balancer.stop();
+        upstream.close();
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                OK_STATUS_LINE
+                        + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+                OK_STATUS_LINE + "Transfer-Encoding: xchunked\r\nContent-Length: 5\r\n\r\nhello",
+                OK_STATUS_LINE + "Transfer-Encoding: identity\r\nContent-Length: 5\r\n\r\nhello",
+                OK_STATUS_LINE + "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+                OK_STATUS_LINE
+                        + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n"
+                        + "2\r\nhi\r\n0\r\n\r\n",
+                OK_STATUS_LINE + "Content-Length: 5\r\nContent-Length: 4\r\n\r\nhello",
+                OK_STATUS_LINE + "Content-Length: five\r\n\r\nhello",
+                OK_STATUS_LINE + "Content-Length: 2\r\n\r\nhello",
+                OK_STATUS_LINE + "Content-Length: 0\r\n\r\nhello",
+                OK_STATUS_LINE
+                        + "Content-Length: 2\r\n\r\nhi"
+                        + OK_STATUS_LINE
+                        + "Content-Length: x\r\n\r\nho",
+                OK_STATUS_LINE + "no colon\r\nContent-Length: 2\r\n\r\nhi",
+                OK_STATUS_LINE + "no-colon\r\nContent-Length: 2\r\n\r\nhi",
+                OK_STATUS_LINE + "Content-Length : 2\r\n\r\nhi",
+                OK_STATUS_LINE
+                        + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nno colon\r\n\r\n",
+                OK_STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\nX",
+                OK_STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\nzz\r\nhi\r\n0\r\n\r\n",
+                OK_STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n2\r\nhello\r\n0\r\n\r\n",
+                "HTTP/2.0 200 OK\r\nContent-Length: 2\r\n\r\nhi",
+                "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+                "RTSP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi",
+                "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi",
+                "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n",
+                "HTTP/1.1 100 Continue\r\nContent-Length: x\r\n\r\n",
+                "nonsense\r\n\r\n",
+            })
+    void malformedResponseFailsTheAttempt(String response) throws Exception {
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
+            receivedRequest.sendRaw(response);
+            assertEquals("RESET", policy.nextEvent());
+            assertEquals(502, client.readStatus());
+            assertTrue(receivedRequest.isClosedByPeer());
+            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            upstream.nextRequest().respond(200, "", "its own");
+            assertEquals(200, client.readStatus());
+            assertEquals("its own", new String(client.body, StandardCharsets.UTF_8));
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                OK_STATUS_LINE + "Content-Length: 5\r\n\r\nstray",
+                "HTTP/1.1 2",
+                "\r\n",
+                "x"
+            })
+    void unsolicitedBytesCloseTheConnection(String unsolicited) throws Exception {
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
+            receivedRequest.respond(200, "", "first");
+            assertEquals(200, client.readStatus());
+            receivedRequest.sendRaw(unsolicited);
+            assertTrue(receivedRequest.isClosedByPeer());
+            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            receivedRequest = upstream.nextRequest();
+            assertEquals(2, receivedRequest.connectionNumber());
+            receivedRequest.respond(200, "", "second");
+            assertEquals(200, client.readStatus());
+            assertEquals("second", new String(client.body, StandardCharsets.UTF_8));
+        }
+    }
+
+    @Test
+    void firstOfTwoResponsesIsForwarded() throws Exception {
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
+            receivedRequest.sendRaw(
+                    OK_STATUS_LINE
+                            + "Content-Length: 2\r\n\r\nhi"
+                            + OK_STATUS_LINE
+                            + "Content-Length: 2\r\n\r\nho");
+            assertEquals(200, client.readStatus());
+            assertEquals("hi", new String(client.body, StandardCharsets.UTF_8));
+            assertTrue(receivedRequest.isClosedByPeer());
+        }
+    }
+
+    // ---------------------------------------------------------------- valid answers pass
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                OK_STATUS_LINE + "Content-Length: 5\r\n\r\nhello",
+                OK_STATUS_LINE + "Content-Length: 5\r\nConnection: close\r\n\r\nhello",
+                "HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nhello",
+                "HTTP/1.1 200\r\nContent-Length: 5\r\n\r\nhello",
+                OK_STATUS_LINE
+                        + "Transfer-Encoding: Chunked\r\n\r\n3;x=y\r\nhel\r\n02\r\nlo\r\n0\r\nX: y\r\n\r\n",
+                "HTTP/1.1 100 Continue\r\n\r\n" + OK_STATUS_LINE + "Content-Length: 5\r\n\r\nhello",
+                "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"
+                        + OK_STATUS_LINE
+                        + "Content-Length: 5\r\n\r\nhello",
+            })
+    void validResponsesAreForwardedInAnySplit(String response) throws Exception {
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            upstream.nextRequest().sendRaw(response);
+            assertEquals(200, client.readStatus());
+            assertEquals("hello", new String(client.body, StandardCharsets.UTF_8));
+            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
+            for (char character : response.toCharArray()) {
+                receivedRequest.sendRaw(String.valueOf(character));
+            }
+            assertEquals(200, client.readStatus());
+            assertEquals("hello", new String(client.body, StandardCharsets.UTF_8));
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
@@ -0,0 +1,124 @@
+package loadbalancer.server;
+
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.routing.AttemptOutcome;
+import loadbalancer.routing.Endpoint;
+import loadbalancer.routing.EndpointListKind;
+import loadbalancer.routing.LoadReport;
+import loadbalancer.routing.RoutingActions;
+import loadbalancer.routing.RoutingPolicy;
+
+/** A module that notes what it is told and sends each request where {@code onRequest} says. */
+class ScriptedPolicy implements RoutingPolicy {
+    final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> acceptedRequests = new LinkedBlockingQueue<>();
+    volatile long timeoutMicros;
+    volatile boolean failing;
+    volatile String endpointId = "s1";
+    volatile RoutingActions capturedActions;
+    volatile String lastRequestId;
+
+    @Override
+    public void onEndpointList(
+            long now,
+            EndpointListKind kind,
+            List<Endpoint> endpoints,
+            RoutingActions routingActions) {
+        capturedActions = routingActions;
+        events.add(
+                kind
+                        + " "
+                        + endpoints.stream()
+                                .map(endpoint -> endpoint.id() + "=" + endpoint.status())
+                                .toList());
+    }
+
+    @Override
+    public void onRequest(
+            long now,
+            String requestId,
+            int classIndex,
+            int tenantIndex,
+            String key,
+            long remainingMicros,
+            long workHint,
+            boolean resubmission,
+            RoutingActions actions) {
+        lastRequestId = requestId;
+        acceptedRequests.add(classIndex + " " + key + " " + workHint + " " + resubmission);
+        if (failing) {
+            throw new IllegalStateException("broken");
+        }
+        if (endpointId != null) {
+            actions.send(requestId, endpointId, timeoutMicros);
+        }
+    }
+
+    @Override
+    public void onAttemptEnded(
+            long now,
+            String requestId,
+            int attemptNumber,
+            AttemptOutcome outcome,
+            long latencyMicros,
+            boolean closed,
+            LoadReport load,
+            RoutingActions actions) {
+        events.add(
+                outcome + (load == null ? "" : " " + load.inFlight()) + (closed ? " closed" : ""));
+        if (!closed) {
+            actions.fail(requestId);
+        }
+    }
+
+    @Override
+    public void onUploadStarted(long now, String requestId) {
+        events.add("uploading");
+    }
+
+    @Override
+    public void onUploadCompleted(
+            long now, String requestId, long remainingMicros, RoutingActions actions) {
+        events.add("uploaded");
+    }
+
+    @Override
+    public void onResponseAborted(long now, String endpointId, RoutingActions actions) {
+        events.add("broke off " + endpointId);
+    }
+
+    @Override
+    public void onStreamStarted(
+            long now, String requestId, int attemptNumber, RoutingActions actions) {}
+
+    @Override
+    public void onClientDisconnected(long now, String requestId, RoutingActions actions) {
+        events.add("gone");
+        actions.cancel(requestId, 0);
+    }
+
+    @Override
+    public void onHealthCheckResult(
+            long now,
+            String endpointId,
+            AttemptOutcome outcome,
+            long latencyMicros,
+            LoadReport load,
+            RoutingActions actions) {
+        events.add("probed " + outcome + " " + (load == null ? "-" : load.inFlight()));
+    }
+
+    @Override
+    public void onTimer(long now, RoutingActions actions) {}
+
+    String nextEvent() throws InterruptedException {
+        String event = events.poll(20, TimeUnit.SECONDS);
+        if (event == null) {
+            throw new AssertionError("the module was told nothing");
+        }
+        return event;
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/storage/CrashSimulatingDirectory.java
@@ -0,0 +1,152 @@
+package loadbalancer.storage;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+
+/**
+ * A disk that remembers all that was asked of it and can show every folder that a loss of power
+ * could leave: after each operation, with any choice of the unsynced changes of names lost, and of
+ * each unsynced file nothing, all, or what comes before a sector, or the sectors changed in order.
+ */
+final class CrashSimulatingDirectory implements SnapshotDirectory {
+    private static final int SECTOR_BYTES = 512;
+
+    /** A file's content, apart from its name: names change, contents stay. */
+    private static final class FileContent {
+        private byte[] bytes = {};
+        // As of its last sync
+        private byte[] durableBytes = {};
+    }
+
+    private final Map<String, FileContent> files = new TreeMap<>();
+    private final Map<String, FileContent> durableFiles = new TreeMap<>();
+    private final List<Consumer<Map<String, FileContent>>> unsyncedChanges = new ArrayList<>();
+    private final Consumer<Map<String, byte[]>> crashObserver;
+
+    /**
+     * {@code crashObserver} is handed each folder that a loss of power could leave, after each
+     * operation.
+     */
+    CrashSimulatingDirectory(Consumer<Map<String, byte[]>> crashObserver) {
+        this.crashObserver = crashObserver;
+    }
+
+    private void apply(Consumer<Map<String, FileContent>> change) {
+        change.accept(files);
+        unsyncedChanges.add(change);
+        reportCrashStates();
+    }
+
+    private void reportCrashStates() {
+        for (int appliedMask = 0; appliedMask < 1 << unsyncedChanges.size(); appliedMask++) {
+            Map<String, FileContent> remaining = new TreeMap<>(durableFiles);
+            for (int i = 0; i < unsyncedChanges.size(); i++) {
+                if ((appliedMask >> i & 1) != 0) {
+                    unsyncedChanges.get(i).accept(remaining);
+                }
+            }
+            enumerateContents(new ArrayList<>(remaining.keySet()), 0, remaining, new HashMap<>());
+        }
+    }
+
+    // Every combination of what may be left of each file.
+    private void enumerateContents(
+            List<String> fileNames,
+            int index,
+            Map<String, FileContent> remaining,
+            Map<String, byte[]> chosen) {
+        if (index == fileNames.size()) {
+            crashObserver.accept(new HashMap<>(chosen));
+            return;
+        }
+        for (byte[] bytes : possibleContents(remaining.get(fileNames.get(index)))) {
+            chosen.put(fileNames.get(index), bytes);
+            enumerateContents(fileNames, index + 1, remaining, chosen);
+        }
+    }
+
+    private static List<byte[]> possibleContents(FileContent content) {
+        if (Arrays.equals(content.bytes, content.durableBytes)) {
+            return List.of(content.bytes);
+        }
+        List<byte[]> variants = new ArrayList<>(List.of(content.durableBytes, content.bytes));
+        for (int length = SECTOR_BYTES; length < content.bytes.length; length += SECTOR_BYTES) {
+            // The rest was not written
+            variants.add(Arrays.copyOf(content.bytes, length));
+            // The rest was, and this was not
+            byte[] lostPrefix = content.bytes.clone();
+            Arrays.fill(lostPrefix, 0, length, (byte) 0);
+            variants.add(lostPrefix);
+        }
+        return variants;
+    }
+
+    @Override
+    public List<String> list() {
+        return List.copyOf(files.keySet());
+    }
+
+    @Override
+    public byte[] read(String name, int maxBytes) throws IOException {
+        if (!files.containsKey(name)) {
+            throw new IOException("no " + name);
+        }
+        return files.get(name).bytes.clone();
+    }
+
+    @Override
+    public void write(String name, byte[] bytes) {
+        FileContent content = new FileContent();
+        content.bytes = bytes.clone();
+        apply(entries -> entries.put(name, content));
+    }
+
+    @Override
+    public void sync(String name) {
+        files.get(name).durableBytes = files.get(name).bytes;
+        reportCrashStates();
+    }
+
+    @Override
+    public void rename(String oldName, String newName) {
+        apply(
+                entries -> {
+                    FileContent content = entries.remove(oldName);
+                    if (content != null) {
+                        entries.put(newName, content);
+                    }
+                });
+    }
+
+    @Override
+    public void syncDirectory() {
+        durableFiles.clear();
+        durableFiles.putAll(files);
+        unsyncedChanges.clear();
+        reportCrashStates();
+    }
+
+    @Override
+    public void delete(String name) {
+        apply(entries -> entries.remove(name));
+    }
+
+    /** A disk that holds what such a loss left. */
+    static CrashSimulatingDirectory containing(Map<String, byte[]> contents) {
+        CrashSimulatingDirectory directory = new CrashSimulatingDirectory(ignored -> {});
+        contents.forEach(
+                (name, bytes) -> {
+                    FileContent content = new FileContent();
+                    content.bytes = bytes;
+                    content.durableBytes = bytes;
+                    directory.files.put(name, content);
+                });
+        return directory;
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamPoolTest.java
@@ -0,0 +1,143 @@
+package loadbalancer.upstream;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.nio.NioEventLoopGroup;
+import io.netty.handler.codec.http.DefaultHttpHeaders;
+import io.netty.handler.codec.http.HttpMethod;
+import java.io.IOException;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import loadbalancer.admin.EventLog;
+import loadbalancer.admin.Metrics;
+import loadbalancer.config.BalancerConfig;
+import loadbalancer.config.BootSettings;
+import loadbalancer.config.SettingsReader;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.http.BodyRelay;
+import loadbalancer.http.FileDescriptorBudget;
+import loadbalancer.http.ProxyRequest;
+import loadbalancer.routing.Endpoint;
+import loadbalancer.routing.EndpointStatus;
+import loadbalancer.server.BalancerServerTest;
+import loadbalancer.server.FakeHttpServer;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** Which of an upstream's resting connections is used, by a clock that the test sets. */
+@Timeout(60)
+class UpstreamPoolTest {
+    private final NioEventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
+    private final EventLoop eventLoop = eventLoopGroup.next();
+    private final AtomicLong clock = new AtomicLong(1_000_000_000);
+    private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
+    private FakeHttpServer upstream;
+    private UpstreamPool upstreamPool;
+
+    @BeforeEach
+    void open() throws Exception {
+        upstream = new FakeHttpServer();
+        Map<String, String> flattened = new HashMap<>();
+        BalancerConfig.flatten("", BalancerServerTest.settings(), flattened);
+        BootSettings boot =
+                SettingsReader.read(flattened, (path, what) -> new IllegalStateException(path));
+        upstreamPool =
+                new UpstreamPool(
+                        eventLoop,
+                        boot,
+                        new FileDescriptorBudget(100, false),
+                        clock::get,
+                        new EventLog(line -> {}, System::nanoTime),
+                        new Metrics(boot.classNames()),
+                        new BodyRelay.BufferBudget());
+        Endpoint endpoint = new Endpoint("s1", EndpointStatus.UP, 0, 1, 0, 0, 0);
+        eventLoop
+                .submit(
+                        () ->
+                                upstreamPool.updateEndpoints(
+                                        new EndpointList(
+                                                1,
+                                                true,
+                                                List.of(
+                                                        new EndpointList.Entry(
+                                                                endpoint,
+                                                                EndpointList.parseAddress(
+                                                                        upstream.address())))),
+                                        clock.get()))
+                .sync();
+    }
+
+    @AfterEach
+    void close() throws IOException {
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        upstream.close();
+    }
+
+    private FakeHttpServer.ReceivedRequest sendRequest(String requestId)
+            throws InterruptedException {
+        ProxyRequest proxyRequest =
+                new ProxyRequest(
+                        HttpMethod.GET,
+                        "/",
+                        new DefaultHttpHeaders().set("Req-Id", requestId),
+                        new byte[0],
+                        0,
+                        0,
+                        null,
+                        20_000_000,
+                        -1,
+                        false);
+        eventLoop.execute(
+                () ->
+                        upstreamPool.send(
+                                "s1",
+                                proxyRequest,
+                                20_000_000,
+                                (outcome, response, load) ->
+                                        outcomes.add(requestId + " " + outcome)));
+        FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
+        assertEquals(requestId, receivedRequest.header("Req-Id"));
+        return receivedRequest;
+    }
+
+    private void respondAndAwait(FakeHttpServer.ReceivedRequest receivedRequest, String requestId)
+            throws IOException, InterruptedException {
+        receivedRequest.respond(200, "", "ok");
+        assertEquals(requestId + " OK", outcomes.poll(20, TimeUnit.SECONDS));
+    }
+
+    /**
+     * A second answer may come some milliseconds late, least likely on the one that rests for
+     * longest.
+     */
+    @Test
+    void recentlyUsedConnectionIsAvoided() throws Exception {
+        FakeHttpServer.ReceivedRequest first = sendRequest("a");
+        FakeHttpServer.ReceivedRequest second = sendRequest("b");
+        FakeHttpServer.ReceivedRequest third = sendRequest("c");
+        respondAndAwait(first, "a");
+        clock.addAndGet(1_000);
+        respondAndAwait(second, "b");
+        clock.addAndGet(1_000);
+        respondAndAwait(third, "c");
+        // All of them have just been used
+        FakeHttpServer.ReceivedRequest next = sendRequest("d");
+        assertEquals(first.connectionNumber(), next.connectionNumber());
+        clock.addAndGet(9_500);
+        // B has rested for long enough, c has not
+        next = sendRequest("e");
+        assertEquals(second.connectionNumber(), next.connectionNumber());
+        respondAndAwait(next, "e");
+        clock.addAndGet(20_000);
+        // The last that was used: others may close
+        assertEquals(second.connectionNumber(), sendRequest("f").connectionNumber());
+    }
+}
--- a/lab/src/main/java/junctionhead/lab/CapacityCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/CapacityCommand.java
@@ -1,10 +1,10 @@
-package junctionhead.lab;
+package loadbalancer.testbed;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import junctionhead.lab.capacity.CapacityOptions;
-import junctionhead.lab.capacity.CapacityRun;
+import loadbalancer.testbed.capacity.CapacityOptions;
+import loadbalancer.testbed.capacity.CapacityRun;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
@@ -17,23 +17,24 @@
         mixinStandardHelpOptions = true,
         description =
                 "Fleets of hollow balancers (module, membership and duties without a data path): "
-                        + "datagrams, CPU, heap and how soon news are known, by the fleet's size. Exit: 0, 2 wrong use, "
+                        + "datagrams, CPU, heap and how soon news are known, by the "
+                        + "fleet's size. Exit: 0, 2 wrong use, "
                         + "3 where the machine was too busy for real time.")
 final class CapacityCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
     @Mixin private CapacityOptions options;
 
     @Option(names = "--out", paramLabel = "FILE", description = "Where the figures go, as JSON.")
-    private Path out;
+    private Path outputFile;
 
     @Override
     public Integer call() throws IOException {
-        return CapacityRun.play(
+        return CapacityRun.run(
                         options,
                         spec.commandLine().getParseResult().originalArgs(),
-                        out,
+                        outputFile,
                         System.out::println)
-                ? Lab.OK
-                : Lab.UNTRUSTED;
+                ? TestbedCommand.EXIT_OK
+                : TestbedCommand.EXIT_UNTRUSTED;
     }
 }
--- a/lab/src/main/java/junctionhead/lab/FiguresCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/DocFiguresCommand.java
@@ -1,9 +1,9 @@
-package junctionhead.lab;
+package loadbalancer.testbed;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import junctionhead.lab.figures.FigurePage;
+import loadbalancer.testbed.docfigures.FigurePageChecker;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -13,16 +13,18 @@
         mixinStandardHelpOptions = true,
         description =
                 "Holds the figures of a page to the files of runs that it refers to. Exit: 0, 1 where one "
-                        + "differs by more than the rounding shown or has nothing to stand on, 2 where there is no page.")
-final class FiguresCommand implements Callable<Integer> {
+                        + "differs by more than the rounding shown or has nothing to "
+                        + "stand on, 2 where there is no page.")
+final class DocFiguresCommand implements Callable<Integer> {
     @Parameters(paramLabel = "PAGE", description = "A page of Markdown, as docs/CAPACITY.md.")
     private Path page;
 
     @Override
     public Integer call() throws IOException {
-        FigurePage.Check check = FigurePage.check(page);
-        check.faults().forEach(System.out::println);
-        System.out.println(check.figures() + " figures, " + check.faults().size() + " faults");
-        return check.faults().isEmpty() ? Lab.OK : Lab.BROKEN;
+        FigurePageChecker.Result result = FigurePageChecker.check(page);
+        result.errors().forEach(System.out::println);
+        System.out.println(
+                result.figureCount() + " figures, " + result.errors().size() + " faults");
+        return result.errors().isEmpty() ? TestbedCommand.EXIT_OK : TestbedCommand.EXIT_VIOLATION;
     }
 }
--- a/lab/src/main/java/junctionhead/lab/CostCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/FootprintCommand.java
@@ -1,4 +1,4 @@
-package junctionhead.lab;
+package loadbalancer.testbed;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.stream.LongStream;
-import junctionhead.lab.cost.Cost;
-import junctionhead.lab.cost.CostCase;
-import junctionhead.lab.figures.Measured;
-import junctionhead.lab.figures.Repeats;
-import junctionhead.lab.fleet.Launch;
+import loadbalancer.testbed.docfigures.MeasurementFile;
+import loadbalancer.testbed.docfigures.RepeatedMeasurements;
+import loadbalancer.testbed.footprint.FootprintBenchmark;
+import loadbalancer.testbed.footprint.FootprintCase;
+import loadbalancer.testbed.process.LaunchCommand;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -24,8 +24,9 @@
         mixinStandardHelpOptions = true,
         description =
                 "One real balancer: CPU at rest and by change of the list, memory, time until ready. "
-                        + "Exit: 0, 2 wrong use. Sizes whose process did not last are in the figures as such.")
-final class CostCommand implements Callable<Integer> {
+                        + "Exit: 0, 2 wrong use. Sizes whose process did not last are in "
+                        + "the figures as such.")
+final class FootprintCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
     @Parameters(
@@ -39,14 +40,14 @@
             paramLabel = "N",
             defaultValue = "3",
             description = "Default: ${DEFAULT-VALUE}.")
-    private int repeats;
+    private int repeatCount;
 
     @Option(
             names = "--seconds",
             paramLabel = "S",
             defaultValue = "8",
             description = "Of rest that are watched (default: ${DEFAULT-VALUE}).")
-    private int seconds;
+    private int idleSeconds;
 
     @Option(
             names = "--environment",
@@ -58,52 +59,52 @@
     @Option(
             names = "--build",
             paramLabel = "JAR",
-            description = "The balancer (default: balancer/target/junctionhead.jar).")
-    private Path jar;
+            description = "The balancer (default: balancer/target/load-balancer.jar).")
+    private Path balancerJar;
 
     @Option(
             names = "--json",
             paramLabel = "FILE",
             description = "Where the figures are written, too.")
-    private Path json;
+    private Path jsonFile;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
             description = "Where logs go (default: a new folder below logs/).")
-    private Path out;
+    private Path outputDirectory;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        List<CostCase> cases;
+        List<FootprintCase> cases;
         try {
-            cases = sizes.stream().map(CostCase::parse).toList();
+            cases = sizes.stream().map(FootprintCase::parse).toList();
         } catch (IllegalArgumentException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage(), e);
         }
-        Launch launch = Lab.launch(jar);
-        Repeats figures = new Repeats();
-        Cost cost =
-                new Cost(
-                        launch,
-                        Lab.folder(out, "cost"),
-                        seconds * 1000,
+        LaunchCommand launchCommand = TestbedCommand.balancerLaunch(balancerJar);
+        RepeatedMeasurements measurements = new RepeatedMeasurements();
+        FootprintBenchmark benchmark =
+                new FootprintBenchmark(
+                        launchCommand,
+                        TestbedCommand.createOutputDirectory(outputDirectory, "cost"),
+                        idleSeconds * 1000,
                         environment,
-                        figures,
+                        measurements,
                         System.out::println);
-        for (int i = 1; i <= repeats; i++) {
-            for (CostCase size : cases) {
-                cost.measure(size, i);
-                if (json != null) {
-                    new Measured(
-                                    Lab.line(spec),
-                                    LongStream.rangeClosed(1, i).boxed().toList(),
-                                    figures.figures())
-                            .write(json);
+        for (int repeat = 1; repeat <= repeatCount; repeat++) {
+            for (FootprintCase footprintCase : cases) {
+                benchmark.measure(footprintCase, repeat);
+                if (jsonFile != null) {
+                    new MeasurementFile(
+                                    TestbedCommand.commandLine(spec),
+                                    LongStream.rangeClosed(1, repeat).boxed().toList(),
+                                    measurements.summary())
+                            .write(jsonFile);
                 }
             }
         }
-        figures.figures().forEach((key, value) -> System.out.println(key + " " + value));
-        return Lab.OK;
+        measurements.summary().forEach((key, value) -> System.out.println(key + " " + value));
+        return TestbedCommand.EXIT_OK;
     }
 }
--- a/lab/src/main/java/junctionhead/lab/PaperCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/PaperCommand.java
@@ -1,9 +1,9 @@
-package junctionhead.lab;
+package loadbalancer.testbed;
 
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import junctionhead.lab.sim.PaperExperiment;
+import loadbalancer.testbed.simulation.JsqDasExperiment;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -19,14 +19,14 @@
             paramLabel = "K",
             defaultValue = "1000",
             description = "Default: ${DEFAULT-VALUE}.")
-    private int servers;
+    private int serverCount;
 
     @Option(
             names = "--jobs",
             paramLabel = "N",
             defaultValue = "300000",
             description = "Default: ${DEFAULT-VALUE}.")
-    private int jobs;
+    private int jobCount;
 
     @Option(
             names = "--loads",
@@ -46,23 +46,26 @@
     public Integer call() {
         for (double load : loads) {
             StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "load %.2f", load));
-            for (PaperExperiment.Dispatching policy : PaperExperiment.Dispatching.values()) {
-                PaperExperiment.Outcome outcome =
-                        new PaperExperiment(servers, load, jobs, seed).play(policy);
+            for (JsqDasExperiment.DispatchPolicy policy :
+                    JsqDasExperiment.DispatchPolicy.values()) {
+                JsqDasExperiment.ExperimentResult outcome =
+                        new JsqDasExperiment(serverCount, load, jobCount, seed).run(policy);
                 line.append(
                         String.format(
                                 Locale.ROOT,
                                 "  %s %.3f",
                                 policy.name().toLowerCase(Locale.ROOT),
-                                outcome.meanResponse()));
-                if (policy == PaperExperiment.Dispatching.JSQ_DAS) {
+                                outcome.meanResponseTime()));
+                if (policy == JsqDasExperiment.DispatchPolicy.JSQ_DAS) {
                     line.append(
                             String.format(
-                                    Locale.ROOT, " (%.1f%% found)", 100 * outcome.fastFound()));
+                                    Locale.ROOT,
+                                    " (%.1f%% found)",
+                                    100 * outcome.foundFastFraction()));
                 }
             }
             System.out.println(line);
         }
-        return Lab.OK;
+        return TestbedCommand.EXIT_OK;
     }
 }
--- a/lab/src/main/java/junctionhead/lab/ReportCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/ReportCommand.java
@@ -1,10 +1,10 @@
-package junctionhead.lab;
+package loadbalancer.testbed;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import junctionhead.lab.measure.Result;
-import junctionhead.lab.report.HtmlReport;
+import loadbalancer.testbed.report.HtmlReport;
+import loadbalancer.testbed.statistics.RunResult;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -15,12 +15,12 @@
         description = "Writes report.html, one page without network, into a run's folder.")
 final class ReportCommand implements Callable<Integer> {
     @Parameters(paramLabel = "DIR", description = "The folder of a run.")
-    private Path folder;
+    private Path runDirectory;
 
     @Override
     public Integer call() throws IOException {
         System.setProperty("java.awt.headless", "true");
-        System.out.println(new HtmlReport(Result.read(folder)).write(folder));
-        return Lab.OK;
+        System.out.println(new HtmlReport(RunResult.read(runDirectory)).write(runDirectory));
+        return TestbedCommand.EXIT_OK;
     }
 }
--- a/lab/src/main/java/junctionhead/lab/RunCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/RunCommand.java
@@ -1,12 +1,12 @@
-package junctionhead.lab;
+package loadbalancer.testbed;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import junctionhead.lab.fleet.Run;
-import junctionhead.lab.measure.Result;
-import junctionhead.lab.plan.Plan;
-import junctionhead.lab.scenario.ScenarioReader;
+import loadbalancer.testbed.process.ScenarioRunner;
+import loadbalancer.testbed.scenario.ScenarioReader;
+import loadbalancer.testbed.statistics.RunResult;
+import loadbalancer.testbed.workload.WorkloadPlan;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -20,7 +20,7 @@
                         + "2 wrong use, 3 the lab was too busy to be trusted.")
 final class RunCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO", description = "A scenario file (TOML).")
-    private Path file;
+    private Path scenarioFile;
 
     @Option(
             names = "--seed",
@@ -32,22 +32,29 @@
     @Option(
             names = "--build",
             paramLabel = "JAR",
-            description = "The balancer to play (default: balancer/target/junctionhead.jar).")
-    private Path jar;
+            description = "The balancer to play (default: balancer/target/load-balancer.jar).")
+    private Path balancerJar;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
             description = "Where logs and the result go (default: a new folder below logs/).")
-    private Path out;
+    private Path outputDirectory;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Plan plan = Plan.of(ScenarioReader.read(file, false), seed);
-        Path folder = Lab.folder(out, "lab");
-        Result result = new Run(plan, Lab.launch(jar), folder, System.out::println).play();
-        Lab.print(result);
-        System.out.println("result in " + folder);
-        return Lab.exit(result);
+        WorkloadPlan workload =
+                WorkloadPlan.generate(ScenarioReader.read(scenarioFile, false), seed);
+        Path directory = TestbedCommand.createOutputDirectory(outputDirectory, "lab");
+        RunResult result =
+                new ScenarioRunner(
+                                workload,
+                                TestbedCommand.balancerLaunch(balancerJar),
+                                directory,
+                                System.out::println)
+                        .run();
+        TestbedCommand.printResult(result);
+        System.out.println("result in " + directory);
+        return TestbedCommand.exitCode(result);
     }
 }
--- a/lab/src/main/java/junctionhead/lab/capacity/Part.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/BalancerComponent.java
@@ -1,14 +1,14 @@
-package junctionhead.lab.capacity;
+package loadbalancer.testbed.capacity;
 
 /** What hollow balancers consist of. */
-enum Part {
-    MODULE("module"),
+enum BalancerComponent {
+    ROUTING("module"),
     MEMBERSHIP("membership"),
-    DUTIES("duties");
+    LEASES("duties");
 
     private final String key;
 
-    Part(String key) {
+    BalancerComponent(String key) {
         this.key = key;
     }
 
--- a/lab/src/main/java/junctionhead/lab/capacity/Host.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/BalancerHost.java
@@ -1,18 +1,18 @@
-package junctionhead.lab.capacity;
+package loadbalancer.testbed.capacity;
 
-import junctionhead.membership.News;
+import loadbalancer.membership.MemberUpdate;
 
 /** What a hollow balancer lives on: a clock, timers and datagrams, simulated or real. */
-interface Host {
+interface BalancerHost {
     /** µs; never goes back. */
     long now();
 
-    /** Calls {@code what} after so many µs, never at once, on the balancer's own thread. */
-    void after(long delay, Runnable what);
+    /** Calls {@code task} after so many µs, never at once, on the balancer's own thread. */
+    void after(long delayMicros, Runnable task);
 
     /** Sends a datagram to the balancer of that number, or to all others where it is negative. */
-    void tell(int peer, byte[] data);
+    void send(int peer, byte[] data);
 
     /** The balancer's view has changed. */
-    void seen(News news);
+    void onMemberUpdate(MemberUpdate update);
 }
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
@@ -0,0 +1,290 @@
+package loadbalancer.testbed.capacity;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.function.ToDoubleFunction;
+import java.util.stream.IntStream;
+import org.HdrHistogram.Histogram;
+
+/** One fleet under one condition: started, left to settle, played and measured. */
+final class CapacityExperiment {
+    // µs between two looks at what modules know
+    private static final long SAMPLE_INTERVAL_MICROS = 200_000;
+    // µs in which balancers start, so as not in step
+    private static final long START_SPREAD_MICROS = 200_000;
+    private static final List<CostCategory> DATAGRAM_CATEGORIES =
+            List.of(CostCategory.GOSSIP, CostCategory.MEMBERSHIP, CostCategory.LEASES);
+
+    private final FleetSpec fleetSpec;
+    private final HollowFleet fleet;
+    private final long lengthMicros;
+    private final List<Double> rateErrors = new ArrayList<>();
+    private boolean measuring;
+
+    /** {@code lengthMicros} in µs. */
+    CapacityExperiment(FleetSpec fleetSpec, HollowFleet fleet, long lengthMicros) {
+        this.fleetSpec = fleetSpec;
+        this.fleet = fleet;
+        this.lengthMicros = lengthMicros;
+    }
+
+    FleetSpec fleetSpec() {
+        return fleetSpec;
+    }
+
+    HollowFleet fleet() {
+        return fleet;
+    }
+
+    /** µs that the condition lasts. */
+    long lengthMicros() {
+        return lengthMicros;
+    }
+
+    /**
+     * Starts all balancers within a period of membership, and lets the rest of {@code warmUpMicros}
+     * µs pass.
+     */
+    void start(long warmUpMicros, long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        long[] startOffsetsMicros =
+                IntStream.range(0, fleetSpec.balancers())
+                        .mapToLong(balancer -> random.nextLong(START_SPREAD_MICROS))
+                        .sorted()
+                        .toArray();
+        List<Integer> startOrder =
+                new ArrayList<>(IntStream.range(0, fleetSpec.balancers()).boxed().toList());
+        java.util.Collections.shuffle(startOrder, new java.util.Random(seed));
+        long startMicros = fleet.now();
+        for (int i = 0; i < startOffsetsMicros.length; i++) {
+            advance(startMicros + startOffsetsMicros[i] - fleet.now());
+            fleet.start(startOrder.get(i));
+        }
+        advance(Math.max(0, startMicros + warmUpMicros - fleet.now()));
+    }
+
+    /** Lets time pass, and looks now and then at what modules know. */
+    void advance(long durationMicros) {
+        long remainingMicros = durationMicros;
+        while (remainingMicros > 0) {
+            long stepMicros = Math.min(remainingMicros, SAMPLE_INTERVAL_MICROS);
+            fleet.advance(stepMicros);
+            remainingMicros -= stepMicros;
+            if (measuring
+                    && fleetSpec.requestsPerSecond() > 0
+                    && stepMicros == SAMPLE_INTERVAL_MICROS) {
+                sampleRemoteRates();
+            }
+        }
+    }
+
+    private void sampleRemoteRates() {
+        double[] knownRates = fleet.remoteRates();
+        double totalRate =
+                IntStream.range(0, fleetSpec.balancers())
+                        .filter(fleet::isRunning)
+                        .mapToDouble(fleetSpec::requestsPerSecond)
+                        .sum();
+        for (int balancer = 0; balancer < knownRates.length; balancer++) {
+            if (!Double.isNaN(knownRates[balancer])) {
+                double remoteRate = totalRate - fleetSpec.requestsPerSecond(balancer);
+                rateErrors.add(knownRates[balancer] / remoteRate - 1);
+            }
+        }
+    }
+
+    /**
+     * Plays the condition; figures by name, those of a second by simulated or real seconds.
+     *
+     * @throws IOException where a real balancer of the fleet has ended
+     */
+    Map<String, Double> measure(FleetCondition condition) throws IOException {
+        fleet.resetCounters();
+        fleet.listPropagationMicros().reset();
+        measuring = true;
+        long startMicros = fleet.now();
+        condition.run(this);
+        measuring = false;
+        double seconds = (fleet.now() - startMicros) / 1e6;
+        List<CostCounters> counters = fleet.counters();
+        Map<String, Double> metrics = new TreeMap<>();
+        addTraffic(counters, seconds, metrics);
+        addCpu(counters, seconds, metrics);
+        addPercentiles("death", fleet.detections().deathDetectionMicros(), metrics);
+        addPercentiles("return", fleet.detections().returnDetectionMicros(), metrics);
+        if (fleetSpec.components().contains(BalancerComponent.MEMBERSHIP)) {
+            metrics.put("death.unknownPairs", (double) fleet.detections().undetectedDeaths());
+            metrics.put("death.overtakenPairs", (double) fleet.detections().supersededDeaths());
+            metrics.put("return.unknownPairs", (double) fleet.detections().undetectedReturns());
+        }
+        addPercentiles("listInForce", fleet.listPropagationMicros(), metrics);
+        addRateErrors(counters, metrics);
+        metrics.putAll(fleet.additionalMetrics(seconds));
+        return metrics;
+    }
+
+    private static void addTraffic(
+            List<CostCounters> counters, double seconds, Map<String, Double> metrics) {
+        addDistribution(
+                "sent.datagramsPerSecond",
+                counters,
+                seconds,
+                balancerCounters -> sumOverTraffic(balancerCounters, balancerCounters::sent),
+                metrics);
+        addDistribution(
+                "sent.bytesPerSecond",
+                counters,
+                seconds,
+                balancerCounters -> sumOverTraffic(balancerCounters, balancerCounters::sentBytes),
+                metrics);
+        addDistribution(
+                "received.datagramsPerSecond",
+                counters,
+                seconds,
+                balancerCounters -> sumOverTraffic(balancerCounters, balancerCounters::received),
+                metrics);
+        addDistribution(
+                "received.bytesPerSecond",
+                counters,
+                seconds,
+                balancerCounters ->
+                        sumOverTraffic(balancerCounters, balancerCounters::receivedBytes),
+                metrics);
+        for (CostCategory category : DATAGRAM_CATEGORIES) {
+            addMean(
+                    "sent.datagramsPerSecond." + category.key(),
+                    counters,
+                    seconds,
+                    balancerCounters -> balancerCounters.sent(category),
+                    metrics);
+            addMean(
+                    "sent.bytesPerSecond." + category.key(),
+                    counters,
+                    seconds,
+                    balancerCounters -> balancerCounters.sentBytes(category),
+                    metrics);
+            addMean(
+                    "received.datagramsPerSecond." + category.key(),
+                    counters,
+                    seconds,
+                    balancerCounters -> balancerCounters.received(category),
+                    metrics);
+            addMean(
+                    "received.bytesPerSecond." + category.key(),
+                    counters,
+                    seconds,
+                    balancerCounters -> balancerCounters.receivedBytes(category),
+                    metrics);
+        }
+    }
+
+    private static double sumOverTraffic(
+            CostCounters counters, ToDoubleFunction<CostCategory> counter) {
+        return DATAGRAM_CATEGORIES.stream().mapToDouble(counter).sum();
+    }
+
+    // The balancers' own code is timed by the wall; what the system took meanwhile is not its.
+    private void addCpu(List<CostCounters> counters, double seconds, Map<String, Double> metrics) {
+        double cpuFraction = fleet.cpuFraction();
+        double totalShare = 0;
+        for (CostCategory category : CostCategory.values()) {
+            double share =
+                    counters.stream()
+                                    .mapToDouble(
+                                            balancerCounters ->
+                                                    balancerCounters.elapsedNanos(category))
+                                    .average()
+                                    .orElse(0)
+                            * cpuFraction
+                            / 1e9
+                            / seconds;
+            metrics.put("cpu.shareOfCore." + category.key(), share);
+            totalShare += share;
+        }
+        metrics.put("cpu.shareOfCore.total", totalShare);
+        metrics.put("cpu.shareOfCore.threads", fleet.cpuNanos() / 1e9 / seconds / counters.size());
+        double listChanges = counters.stream().mapToDouble(CostCounters::listChanges).sum();
+        if (listChanges > 0) {
+            metrics.put(
+                    "cpu.listChangeMs.mean",
+                    counters.stream()
+                                    .mapToDouble(
+                                            balancerCounters ->
+                                                    balancerCounters.elapsedNanos(
+                                                            CostCategory.ENDPOINT_LIST))
+                                    .sum()
+                            * cpuFraction
+                            / 1e6
+                            / listChanges);
+            metrics.put(
+                    "cpu.listChangeMs.most",
+                    counters.stream().mapToDouble(CostCounters::maxListChangeNanos).max().orElse(0)
+                            / 1e6);
+        }
+    }
+
+    private static void addPercentiles(
+            String name, Histogram histogram, Map<String, Double> metrics) {
+        if (histogram.getTotalCount() > 0) {
+            metrics.put(name + ".seconds.p50", histogram.getValueAtPercentile(50) / 1e6);
+            metrics.put(name + ".seconds.p99", histogram.getValueAtPercentile(99) / 1e6);
+            metrics.put(name + ".seconds.last", histogram.getMaxValue() / 1e6);
+            metrics.put(name + ".knownPairs", (double) histogram.getTotalCount());
+        }
+    }
+
+    private void addRateErrors(List<CostCounters> counters, Map<String, Double> metrics) {
+        if (rateErrors.isEmpty()) {
+            return;
+        }
+        double[] sortedErrors = rateErrors.stream().mapToDouble(Math::abs).sorted().toArray();
+        metrics.put(
+                "othersRate.relativeError.bias",
+                rateErrors.stream().mapToDouble(error -> error).average().orElse(0));
+        metrics.put("othersRate.relativeError.p50", quantile(sortedErrors, 0.5));
+        metrics.put("othersRate.relativeError.p99", quantile(sortedErrors, 0.99));
+        metrics.put("othersRate.relativeError.worst", sortedErrors[sortedErrors.length - 1]);
+        double requests = counters.stream().mapToDouble(CostCounters::requests).sum();
+        metrics.put(
+                "requests.unservedShare",
+                requests == 0
+                        ? 0
+                        : counters.stream().mapToDouble(CostCounters::unservedRequestCount).sum()
+                                / requests);
+    }
+
+    private static void addMean(
+            String name,
+            List<CostCounters> counters,
+            double seconds,
+            ToDoubleFunction<CostCounters> counter,
+            Map<String, Double> metrics) {
+        metrics.put(name, counters.stream().mapToDouble(counter).average().orElse(0) / seconds);
+    }
+
+    private static void addDistribution(
+            String name,
+            List<CostCounters> counters,
+            double seconds,
+            ToDoubleFunction<CostCounters> counter,
+            Map<String, Double> metrics) {
+        double[] sorted =
+                counters.stream()
+                        .mapToDouble(counter)
+                        .map(value -> value / seconds)
+                        .sorted()
+                        .toArray();
+        metrics.put(name + ".mean", java.util.Arrays.stream(sorted).average().orElse(0));
+        metrics.put(name + ".p99", quantile(sorted, 0.99));
+        metrics.put(name + ".most", sorted[sorted.length - 1]);
+    }
+
+    /** The least value that so large a part of all is not above. */
+    static double quantile(double[] sorted, double fraction) {
+        return sorted[Math.max(0, (int) Math.ceil(fraction * sorted.length) - 1)];
+    }
+}
--- a/lab/src/main/java/junctionhead/lab/capacity/CapacityOptions.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityOptions.java
@@ -1,9 +1,10 @@
-package junctionhead.lab.capacity;
+package loadbalancer.testbed.capacity;
 
 import picocli.CommandLine.Option;
 
 /**
- * The command line's words as they came: {@link Plan} checks them, so that each fault is one line.
+ * The command line's words as they came: {@link CapacityPlan} checks them, so that each fault is
+ * one line.
  */
 public final class CapacityOptions {
     @Option(
@@ -78,7 +79,7 @@
     String parts;
 
     @Option(names = "--sockets", description = "Over UDP on loopback, in real time.")
-    boolean sockets;
+    boolean useSockets;
 
     @Option(
             names = "--threads",
@@ -94,5 +95,5 @@
             paramLabel = "N",
             defaultValue = "0",
             description = "Real balancers among them, with --sockets (default: ${DEFAULT-VALUE}).")
-    String real;
+    String realBalancers;
 }
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityPlan.java
@@ -0,0 +1,139 @@
+package loadbalancer.testbed.capacity;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.EnumSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Function;
+
+/**
+ * What a call of the command asks for, checked.
+ *
+ * @param lengthMicros µs that each condition lasts
+ * @param warmUpMicros µs before it
+ */
+record CapacityPlan(
+        List<Integer> balancers,
+        List<Integer> upstreams,
+        List<FleetCondition> conditions,
+        long lengthMicros,
+        long warmUpMicros,
+        List<Long> seeds,
+        int zones,
+        int classes,
+        double requestsPerSecond,
+        Set<BalancerComponent> components,
+        int threads,
+        int realBalancers) {
+    private static final int MAX_BALANCERS = 4_000;
+    private static final int MAX_UPSTREAMS = 65_536;
+
+    /** Reads words as the command line has them; what is wrong is told in one line. */
+    static CapacityPlan of(CapacityOptions options) throws IOException {
+        CapacityPlan plan =
+                new CapacityPlan(
+                        parseIntegers("--balancers", options.balancers, 2, MAX_BALANCERS),
+                        parseIntegers("--upstreams", options.upstreams, 1, MAX_UPSTREAMS),
+                        parseConstants(
+                                "--condition",
+                                options.conditions,
+                                FleetCondition.class,
+                                FleetCondition::key),
+                        parseSecondsAsMicros("--seconds", options.seconds, 0.1),
+                        parseSecondsAsMicros("--warmup", options.warmUp, 1.0),
+                        parseIntegers("--seed", options.seeds, 0, Integer.MAX_VALUE).stream()
+                                .map(Integer::longValue)
+                                .toList(),
+                        parseInteger("--zones", options.zones, 1, 256),
+                        parseInteger("--classes", options.classes, 1, 256),
+                        parseDecimal("--rate", options.rate, 0, 100_000),
+                        EnumSet.copyOf(
+                                parseConstants(
+                                        "--parts",
+                                        options.parts,
+                                        BalancerComponent.class,
+                                        BalancerComponent::key)),
+                        parseInteger("--threads", options.threads, 0, 64),
+                        parseInteger("--real", options.realBalancers, 0, 10));
+        if (plan.components.contains(BalancerComponent.LEASES)
+                && !plan.components.contains(BalancerComponent.MEMBERSHIP)) {
+            throw new IOException("--parts: duties go by membership");
+        }
+        if (plan.realBalancers > 0 && !options.useSockets) {
+            throw new IOException("--real: real balancers need --sockets");
+        }
+        if (plan.realBalancers > 0
+                && !EnumSet.of(FleetCondition.QUIET, FleetCondition.LOSS10)
+                        .containsAll(plan.conditions)) {
+            throw new IOException("--real: only with quiet and loss10");
+        }
+        if (plan.realBalancers > 0
+                && plan.balancers.stream()
+                        .anyMatch(balancerCount -> balancerCount <= plan.realBalancers)) {
+            throw new IOException("--real: there must be more balancers than real ones");
+        }
+        return plan;
+    }
+
+    private static long parseSecondsAsMicros(String option, String text, double min)
+            throws IOException {
+        return Math.round(1e6 * parseDecimal(option, text, min, 3600));
+    }
+
+    private static int parseInteger(String option, String text, int min, int max)
+            throws IOException {
+        try {
+            int number = Integer.parseInt(text);
+            if (number >= min && number <= max) {
+                return number;
+            }
+        } catch (NumberFormatException e) {
+            throw new IOException(option + ": not a whole number: '" + text + "'");
+        }
+        throw new IOException(option + ": not from " + min + " to " + max + ": " + text);
+    }
+
+    private static double parseDecimal(String option, String text, double min, double max)
+            throws IOException {
+        try {
+            double number = Double.parseDouble(text);
+            if (number >= min && number <= max) {
+                return number;
+            }
+        } catch (NumberFormatException e) {
+            throw new IOException(option + ": not a number: '" + text + "'");
+        }
+        throw new IOException(option + ": not from " + min + " to " + max + ": " + text);
+    }
+
+    private static List<Integer> parseIntegers(String option, String text, int min, int max)
+            throws IOException {
+        List<Integer> numbers = new ArrayList<>();
+        for (String item : text.split(",", -1)) {
+            numbers.add(parseInteger(option, item, min, max));
+        }
+        return List.copyOf(numbers);
+    }
+
+    private static <E extends Enum<E>> List<E> parseConstants(
+            String option, String text, Class<E> type, Function<E, String> keyOf)
+            throws IOException {
+        Map<String, E> constantByKey = new LinkedHashMap<>();
+        for (E constant : type.getEnumConstants()) {
+            constantByKey.put(keyOf.apply(constant), constant);
+        }
+        List<E> constants = new ArrayList<>();
+        for (String key : text.split(",", -1)) {
+            E constant = constantByKey.get(key);
+            if (constant == null) {
+                String allowed = String.join(", ", constantByKey.keySet());
+                throw new IOException(option + ": no " + key + ", only " + allowed);
+            }
+            constants.add(constant);
+        }
+        return List.copyOf(constants);
+    }
+}
--- a/lab/src/main/java/junctionhead/lab/capacity/CapacityReport.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityReport.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.capacity;
+package loadbalancer.testbed.capacity;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
@@ -16,14 +16,14 @@
  * What a call of the command measured, as its file holds it.
  *
  * @param command the line that gave it
- * @param figures by name
+ * @param metrics by name
  */
-public record CapacityReport(String command, List<Long> seeds, Map<String, Double> figures) {
-    private static final MathContext DIGITS = new MathContext(5);
+public record CapacityReport(String command, List<Long> seeds, Map<String, Double> metrics) {
+    private static final MathContext PRECISION = new MathContext(5);
 
     public CapacityReport {
         seeds = List.copyOf(seeds);
-        figures = java.util.Collections.unmodifiableMap(new TreeMap<>(figures));
+        metrics = java.util.Collections.unmodifiableMap(new TreeMap<>(metrics));
     }
 
     /**
@@ -31,13 +31,13 @@
      *
      * @throws IOException where it can't be made
      */
-    static void prepare(Path file) throws IOException {
-        Path folder = file.toAbsolutePath().getParent();
+    static void createParentDirectory(Path file) throws IOException {
+        Path directory = file.toAbsolutePath().getParent();
         try {
-            Files.createDirectories(folder);
+            Files.createDirectories(directory);
         } catch (IOException e) {
             throw new IOException(
-                    "can't make the folder " + folder + " for " + file.getFileName(), e);
+                    "can't make the folder " + directory + " for " + file.getFileName(), e);
         }
     }
 
@@ -48,19 +48,19 @@
      */
     void write(Path file) throws IOException {
         Map<String, Object> rounded = new LinkedHashMap<>();
-        figures.forEach(
+        metrics.forEach(
                 (name, value) ->
-                        rounded.put(name, new BigDecimal(value).round(DIGITS).doubleValue()));
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("command", command);
-        all.put("seeds", seeds);
-        all.put("figures", rounded);
-        prepare(file);
+                        rounded.put(name, new BigDecimal(value).round(PRECISION).doubleValue()));
+        Map<String, Object> content = new LinkedHashMap<>();
+        content.put("command", command);
+        content.put("seeds", seeds);
+        content.put("figures", rounded);
+        createParentDirectory(file);
         Files.writeString(
                 file,
                 new ObjectMapper()
                                 .enable(SerializationFeature.INDENT_OUTPUT)
-                                .writeValueAsString(all)
+                                .writeValueAsString(content)
                         + "\n");
     }
 }
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityRun.java
@@ -0,0 +1,83 @@
+package loadbalancer.testbed.capacity;
+
+import java.io.IOException;
+import java.lang.management.ManagementFactory;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+
+/** One call of the command, from its words to its file. */
+public final class CapacityRun {
+    // s, as for runs of real fleets
+    private static final double MAX_TIMER_LATENESS_SECONDS = 0.025;
+    private static final String JAR_PATH = "testbed/target/load-balancer-testbed.jar";
+
+    private CapacityRun() {}
+
+    /**
+     * Plays what is asked for; {@code progress} hears a line for each trial.
+     *
+     * @param arguments of the command line, after the command
+     * @param outputFile null: the figures go nowhere
+     * @return false where the machine was too busy for real time: then the figures count for
+     *     nothing
+     * @throws IOException where the words are wrong or the file can't be written, in one line
+     */
+    public static boolean run(
+            CapacityOptions options,
+            List<String> arguments,
+            Path outputFile,
+            Consumer<String> progress)
+            throws IOException {
+        CapacityPlan plan = CapacityPlan.of(options);
+        if (outputFile != null) {
+            // Before it takes its time
+            CapacityReport.createParentDirectory(outputFile);
+        }
+        CapacityBenchmark.FleetFactory fleetFactory =
+                options.useSockets
+                        ? (fleetSpec, seed) ->
+                                new SocketHollowFleet(
+                                        fleetSpec, seed, plan.threads(), plan.realBalancers())
+                        : SimulatedHollowFleet::new;
+        Map<String, Double> metrics = new CapacityBenchmark(plan, fleetFactory, progress).run();
+        if (outputFile != null) {
+            new CapacityReport(reproducingCommand(arguments), plan.seeds(), metrics)
+                    .write(outputFile);
+        }
+        double latenessSeconds =
+                metrics.entrySet().stream()
+                        .filter(
+                                metric ->
+                                        metric.getKey()
+                                                .endsWith(SocketHollowFleet.TIMER_LATENESS_METRIC))
+                        .mapToDouble(Map.Entry::getValue)
+                        .max()
+                        .orElse(0);
+        if (latenessSeconds > MAX_TIMER_LATENESS_SECONDS) {
+            progress.accept(
+                    "this run counts for nothing: timers came up to "
+                            + Math.round(1e3 * latenessSeconds)
+                            + " ms late (99th percentile)");
+        }
+        return latenessSeconds <= MAX_TIMER_LATENESS_SECONDS;
+    }
+
+    // With what changes its figures; folders of the machine are left out.
+    private static String reproducingCommand(List<String> arguments) {
+        List<String> commandLine = new ArrayList<>(List.of("java"));
+        ManagementFactory.getRuntimeMXBean().getInputArguments().stream()
+                .filter(
+                        jvmOption ->
+                                jvmOption.startsWith("-X") || jvmOption.startsWith("-Dio.netty"))
+                .forEach(commandLine::add);
+        commandLine.addAll(List.of("-jar", JAR_PATH));
+        if (arguments.isEmpty() || !arguments.get(0).equals("capacity")) {
+            commandLine.add("capacity");
+        }
+        commandLine.addAll(arguments);
+        return String.join(" ", commandLine);
+    }
+}
--- a/lab/src/main/java/junctionhead/lab/capacity/Kind.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CostCategory.java
@@ -1,30 +1,32 @@
-package junctionhead.lab.capacity;
+package loadbalancer.testbed.capacity;
 
-import junctionhead.duties.Word;
-import junctionhead.membership.Message;
+import loadbalancer.lease.LeaseMessage;
+import loadbalancer.membership.MembershipMessage;
 
 /**
  * What the control of a balancer costs something for. The first three are kinds of datagrams too.
  */
-enum Kind {
+enum CostCategory {
     /** What modules tell one another; as CPU, the taking in of it. */
-    WORD("word"),
+    GOSSIP("word"),
     MEMBERSHIP("membership"),
-    DUTIES("duties"),
+    LEASES("duties"),
     /** Lists of servers and changes of them. */
-    LIST("list"),
+    ENDPOINT_LIST("list"),
     /** The module's own wakes, in which its word is written, and its requests. */
-    MODULE("module");
+    ROUTING("module");
 
     private final String key;
 
-    Kind(String key) {
+    CostCategory(String key) {
         this.key = key;
     }
 
     /** The kind of a datagram. */
-    static Kind of(byte[] datagram) {
-        return Message.claims(datagram) ? MEMBERSHIP : Word.claims(datagram) ? DUTIES : WORD;
+    static CostCategory ofDatagram(byte[] datagram) {
+        return MembershipMessage.matchesFormat(datagram)
+                ? MEMBERSHIP
+                : LeaseMessage.matchesFormat(datagram) ? LEASES : GOSSIP;
     }
 
     /** As figures are named. */
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/FleetCondition.java
@@ -0,0 +1,140 @@
+package loadbalancer.testbed.capacity;
+
+import java.util.List;
+import java.util.Locale;
+import java.util.stream.IntStream;
+import loadbalancer.routing.Endpoint;
+import loadbalancer.routing.EndpointStatus;
+
+/** What happens to a fleet while it is measured. Each plays a trial for its whole length. */
+enum FleetCondition {
+    /** Nothing but one entry of the list that drains and comes back. */
+    QUIET {
+        @Override
+        void run(CapacityExperiment experiment) {
+            drainOneUpstream(experiment);
+        }
+    },
+    /** The same while a tenth of the datagrams is lost. */
+    LOSS10 {
+        @Override
+        void run(CapacityExperiment experiment) {
+            experiment.fleet().setLossRate(0.1);
+            drainOneUpstream(experiment);
+        }
+    },
+    /** A zone's balancers and upstreams are lost at once, and come back after half the time. */
+    ZONE {
+        @Override
+        void run(CapacityExperiment experiment) {
+            int[] lostBalancers =
+                    IntStream.range(0, experiment.fleetSpec().balancers())
+                            .filter(
+                                    balancer ->
+                                            experiment.fleetSpec().zoneOfBalancer(balancer) == 0)
+                            .toArray();
+            IntStream.of(lostBalancers).forEach(experiment.fleet()::kill);
+            experiment
+                    .fleet()
+                    .publishUpdate(
+                            () ->
+                                    upstreamsOfFirstZone(
+                                            experiment.fleetSpec(), EndpointStatus.REMOVED, 0));
+            experiment.advance(experiment.lengthMicros() / 2);
+            long startMicros = experiment.fleet().now();
+            experiment
+                    .fleet()
+                    .publishUpdate(
+                            () ->
+                                    upstreamsOfFirstZone(
+                                            experiment.fleetSpec(),
+                                            EndpointStatus.UP,
+                                            startMicros));
+            IntStream.of(lostBalancers).forEach(experiment.fleet()::start);
+            experiment.advance(experiment.lengthMicros() - experiment.lengthMicros() / 2);
+        }
+    },
+    /**
+     * All leave in order, a tenth at a time, and are back after half of the time until the next
+     * tenth.
+     */
+    RESTARTS {
+        @Override
+        void run(CapacityExperiment experiment) {
+            long stepMicros = experiment.lengthMicros() / RESTART_WAVES;
+            for (int wave = 0; wave < RESTART_WAVES; wave++) {
+                int currentWave = wave;
+                int[] restarted =
+                        IntStream.range(0, experiment.fleetSpec().balancers())
+                                .filter(balancer -> balancer % RESTART_WAVES == currentWave)
+                                .toArray();
+                IntStream.of(restarted).forEach(experiment.fleet()::leave);
+                experiment.advance(stepMicros / 2);
+                IntStream.of(restarted).forEach(experiment.fleet()::start);
+                experiment.advance(stepMicros - stepMicros / 2);
+            }
+        }
+    },
+    /** The two halves hear nothing of each other for half the time. */
+    HALVES {
+        @Override
+        void run(CapacityExperiment experiment) {
+            int half = experiment.fleetSpec().balancers() / 2;
+            experiment.fleet().partition(balancer -> balancer < half);
+            long nowMicros = experiment.fleet().now();
+            for (int balancer = 0; balancer < experiment.fleetSpec().balancers(); balancer++) {
+                boolean inLowerHalf = balancer < half;
+                experiment
+                        .fleet()
+                        .detections()
+                        .memberDied(
+                                balancer, nowMicros, observer -> observer < half != inLowerHalf);
+            }
+            experiment.advance(experiment.lengthMicros() / 2);
+            experiment.fleet().partition(balancer -> true);
+            for (int balancer = 0; balancer < experiment.fleetSpec().balancers(); balancer++) {
+                boolean inLowerHalf = balancer < half;
+                experiment
+                        .fleet()
+                        .detections()
+                        .memberReturned(
+                                balancer,
+                                experiment.fleet().now(),
+                                0,
+                                observer -> observer < half != inLowerHalf);
+            }
+            experiment.advance(experiment.lengthMicros() - experiment.lengthMicros() / 2);
+        }
+    };
+
+    private static final int RESTART_WAVES = 10;
+
+    /** Plays exactly the trial's length. */
+    abstract void run(CapacityExperiment experiment);
+
+    /** As the command line and figures name it. */
+    String key() {
+        return name().toLowerCase(Locale.ROOT);
+    }
+
+    private static void drainOneUpstream(CapacityExperiment experiment) {
+        experiment.advance(experiment.lengthMicros() / 2);
+        experiment
+                .fleet()
+                .publishUpdate(
+                        () ->
+                                List.of(
+                                        experiment
+                                                .fleetSpec()
+                                                .server(0, EndpointStatus.DRAINING, 0)));
+        experiment.advance(experiment.lengthMicros() - experiment.lengthMicros() / 2);
+    }
+
+    private static List<Endpoint> upstreamsOfFirstZone(
+            FleetSpec fleetSpec, EndpointStatus status, long startMicros) {
+        return IntStream.range(0, fleetSpec.upstreams())
+                .filter(upstream -> fleetSpec.zoneOfUpstream(upstream) == 0)
+                .mapToObj(upstream -> fleetSpec.server(upstream, status, startMicros))
+                .toList();
+    }
+}
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/FleetSpec.java
@@ -0,0 +1,116 @@
+package loadbalancer.testbed.capacity;
+
+import java.util.List;
+import java.util.Set;
+import java.util.stream.IntStream;
+import loadbalancer.routing.DeduplicationScope;
+import loadbalancer.routing.DiscoveryMode;
+import loadbalancer.routing.Endpoint;
+import loadbalancer.routing.EndpointStatus;
+import loadbalancer.routing.Idempotency;
+import loadbalancer.routing.LoadReportSource;
+import loadbalancer.routing.ObjectiveWeights;
+import loadbalancer.routing.RequestClass;
+import loadbalancer.routing.RoutingBounds;
+import loadbalancer.routing.RoutingCosts;
+import loadbalancer.routing.RoutingLimits;
+import loadbalancer.routing.RoutingSettings;
+
+/**
+ * The size of a fleet and what its balancers are told.
+ *
+ * @param requestsPerSecond requests a second that a balancer gets on average; 0: none
+ */
+record FleetSpec(
+        int balancers,
+        int upstreams,
+        int zones,
+        int classes,
+        double requestsPerSecond,
+        Set<BalancerComponent> components) {
+    // Upstreams of a cell
+    private static final int UPSTREAMS_PER_CELL = 50;
+    // Balancers differ in what they get
+    private static final int DISTINCT_RATES = 5;
+
+    FleetSpec {
+        components = Set.copyOf(components);
+    }
+
+    int zoneOfBalancer(int balancer) {
+        return balancer % zones;
+    }
+
+    int zoneOfUpstream(int upstream) {
+        return upstream % zones;
+    }
+
+    /** Requests a second at one balancer: from half to one and a half times the mean. */
+    double requestsPerSecond(int balancer) {
+        return requestsPerSecond * (0.5 + (balancer % DISTINCT_RATES) / (DISTINCT_RATES - 1.0));
+    }
+
+    /** An entry of the list; each call makes its own, as each process has its own. */
+    Endpoint server(int upstream, EndpointStatus status, long startedAtMicros) {
+        String id =
+                "10."
+                        + (upstream >> 16)
+                        + "."
+                        + (upstream >> 8 & 255)
+                        + "."
+                        + (upstream & 255)
+                        + ":8080";
+        return new Endpoint(
+                id,
+                status,
+                startedAtMicros,
+                1,
+                upstream / UPSTREAMS_PER_CELL,
+                upstream % 2,
+                zoneOfUpstream(upstream));
+    }
+
+    /** The whole list. */
+    List<Endpoint> servers() {
+        return IntStream.range(0, upstreams)
+                .mapToObj(upstream -> server(upstream, EndpointStatus.UP, 0))
+                .toList();
+    }
+
+    /** The module's settings; prices and limits are those of the proving ground's fleets. */
+    RoutingSettings settings(int balancer) {
+        List<RequestClass> requestClasses =
+                IntStream.range(0, classes)
+                        .mapToObj(
+                                classNumber ->
+                                        new RequestClass(
+                                                classNumber % 2 == 0
+                                                        ? Idempotency.IDEMPOTENT
+                                                        : Idempotency.NON_IDEMPOTENT,
+                                                DeduplicationScope.ALL,
+                                                0,
+                                                150_000,
+                                                1_500_000,
+                                                0,
+                                                1,
+                                                0.3,
+                                                false))
+                        .toList();
+        return new RoutingSettings(
+                balancers,
+                balancer,
+                zoneOfBalancer(balancer),
+                requestClasses,
+                List.of(),
+                0.2,
+                new ObjectiveWeights(0.65, 0.05, 0.2, 0.1),
+                new RoutingCosts(zones > 1 ? 0.015 : 0, 0, 0.03),
+                false,
+                DiscoveryMode.PUSH,
+                LoadReportSource.NONE,
+                false,
+                new RoutingLimits(4, true, true, true, 150_000, 2_500_000, true),
+                new RoutingBounds(20_000, 2_500_000, 0, 0.3, 8_000_000, 1.3, 2_000_000, 100_000),
+                5_000);
+    }
+}
--- a/lab/src/main/java/junctionhead/lab/capacity/Drive.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/HollowFleet.java
@@ -1,15 +1,16 @@
-package junctionhead.lab.capacity;
+package loadbalancer.testbed.capacity;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntPredicate;
 import java.util.function.Supplier;
-import junctionhead.Policy;
+import loadbalancer.routing.Endpoint;
+import loadbalancer.routing.RoutingPolicy;
 import org.HdrHistogram.Histogram;
 
 /** A fleet of hollow balancers and what lies between them, in simulated or in real time. */
-interface Drive extends AutoCloseable {
+interface HollowFleet extends AutoCloseable {
     /** µs. */
     long now();
 
@@ -21,28 +22,28 @@
     /** Ends one in order. */
     void leave(int balancer);
 
-    boolean runs(int balancer);
+    boolean isRunning(int balancer);
 
     /** The part of the datagrams that is lost from now on. */
-    void loss(double part);
+    void setLossRate(double lossRate);
 
     /** From now on datagrams pass only between balancers on the same side. */
-    void cut(IntPredicate side);
+    void partition(IntPredicate side);
 
     /**
      * Each balancer that runs hears of it, after a delay of its own; {@code changes} makes its
      * copies.
      */
-    void news(Supplier<List<Policy.Server>> changes);
+    void publishUpdate(Supplier<List<Endpoint>> changes);
 
     /** Lets so many µs pass. */
-    void play(long length);
+    void advance(long durationMicros);
 
     /** Forgets all costs so far. */
-    void clear();
+    void resetCounters();
 
     /** The costs of each balancer since then, over all its processes. */
-    List<Ledger> ledgers();
+    List<CostCounters> counters();
 
     /** ns of CPU of the threads that ran balancers since then. */
     long cpuNanos();
@@ -51,22 +52,22 @@
      * The part of a balancer's own elapsed time that was CPU: less than 1 where the thread had to
      * wait.
      */
-    double cpuPart();
+    double cpuFraction();
 
-    /** By balancer, {@link Policy#othersRate}; NaN where none is known. */
-    double[] othersRates();
+    /** By balancer, {@link RoutingPolicy#remoteRequestsPerSecond}; NaN where none is known. */
+    double[] remoteRates();
 
     /** µs from a change of the list until each balancer had taken it in. */
-    Histogram listTimes();
+    Histogram listPropagationMicros();
 
-    Notices notices();
+    DetectionTracker detections();
 
     /**
      * Figures of balancers that are no hollow ones, over so many seconds.
      *
      * @throws IOException where one of them has ended
      */
-    default Map<String, Double> others(double seconds) throws IOException {
+    default Map<String, Double> additionalMetrics(double seconds) throws IOException {
         return Map.of();
     }
 
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RequestGenerator.java
@@ -0,0 +1,143 @@
+package loadbalancer.testbed.capacity;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeSet;
+import loadbalancer.routing.AttemptOutcome;
+import loadbalancer.routing.RoutingPolicy;
+
+/**
+ * The requests of one hollow balancer: they come at random, and each attempt is served after a
+ * plain time that knows no queue. What is wanted is the rate that modules tell of, and the cost of
+ * deciding.
+ */
+final class RequestGenerator {
+    // µs
+    private static final long REQUEST_TIMEOUT_MICROS = 1_500_000;
+    private static final long MIN_SERVICE_MICROS = 10_000;
+    private static final long MAX_SERVICE_MICROS = 30_000;
+
+    private final RoutingPolicy routingPolicy;
+    private final HollowBalancer balancer;
+    private final BalancerHost host;
+    private final int classCount;
+    private final double requestsPerSecond;
+    private final SplittableRandom random;
+    // Those with attempts that have not ended
+    private final Map<String, OpenRequest> openRequests = new HashMap<>();
+    private long nextRequestNumber;
+    // µs, when the next one comes
+    private long nextArrivalMicros;
+
+    private static final class OpenRequest {
+        private final Set<Integer> runningAttempts = new TreeSet<>();
+        private int attemptCount;
+        private boolean closed;
+    }
+
+    RequestGenerator(
+            RoutingPolicy routingPolicy,
+            HollowBalancer balancer,
+            BalancerHost host,
+            FleetSpec fleetSpec,
+            int rank,
+            SplittableRandom random) {
+        this.routingPolicy = routingPolicy;
+        this.balancer = balancer;
+        this.host = host;
+        this.classCount = fleetSpec.classes();
+        this.requestsPerSecond = fleetSpec.requestsPerSecond(rank);
+        this.random = random;
+    }
+
+    void start() {
+        nextArrivalMicros = host.now();
+        scheduleNextArrival();
+    }
+
+    // Counted from the last one's own time: a timer that comes late must not make the rate lower.
+    private void scheduleNextArrival() {
+        nextArrivalMicros +=
+                1 + (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e6);
+        host.after(
+                Math.max(1, nextArrivalMicros - host.now()),
+                () -> {
+                    if (balancer.isRunning()) {
+                        String requestId = "r" + nextRequestNumber++;
+                        openRequests.put(requestId, new OpenRequest());
+                        balancer.runRouting(
+                                () ->
+                                        routingPolicy.onRequest(
+                                                host.now(),
+                                                requestId,
+                                                random.nextInt(classCount),
+                                                0,
+                                                null,
+                                                REQUEST_TIMEOUT_MICROS,
+                                                -1,
+                                                false,
+                                                balancer));
+                        scheduleNextArrival();
+                    }
+                });
+    }
+
+    void startAttempt(String requestId) {
+        OpenRequest openRequest = openRequests.get(requestId);
+        if (openRequest == null) {
+            return;
+        }
+        int attempt = openRequest.attemptCount++;
+        openRequest.runningAttempts.add(attempt);
+        long serviceMicros = random.nextLong(MIN_SERVICE_MICROS, MAX_SERVICE_MICROS);
+        host.after(
+                serviceMicros,
+                () -> endAttempt(requestId, attempt, AttemptOutcome.OK, serviceMicros));
+    }
+
+    private void endAttempt(
+            String requestId, int attempt, AttemptOutcome outcome, long elapsedMicros) {
+        OpenRequest openRequest = openRequests.get(requestId);
+        if (openRequest == null || !openRequest.runningAttempts.remove(attempt)) {
+            return;
+        }
+        if (outcome == AttemptOutcome.OK && !openRequest.closed) {
+            openRequest.closed = true;
+            balancer.countRequest(true);
+        }
+        boolean closed = openRequest.closed;
+        removeIfDone(requestId, openRequest);
+        balancer.runRouting(
+                () ->
+                        routingPolicy.onAttemptEnded(
+                                host.now(),
+                                requestId,
+                                attempt,
+                                outcome,
+                                elapsedMicros,
+                                closed,
+                                null,
+                                balancer));
+    }
+
+    void cancelAttempt(String requestId, int attempt) {
+        host.after(1, () -> endAttempt(requestId, attempt, AttemptOutcome.CANCELLED, 1));
+    }
+
+    void rejectRequest(String requestId) {
+        OpenRequest openRequest = openRequests.get(requestId);
+        if (openRequest != null && !openRequest.closed) {
+            openRequest.closed = true;
+            balancer.countRequest(false);
+            removeIfDone(requestId, openRequest);
+        }
+    }
+
+    private void removeIfDone(String requestId, OpenRequest openRequest) {
+        if (openRequest.closed && openRequest.runningAttempts.isEmpty()) {
+            openRequests.remove(requestId);
+        }
+    }
+}
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/SocketHollowFleet.java
@@ -0,0 +1,368 @@
+package loadbalancer.testbed.capacity;
+
+import com.sun.management.UnixOperatingSystemMXBean;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.EventLoop;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.channel.nio.NioEventLoopGroup;
+import io.netty.channel.socket.DatagramPacket;
+import java.io.IOException;
+import java.lang.management.ManagementFactory;
+import java.lang.management.ThreadMXBean;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.concurrent.TimeUnit;
+import java.util.function.IntPredicate;
+import java.util.function.Supplier;
+import loadbalancer.membership.MemberUpdate;
+import loadbalancer.routing.Endpoint;
+import loadbalancer.testbed.workload.RandomStreams;
+import org.HdrHistogram.Histogram;
+import org.HdrHistogram.SynchronizedHistogram;
+
+/**
+ * Real time over loopback: a socket a hollow balancer, some threads for all of them and one for
+ * what lies between. The last balancers of the site may be real processes.
+ */
+final class SocketHollowFleet implements HollowFleet {
+    // µs until discovery's news come
+    private static final long MIN_UPDATE_DELAY_MICROS = 200_000;
+    private static final long MAX_UPDATE_DELAY_MICROS = 1_500_000;
+    private static final int SPARE_DESCRIPTORS = 200;
+
+    /**
+     * How late timers came, s, of 99 in 100: what a machine too busy makes of a fleet is not the
+     * fleet's.
+     */
+    static final String TIMER_LATENESS_METRIC = "timersLate.seconds.p99";
+
+    private final FleetSpec fleetSpec;
+    private final long seed;
+    private final NioEventLoopGroup eventLoopGroup;
+    private final Histogram timerLatenessMicros = new SynchronizedHistogram(3);
+    private final DatagramRelay relay;
+    private final List<SocketHost> hosts = new ArrayList<>();
+    // Filled before any is started
+    private final Map<InetSocketAddress, Integer> balancersByRelayAddress = new HashMap<>();
+    private final DetectionTracker detections;
+    private final Histogram listPropagationMicros = new SynchronizedHistogram(3);
+    private final List<Long> threadIds = new ArrayList<>();
+    private final ThreadMXBean threadBean = ManagementFactory.getThreadMXBean();
+    private final SplittableRandom random;
+    // Null: none
+    private final RealBalancers realBalancers;
+    private long cpuBaselineNanos;
+
+    /**
+     * One balancer over all its processes: its socket, its thread and its costs. On that thread
+     * only.
+     */
+    private final class SocketHost extends SimpleChannelInboundHandler<DatagramPacket>
+            implements BalancerHost {
+        private final int rank;
+        private final CostCounters counters = new CostCounters();
+        private final Channel channel;
+        private final EventLoop eventLoop;
+        // Null: none runs
+        private HollowBalancer balancer;
+        private int startCount;
+
+        SocketHost(int rank) {
+            this.rank = rank;
+            channel = DatagramRelay.openSocket(eventLoopGroup, this);
+            eventLoop = channel.eventLoop();
+        }
+
+        @Override
+        protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
+            Integer sender = balancersByRelayAddress.get(packet.sender());
+            if (sender != null && balancer != null) {
+                balancer.onDatagram(sender, ByteBufUtil.getBytes(packet.content()));
+            }
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            throw new IllegalStateException("n" + rank, cause);
+        }
+
+        @Override
+        public long now() {
+            return SocketHollowFleet.this.now();
+        }
+
+        @Override
+        public void after(long delayMicros, Runnable task) {
+            long dueMicros = now() + delayMicros;
+            eventLoop.schedule(
+                    () -> {
+                        timerLatenessMicros.recordValue(Math.max(0, now() - dueMicros));
+                        task.run();
+                    },
+                    delayMicros,
+                    TimeUnit.MICROSECONDS);
+        }
+
+        @Override
+        public void send(int peer, byte[] data) {
+            channel.writeAndFlush(
+                    new DatagramPacket(
+                            Unpooled.wrappedBuffer(data),
+                            peer < 0 ? relay.broadcastAddress() : relay.relayAddress(peer)));
+        }
+
+        @Override
+        public void onMemberUpdate(MemberUpdate update) {
+            detections.onMemberUpdate(rank, update, now());
+        }
+
+        void start() {
+            long incarnation = System.currentTimeMillis();
+            detections.observerStarted(rank, now());
+            if (startCount > 0) {
+                detections.memberReturned(
+                        rank, now(), incarnation, SocketHollowFleet.this::isRunning);
+            }
+            balancer =
+                    new HollowBalancer(
+                            this,
+                            fleetSpec,
+                            rank,
+                            incarnation,
+                            RandomStreams.seedFor(
+                                    seed, "hollow " + rank + " start " + startCount++),
+                            counters);
+            balancer.start();
+        }
+
+        void stop(boolean graceful) {
+            if (graceful) {
+                balancer.leave();
+            } else {
+                balancer.kill();
+            }
+            balancer = null;
+            detections.observerStopped(rank);
+            detections.memberDied(rank, now(), SocketHollowFleet.this::isRunning);
+        }
+
+        <T> T callOnEventLoop(java.util.concurrent.Callable<T> task) {
+            return eventLoop.submit(task).syncUninterruptibly().getNow();
+        }
+
+        void runOnEventLoop(Runnable task) {
+            eventLoop.submit(task).syncUninterruptibly();
+        }
+    }
+
+    // As the player of conditions has asked for
+    private final boolean[] requestedRunning;
+
+    /**
+     * Opens all sockets and starts the real balancers.
+     *
+     * @param threadCount for all hollow balancers; 0: one for each, as real ones have
+     * @throws IOException where the system allows too few descriptors, or a process can't be
+     *     started
+     */
+    SocketHollowFleet(FleetSpec fleetSpec, long seed, int threadCount, int realBalancerCount)
+            throws IOException {
+        this.fleetSpec = fleetSpec;
+        this.seed = seed;
+        int requiredDescriptors = 2 * fleetSpec.balancers() + SPARE_DESCRIPTORS;
+        if (ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system
+                && system.getMaxFileDescriptorCount() < requiredDescriptors) {
+            throw new IOException(
+                    fleetSpec.balancers()
+                            + " balancers want "
+                            + requiredDescriptors
+                            + " descriptors, allowed "
+                            + "are "
+                            + system.getMaxFileDescriptorCount());
+        }
+        eventLoopGroup =
+                new NioEventLoopGroup(
+                        threadCount > 0 ? threadCount : fleetSpec.balancers() - realBalancerCount);
+        random = new SplittableRandom(seed);
+        requestedRunning = new boolean[fleetSpec.balancers()];
+        detections = new DetectionTracker(fleetSpec.balancers());
+        relay = new DatagramRelay(fleetSpec.balancers(), seed);
+        for (int balancer = 0; balancer < fleetSpec.balancers(); balancer++) {
+            balancersByRelayAddress.put(relay.relayAddress(balancer), balancer);
+        }
+        for (int balancer = 0; balancer < fleetSpec.balancers() - realBalancerCount; balancer++) {
+            SocketHost host = new SocketHost(balancer);
+            hosts.add(host);
+            relay.register(balancer, (InetSocketAddress) host.channel.localAddress());
+        }
+        eventLoopGroup.forEach(
+                eventLoop ->
+                        threadIds.add(
+                                eventLoop
+                                        .submit(() -> Thread.currentThread().getId())
+                                        .syncUninterruptibly()
+                                        .getNow()));
+        realBalancers =
+                realBalancerCount == 0
+                        ? null
+                        : new RealBalancers(fleetSpec, this, realBalancerCount, seed);
+    }
+
+    /** What lies between the balancers. */
+    DatagramRelay relay() {
+        return relay;
+    }
+
+    @Override
+    public long now() {
+        return System.nanoTime() / 1000;
+    }
+
+    @Override
+    public void start(int balancer) {
+        requestedRunning[balancer] = true;
+        if (balancer < hosts.size()) {
+            hosts.get(balancer).runOnEventLoop(hosts.get(balancer)::start);
+        }
+    }
+
+    @Override
+    public void kill(int balancer) {
+        stop(balancer, false);
+    }
+
+    @Override
+    public void leave(int balancer) {
+        stop(balancer, true);
+    }
+
+    private void stop(int balancer, boolean graceful) {
+        requestedRunning[balancer] = false;
+        hosts.get(balancer).runOnEventLoop(() -> hosts.get(balancer).stop(graceful));
+    }
+
+    @Override
+    public boolean isRunning(int balancer) {
+        return requestedRunning[balancer] && balancer < hosts.size();
+    }
+
+    @Override
+    public void setLossRate(double lossRate) {
+        relay.lossRate(lossRate);
+    }
+
+    @Override
+    public void partition(IntPredicate side) {
+        relay.partition(side);
+    }
+
+    @Override
+    public void publishUpdate(Supplier<List<Endpoint>> changes) {
+        if (!fleetSpec.components().contains(BalancerComponent.ROUTING)) {
+            // Nobody has a list
+            return;
+        }
+        long publishedMicros = now();
+        for (SocketHost host : hosts) {
+            long delayMicros = random.nextLong(MIN_UPDATE_DELAY_MICROS, MAX_UPDATE_DELAY_MICROS);
+            host.after(
+                    delayMicros,
+                    () -> {
+                        if (host.balancer != null) {
+                            host.balancer.onListUpdate(changes.get());
+                            listPropagationMicros.recordValue(now() - publishedMicros);
+                        }
+                    });
+        }
+    }
+
+    @Override
+    public void advance(long durationMicros) {
+        try {
+            TimeUnit.MICROSECONDS.sleep(durationMicros);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+            throw new IllegalStateException("interrupted", e);
+        }
+    }
+
+    @Override
+    public void resetCounters() {
+        hosts.forEach(host -> host.runOnEventLoop(host.counters::reset));
+        relay.resetCounters();
+        if (realBalancers != null) {
+            realBalancers.resetCounters();
+        }
+        timerLatenessMicros.reset();
+        cpuBaselineNanos = threadCpuNanos();
+    }
+
+    private long threadCpuNanos() {
+        return threadIds.stream().mapToLong(threadBean::getThreadCpuTime).sum();
+    }
+
+    @Override
+    public List<CostCounters> counters() {
+        return hosts.stream().map(host -> host.callOnEventLoop(host.counters::copy)).toList();
+    }
+
+    @Override
+    public long cpuNanos() {
+        return threadCpuNanos() - cpuBaselineNanos;
+    }
+
+    // Threads that rest most of the time are seldom kept waiting; what they are counts as the
+    // balancers' own.
+    @Override
+    public double cpuFraction() {
+        return 1;
+    }
+
+    @Override
+    public double[] remoteRates() {
+        return hosts.stream()
+                .mapToDouble(
+                        host ->
+                                host.callOnEventLoop(
+                                        () ->
+                                                host.balancer == null
+                                                        ? Double.NaN
+                                                        : host.balancer.remoteRate()))
+                .toArray();
+    }
+
+    @Override
+    public Histogram listPropagationMicros() {
+        return listPropagationMicros;
+    }
+
+    @Override
+    public DetectionTracker detections() {
+        return detections;
+    }
+
+    @Override
+    public Map<String, Double> additionalMetrics(double seconds) throws IOException {
+        Map<String, Double> metrics =
+                new TreeMap<>(realBalancers == null ? Map.of() : realBalancers.metrics(seconds));
+        metrics.put(TIMER_LATENESS_METRIC, timerLatenessMicros.getValueAtPercentile(99) / 1e6);
+        return metrics;
+    }
+
+    @Override
+    public void close() {
+        if (realBalancers != null) {
+            realBalancers.close();
+        }
+        eventLoopGroup.shutdownGracefully(0, 2, TimeUnit.SECONDS).awaitUninterruptibly(5_000);
+        relay.close();
+    }
+}
--- a/lab/src/main/java/junctionhead/lab/capacity/ListStand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/StaticDiscoveryServer.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.capacity;
+package loadbalancer.testbed.capacity;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -28,20 +28,20 @@
  * Discovery for real balancers of a quiet fleet: one list that never changes, and watches that only
  * beat.
  */
-final class ListStand implements AutoCloseable {
-    private static final long BEAT_MS = 2_000;
-    private static final int REQUEST_MOST = 4 << 10;
+final class StaticDiscoveryServer implements AutoCloseable {
+    private static final long HEARTBEAT_INTERVAL_MS = 2_000;
+    private static final int MAX_REQUEST_BYTES = 4 << 10;
 
-    private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final String list;
+    private final NioEventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
+    private final String listJson;
     private final Channel listener;
 
-    /** {@code list} in discovery's form. */
-    ListStand(String list) {
-        this.list = list;
+    /** {@code listJson} in discovery's form. */
+    StaticDiscoveryServer(String listJson) {
+        this.listJson = listJson;
         listener =
                 new ServerBootstrap()
-                        .group(group)
+                        .group(eventLoopGroup)
                         .channel(NioServerSocketChannel.class)
                         .childHandler(
                                 new ChannelInitializer<SocketChannel>() {
@@ -50,8 +50,8 @@
                                         channel.pipeline()
                                                 .addLast(
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(REQUEST_MOST),
-                                                        new Answers());
+                                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                                        new DiscoveryHandler());
                                     }
                                 })
                         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -63,7 +63,7 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class DiscoveryHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (request.uri().startsWith("/api/targets?watch=1")) {
@@ -71,21 +71,24 @@
                         new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, "chunked");
                 context.write(head);
-                line(context, request.uri().endsWith("from=1") ? "" : list);
+                writeLine(context, request.uri().endsWith("from=1") ? "" : listJson);
                 context.channel()
                         .eventLoop()
                         .scheduleWithFixedDelay(
-                                () -> line(context, ""), BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+                                () -> writeLine(context, ""),
+                                HEARTBEAT_INTERVAL_MS,
+                                HEARTBEAT_INTERVAL_MS,
+                                TimeUnit.MILLISECONDS);
                 return;
             }
-            var body = Unpooled.copiedBuffer(list, StandardCharsets.UTF_8);
-            DefaultFullHttpResponse answer =
+            var body = Unpooled.copiedBuffer(listJson, StandardCharsets.UTF_8);
+            DefaultFullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
-            HttpUtil.setContentLength(answer, body.readableBytes());
-            context.writeAndFlush(answer);
+            HttpUtil.setContentLength(response, body.readableBytes());
+            context.writeAndFlush(response);
         }
 
-        private void line(ChannelHandlerContext context, String text) {
+        private void writeLine(ChannelHandlerContext context, String text) {
             if (context.channel().isActive()) {
                 context.writeAndFlush(
                         new DefaultHttpContent(
@@ -101,6 +104,6 @@
 
     @Override
     public void close() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(3_000);
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(3_000);
     }
 }
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/FigureExpression.java
@@ -0,0 +1,105 @@
+package loadbalancer.testbed.docfigures;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/**
+ * Arithmetic over figures: numbers, keys, {@code + - * /} and parentheses. A key is dotted and
+ * begins with a letter; one of another file has that file's name before it and a colon, as {@code
+ * serve-before:s40.cpu}. An operator stands between spaces, as file names hold hyphens.
+ */
+final class FigureExpression {
+    private static final Pattern TOKEN =
+            Pattern.compile(
+                    "\\s*(?:(\\d[\\d.]*(?:[eE]-?\\d+)?)|((?:[a-z][a-z0-9-]*:)?[A-Za-z][\\w.]*)|([-+*/()]))");
+
+    /** What a key stands for; throws IllegalArgumentException where there is no such figure. */
+    interface MetricLookup {
+        double lookUp(String key);
+    }
+
+    private final List<String> tokens = new ArrayList<>();
+    private final MetricLookup metrics;
+    private int position;
+
+    private FigureExpression(String text, MetricLookup metrics) {
+        this.metrics = metrics;
+        Matcher tokenMatcher = TOKEN.matcher(text.strip());
+        while (tokenMatcher.lookingAt()) {
+            tokens.add(tokenMatcher.group().strip());
+            tokenMatcher.region(tokenMatcher.end(), tokenMatcher.regionEnd());
+        }
+        if (tokenMatcher.regionStart() < tokenMatcher.regionEnd() || tokens.isEmpty()) {
+            throw new IllegalArgumentException("no expression: '" + text + "'");
+        }
+    }
+
+    /**
+     * Its value.
+     *
+     * @throws IllegalArgumentException where it is no expression, or a figure is missing, with what
+     *     is wrong
+     */
+    static double evaluate(String text, MetricLookup metrics) {
+        FigureExpression expression = new FigureExpression(text, metrics);
+        double value = expression.parseSum();
+        if (expression.position < expression.tokens.size()) {
+            throw new IllegalArgumentException("no expression: '" + text + "'");
+        }
+        return value;
+    }
+
+    private boolean acceptToken(String token) {
+        boolean matches = position < tokens.size() && tokens.get(position).equals(token);
+        position += matches ? 1 : 0;
+        return matches;
+    }
+
+    private double parseSum() {
+        double value = parseProduct();
+        while (position < tokens.size()) {
+            if (acceptToken("+")) {
+                value += parseProduct();
+            } else if (acceptToken("-")) {
+                value -= parseProduct();
+            } else {
+                break;
+            }
+        }
+        return value;
+    }
+
+    private double parseProduct() {
+        double value = parseFactor();
+        while (position < tokens.size()) {
+            if (acceptToken("*")) {
+                value *= parseFactor();
+            } else if (acceptToken("/")) {
+                value /= parseFactor();
+            } else {
+                break;
+            }
+        }
+        return value;
+    }
+
+    private double parseFactor() {
+        if (acceptToken("(")) {
+            double value = parseSum();
+            if (!acceptToken(")")) {
+                throw new IllegalArgumentException("a parenthesis is not closed");
+            }
+            return value;
+        }
+        String token = position < tokens.size() ? tokens.get(position++) : "";
+        if (token.matches("\\d.*")) {
+            return Double.parseDouble(token);
+        }
+        if (token.matches("[A-Za-z].*")) {
+            return metrics.lookUp(token);
+        }
+        throw new IllegalArgumentException("a figure was expected, not '" + token + "'");
+    }
+}
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/FigurePageChecker.java
@@ -0,0 +1,160 @@
+package loadbalancer.testbed.docfigures;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/**
+ * A page of Markdown whose figures stand on files. A figure is a link, {@code [394 m][quiet]}: the
+ * first number of its text is held against what its label says, {@code [quiet]:
+ * capacity/members.json "n1600.bytes * 8"}, a file beside the page and an {@link FigureExpression}
+ * over its keys. A figure agrees if what the file gives, rounded to as many decimals as are shown,
+ * is what is shown. A number that says of itself to be measured, {@code m}, and is no such link is
+ * a fault, as is a label that nothing refers to.
+ */
+public final class FigurePageChecker {
+    private static final Pattern REFERENCE_PATTERN =
+            Pattern.compile("^\\[([^\\]]+)]: (\\S+\\.json) \"([^\"]+)\"\\s*$");
+    private static final Pattern FIGURE_PATTERN =
+            Pattern.compile("\\[([^\\[\\]]+)]\\[([^\\[\\]]+)]");
+    private static final Pattern NUMBER_PATTERN = Pattern.compile("-?\\d[\\d,]*(?:\\.(\\d+))?");
+    private static final Pattern UNREFERENCED_PATTERN =
+            Pattern.compile("\\d[^|]{0,30}? m(?![\\w-])");
+    private static final Pattern CODE_SPAN_PATTERN = Pattern.compile("`[^`]*`");
+
+    private record FigureReference(String name, String file, String expression, int line) {}
+
+    private final Path page;
+    private final Map<String, FigureReference> references = new LinkedHashMap<>();
+    private final Map<Path, MeasurementFile> measurementFiles = new HashMap<>();
+    private final List<String> errors = new ArrayList<>();
+    private int checkedFigures;
+
+    private FigurePageChecker(Path page) {
+        this.page = page;
+    }
+
+    /** How many figures agreed or not, and a line for each fault. */
+    public record Result(int figureCount, List<String> errors) {}
+
+    /**
+     * Holds a page to its files.
+     *
+     * @throws IOException where the page itself can't be read
+     */
+    public static Result check(Path page) throws IOException {
+        FigurePageChecker checker = new FigurePageChecker(page);
+        checker.checkLines(Files.readAllLines(page));
+        return new Result(checker.checkedFigures, List.copyOf(checker.errors));
+    }
+
+    private void checkLines(List<String> lines) {
+        for (int i = 0; i < lines.size(); i++) {
+            Matcher reference = REFERENCE_PATTERN.matcher(lines.get(i));
+            if (reference.matches()
+                    && references.put(
+                                    reference.group(1),
+                                    new FigureReference(
+                                            reference.group(1),
+                                            reference.group(2),
+                                            reference.group(3),
+                                            i + 1))
+                            != null) {
+                addError(i + 1, "two labels " + reference.group(1));
+            }
+        }
+        Set<String> usedReferences = new HashSet<>();
+        for (int i = 0; i < lines.size(); i++) {
+            if (REFERENCE_PATTERN.matcher(lines.get(i)).matches()) {
+                continue;
+            }
+            String lineText = CODE_SPAN_PATTERN.matcher(lines.get(i)).replaceAll("");
+            Matcher figure = FIGURE_PATTERN.matcher(lineText);
+            while (figure.find()) {
+                usedReferences.add(figure.group(2));
+                compareFigure(i + 1, figure.group(1), figure.group(2));
+            }
+            Matcher unreferenced =
+                    UNREFERENCED_PATTERN.matcher(FIGURE_PATTERN.matcher(lineText).replaceAll("|"));
+            while (unreferenced.find()) {
+                addError(
+                        i + 1,
+                        "said to be measured, but refers to no file: " + unreferenced.group());
+            }
+        }
+        references.values().stream()
+                .filter(unused -> !usedReferences.contains(unused.name))
+                .forEach(unused -> addError(unused.line, "nothing refers to " + unused.name));
+    }
+
+    private void addError(int line, String message) {
+        errors.add(page + ":" + line + ": " + message);
+    }
+
+    private void compareFigure(int line, String shown, String name) {
+        checkedFigures++;
+        FigureReference reference = references.get(name);
+        Matcher number = NUMBER_PATTERN.matcher(shown);
+        if (!number.find()) {
+            addError(line, "no number in [" + shown + "][" + name + "]");
+        } else if (reference == null) {
+            addError(line, "no label " + name + " for " + shown);
+        } else {
+            try {
+                double actual =
+                        FigureExpression.evaluate(
+                                reference.expression, key -> metric(reference.file, key));
+                int decimals = number.group(1) == null ? 0 : number.group(1).length();
+                double stated = Double.parseDouble(number.group().replace(",", ""));
+                // a hair more than half of the last digit: what lies just between may be rounded
+                // either way
+                if (!(Math.abs(actual - stated) <= 0.5 * Math.pow(10, -decimals) * (1 + 1e-6))) {
+                    addError(
+                            line,
+                            String.format(
+                                    Locale.ROOT,
+                                    "%s is %." + (decimals + 2) + "f by %s \"%s\"",
+                                    shown,
+                                    actual,
+                                    reference.file,
+                                    reference.expression));
+                }
+            } catch (IllegalArgumentException e) {
+                addError(line, name + ": " + e.getMessage());
+            }
+        }
+    }
+
+    // A key of the label's file, or one of another that lies beside it.
+    private double metric(String file, String key) {
+        int colon = key.indexOf(':');
+        Path measurementPath = page.resolveSibling(file);
+        Path path =
+                colon < 0
+                        ? measurementPath
+                        : measurementPath.resolveSibling(key.substring(0, colon) + ".json");
+        if (!measurementFiles.containsKey(path)) {
+            try {
+                measurementFiles.put(path, MeasurementFile.read(path));
+            } catch (IOException e) {
+                throw new IllegalArgumentException("no file " + path);
+            }
+        }
+        Double value = measurementFiles.get(path).metrics().get(key.substring(colon + 1));
+        if (value == null) {
+            throw new IllegalArgumentException(
+                    "no figure " + key.substring(colon + 1) + " in " + path);
+        }
+        return value;
+    }
+}
--- a/lab/src/main/java/junctionhead/lab/figures/Measured.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/MeasurementFile.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.figures;
+package loadbalancer.testbed.docfigures;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -18,13 +18,13 @@
  * What a run measured, as it lies in a file that pages refer to: the command line, the seeds it was
  * played with, and figures by dotted keys, each in the unit that its key or the page names.
  */
-public record Measured(String command, List<Long> seeds, SortedMap<String, Double> figures) {
+public record MeasurementFile(String command, List<Long> seeds, SortedMap<String, Double> metrics) {
     private static final ObjectMapper MAPPER =
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
-    public Measured {
+    public MeasurementFile {
         seeds = List.copyOf(seeds);
-        figures = Collections.unmodifiableSortedMap(new TreeMap<>(figures));
+        metrics = Collections.unmodifiableSortedMap(new TreeMap<>(metrics));
     }
 
     /**
@@ -33,32 +33,32 @@
      * @throws IOException where the file can't be read or has no figures, with a message that names
      *     it
      */
-    public static Measured read(Path file) throws IOException {
+    public static MeasurementFile read(Path file) throws IOException {
         JsonNode json = MAPPER.readTree(Files.readString(file));
         if (json == null || !json.path("figures").isObject()) {
             throw new IOException(file + " holds no figures");
         }
         List<Long> seeds = new ArrayList<>();
         json.path("seeds").forEach(seed -> seeds.add(seed.asLong()));
-        SortedMap<String, Double> figures = new TreeMap<>();
+        SortedMap<String, Double> metrics = new TreeMap<>();
         json.get("figures")
                 .properties()
                 .forEach(
-                        f -> {
-                            if (f.getValue().isNumber()) {
-                                figures.put(f.getKey(), f.getValue().asDouble());
+                        entry -> {
+                            if (entry.getValue().isNumber()) {
+                                metrics.put(entry.getKey(), entry.getValue().asDouble());
                             }
                         });
-        return new Measured(json.path("command").asText(), seeds, figures);
+        return new MeasurementFile(json.path("command").asText(), seeds, metrics);
     }
 
     /** Writes it to a file, whose folder is made where there is none. */
     public void write(Path file) throws IOException {
         Files.createDirectories(file.toAbsolutePath().getParent());
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("command", command);
-        all.put("seeds", seeds);
-        all.put("figures", figures);
-        Files.writeString(file, MAPPER.writeValueAsString(all) + "\n");
+        Map<String, Object> content = new LinkedHashMap<>();
+        content.put("command", command);
+        content.put("seeds", seeds);
+        content.put("figures", metrics);
+        Files.writeString(file, MAPPER.writeValueAsString(content) + "\n");
     }
 }
