--- a/balancer/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/balancer/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -13,7 +13,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
-import loadbalancer.discovery.EndpointList;
 
 /**
  * What a balancer is told at its start, by its environment and its configuration file. {@code
--- a/balancer/src/main/java/loadbalancer/config/BootSettings.java
+++ b/balancer/src/main/java/loadbalancer/config/BootSettings.java
@@ -1,7 +1,7 @@
 package loadbalancer.config;
 
 import java.util.List;
-import loadbalancer.routing.RoutingSettings;
+import loadbalancer.routing.api.RoutingSettings;
 
 /**
  * What a balancer is started with: the module's settings, the order of values in a load report, the
--- a/balancer/src/main/java/loadbalancer/discovery/EndpointList.java
+++ b/balancer/src/main/java/loadbalancer/config/EndpointList.java
@@ -1,4 +1,4 @@
-package loadbalancer.discovery;
+package loadbalancer.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -14,10 +14,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.config.BalancerConfig;
-import loadbalancer.config.BootSettings;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointStatus;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointStatus;
 
 /** A list of upstreams in discovery's form: all of them, or those that changed. */
 public record EndpointList(long revision, boolean complete, List<Entry> entries) {
@@ -34,7 +32,7 @@
         return parse(bytes, 0, bytes.length, boot);
     }
 
-    static EndpointList parse(ByteBuf json, BootSettings boot) {
+    public static EndpointList parse(ByteBuf json, BootSettings boot) {
         byte[] bytes = json.hasArray() ? json.array() : ByteBufUtil.getBytes(json);
         int offset = json.hasArray() ? json.arrayOffset() + json.readerIndex() : 0;
         return parse(bytes, offset, json.readableBytes(), boot);
--- a/balancer/src/main/java/loadbalancer/config/SettingsReader.java
+++ b/balancer/src/main/java/loadbalancer/config/SettingsReader.java
@@ -7,17 +7,17 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.BiFunction;
-import loadbalancer.routing.DeduplicationScope;
-import loadbalancer.routing.DiscoveryMode;
-import loadbalancer.routing.Idempotency;
-import loadbalancer.routing.LoadReportSource;
-import loadbalancer.routing.ObjectiveWeights;
-import loadbalancer.routing.RequestClass;
-import loadbalancer.routing.RoutingBounds;
-import loadbalancer.routing.RoutingCosts;
-import loadbalancer.routing.RoutingLimits;
-import loadbalancer.routing.RoutingSettings;
-import loadbalancer.routing.Tenant;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.DiscoveryMode;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.LoadReportSource;
+import loadbalancer.routing.api.ObjectiveWeights;
+import loadbalancer.routing.api.RequestClass;
+import loadbalancer.routing.api.RoutingBounds;
+import loadbalancer.routing.api.RoutingCosts;
+import loadbalancer.routing.api.RoutingLimits;
+import loadbalancer.routing.api.RoutingSettings;
+import loadbalancer.routing.api.Tenant;
 
 /**
  * Reads the settings of a balancer from path=value pairs, whether they come from the simulator's
--- a/balancer/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/balancer/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -29,8 +29,9 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import loadbalancer.config.BootSettings;
-import loadbalancer.routing.DiscoveryMode;
-import loadbalancer.routing.EndpointListKind;
+import loadbalancer.config.EndpointList;
+import loadbalancer.routing.api.DiscoveryMode;
+import loadbalancer.routing.api.EndpointListKind;
 
 /**
  * Asks discovery for the list and watches its changes: where discovery is asked, only as the module
--- a/balancer/src/main/java/loadbalancer/dispatch/Exchange.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/Exchange.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Future;
-import loadbalancer.http.BodyRelay;
-import loadbalancer.http.ProxyRequest;
+import loadbalancer.proxy.BodyRelay;
+import loadbalancer.proxy.ProxyRequest;
 
 /** A request that has been taken, and its attempts. */
 final class Exchange {
--- a/balancer/src/main/java/loadbalancer/dispatch/ResponseSender.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/ResponseSender.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.function.Consumer;
-import loadbalancer.http.BodyRelay;
+import loadbalancer.proxy.BodyRelay;
 
 /** Where the one final answer to a request goes. */
 public interface ResponseSender {
--- a/balancer/src/main/java/loadbalancer/http/HttpFrontend.java
+++ b/balancer/src/main/java/loadbalancer/http/HttpFrontend.java
@@ -57,7 +57,10 @@
 import loadbalancer.dispatch.Dispatcher;
 import loadbalancer.dispatch.RequestHandle;
 import loadbalancer.dispatch.ResponseSender;
-import loadbalancer.server.WarmUp;
+import loadbalancer.proxy.BodyRelay;
+import loadbalancer.proxy.FileDescriptorBudget;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.proxy.StrictFraming;
 
 /**
  * The HTTP side to the clients: takes requests, turns bad ones away, and writes each one's final
@@ -127,7 +130,7 @@
     // The next look at connections that a drain leaves
     private Future<?> drainTask;
     // While it is on
-    private WarmUp warmUp;
+    private WarmUpTraffic warmUp;
     // Where a rehearsal reaches this node, or null
     private Channel inProcessListener;
     // Runs once no connection is left, after a stop
@@ -256,7 +259,7 @@
     }
 
     /** Serves a rehearsal's requests as well; null when it is over. */
-    public void setWarmUp(WarmUp activeWarmUp) {
+    public void setWarmUp(WarmUpTraffic activeWarmUp) {
         warmUp = activeWarmUp;
         if (activeWarmUp == null && inProcessListener != null) {
             inProcessListener.close();
@@ -844,7 +847,7 @@
             if (!request.decoderResult().isSuccess()) {
                 logRejection(request, "malformed: " + request.decoderResult().cause());
                 sendText(HttpResponseStatus.BAD_REQUEST, "malformed request", false);
-            } else if (warmUp != null && path.equals(WarmUp.UPSTREAM_PATH)) {
+            } else if (warmUp != null && path.equals(WarmUpTraffic.UPSTREAM_PATH)) {
                 boolean explicitlyRejected = warmUp.shouldReject();
                 sendResponse(
                         explicitlyRejected
@@ -856,7 +859,7 @@
                         explicitlyRejected ? "1" : "TEXT eps=0.1, latency_ms=14.5, inflight=2",
                         keepAlive);
             } else if (path.startsWith("/-/")
-                    && (warmUp == null || !path.equals(WarmUp.REQUEST_PATH))) {
+                    && (warmUp == null || !path.equals(WarmUpTraffic.REQUEST_PATH))) {
                 boolean readinessCheck =
                         path.equals("/-/ready") && request.method().equals(HttpMethod.GET);
                 HttpResponseStatus status =
@@ -897,10 +900,10 @@
             httpVersion = request.protocolVersion();
             ConnectionResponseSender responseSender = new ConnectionResponseSender(this, keepAlive);
             RequestHandle handle =
-                    request.uri().equals(WarmUp.REQUEST_PATH)
+                    request.uri().equals(WarmUpTraffic.REQUEST_PATH)
                             ? warmUp.dispatcher()
                                     .submitRequest(
-                                            proxyRequest.withUri(WarmUp.UPSTREAM_PATH),
+                                            proxyRequest.withUri(WarmUpTraffic.UPSTREAM_PATH),
                                             responseSender)
                             : dispatcher.submitRequest(proxyRequest, responseSender);
             if (!responseSender.responded) {
--- a/balancer/src/main/java/loadbalancer/http/ProxyRequestParser.java
+++ b/balancer/src/main/java/loadbalancer/http/ProxyRequestParser.java
@@ -13,11 +13,12 @@
 import java.util.stream.Stream;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.BootSettings;
-import loadbalancer.routing.Idempotency;
+import loadbalancer.proxy.BodyRelay;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.routing.api.Idempotency;
 
 /** Reads what a client asks for out of its request. */
 public final class ProxyRequestParser {
-    public static final String DEADLINE_HEADER = "Req-Deadline-Ms";
     private static final Set<String> HOP_BY_HOP_HEADERS =
             Set.of(
                     "connection",
@@ -31,7 +32,7 @@
                     "upgrade",
                     "expect",
                     "content-length",
-                    DEADLINE_HEADER.toLowerCase(Locale.ROOT));
+                    ProxyRequest.DEADLINE_HEADER.toLowerCase(Locale.ROOT));
 
     private final BootSettings boot;
     private final Map<String, Integer> classIndexes;
@@ -73,9 +74,9 @@
             throw new IllegalArgumentException(
                     "method or Idempotency-Key contradicts the Req-Kind");
         }
-        long timeLeftMs = parseNumber(headers.get(DEADLINE_HEADER), -1);
+        long timeLeftMs = parseNumber(headers.get(ProxyRequest.DEADLINE_HEADER), -1);
         if (timeLeftMs <= 0) {
-            throw new IllegalArgumentException("no or bad " + DEADLINE_HEADER);
+            throw new IllegalArgumentException("no or bad " + ProxyRequest.DEADLINE_HEADER);
         }
         String path = request.uri().split("[?#]", 2)[0];
         String key = path.substring(path.lastIndexOf('/') + 1);
--- a/balancer/src/main/java/loadbalancer/http/BodyRelay.java
+++ b/balancer/src/main/java/loadbalancer/proxy/BodyRelay.java
@@ -1,4 +1,4 @@
-package loadbalancer.http;
+package loadbalancer.proxy;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -19,7 +19,7 @@
      * Bytes that may wait before there is a sink: a body up to that length is no matter for a
      * relay.
      */
-    static final int MAX_BUFFERED_BYTES = 64 * 1024;
+    public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
     // Without a byte moved: one side stands still
     private static final long STALL_TIMEOUT_NS = 10_000_000_000L;
@@ -121,12 +121,12 @@
     }
 
     /** Whether the source has given all. */
-    boolean isSourceEnded() {
+    public boolean isSourceEnded() {
         return sourceEnded;
     }
 
     /** Whether the source is kept waiting for the sink. */
-    boolean isSourcePaused() {
+    public boolean isSourcePaused() {
         return !source.config().isAutoRead();
     }
 
@@ -175,7 +175,7 @@
      * that is the source's end its client has left, maybe long ago, and its request must not become
      * whole.
      */
-    void complete(ByteBuf part) {
+    public void complete(ByteBuf part) {
         if (finished || sourceEnded) {
             part.release();
             return;
--- a/balancer/src/main/java/loadbalancer/http/FileDescriptorBudget.java
+++ b/balancer/src/main/java/loadbalancer/proxy/FileDescriptorBudget.java
@@ -1,4 +1,4 @@
-package loadbalancer.http;
+package loadbalancer.proxy;
 
 /**
  * Counts the sockets of this process against its limit on descriptors. Guards against accepts and
@@ -53,7 +53,7 @@
      * Whether {@code clientConnections} connections of clients leave too few for those to the
      * upstreams.
      */
-    boolean isClientLimitReached(int clientConnections) {
+    public boolean isClientLimitReached(int clientConnections) {
         int reservedForUpstreams =
                 Math.max(
                         maxSockets / 3,
--- a/balancer/src/main/java/loadbalancer/http/ProxyRequest.java
+++ b/balancer/src/main/java/loadbalancer/proxy/ProxyRequest.java
@@ -1,4 +1,4 @@
-package loadbalancer.http;
+package loadbalancer.proxy;
 
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -22,6 +22,9 @@
         boolean resubmission,
         BodyRelay upload,
         long contentLength) {
+    /** The milliseconds that are left of a request's time, as the platform names it. */
+    public static final String DEADLINE_HEADER = "Req-Deadline-Ms";
+
     /** With a body that is all there. */
     public ProxyRequest(
             HttpMethod method,
@@ -55,7 +58,7 @@
     }
 
     /** The same for another path. */
-    ProxyRequest withUri(String newUri) {
+    public ProxyRequest withUri(String newUri) {
         return new ProxyRequest(
                 method,
                 newUri,
--- a/balancer/src/main/java/loadbalancer/http/StrictFraming.java
+++ b/balancer/src/main/java/loadbalancer/proxy/StrictFraming.java
@@ -1,4 +1,4 @@
-package loadbalancer.http;
+package loadbalancer.proxy;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
@@ -22,9 +22,9 @@
     private StrictFraming() {}
 
     /** Of clients' requests. */
-    static final class RequestDecoder extends HttpRequestDecoder {
+    public static final class RequestDecoder extends HttpRequestDecoder {
         /** Whether a part of a line has come that is not read yet. */
-        boolean hasUndecodedBytes() {
+        public boolean hasUndecodedBytes() {
             return actualReadableBytes() > 0;
         }
 
--- a/balancer/src/main/java/loadbalancer/recovery/PolicySnapshotCodec.java
+++ b/balancer/src/main/java/loadbalancer/recovery/PolicySnapshotCodec.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.routing.PolicySnapshot;
+import loadbalancer.routing.api.PolicySnapshot;
 
 /**
  * {@link PolicySnapshot} as plain maps and lists, for JSON; what is odd in them is refused as a
--- a/balancer/src/main/java/loadbalancer/routing/RateLimitedLog.java
+++ b/balancer/src/main/java/loadbalancer/routing/RateLimitedLog.java
@@ -1,6 +1,7 @@
 package loadbalancer.routing;
 
 import java.util.function.Supplier;
+import loadbalancer.routing.api.RoutingActions;
 
 /** The module's lines for the operators, at most one a second. */
 final class RateLimitedLog {
--- a/balancer/src/main/java/loadbalancer/routing/admission/FleetCapacity.java
+++ b/balancer/src/main/java/loadbalancer/routing/admission/FleetCapacity.java
@@ -1,7 +1,7 @@
 package loadbalancer.routing.admission;
 
-import loadbalancer.routing.RoutingSettings;
-import loadbalancer.routing.Tenant;
+import loadbalancer.routing.api.RoutingSettings;
+import loadbalancer.routing.api.Tenant;
 
 /**
  * How much of what comes to all balancers the servers in reach can carry. Guards against refusal
--- a/balancer/src/main/java/loadbalancer/routing/admission/LoadShedder.java
+++ b/balancer/src/main/java/loadbalancer/routing/admission/LoadShedder.java
@@ -2,8 +2,8 @@
 
 import java.util.Arrays;
 import java.util.stream.DoubleStream;
-import loadbalancer.routing.RequestClass;
-import loadbalancer.routing.RoutingSettings;
+import loadbalancer.routing.api.RequestClass;
+import loadbalancer.routing.api.RoutingSettings;
 import loadbalancer.routing.endpoint.PendingRequest;
 
 /**
--- a/balancer/src/main/java/loadbalancer/routing/admission/TenantQuotas.java
+++ b/balancer/src/main/java/loadbalancer/routing/admission/TenantQuotas.java
@@ -2,8 +2,8 @@
 
 import java.util.Arrays;
 import java.util.SplittableRandom;
-import loadbalancer.routing.RoutingSettings;
-import loadbalancer.routing.Tenant;
+import loadbalancer.routing.api.RoutingSettings;
+import loadbalancer.routing.api.Tenant;
 
 /**
  * Whether a request is within its tenant's share: each tenant has a bucket that is filled at this
--- a/balancer/src/main/java/loadbalancer/routing/AttemptOutcome.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/AttemptOutcome.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /** How an attempt ended. */
 public enum AttemptOutcome {
--- a/balancer/src/main/java/loadbalancer/routing/DeduplicationScope.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/DeduplicationScope.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /** The servers that drop a repeat of a keyed request. */
 public enum DeduplicationScope {
--- a/balancer/src/main/java/loadbalancer/routing/DiscoveryMode.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/DiscoveryMode.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /** How the list of servers is learnt: changes come unasked, or only after watch or fetch. */
 public enum DiscoveryMode {
--- a/balancer/src/main/java/loadbalancer/routing/Endpoint.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/Endpoint.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /**
  * One entry of the list. {@code startedAtMicros} is 0 where the last start is long past; {@code
--- a/balancer/src/main/java/loadbalancer/routing/EndpointListKind.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/EndpointListKind.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /**
  * What a list holds: the one kept over a restart, the complete one, changes only or, failed,
--- a/balancer/src/main/java/loadbalancer/routing/Idempotency.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/Idempotency.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /** What a class of requests allows once an attempt may have run. */
 public enum Idempotency {
--- a/balancer/src/main/java/loadbalancer/routing/LoadReport.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/LoadReport.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /**
  * A server's own report; a figure that it doesn't carry is NaN. {@code recentLatencyMicros} is in
--- a/balancer/src/main/java/loadbalancer/routing/LoadReportSource.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/LoadReportSource.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /** When servers report their load. */
 public enum LoadReportSource {
--- a/balancer/src/main/java/loadbalancer/routing/ObjectiveWeights.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/ObjectiveWeights.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /** How much the worst-served class and the worst-served tenant count, beside the whole. */
 public record ObjectiveWeights(
--- a/balancer/src/main/java/loadbalancer/routing/PolicySnapshot.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/PolicySnapshot.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 import java.util.List;
 
--- a/balancer/src/main/java/loadbalancer/routing/RequestClass.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RequestClass.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 import java.util.Set;
 
@@ -34,7 +34,7 @@
     }
 
     /** Rule 6: a class may be bound to zones and kinds of machine, at every attempt. */
-    boolean allowsPlacementOn(Endpoint endpoint) {
+    public boolean allowsPlacementOn(Endpoint endpoint) {
         return (allowedZones.isEmpty() || allowedZones.contains(endpoint.zone()))
                 && (allowedMachineTypes.isEmpty()
                         || allowedMachineTypes.contains(endpoint.machineType()));
--- a/balancer/src/main/java/loadbalancer/routing/RoutingActions.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingActions.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /** What the module may ask for: a sink that the caller implements. */
 public interface RoutingActions {
--- a/balancer/src/main/java/loadbalancer/routing/RoutingBounds.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingBounds.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /**
  * The figures of the rules; {@code keyCooldownMicros}: a key's rest after an attempt that may still
--- a/balancer/src/main/java/loadbalancer/routing/RoutingCosts.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingCosts.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /**
  * Points of the goal for each crossing of zones, for each new connection and for each 256 bytes
--- a/balancer/src/main/java/loadbalancer/routing/RoutingLimits.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingLimits.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /** What the site allows. {@code maxRetryAfterMicros} is 0 where clients get no such advice. */
 public record RoutingLimits(
--- a/balancer/src/main/java/loadbalancer/routing/SettingsValidation.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/SettingsValidation.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /** Checks of what a balancer's settings may hold. */
 final class SettingsValidation {
--- a/balancer/src/main/java/loadbalancer/routing/Tenant.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/Tenant.java
@@ -1,4 +1,4 @@
-package loadbalancer.routing;
+package loadbalancer.routing.api;
 
 /** A tenant: requests per second within its share, over all balancers. */
 public record Tenant(double quotaPerSecond) {
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/ActiveEndpoints.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ActiveEndpoints.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-import loadbalancer.routing.TrafficCounters;
 
 /**
  * The listed servers that may be out of the ordinary: cold, sent to of late, at rest, out of reach.
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/Attempt.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/Attempt.java
@@ -1,7 +1,6 @@
 package loadbalancer.routing.endpoint;
 
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.health.ClassEjection;
+import loadbalancer.routing.api.Endpoint;
 
 /** One send of a request to a server. */
 public final class Attempt {
--- a/balancer/src/main/java/loadbalancer/routing/health/ClassEjection.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ClassEjection.java
@@ -1,9 +1,8 @@
-package loadbalancer.routing.health;
+package loadbalancer.routing.endpoint;
 
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.LongConsumer;
-import loadbalancer.routing.endpoint.EndpointState;
 
 /**
  * Whether a server answers one class of requests. Guards against a server that fails one class and
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/ClassHealth.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ClassHealth.java
@@ -1,7 +1,5 @@
 package loadbalancer.routing.endpoint;
 
-import loadbalancer.routing.health.ClassEjection;
-
 /** A server's health for one class: none is kept where nothing has been seen yet, as for most. */
 public final class ClassHealth {
     private final EndpointState endpoint;
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/DiscoverySubscription.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/DiscoverySubscription.java
@@ -1,7 +1,7 @@
 package loadbalancer.routing.endpoint;
 
 import java.util.SplittableRandom;
-import loadbalancer.routing.RoutingActions;
+import loadbalancer.routing.api.RoutingActions;
 
 /**
  * When to ask discovery for the list (again): nobody waits for an answer that may never come. A
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointRegistry.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointRegistry.java
@@ -16,11 +16,10 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointStatus;
-import loadbalancer.routing.PolicySnapshot;
-import loadbalancer.routing.RoutingSettings;
-import loadbalancer.routing.health.OutlierEjection;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.PolicySnapshot;
+import loadbalancer.routing.api.RoutingSettings;
 
 /**
  * The servers that discovery has named, and what follows from the list alone: their ring, mean
@@ -309,7 +308,7 @@
                 endpoint.ejectedUntilMicros = now + endpointSnapshot.ejectedForMicros() - ageMicros;
                 endpoint.consecutiveEjections = endpointSnapshot.consecutiveEjections();
                 endpoint.consecutiveConnectFailures = endpointSnapshot.consecutiveConnectFailures();
-                endpoint.halfOpenSuccessesLeft = OutlierEjection.SUCCESSES_TO_RECOVER;
+                endpoint.halfOpenSuccessesLeft = EndpointState.SUCCESSES_TO_RECOVER;
             }
             for (int i = 0;
                     i
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointState.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointState.java
@@ -2,12 +2,15 @@
 
 import java.util.ArrayDeque;
 import java.util.stream.Stream;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.LoadReport;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.LoadReport;
 import loadbalancer.util.Hashing;
 
 /** A server, as this balancer sees it. */
 public final class EndpointState {
+    /** Successes in a row that end the half-open state of an ejected endpoint. */
+    public static final int SUCCESSES_TO_RECOVER = 3;
+
     // Requests in hand that a report may name
     private static final double MAX_REPORTED_IN_FLIGHT = 1e6;
     // µs, time constant of the memory of slowness
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointTotals.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointTotals.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.IntToDoubleFunction;
-import loadbalancer.routing.Endpoint;
+import loadbalancer.routing.api.Endpoint;
 
 /**
  * How many servers are listed and what weight they have, in all, by kind and by zone, kept as they
--- a/balancer/src/main/java/loadbalancer/routing/LatencyTracker.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/LatencyTracker.java
@@ -1,7 +1,8 @@
-package loadbalancer.routing;
+package loadbalancer.routing.endpoint;
 
 import java.util.Arrays;
 import java.util.List;
+import loadbalancer.routing.api.RequestClass;
 
 /**
  * What is usual of each class of requests: how long they take, how large their hints are, how old a
@@ -41,20 +42,20 @@
     }
 
     /** µs, of the class that is quickest. */
-    double shortestUsualMicros() {
+    public double shortestUsualMicros() {
         return shortestUsualMicros;
     }
 
-    void updateShortest() {
+    public void updateShortest() {
         shortestUsualMicros = Arrays.stream(usualMicros).min().getAsDouble();
     }
 
-    List<Double> snapshot() {
+    public List<Double> snapshot() {
         return Arrays.stream(usualMicros).boxed().toList();
     }
 
     /** Takes over what was usual {@code ageMicros} µs ago, the less the older it is. */
-    void restore(List<Double> savedMicros, long ageMicros) {
+    public void restore(List<Double> savedMicros, long ageMicros) {
         double trust = Math.exp(-ageMicros / SNAPSHOT_TRUST_DECAY_MICROS);
         for (int classIndex = 0;
                 savedMicros.size() == usualMicros.length && classIndex < usualMicros.length;
@@ -70,12 +71,12 @@
         updateShortest();
     }
 
-    void recordLatency(int classIndex, long latencyMicros) {
+    public void recordLatency(int classIndex, long latencyMicros) {
         usualMicros[classIndex] += SMOOTHING * (latencyMicros - usualMicros[classIndex]);
     }
 
     /** How many times the mean a hint is, after it was counted in. */
-    double recordWorkHint(int classIndex, long workHint) {
+    public double recordWorkHint(int classIndex, long workHint) {
         double mean = meanWorkHints[classIndex];
         meanWorkHints[classIndex] += (mean > 0 ? SMOOTHING : 1) * (workHint - mean);
         return workHint / meanWorkHints[classIndex];
@@ -86,7 +87,7 @@
      * gets the same time, or what is left of the class's deadline: one with another time than first
      * tries tells its age.
      */
-    long elapsedSinceFirstAttemptMicros(
+    public long elapsedSinceFirstAttemptMicros(
             int classIndex, long remainingMicros, boolean resubmission) {
         long deadlineMicros = requestClasses.get(classIndex).deadlineMicros();
         if (!resubmission) {
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/PendingRequest.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/PendingRequest.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.routing.DeduplicationScope;
-import loadbalancer.routing.Idempotency;
-import loadbalancer.routing.RequestClass;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.RequestClass;
 import loadbalancer.util.Hashing;
 
 /** A request that is owed an answer, or has attempts out. */
--- a/balancer/src/main/java/loadbalancer/routing/TrafficCounters.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/TrafficCounters.java
@@ -1,8 +1,7 @@
-package loadbalancer.routing;
+package loadbalancer.routing.endpoint;
 
 import java.util.HashMap;
 import java.util.Map;
-import loadbalancer.routing.endpoint.EndpointRegistry;
 
 /**
  * Faded counts of what this balancer sees. Counts of servers and keys don't fade themselves: what
@@ -27,13 +26,13 @@
     private long startedAtMicros;
     private long decayedAtMicros;
 
-    void start(long now) {
+    public void start(long now) {
         startedAtMicros = now;
         decayedAtMicros = now;
     }
 
     /** Fades all; returns the part that is kept. */
-    double decay(long now) {
+    public double decay(long now) {
         double retainedFraction = Math.exp(-(now - decayedAtMicros) / DECAY_MICROS);
         scale /= Math.max(retainedFraction, 1 / MAX_SCALE);
         arrivals *= retainedFraction;
@@ -43,7 +42,7 @@
     }
 
     /** µs since they were faded. */
-    long microsSinceDecay(long now) {
+    public long microsSinceDecay(long now) {
         return now - decayedAtMicros;
     }
 
@@ -51,7 +50,7 @@
      * Forgets keys that fell silent, and brings counts back to scale where that has grown too
      * large.
      */
-    void compact(EndpointRegistry registry) {
+    public void compact(EndpointRegistry registry) {
         requestsByKey.values().removeIf(count -> count < scale / 2);
         if (scale > MAX_SCALE) {
             registry.rescale(scale);
@@ -60,46 +59,46 @@
         }
     }
 
-    void recordArrivals(int requests) {
+    public void recordArrivals(int requests) {
         arrivals += requests;
     }
 
-    void recordKey(long keyHash) {
+    public void recordKey(long keyHash) {
         requestsByKey.merge(keyHash, scale, Double::sum);
     }
 
-    void rejections(int attempts) {
+    public void rejections(int attempts) {
         rejections += attempts;
     }
 
     /** What one more counts for, in counts of servers. */
-    double scale() {
+    public double scale() {
         return scale;
     }
 
     /** Requests that this balancer gets a second, as a mean over its fade. */
-    double requestsPerSecond() {
+    public double requestsPerSecond() {
         return arrivals / DECAY_MICROS * 1e6;
     }
 
     /** The part of the attempts, by requests, that no server took. */
-    boolean isRejectedFractionAbove(double fraction) {
+    public boolean isRejectedFractionAbove(double fraction) {
         return rejections > fraction * arrivals;
     }
 
     /** The part of this balancer's requests that concern the key, beyond the first. */
-    double keyTrafficFraction(long keyHash) {
+    public double keyTrafficFraction(long keyHash) {
         return Math.max(0, requestsByKey.getOrDefault(keyHash, 0.0) / scale - 1)
                 / Math.max(1, arrivals);
     }
 
     /** The rate of arrivals, a second: one of a short life has not filled yet. */
-    double biasCorrectedRequestsPerSecond(long now) {
+    public double biasCorrectedRequestsPerSecond(long now) {
         return arrivals * biasCorrectedRatePerCount(now);
     }
 
     /** The rate that one of servers' counts stands for, a second. */
-    double biasCorrectedSuccessesPerSecond(long now) {
+    public double biasCorrectedSuccessesPerSecond(long now) {
         return biasCorrectedRatePerCount(now) / scale;
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossip.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossip.java
@@ -11,8 +11,8 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import loadbalancer.routing.RoutingActions;
-import loadbalancer.routing.RoutingSettings;
+import loadbalancer.routing.api.RoutingActions;
+import loadbalancer.routing.api.RoutingSettings;
 import loadbalancer.routing.endpoint.EndpointState;
 
 /**
--- a/balancer/src/main/java/loadbalancer/routing/health/OutlierEjection.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/OutlierEjection.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import loadbalancer.routing.Idempotency;
-import loadbalancer.routing.LatencyTracker;
+import loadbalancer.routing.api.Idempotency;
 import loadbalancer.routing.endpoint.Attempt;
 import loadbalancer.routing.endpoint.EndpointState;
+import loadbalancer.routing.endpoint.LatencyTracker;
 import loadbalancer.routing.endpoint.PendingRequest;
 
 /**
@@ -22,8 +22,6 @@
     private static final long BASE_EJECTION_MICROS = 1_000_000;
     // Up to 16 s
     private static final int MAX_EJECTION_DOUBLINGS = 4;
-    // Successes in a row, one at a time, that end a trial
-    public static final int SUCCESSES_TO_RECOVER = 3;
     // Of the rest of a server that turns away
     private static final int MAX_REJECTION_BACKOFF_DOUBLINGS = 3;
     // Failed connects in a row that say so
@@ -134,7 +132,7 @@
             endpoint.markActive();
             endpoint.reportedUnreachable = true;
             endpoint.consecutiveConnectFailures = UNREACHABLE_CONNECT_FAILURES;
-            endpoint.halfOpenSuccessesLeft = SUCCESSES_TO_RECOVER;
+            endpoint.halfOpenSuccessesLeft = EndpointState.SUCCESSES_TO_RECOVER;
             endpoint.ejectedUntilMicros =
                     now + BASE_EJECTION_MICROS + random.nextLong(BASE_EJECTION_MICROS);
         }
@@ -193,7 +191,7 @@
             long ejectionMicros = BASE_EJECTION_MICROS << doublings;
             endpoint.ejectedUntilMicros =
                     now + ejectionMicros + random.nextLong(ejectionMicros / 4);
-            endpoint.halfOpenSuccessesLeft = SUCCESSES_TO_RECOVER;
+            endpoint.halfOpenSuccessesLeft = EndpointState.SUCCESSES_TO_RECOVER;
             log.accept(
                     "ejected "
                             + endpoint.descriptor.id()
--- a/balancer/src/main/java/loadbalancer/routing/health/SlowStart.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/SlowStart.java
@@ -1,7 +1,7 @@
 package loadbalancer.routing.health;
 
-import loadbalancer.routing.RoutingBounds;
-import loadbalancer.routing.RoutingSettings;
+import loadbalancer.routing.api.RoutingBounds;
+import loadbalancer.routing.api.RoutingSettings;
 import loadbalancer.routing.endpoint.EndpointState;
 
 /** Rule 4: a cold server gets its part of what warm ones of like weight take, from nothing on. */
--- a/balancer/src/main/java/loadbalancer/server/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/server/WarmUp.java
@@ -15,17 +15,18 @@
 import loadbalancer.admin.Metrics;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.BootSettings;
-import loadbalancer.discovery.EndpointList;
+import loadbalancer.config.EndpointList;
 import loadbalancer.dispatch.Dispatcher;
-import loadbalancer.http.BodyRelay;
-import loadbalancer.http.FileDescriptorBudget;
-import loadbalancer.http.ProxyRequest;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointListKind;
-import loadbalancer.routing.EndpointStatus;
-import loadbalancer.routing.Idempotency;
+import loadbalancer.http.WarmUpTraffic;
+import loadbalancer.proxy.BodyRelay;
+import loadbalancer.proxy.FileDescriptorBudget;
+import loadbalancer.proxy.ProxyRequest;
 import loadbalancer.routing.RoutingEngine;
-import loadbalancer.routing.RoutingPolicy;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.RoutingPolicy;
 import loadbalancer.upstream.UpstreamPool;
 
 /**
@@ -35,14 +36,7 @@
  * deadlines. It has a module, a dispatcher and connections of its own, which end with it, so that
  * the real ones learn nothing from it.
  */
-public final class WarmUp {
-    /**
-     * The path of its requests, and the one on which they come back to this node as an upstream.
-     */
-    public static final String REQUEST_PATH = "/-/rehearsal";
-
-    public static final String UPSTREAM_PATH = "/-/rehearsed";
-
+public final class WarmUp implements WarmUpTraffic {
     // Enough to have what a request needs compiled, where nobody waits: after 40 alone two
     // balancers on half
     // a core each were late with 8% of the first seconds' requests.
@@ -122,6 +116,7 @@
         dispatcher.attach(upstreamPool, null, null);
     }
 
+    @Override
     public Dispatcher dispatcher() {
         return dispatcher;
     }
@@ -150,6 +145,7 @@
     }
 
     /** As an upstream: whether the request that has come back is turned away. */
+    @Override
     public boolean shouldReject() {
         upstreamRequests++;
         return startedRequests > HURRIED_REQUEST_COUNT / 2
--- a/balancer/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
+++ b/balancer/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.Map;
 import loadbalancer.config.BootSettings;
-import loadbalancer.routing.AttemptOutcome;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointListKind;
-import loadbalancer.routing.EndpointStatus;
-import loadbalancer.routing.LoadReport;
-import loadbalancer.routing.LoadReportParser;
-import loadbalancer.routing.RoutingActions;
-import loadbalancer.routing.RoutingPolicy;
-import loadbalancer.routing.RoutingSettings;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.LoadReport;
+import loadbalancer.routing.api.LoadReportParser;
+import loadbalancer.routing.api.RoutingActions;
+import loadbalancer.routing.api.RoutingPolicy;
+import loadbalancer.routing.api.RoutingSettings;
 
 /**
  * Hosts many instances of the module and translates between them and the wire. It decides nothing.
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamPool.java
@@ -46,16 +46,15 @@
 import loadbalancer.admin.EventLog;
 import loadbalancer.admin.Metrics;
 import loadbalancer.config.BootSettings;
-import loadbalancer.discovery.EndpointList;
-import loadbalancer.http.BodyRelay;
-import loadbalancer.http.FileDescriptorBudget;
-import loadbalancer.http.ProxyRequest;
-import loadbalancer.http.ProxyRequestParser;
-import loadbalancer.http.StrictFraming;
-import loadbalancer.routing.AttemptOutcome;
-import loadbalancer.routing.EndpointStatus;
-import loadbalancer.routing.LoadReport;
-import loadbalancer.routing.LoadReportParser;
+import loadbalancer.config.EndpointList;
+import loadbalancer.proxy.BodyRelay;
+import loadbalancer.proxy.FileDescriptorBudget;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.proxy.StrictFraming;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.LoadReport;
+import loadbalancer.routing.api.LoadReportParser;
 
 /**
  * The connections to the upstreams, one request at a time on each, and what becomes of each
@@ -526,9 +525,7 @@
                                 address.getAddress().getHostAddress() + ":" + address.getPort());
             }
             if (timeoutMs > 0) {
-                httpRequest
-                        .headers()
-                        .set(ProxyRequestParser.DEADLINE_HEADER, Long.toString(timeoutMs));
+                httpRequest.headers().set(ProxyRequest.DEADLINE_HEADER, Long.toString(timeoutMs));
             }
             if (proxyRequest.contentLength() < 0) {
                 HttpUtil.setTransferEncodingChunked(httpRequest, true);
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamResponseListener.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamResponseListener.java
@@ -2,9 +2,9 @@
 
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
-import loadbalancer.http.BodyRelay;
-import loadbalancer.routing.AttemptOutcome;
-import loadbalancer.routing.LoadReport;
+import loadbalancer.proxy.BodyRelay;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.LoadReport;
 
 /**
  * How a request to an upstream ended; {@code answer} is null but for OK, and the caller's to
--- a/balancer/src/test/java/loadbalancer/discovery/EndpointListTest.java
+++ b/balancer/src/test/java/loadbalancer/config/EndpointListTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.discovery;
+package loadbalancer.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -14,7 +14,6 @@
 import java.util.Random;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import loadbalancer.config.BootSettings;
 import org.junit.jupiter.api.Test;
 
 /** Lists in discovery's form, read entry by entry. */
--- a/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
+++ b/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.BootSettings;
+import loadbalancer.config.EndpointList;
 import loadbalancer.config.SettingsReader;
 import loadbalancer.routing.RoutingEngine;
 import loadbalancer.server.BalancerServer;
--- a/balancer/src/test/java/loadbalancer/http/FileDescriptorBudgetTest.java
+++ b/balancer/src/test/java/loadbalancer/proxy/FileDescriptorBudgetTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.http;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
@@ -14,9 +14,9 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 import loadbalancer.config.BalancerConfig;
-import loadbalancer.discovery.EndpointList;
-import loadbalancer.routing.EndpointListKind;
-import loadbalancer.routing.PolicySnapshot;
+import loadbalancer.config.EndpointList;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.PolicySnapshot;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -192,6 +192,6 @@
         store = open();
         assertEquals(
                 config.initialEndpoints(), store.newestEndpointList(config.initialEndpoints()));
-        assertEquals(List.of("state: dropped snapshot-5: no mark"), logLines);
+        assertEquals(List.of("state: dropped snapshot-5: bad magic"), logLines);
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/AttemptStartTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/AttemptStartTest.java
@@ -6,6 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.RequestClass;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/balancer/src/test/java/loadbalancer/routing/EmbeddingExample.java
+++ b/balancer/src/test/java/loadbalancer/routing/EmbeddingExample.java
@@ -2,6 +2,22 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.DiscoveryMode;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.LoadReportSource;
+import loadbalancer.routing.api.ObjectiveWeights;
+import loadbalancer.routing.api.RequestClass;
+import loadbalancer.routing.api.RoutingActions;
+import loadbalancer.routing.api.RoutingBounds;
+import loadbalancer.routing.api.RoutingCosts;
+import loadbalancer.routing.api.RoutingLimits;
+import loadbalancer.routing.api.RoutingPolicy;
+import loadbalancer.routing.api.RoutingSettings;
 
 /** The README's example: a caller that embeds the module. */
 final class EmbeddingExample {
--- a/balancer/src/test/java/loadbalancer/routing/JsqDasSelectorTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/JsqDasSelectorTest.java
@@ -10,6 +10,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.RoutingSettings;
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path is JSQ-DAS. */
--- a/balancer/src/test/java/loadbalancer/routing/PolicySnapshotTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/PolicySnapshotTest.java
@@ -4,6 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.PolicySnapshot;
 import org.junit.jupiter.api.Test;
 
 /** What one module keeps, and what another makes of it after a crash. */
--- a/balancer/src/test/java/loadbalancer/routing/RoutingEngineHarness.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingEngineHarness.java
@@ -4,6 +4,24 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.DiscoveryMode;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.LoadReport;
+import loadbalancer.routing.api.LoadReportSource;
+import loadbalancer.routing.api.ObjectiveWeights;
+import loadbalancer.routing.api.RequestClass;
+import loadbalancer.routing.api.RoutingActions;
+import loadbalancer.routing.api.RoutingBounds;
+import loadbalancer.routing.api.RoutingCosts;
+import loadbalancer.routing.api.RoutingLimits;
+import loadbalancer.routing.api.RoutingPolicy;
+import loadbalancer.routing.api.RoutingSettings;
+import loadbalancer.routing.api.Tenant;
 
 /** Drives one module by hand and writes down what it asks for. */
 public final class RoutingEngineHarness implements RoutingActions {
--- a/balancer/src/test/java/loadbalancer/routing/RoutingEngineRegressionTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingEngineRegressionTest.java
@@ -8,6 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.DiscoveryMode;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.RequestClass;
+import loadbalancer.routing.api.RoutingSettings;
+import loadbalancer.routing.api.Tenant;
 import org.junit.jupiter.api.Test;
 
 /** One test for each failure found: it fails without the answer to it in Rules. */
--- a/balancer/src/test/java/loadbalancer/routing/admission/RetryAfterTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/admission/RetryAfterTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.routing.DeduplicationScope;
-import loadbalancer.routing.EndpointListKind;
-import loadbalancer.routing.Idempotency;
 import loadbalancer.routing.RoutingEngineHarness;
-import loadbalancer.routing.RoutingLimits;
-import loadbalancer.routing.RoutingSettings;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.RoutingLimits;
+import loadbalancer.routing.api.RoutingSettings;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
--- a/balancer/src/test/java/loadbalancer/routing/health/ClassEjectionTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/ClassEjectionTest.java
@@ -1,16 +1,16 @@
-package loadbalancer.routing.health;
+package loadbalancer.routing.endpoint;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.Set;
-import loadbalancer.routing.AttemptOutcome;
-import loadbalancer.routing.DeduplicationScope;
-import loadbalancer.routing.EndpointListKind;
-import loadbalancer.routing.Idempotency;
-import loadbalancer.routing.RequestClass;
 import loadbalancer.routing.RoutingEngineHarness;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.RequestClass;
 import org.junit.jupiter.api.Test;
 
 /** Servers that fail one class of requests and serve the others. */
--- a/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointListBenchmark.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointListBenchmark.java
@@ -5,14 +5,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import loadbalancer.routing.AttemptOutcome;
-import loadbalancer.routing.DeduplicationScope;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointListKind;
-import loadbalancer.routing.EndpointStatus;
-import loadbalancer.routing.Idempotency;
 import loadbalancer.routing.RoutingEngineHarness;
-import loadbalancer.routing.RoutingSettings;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.RoutingSettings;
 
 /**
  * What the module spends on its list, by the number of servers: CPU and bytes allocated for an idle
--- a/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointListCostTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointListCostTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import loadbalancer.routing.EndpointStatus;
+import loadbalancer.routing.api.EndpointStatus;
 import org.junit.jupiter.api.Test;
 
 /** Work that must not grow with the list: counted, as times would tell of the machine. */
--- a/balancer/src/test/java/loadbalancer/routing/health/SlowStartTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/health/SlowStartTest.java
@@ -4,15 +4,15 @@
 
 import java.util.List;
 import java.util.stream.IntStream;
-import loadbalancer.routing.AttemptOutcome;
-import loadbalancer.routing.DeduplicationScope;
-import loadbalancer.routing.DiscoveryMode;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointListKind;
-import loadbalancer.routing.EndpointStatus;
-import loadbalancer.routing.Idempotency;
-import loadbalancer.routing.RequestClass;
 import loadbalancer.routing.RoutingEngineHarness;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.DiscoveryMode;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.RequestClass;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
--- a/balancer/src/test/java/loadbalancer/routing/health/ZoneFailoverTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/health/ZoneFailoverTest.java
@@ -13,11 +13,11 @@
 import java.util.Set;
 import java.util.function.BiPredicate;
 import java.util.stream.IntStream;
-import loadbalancer.routing.DeduplicationScope;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointStatus;
-import loadbalancer.routing.Idempotency;
 import loadbalancer.routing.RoutingEngineHarness;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.Idempotency;
 import loadbalancer.routing.endpoint.EndpointState;
 import loadbalancer.routing.endpoint.PendingRequest;
 import loadbalancer.routing.endpoint.ZoneTally;
@@ -75,8 +75,8 @@
         assertFalse(allowsAttempt(1, true));
         assertEquals(
                 List.of(
-                        "zone 1 is DOUBTED: 6 of 10 servers out, 0 answering",
-                        "zone 1 is LEFT: 6 of 10 servers out, 0 answering"),
+                        "zone 1 is SUSPECT: 6 of 10 servers out, 0 answering",
+                        "zone 1 is FAILED_OVER: 6 of 10 servers out, 0 answering"),
                 logLines);
     }
 
@@ -313,7 +313,7 @@
     @Test
     void explorerDetectsPlantedFaults() {
         assertEquals(
-                "from left to WHOLE",
+                "from left to HEALTHY",
                 explore(
                         60_000,
                         ZoneFailoverTest::checkTransition,
--- a/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import loadbalancer.discovery.EndpointList;
+import loadbalancer.config.EndpointList;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerFixtures.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerFixtures.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import loadbalancer.config.BalancerConfig;
-import loadbalancer.routing.RoutingPolicy;
+import loadbalancer.routing.api.RoutingPolicy;
 
 /** Makes balancers for tests. */
 final class BalancerServerFixtures {
--- a/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
+++ b/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
@@ -4,12 +4,12 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.routing.AttemptOutcome;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointListKind;
-import loadbalancer.routing.LoadReport;
-import loadbalancer.routing.RoutingActions;
-import loadbalancer.routing.RoutingPolicy;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.LoadReport;
+import loadbalancer.routing.api.RoutingActions;
+import loadbalancer.routing.api.RoutingPolicy;
 
 /** A module that notes what it is told and sends each request where {@code onRequest} says. */
 class ScriptedPolicy implements RoutingPolicy {
--- a/balancer/src/test/java/loadbalancer/storage/SnapshotStoreTest.java
+++ b/balancer/src/test/java/loadbalancer/storage/SnapshotStoreTest.java
@@ -170,7 +170,13 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"0, no mark", "7, other version", "11, length", "15, checksum", "40, checksum"})
+    @CsvSource({
+        "0, bad magic",
+        "7, unsupported version",
+        "11, length mismatch",
+        "15, checksum mismatch",
+        "40, checksum mismatch"
+    })
     void corruptNewestFallsBackToPrevious(int offset, String corruption, @TempDir Path path)
             throws IOException {
         FileSystemDirectory directory = new FileSystemDirectory(path);
@@ -200,7 +206,7 @@
                 new SnapshotStore(directory, OWNER, "snapshot").recover();
         assertNull(recovered.newest());
         assertEquals(
-                List.of("snapshot-9: short", "snapshot-1: other owner"), recovered.discarded());
+                List.of("snapshot-9: truncated", "snapshot-1: wrong owner"), recovered.discarded());
     }
 
     /**
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/FleetCondition.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/FleetCondition.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.IntStream;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointStatus;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointStatus;
 
 /** What happens to a fleet while it is measured. Each plays a trial for its whole length. */
 enum FleetCondition {
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/FleetSpec.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/FleetSpec.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.IntStream;
-import loadbalancer.routing.DeduplicationScope;
-import loadbalancer.routing.DiscoveryMode;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointStatus;
-import loadbalancer.routing.Idempotency;
-import loadbalancer.routing.LoadReportSource;
-import loadbalancer.routing.ObjectiveWeights;
-import loadbalancer.routing.RequestClass;
-import loadbalancer.routing.RoutingBounds;
-import loadbalancer.routing.RoutingCosts;
-import loadbalancer.routing.RoutingLimits;
-import loadbalancer.routing.RoutingSettings;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.DiscoveryMode;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.LoadReportSource;
+import loadbalancer.routing.api.ObjectiveWeights;
+import loadbalancer.routing.api.RequestClass;
+import loadbalancer.routing.api.RoutingBounds;
+import loadbalancer.routing.api.RoutingCosts;
+import loadbalancer.routing.api.RoutingLimits;
+import loadbalancer.routing.api.RoutingSettings;
 
 /**
  * The size of a fleet and what its balancers are told.
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/HollowBalancer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/HollowBalancer.java
@@ -11,12 +11,12 @@
 import loadbalancer.membership.MembershipMessage;
 import loadbalancer.membership.MembershipTiming;
 import loadbalancer.membership.MembershipView;
-import loadbalancer.routing.AttemptOutcome;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointListKind;
-import loadbalancer.routing.RoutingActions;
 import loadbalancer.routing.RoutingEngine;
-import loadbalancer.routing.RoutingPolicy;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.RoutingActions;
+import loadbalancer.routing.api.RoutingPolicy;
 
 /**
  * A balancer without a data path: the module, membership and duties as balancers run them, with no
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/HollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/HollowFleet.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.function.IntPredicate;
 import java.util.function.Supplier;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.RoutingPolicy;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.RoutingPolicy;
 import org.HdrHistogram.Histogram;
 
 /** A fleet of hollow balancers and what lies between them, in simulated or in real time. */
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancerConfig.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancerConfig.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
-import loadbalancer.routing.Idempotency;
-import loadbalancer.routing.RoutingSettings;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.RoutingSettings;
 
 /** What a real balancer of a site is told at its start, in the platform's words. */
 final class RealBalancerConfig {
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RequestGenerator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RequestGenerator.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import loadbalancer.routing.AttemptOutcome;
-import loadbalancer.routing.RoutingPolicy;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.RoutingPolicy;
 
 /**
  * The requests of one hollow balancer: they come at random, and each attempt is served after a
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/SimulatedHollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/SimulatedHollowFleet.java
@@ -8,7 +8,7 @@
 import java.util.function.IntPredicate;
 import java.util.function.Supplier;
 import loadbalancer.membership.MemberUpdate;
-import loadbalancer.routing.Endpoint;
+import loadbalancer.routing.api.Endpoint;
 import loadbalancer.testbed.workload.RandomStreams;
 import org.HdrHistogram.Histogram;
 import org.apache.commons.rng.UniformRandomProvider;
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/SocketHollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/SocketHollowFleet.java
@@ -23,7 +23,7 @@
 import java.util.function.IntPredicate;
 import java.util.function.Supplier;
 import loadbalancer.membership.MemberUpdate;
-import loadbalancer.routing.Endpoint;
+import loadbalancer.routing.api.Endpoint;
 import loadbalancer.testbed.workload.RandomStreams;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.SynchronizedHistogram;
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/ZoneFailoverInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/ZoneFailoverInvariant.java
@@ -10,7 +10,8 @@
  * that was not lost.
  */
 public final class ZoneFailoverInvariant implements RunInvariant {
-    private static final Pattern ZONE_LEFT_PATTERN = Pattern.compile("zone (\\d+) is LEFT");
+    private static final Pattern ZONE_LEFT_PATTERN =
+            Pattern.compile("zone (\\d+) is (?:FAILED_OVER|LEFT)");
     private static final double MIN_FAILED_OVER_FRACTION = 0.9;
 
     private final int zone;
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/BaselinePolicy.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/BaselinePolicy.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import loadbalancer.routing.AttemptOutcome;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointListKind;
-import loadbalancer.routing.EndpointStatus;
-import loadbalancer.routing.Idempotency;
-import loadbalancer.routing.LoadReport;
-import loadbalancer.routing.RoutingActions;
-import loadbalancer.routing.RoutingPolicy;
-import loadbalancer.routing.RoutingSettings;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.LoadReport;
+import loadbalancer.routing.api.RoutingActions;
+import loadbalancer.routing.api.RoutingPolicy;
+import loadbalancer.routing.api.RoutingSettings;
 
 /**
  * What one compares with: a rule that chooses a server, and nothing else. It sends each request to
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/EndpointListHistory.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/EndpointListHistory.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointStatus;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointStatus;
 
 /**
  * Discovery's list and all that has changed of it since the start, once for the whole fleet. Agents
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedBalancer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedBalancer.java
@@ -6,11 +6,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.routing.AttemptOutcome;
-import loadbalancer.routing.Endpoint;
-import loadbalancer.routing.EndpointListKind;
-import loadbalancer.routing.RoutingActions;
-import loadbalancer.routing.RoutingPolicy;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
+import loadbalancer.routing.api.RoutingActions;
+import loadbalancer.routing.api.RoutingPolicy;
 import loadbalancer.testbed.endpointmodel.Job;
 import loadbalancer.testbed.invariant.ClientAttempt;
 
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedDiscoveryAgent.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedDiscoveryAgent.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import loadbalancer.routing.Endpoint;
+import loadbalancer.routing.api.Endpoint;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
--- a/testbed/src/test/java/loadbalancer/testbed/invariant/RunInvariantsTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/invariant/RunInvariantsTest.java
@@ -75,7 +75,9 @@
         failover.onLogLine(
                 balancer,
                 atMicros,
-                "load-balancer: zone " + zone + " is LEFT: 6 of 20 servers out, 0 answering");
+                "load-balancer: zone "
+                        + zone
+                        + " is FAILED_OVER: 6 of 20 servers out, 0 answering");
     }
 
     @Test
