--- a/testbed/src/main/java/loadbalancer/testbed/CompareCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/CompareCommand.java
@@ -25,7 +25,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Plays two builds in turns on the same seeds: by figure the mean of B less A, with a "
-                        + "95% interval "
+                        + "95%% interval "
                         + "by bootstrap. Exit: 0, 1 a rule was broken, 2 wrong use, 3 a "
                         + "run could not be trusted.")
 final class CompareCommand implements Callable<Integer> {
@@ -104,7 +104,7 @@
                     pair[1].metrics().get("service"),
                     pair[0].violationCount(),
                     pair[1].violationCount(),
-                    bothTrusted ? "" : "; the lab was too busy, left out");
+                    bothTrusted ? "" : "; the testbed was too busy, left out");
             if (bothTrusted) {
                 pair[0].metrics()
                         .forEach(
--- a/testbed/src/main/java/loadbalancer/testbed/LeaseCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/LeaseCommand.java
@@ -4,12 +4,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
-import java.util.Set;
-import java.util.TreeSet;
 import java.util.concurrent.Callable;
 import loadbalancer.lease.LeaseTiming;
-import loadbalancer.testbed.docfigures.MeasurementFile;
-import loadbalancer.testbed.docfigures.RepeatedMeasurements;
 import loadbalancer.testbed.simulation.LeaseSimulation;
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
@@ -67,8 +63,7 @@
             description = "Where all figures are written, too.")
     private Path jsonFile;
 
-    private final RepeatedMeasurements measurements = new RepeatedMeasurements();
-    private final Set<Long> completedSeeds = new TreeSet<>();
+    private final SeededMeasurements measurements = new SeededMeasurements();
 
     @Override
     public Integer call() throws IOException {
@@ -76,24 +71,12 @@
         for (int memberCount : memberCounts) {
             for (long seed : seeds) {
                 doublyHeldSlots += measure(memberCount, seed);
-                writeMeasurements(seed);
+                measurements.completeSeed(seed, jsonFile, spec);
             }
         }
         return doublyHeldSlots == 0 ? TestbedCommand.EXIT_OK : TestbedCommand.EXIT_VIOLATION;
     }
 
-    // After each: a long call that is ended early leaves what it has.
-    private void writeMeasurements(long seed) throws IOException {
-        completedSeeds.add(seed);
-        if (jsonFile != null) {
-            new MeasurementFile(
-                            TestbedCommand.commandLine(spec),
-                            List.copyOf(completedSeeds),
-                            measurements.summary())
-                    .write(jsonFile);
-        }
-    }
-
     private int measure(int memberCount, long seed) {
         String keyPrefix = String.format(Locale.ROOT, "n%d.loss%.0f.", memberCount, lossRate * 100);
         LeaseSimulation cluster =
@@ -107,6 +90,22 @@
                 lossRate,
                 cluster.heldSlots(),
                 LeaseTiming.DEFAULT.slotCount());
+        measureQuiet(cluster, memberCount, keyPrefix);
+        measureHandovers(cluster, false, keyPrefix);
+        measureHandovers(cluster, true, keyPrefix);
+        System.out.printf(
+                Locale.ROOT,
+                "slots held by two at once: %d%s%n",
+                cluster.doubleHolders().size(),
+                cluster.doubleHolders().isEmpty()
+                        ? ""
+                        : ", first " + cluster.doubleHolders().get(0));
+        measurements.add(keyPrefix + "twice", cluster.doubleHolders().size());
+        return cluster.doubleHolders().size();
+    }
+
+    /** What the leases cost while nobody ends. */
+    private void measureQuiet(LeaseSimulation cluster, int memberCount, String keyPrefix) {
         long bytesBefore = cluster.bytesSent();
         long datagramsBefore = cluster.datagramsSent();
         long acquisitionsBefore = cluster.acquisitions();
@@ -124,40 +123,33 @@
                 (cluster.datagramsSent() - datagramsBefore) / 30.0 / memberCount,
                 (cluster.bytesSent() - bytesBefore) / 30.0 / memberCount,
                 cluster.acquisitions() - acquisitionsBefore);
-        for (boolean graceful : new boolean[] {false, true}) {
-            cluster.transferTimes().reset();
-            for (int i = 0; i < terminationCount; i++) {
-                int member = cluster.busiestMember();
-                cluster.endProcess(member, graceful);
-                cluster.runFor(6_000_000);
-                cluster.restart(member);
-                cluster.runFor(9_000_000);
-            }
-            Histogram handoverTimes = cluster.transferTimes();
-            System.out.printf(
-                    Locale.ROOT,
-                    "%s: passed on after %.3f s (median), %.3f s (99 in 100), %.3f s (most), %d "
-                            + "slots%n",
-                    graceful ? "in order" : "killed",
-                    handoverTimes.getValueAtPercentile(50) / 1e6,
-                    handoverTimes.getValueAtPercentile(99) / 1e6,
-                    handoverTimes.getMaxValue() / 1e6,
-                    handoverTimes.getTotalCount());
-            if (handoverTimes.getTotalCount() > 0) {
-                String handoverKeyPrefix = keyPrefix + (graceful ? "in_order_s." : "killed_s.");
-                measurements.add(
-                        handoverKeyPrefix + "p99", handoverTimes.getValueAtPercentile(99) / 1e6);
-                measurements.add(handoverKeyPrefix + "max", handoverTimes.getMaxValue() / 1e6);
-            }
+    }
+
+    /** How soon another member has a slot after its holder was killed or has ended gracefully. */
+    private void measureHandovers(LeaseSimulation cluster, boolean graceful, String keyPrefix) {
+        cluster.transferTimes().reset();
+        for (int i = 0; i < terminationCount; i++) {
+            int member = cluster.busiestMember();
+            cluster.endProcess(member, graceful);
+            cluster.runFor(6_000_000);
+            cluster.restart(member);
+            cluster.runFor(9_000_000);
         }
+        Histogram handoverTimes = cluster.transferTimes();
         System.out.printf(
                 Locale.ROOT,
-                "slots held by two at once: %d%s%n",
-                cluster.doubleHolders().size(),
-                cluster.doubleHolders().isEmpty()
-                        ? ""
-                        : ", first " + cluster.doubleHolders().get(0));
-        measurements.add(keyPrefix + "twice", cluster.doubleHolders().size());
-        return cluster.doubleHolders().size();
+                "%s: passed on after %.3f s (median), %.3f s (99 in 100), %.3f s (most), %d "
+                        + "slots%n",
+                graceful ? "in order" : "killed",
+                handoverTimes.getValueAtPercentile(50) / 1e6,
+                handoverTimes.getValueAtPercentile(99) / 1e6,
+                handoverTimes.getMaxValue() / 1e6,
+                handoverTimes.getTotalCount());
+        if (handoverTimes.getTotalCount() > 0) {
+            String handoverKeyPrefix = keyPrefix + (graceful ? "in_order_s." : "killed_s.");
+            measurements.add(
+                    handoverKeyPrefix + "p99", handoverTimes.getValueAtPercentile(99) / 1e6);
+            measurements.add(handoverKeyPrefix + "max", handoverTimes.getMaxValue() / 1e6);
+        }
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/MembershipCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/MembershipCommand.java
@@ -5,11 +5,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
-import java.util.Set;
-import java.util.TreeSet;
 import java.util.concurrent.Callable;
-import loadbalancer.testbed.docfigures.MeasurementFile;
-import loadbalancer.testbed.docfigures.RepeatedMeasurements;
 import loadbalancer.testbed.simulation.MembershipSimulation;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -77,8 +73,7 @@
             description = "Where all figures are written, too.")
     private Path jsonFile;
 
-    private final RepeatedMeasurements measurements = new RepeatedMeasurements();
-    private final Set<Long> completedSeeds = new TreeSet<>();
+    private final SeededMeasurements measurements = new SeededMeasurements();
 
     @Override
     public Integer call() throws IOException {
@@ -87,29 +82,37 @@
             for (double lossRate : lossRates) {
                 for (long seed : seeds) {
                     falseDeaths += measure(memberCount, lossRate, seed);
-                    writeMeasurements(seed);
+                    measurements.completeSeed(seed, jsonFile, spec);
                 }
             }
         }
         return falseDeaths == 0 ? TestbedCommand.EXIT_OK : TestbedCommand.EXIT_VIOLATION;
     }
 
-    // After each: a long call that is ended early leaves what it has.
-    private void writeMeasurements(long seed) throws IOException {
-        completedSeeds.add(seed);
-        if (jsonFile != null) {
-            new MeasurementFile(
-                            TestbedCommand.commandLine(spec),
-                            List.copyOf(completedSeeds),
-                            measurements.summary())
-                    .write(jsonFile);
-        }
-    }
-
     private int measure(int memberCount, double lossRate, long seed) {
         MembershipSimulation cluster = new MembershipSimulation(memberCount, lossRate, seed);
         String keyPrefix = String.format(Locale.ROOT, "n%d.loss%.0f.", memberCount, lossRate * 100);
         cluster.runFor(10_000_000);
+        double quietBytesPerSecond = measureQuiet(cluster, memberCount, lossRate, keyPrefix);
+        measureDetection(cluster, memberCount, quietBytesPerSecond, keyPrefix);
+        System.out.printf(
+                Locale.ROOT,
+                "live members held dead: %d%s%n",
+                cluster.falsePositives().size(),
+                cluster.falsePositives().isEmpty()
+                        ? ""
+                        : ", first " + cluster.falsePositives().get(0));
+        int falseDeaths = cluster.falsePositives().size();
+        measurements.add(keyPrefix + "wronged", falseDeaths);
+        if (!skipPartition) {
+            measurePartition(cluster, memberCount, keyPrefix);
+        }
+        return falseDeaths;
+    }
+
+    /** What membership costs while nobody ends: returns bytes a second and member. */
+    private double measureQuiet(
+            MembershipSimulation cluster, int memberCount, double lossRate, String keyPrefix) {
         double bytesBefore = cluster.meanBytesSent();
         long datagramsBefore = cluster.datagramsSent();
         long cpuBeforeNanos = threadCpuNanos();
@@ -128,8 +131,16 @@
                 memberCount,
                 lossRate,
                 (cluster.meanBytesSent() - bytesBefore) / quietSeconds);
-        double quietBytesPerSecond = (cluster.meanBytesSent() - bytesBefore) / quietSeconds;
-        bytesBefore = cluster.meanBytesSent();
+        return (cluster.meanBytesSent() - bytesBefore) / quietSeconds;
+    }
+
+    /** How soon the others know of a killed member, and what that costs beyond the quiet. */
+    private void measureDetection(
+            MembershipSimulation cluster,
+            int memberCount,
+            double quietBytesPerSecond,
+            String keyPrefix) {
+        double bytesBefore = cluster.meanBytesSent();
         for (int i = 0; i < killCount; i++) {
             int member = (int) ((i * 7919L + 3) % memberCount);
             cluster.kill(member);
@@ -164,19 +175,6 @@
                     cluster.detectionTimes().getMaxValue() / 1e6,
                     cluster.detectionTimes().getTotalCount());
         }
-        System.out.printf(
-                Locale.ROOT,
-                "live members held dead: %d%s%n",
-                cluster.falsePositives().size(),
-                cluster.falsePositives().isEmpty()
-                        ? ""
-                        : ", first " + cluster.falsePositives().get(0));
-        int falseDeaths = cluster.falsePositives().size();
-        measurements.add(keyPrefix + "wronged", falseDeaths);
-        if (!skipPartition) {
-            measurePartition(cluster, memberCount, keyPrefix);
-        }
-        return falseDeaths;
     }
 
     private void measurePartition(MembershipSimulation cluster, int memberCount, String keyPrefix) {
--- a/testbed/src/main/java/loadbalancer/testbed/RunCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/RunCommand.java
@@ -17,7 +17,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Plays a scenario with real processes. Exit: 0 every rule was kept, 1 one was broken, "
-                        + "2 wrong use, 3 the lab was too busy to be trusted.")
+                        + "2 wrong use, 3 the testbed was too busy to be trusted.")
 final class RunCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO", description = "A scenario file (TOML).")
     private Path scenarioFile;
--- a/testbed/src/main/java/loadbalancer/testbed/TestbedCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/TestbedCommand.java
@@ -4,6 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.LocalDateTime;
+import java.time.ZoneId;
 import java.time.format.DateTimeFormatter;
 import java.util.Locale;
 import loadbalancer.testbed.process.LaunchCommand;
@@ -14,7 +15,7 @@
 
 /** The proving ground's command line. */
 @Command(
-        name = "lab",
+        name = "testbed",
         mixinStandardHelpOptions = true,
         version = "0.1.0",
         description = "Plays fleets of real balancers against stand-ins, with faults between them.",
@@ -43,7 +44,7 @@
     /** Wrong arguments, or a file that can't be used. */
     static final int EXIT_USAGE = 2;
 
-    /** The lab was too busy to be trusted. */
+    /** The machine was too busy for the result to be trusted. */
     static final int EXIT_UNTRUSTED = 3;
 
     private TestbedCommand() {}
@@ -60,7 +61,7 @@
                                     && !(failure instanceof IOException)) {
                                 throw failure;
                             }
-                            commandLine.getErr().println("lab: " + failure.getMessage());
+                            commandLine.getErr().println("testbed: " + failure.getMessage());
                             return EXIT_USAGE;
                         })
                 .execute(arguments);
@@ -68,7 +69,7 @@
 
     /** The command as it was called, for whoever wants to call it again. */
     static String commandLine(CommandLine.Model.CommandSpec commandSpec) {
-        return "lab "
+        return "testbed "
                 + String.join(
                         " ", commandSpec.root().commandLine().getParseResult().originalArgs());
     }
@@ -82,7 +83,7 @@
                 jar != null ? jar : projectRoot.resolve("balancer/target/load-balancer.jar"));
     }
 
-    /** The folder named, or a new one below {@code logs/}. */
+    /** The requested directory, or a new one below {@code logs/} named after the time; created. */
     static Path createOutputDirectory(Path requested, String prefix) throws IOException {
         Path directory =
                 requested != null
@@ -92,7 +93,7 @@
                                 prefix
                                         + "-"
                                         + DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmssSSS")
-                                                .format(LocalDateTime.now()));
+                                                .format(LocalDateTime.now(ZoneId.systemDefault())));
         return Files.createDirectories(directory).toAbsolutePath();
     }
 
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
@@ -133,26 +133,25 @@
                 "sent.datagramsPerSecond",
                 counters,
                 seconds,
-                balancerCounters -> sumOverTraffic(balancerCounters, balancerCounters::sent),
+                balancerCounters -> sumOverTraffic(balancerCounters::sent),
                 metrics);
         addDistribution(
                 "sent.bytesPerSecond",
                 counters,
                 seconds,
-                balancerCounters -> sumOverTraffic(balancerCounters, balancerCounters::sentBytes),
+                balancerCounters -> sumOverTraffic(balancerCounters::sentBytes),
                 metrics);
         addDistribution(
                 "received.datagramsPerSecond",
                 counters,
                 seconds,
-                balancerCounters -> sumOverTraffic(balancerCounters, balancerCounters::received),
+                balancerCounters -> sumOverTraffic(balancerCounters::received),
                 metrics);
         addDistribution(
                 "received.bytesPerSecond",
                 counters,
                 seconds,
-                balancerCounters ->
-                        sumOverTraffic(balancerCounters, balancerCounters::receivedBytes),
+                balancerCounters -> sumOverTraffic(balancerCounters::receivedBytes),
                 metrics);
         for (CostCategory category : DATAGRAM_CATEGORIES) {
             addMean(
@@ -182,8 +181,7 @@
         }
     }
 
-    private static double sumOverTraffic(
-            CostCounters counters, ToDoubleFunction<CostCategory> counter) {
+    private static double sumOverTraffic(ToDoubleFunction<CostCategory> counter) {
         return DATAGRAM_CATEGORIES.stream().mapToDouble(counter).sum();
     }
 
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/SimulatedHollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/SimulatedHollowFleet.java
@@ -122,8 +122,8 @@
     }
 
     private void transmit(int sender, int receiver, byte[] data) {
-        if (loss > 0 && random.nextDouble() < loss
-                || partitionSide.test(sender) != partitionSide.test(receiver)) {
+        boolean lost = loss > 0 && random.nextDouble() < loss;
+        if (lost || partitionSide.test(sender) != partitionSide.test(receiver)) {
             return;
         }
         schedule(
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
@@ -150,8 +150,7 @@
                             Long.parseLong(
                                     Files.readString(task.resolve("schedstat")).split(" ")[0]));
                 } catch (NoSuchFileException e) {
-                    // It has ended meanwhile
-                    continue;
+                    // The thread has ended since it was listed; what it used is no longer known.
                 }
             }
         }
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/report/package-info.java
@@ -0,0 +1,2 @@
+/** The HTML page of a run, made of its stored result. */
+package loadbalancer.testbed.report;
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/slowstart/package-info.java
@@ -0,0 +1,2 @@
+/** How many requests endpoints in slow start get from all balancers together, in simulated time. */
+package loadbalancer.testbed.slowstart;
--- a/testbed/src/main/java/loadbalancer/testbed/statistics/RunResult.java
+++ b/testbed/src/main/java/loadbalancer/testbed/statistics/RunResult.java
@@ -13,8 +13,8 @@
 
 /**
  * All that a run showed, as it stands in {@code result.json}. Times are seconds of the run; {@code
- * trusted} is false where the lab itself was too busy, and then nothing counts. Figures by name are
- * what builds are compared by.
+ * trusted} is false where the testbed itself was too busy, and then nothing counts. Figures by name
+ * are what builds are compared by.
  */
 public record RunResult(
         @JsonProperty("scenario") String scenario,
--- a/testbed/src/test/java/loadbalancer/testbed/DocFiguresCommandTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/DocFiguresCommandTest.java
@@ -37,7 +37,9 @@
                         "--json",
                         jsonFile.toString()));
         MeasurementFile measured = MeasurementFile.read(jsonFile);
-        assertTrue(measured.command().startsWith("lab members --members 5,10"), measured.command());
+        assertTrue(
+                measured.command().startsWith("testbed members --members 5,10"),
+                measured.command());
         assertEquals(List.of(1L, 2L), measured.seeds());
         for (String key :
                 List.of(
