--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/PackageDependenciesTest.java
@@ -0,0 +1,125 @@
+package loadbalancer;
+
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.tngtech.archunit.core.domain.JavaClass;
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** The arrows between packages, as docs/ARCHITECTURE.md draws them: one way, and no others. */
+class PackageDependenciesTest {
+    private static final String BASE = "loadbalancer";
+    private static final String[] LIBRARIES = {"java..", "io.netty..", "com.fasterxml.jackson.."};
+
+    /** Of each package, those of the project that it may use. */
+    private static final Map<String, Set<String>> ALLOWED = new TreeMap<>();
+
+    static {
+        allow("util");
+        allow("storage");
+        allow("admin");
+        allow("proxy");
+        allow("membership");
+        allow("lease", "util");
+        allow("routing.api");
+        allow("routing.endpoint", "routing.api", "util");
+        allow("routing.health", "routing.api", "routing.endpoint");
+        allow("routing.admission", "routing.api", "routing.endpoint");
+        allow("routing.gossip", "routing.api", "routing.endpoint", "util");
+        allow(
+                "routing",
+                "routing.api",
+                "routing.endpoint",
+                "routing.health",
+                "routing.admission",
+                "routing.gossip",
+                "util");
+        allow("config", "routing.api", "util");
+        allow("simulator", "config", "routing.api");
+        allow("recovery", "config", "routing.api", "storage");
+        allow("discovery", "config", "routing.api");
+        allow("cluster", "admin", "config", "lease", "membership", "recovery", "routing.api");
+        allow("upstream", "admin", "config", "proxy", "routing.api");
+        allow(
+                "dispatch",
+                "admin",
+                "cluster",
+                "config",
+                "discovery",
+                "proxy",
+                "routing.api",
+                "upstream");
+        allow("http", "admin", "config", "dispatch", "proxy", "routing.api");
+        allow(
+                "server",
+                "admin",
+                "cluster",
+                "config",
+                "discovery",
+                "dispatch",
+                "http",
+                "proxy",
+                "recovery",
+                "routing",
+                "routing.api",
+                "upstream");
+    }
+
+    private static final JavaClasses PRODUCTION_CLASSES =
+            new ClassFileImporter()
+                    .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+                    .importPackages(BASE);
+
+    private static void allow(String from, String... to) {
+        ALLOWED.put(from, Set.of(to));
+    }
+
+    static Stream<String> packages() {
+        return ALLOWED.keySet().stream();
+    }
+
+    @ParameterizedTest
+    @MethodSource("packages")
+    void packageUsesOnlyWhatLiesBelow(String from) {
+        String[] allowed =
+                Stream.concat(
+                                Stream.of(LIBRARIES),
+                                Stream.concat(Stream.of(from), ALLOWED.get(from).stream())
+                                        .map(name -> BASE + "." + name))
+                        .toArray(String[]::new);
+        classes()
+                .that()
+                .resideInAPackage(BASE + "." + from)
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(allowed)
+                .check(PRODUCTION_CLASSES);
+    }
+
+    @Test
+    void packagesAreFreeOfCycles() {
+        slices().matching(BASE + ".(**)").should().beFreeOfCycles().check(PRODUCTION_CLASSES);
+    }
+
+    @Test
+    void everyPackageHasItsRule() {
+        Set<String> found = new TreeSet<>();
+        for (JavaClass javaClass : PRODUCTION_CLASSES) {
+            if (!javaClass.getPackageName().equals(BASE)) {
+                found.add(javaClass.getPackageName().substring(BASE.length() + 1));
+            }
+        }
+        assertEquals(ALLOWED.keySet(), found);
+    }
+}
