--- a/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
@@ -242,13 +242,13 @@
     }
 
     @Test
-    void readmeQuotesLogLinesOfThePolicy() throws IOException {
+    void onCallPageQuotesLogLinesOfThePolicy() throws IOException {
         String sources =
                 Files.readString(Path.of("src/main/java/loadbalancer/routing/RoutingEngine.java"))
                         + Files.readString(
                                 Path.of(
                                         "src/main/java/loadbalancer/routing/health/OutlierEjection.java"));
-        String readme = Files.readString(Path.of("../README.md"));
+        String onCallPage = Files.readString(Path.of("../docs/on-call.md"));
         for (String line :
                 List.of(
                         "overload: refusing, level ",
@@ -258,7 +258,7 @@
                         "discovery failed ",
                         " times, asking again")) {
             assertTrue(sources.contains(line), "the module writes: " + line);
-            assertTrue(readme.contains(line.strip()), "the README names: " + line);
+            assertTrue(onCallPage.contains(line.strip()), "docs/on-call.md names: " + line);
         }
     }
 
