--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancerConfig.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancerConfig.java
@@ -82,41 +82,11 @@
         settings.put("Rank", policySettings.rank());
         settings.put("Locality", policySettings.zone());
         settings.put("Kinds", List.of("k0", "k1"));
-        settings.put(
-                "Classes",
-                policySettings.requestClasses().stream()
-                        .map(
-                                requestClass ->
-                                        Map.of(
-                                                "Name",
-                                                "c",
-                                                "Idempotency",
-                                                settingsWord(requestClass.idempotency()),
-                                                "GoalTime",
-                                                requestClass.latencyObjectiveMicros(),
-                                                "GiveUp",
-                                                requestClass.deadlineMicros(),
-                                                "Gain",
-                                                requestClass.priorityWeight(),
-                                                "LateShare",
-                                                requestClass.lateWeightFactor(),
-                                                "Stream",
-                                                false))
-                        .toList());
+        settings.put("Classes", classes(policySettings));
         settings.put("MembershipMode", "push");
         settings.put("Quantum", policySettings.clockTickMicros());
         settings.put("OverShareWorth", policySettings.overQuotaWeightFactor());
-        settings.put(
-                "Blend",
-                Map.of(
-                        "Whole",
-                        policySettings.objectiveWeights().overall(),
-                        "WorstClass",
-                        policySettings.objectiveWeights().worstClass(),
-                        "WorstTenant",
-                        policySettings.objectiveWeights().worstTenant(),
-                        "WorstWindow",
-                        policySettings.objectiveWeights().worstWindow()));
+        settings.put("Blend", objectiveWeights(policySettings));
         settings.put(
                 "Prices",
                 Map.of(
@@ -124,43 +94,81 @@
                         policySettings.costs().crossZone(),
                         "Peer",
                         policySettings.costs().gossip()));
-        settings.put(
-                "Limits",
-                Map.of(
-                        "TryLimit",
-                        policySettings.limits().maxAttempts(),
-                        "MayDuplicate",
-                        true,
-                        "Cancel",
-                        true,
-                        "Probes",
-                        true,
-                        "PeerMessages",
-                        true,
-                        "DialTimeout",
-                        policySettings.limits().connectTimeoutMicros(),
-                        "RetryAfter",
-                        true,
-                        "MaxRetryAfter",
-                        policySettings.limits().maxRetryAfterMicros()));
-        settings.put(
-                "Rules",
-                Map.of(
-                        "AnswerSlack",
-                        policySettings.bounds().responseSlackMicros(),
-                        "DrainGrace",
-                        policySettings.bounds().drainGraceMicros(),
-                        "ColdFrom",
-                        policySettings.bounds().initialCapacityFraction(),
-                        "RampTime",
-                        policySettings.bounds().slowStartMicros(),
-                        "OverloadFactor",
-                        policySettings.bounds().overloadFactor(),
-                        "Fall",
-                        policySettings.bounds().overloadWindowMicros()));
+        settings.put("Limits", limits(policySettings));
+        settings.put("Rules", rules(policySettings));
         return settings;
     }
 
+    private static List<Map<String, Object>> classes(RoutingSettings policySettings) {
+        return policySettings.requestClasses().stream()
+                .map(
+                        requestClass ->
+                                Map.<String, Object>of(
+                                        "Name",
+                                        "c",
+                                        "Idempotency",
+                                        settingsWord(requestClass.idempotency()),
+                                        "GoalTime",
+                                        requestClass.latencyObjectiveMicros(),
+                                        "GiveUp",
+                                        requestClass.deadlineMicros(),
+                                        "Gain",
+                                        requestClass.priorityWeight(),
+                                        "LateShare",
+                                        requestClass.lateWeightFactor(),
+                                        "Stream",
+                                        false))
+                .toList();
+    }
+
+    private static Map<String, Object> objectiveWeights(RoutingSettings policySettings) {
+        return Map.of(
+                "Whole",
+                policySettings.objectiveWeights().overall(),
+                "WorstClass",
+                policySettings.objectiveWeights().worstClass(),
+                "WorstTenant",
+                policySettings.objectiveWeights().worstTenant(),
+                "WorstWindow",
+                policySettings.objectiveWeights().worstWindow());
+    }
+
+    private static Map<String, Object> limits(RoutingSettings policySettings) {
+        return Map.of(
+                "TryLimit",
+                policySettings.limits().maxAttempts(),
+                "MayDuplicate",
+                true,
+                "Cancel",
+                true,
+                "Probes",
+                true,
+                "PeerMessages",
+                true,
+                "DialTimeout",
+                policySettings.limits().connectTimeoutMicros(),
+                "RetryAfter",
+                true,
+                "MaxRetryAfter",
+                policySettings.limits().maxRetryAfterMicros());
+    }
+
+    private static Map<String, Object> rules(RoutingSettings policySettings) {
+        return Map.of(
+                "AnswerSlack",
+                policySettings.bounds().responseSlackMicros(),
+                "DrainGrace",
+                policySettings.bounds().drainGraceMicros(),
+                "ColdFrom",
+                policySettings.bounds().initialCapacityFraction(),
+                "RampTime",
+                policySettings.bounds().slowStartMicros(),
+                "OverloadFactor",
+                policySettings.bounds().overloadFactor(),
+                "Fall",
+                policySettings.bounds().overloadWindowMicros());
+    }
+
     private static String settingsWord(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> "safe";
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintBenchmark.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintBenchmark.java
@@ -125,68 +125,17 @@
         }
         measurements.add(keyPrefix + "ready_s", readySeconds);
         measurements.add(keyPrefix + "start_cpu_s", process.cpuSeconds());
-        if (footprintCase.requestsPerSecond() > 0) {
-            try (PacedLoadGenerator directLoad =
-                    startLoad(footprintCase, backend.upstreamAddress())) {
-                TimeUnit.MILLISECONDS.sleep(DIRECT_LOAD_MS);
-                addLatencies(keyPrefix + "direct_ms.", directLoad.takeLatencies());
-            }
+        boolean underLoad = footprintCase.requestsPerSecond() > 0;
+        if (underLoad) {
+            measureDirectLoad(footprintCase, backend);
         }
         try (PacedLoadGenerator load =
-                footprintCase.requestsPerSecond() > 0
-                        ? startLoad(footprintCase, process.listenAddress())
-                        : null) {
+                underLoad ? startLoad(footprintCase, process.listenAddress()) : null) {
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
             takeLatencies(load);
-            int collectionsBefore = process.gcPausesMs(false).size();
-            long datagramsBefore = peers == null ? 0 : peers.receivedDatagrams();
-            long bytesBefore = peers == null ? 0 : peers.receivedBytes();
-            double idleCpuSeconds = cpuSecondsOf(process, idleMs, () -> {});
-            if (peers != null) {
-                measurements.add(
-                        keyPrefix + "told.datagrams",
-                        (peers.receivedDatagrams() - datagramsBefore) * 1e3 / idleMs);
-                measurements.add(
-                        keyPrefix + "told.bytes",
-                        (peers.receivedBytes() - bytesBefore) * 1e3 / idleMs);
-            }
-            double idleCpuShare = idleCpuSeconds / (idleMs / 1e3);
-            measurements.add(keyPrefix + "rest_cpu", idleCpuShare);
-            measurements.add(
-                    keyPrefix + "collections.a_minute",
-                    (process.gcPausesMs(false).size() - collectionsBefore) * 6e4 / idleMs);
-            addLatencies(keyPrefix + "rest_ms.", takeLatencies(load));
-            publishChanges(backend, WARM_UP_CHANGE_COUNT);
-            takeLatencies(load);
-            int changePhaseMs = CHANGE_COUNT * CHANGE_INTERVAL_MS;
-            double cpuSeconds =
-                    cpuSecondsOf(
-                            process,
-                            CHANGE_SETTLE_MS / 2,
-                            () -> publishChanges(backend, CHANGE_COUNT));
-            measurements.add(
-                    keyPrefix + "change_cpu_ms",
-                    1e3
-                            * (cpuSeconds
-                                    - idleCpuShare * (changePhaseMs + CHANGE_SETTLE_MS / 2) / 1e3)
-                            / CHANGE_COUNT);
-            addLatencies(keyPrefix + "change_ms.", takeLatencies(load));
-            int zoneSize = Math.max(1, footprintCase.servers() / ZONE_COUNT);
-            backend.setDraining(zoneSize, true);
-            TimeUnit.MILLISECONDS.sleep(CHANGE_SETTLE_MS);
-            takeLatencies(load);
-            cpuSeconds =
-                    cpuSecondsOf(
-                            process, CHANGE_SETTLE_MS, () -> backend.setDraining(zoneSize, false));
-            measurements.add(
-                    keyPrefix + "zone_cpu_ms",
-                    1e3 * (cpuSeconds - idleCpuShare * CHANGE_SETTLE_MS / 1e3));
-            addLatencies(keyPrefix + "zone_ms.", takeLatencies(load));
-            cpuSeconds = cpuSecondsOf(process, CHANGE_SETTLE_MS, backend::publishCompleteList);
-            measurements.add(
-                    keyPrefix + "whole_cpu_ms",
-                    1e3 * (cpuSeconds - idleCpuShare * CHANGE_SETTLE_MS / 1e3));
-            addLatencies(keyPrefix + "whole_ms.", takeLatencies(load));
+            double idleCpuShare = measureIdle(keyPrefix, peers, process, load);
+            measureSingleChanges(keyPrefix, backend, process, load, idleCpuShare);
+            measureListChanges(footprintCase, backend, process, load, idleCpuShare);
             if (load != null) {
                 measurements.add(keyPrefix + "failed", load.failedRequests());
             }
@@ -194,12 +143,7 @@
         if (!process.isRunning()) {
             return false;
         }
-        addCollections(keyPrefix, process);
-        measurements.add(keyPrefix + "resident_mb", process.residentMb());
-        measurements.add(keyPrefix + "live_mb", process.liveHeapMb());
-        if (process.snapshotBytes() >= 0) {
-            measurements.add(keyPrefix + "kept_bytes", process.snapshotBytes());
-        }
+        measureMemory(keyPrefix, process);
         progress.accept(
                 String.format(
                         Locale.ROOT,
@@ -210,6 +154,94 @@
         return true;
     }
 
+    /** The latencies of the emulated upstreams themselves, without the balancer. */
+    private void measureDirectLoad(FootprintCase footprintCase, EmulatedBackend backend)
+            throws IOException, InterruptedException {
+        try (PacedLoadGenerator directLoad = startLoad(footprintCase, backend.upstreamAddress())) {
+            TimeUnit.MILLISECONDS.sleep(DIRECT_LOAD_MS);
+            addLatencies(footprintCase.keyPrefix() + "direct_ms.", directLoad.takeLatencies());
+        }
+    }
+
+    /**
+     * CPU, datagrams and collections while the list stays the same; returns the share of a core.
+     */
+    private double measureIdle(
+            String keyPrefix, EmulatedPeers peers, MeasuredProcess process, PacedLoadGenerator load)
+            throws IOException, InterruptedException {
+        int collectionsBefore = process.gcPausesMs(false).size();
+        long datagramsBefore = peers == null ? 0 : peers.receivedDatagrams();
+        long bytesBefore = peers == null ? 0 : peers.receivedBytes();
+        double idleCpuSeconds = cpuSecondsOf(process, idleMs, () -> {});
+        if (peers != null) {
+            measurements.add(
+                    keyPrefix + "told.datagrams",
+                    (peers.receivedDatagrams() - datagramsBefore) * 1e3 / idleMs);
+            measurements.add(
+                    keyPrefix + "told.bytes", (peers.receivedBytes() - bytesBefore) * 1e3 / idleMs);
+        }
+        double idleCpuShare = idleCpuSeconds / (idleMs / 1e3);
+        measurements.add(keyPrefix + "rest_cpu", idleCpuShare);
+        measurements.add(
+                keyPrefix + "collections.a_minute",
+                (process.gcPausesMs(false).size() - collectionsBefore) * 6e4 / idleMs);
+        addLatencies(keyPrefix + "rest_ms.", takeLatencies(load));
+        return idleCpuShare;
+    }
+
+    /** CPU for one changed entry of the list, beyond that of the idle process. */
+    private void measureSingleChanges(
+            String keyPrefix,
+            EmulatedBackend backend,
+            MeasuredProcess process,
+            PacedLoadGenerator load,
+            double idleCpuShare)
+            throws IOException, InterruptedException {
+        publishChanges(backend, WARM_UP_CHANGE_COUNT);
+        takeLatencies(load);
+        int changePhaseMs = CHANGE_COUNT * CHANGE_INTERVAL_MS + CHANGE_SETTLE_MS / 2;
+        double cpuSeconds =
+                cpuSecondsOf(
+                        process, CHANGE_SETTLE_MS / 2, () -> publishChanges(backend, CHANGE_COUNT));
+        measurements.add(
+                keyPrefix + "change_cpu_ms",
+                1e3 * (cpuSeconds - idleCpuShare * changePhaseMs / 1e3) / CHANGE_COUNT);
+        addLatencies(keyPrefix + "change_ms.", takeLatencies(load));
+    }
+
+    /** CPU for a zone that is drained and comes back, and for the complete list sent once more. */
+    private void measureListChanges(
+            FootprintCase footprintCase,
+            EmulatedBackend backend,
+            MeasuredProcess process,
+            PacedLoadGenerator load,
+            double idleCpuShare)
+            throws IOException, InterruptedException {
+        String keyPrefix = footprintCase.keyPrefix();
+        double idleCpuSeconds = idleCpuShare * CHANGE_SETTLE_MS / 1e3;
+        int zoneSize = Math.max(1, footprintCase.servers() / ZONE_COUNT);
+        backend.setDraining(zoneSize, true);
+        TimeUnit.MILLISECONDS.sleep(CHANGE_SETTLE_MS);
+        takeLatencies(load);
+        double cpuSeconds =
+                cpuSecondsOf(process, CHANGE_SETTLE_MS, () -> backend.setDraining(zoneSize, false));
+        measurements.add(keyPrefix + "zone_cpu_ms", 1e3 * (cpuSeconds - idleCpuSeconds));
+        addLatencies(keyPrefix + "zone_ms.", takeLatencies(load));
+        cpuSeconds = cpuSecondsOf(process, CHANGE_SETTLE_MS, backend::publishCompleteList);
+        measurements.add(keyPrefix + "whole_cpu_ms", 1e3 * (cpuSeconds - idleCpuSeconds));
+        addLatencies(keyPrefix + "whole_ms.", takeLatencies(load));
+    }
+
+    private void measureMemory(String keyPrefix, MeasuredProcess process)
+            throws IOException, InterruptedException {
+        addCollections(keyPrefix, process);
+        measurements.add(keyPrefix + "resident_mb", process.residentMb());
+        measurements.add(keyPrefix + "live_mb", process.liveHeapMb());
+        if (process.snapshotBytes() >= 0) {
+            measurements.add(keyPrefix + "kept_bytes", process.snapshotBytes());
+        }
+    }
+
     private interface Work {
         void run() throws InterruptedException;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintCase.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintCase.java
@@ -130,42 +130,8 @@
         settings.put("MembershipMode", "push");
         settings.put("Quantum", 5000);
         settings.put("Prices", Map.of("Peer", 0.03));
-        settings.put(
-                "Limits",
-                Map.of(
-                        "TryLimit",
-                        4,
-                        "MayDuplicate",
-                        true,
-                        "Cancel",
-                        true,
-                        "Probes",
-                        true,
-                        "PeerMessages",
-                        true,
-                        "DialTimeout",
-                        150_000,
-                        "IdleClose",
-                        5_000_000,
-                        "RetryAfter",
-                        true,
-                        "MaxRetryAfter",
-                        2_500_000));
-        settings.put(
-                "Rules",
-                Map.of(
-                        "AnswerSlack",
-                        20_000,
-                        "DrainGrace",
-                        2_500_000,
-                        "ColdFrom",
-                        0.1,
-                        "RampTime",
-                        10_000_000,
-                        "OverloadFactor",
-                        3.0,
-                        "Fall",
-                        3_000_000));
+        settings.put("Limits", limits());
+        settings.put("Rules", rules());
         if (tenants > 0) {
             settings.put(
                     "Realms",
@@ -182,6 +148,44 @@
         return settings;
     }
 
+    private static Map<String, Object> limits() {
+        return Map.of(
+                "TryLimit",
+                4,
+                "MayDuplicate",
+                true,
+                "Cancel",
+                true,
+                "Probes",
+                true,
+                "PeerMessages",
+                true,
+                "DialTimeout",
+                150_000,
+                "IdleClose",
+                5_000_000,
+                "RetryAfter",
+                true,
+                "MaxRetryAfter",
+                2_500_000);
+    }
+
+    private static Map<String, Object> rules() {
+        return Map.of(
+                "AnswerSlack",
+                20_000,
+                "DrainGrace",
+                2_500_000,
+                "ColdFrom",
+                0.1,
+                "RampTime",
+                10_000_000,
+                "OverloadFactor",
+                3.0,
+                "Fall",
+                3_000_000);
+    }
+
     /** The name of a tenant. */
     String tenantName(int number) {
         return String.format(Locale.ROOT, "tenant-%05d", number);
--- a/testbed/src/main/java/loadbalancer/testbed/report/HtmlReport.java
+++ b/testbed/src/main/java/loadbalancer/testbed/report/HtmlReport.java
@@ -94,6 +94,13 @@
     }
 
     private void appendTables(StringBuilder html) {
+        appendFaults(html);
+        appendLatencies(html);
+        appendBalancers(html);
+        appendMetrics(html);
+    }
+
+    private void appendFaults(StringBuilder html) {
         html.append(
                 "<table><tr><th>fault<th>from (s)<th>until (s)<th>back after (s)<th>unserved in 10 "
                         + "s</tr>");
@@ -111,6 +118,9 @@
                                                         ? "not back"
                                                         : formatSeconds(fault.recoverySeconds()),
                                                 fault.unservedCount())));
+    }
+
+    private void appendLatencies(StringBuilder html) {
         html.append(
                 "</table><table><tr><th>class/zone<th>served<th>median (ms)<th>99th "
                         + "percentile<th>most</tr>");
@@ -126,6 +136,9 @@
                                                 latency.p50Ms(),
                                                 latency.p99Ms(),
                                                 latency.maxMs())));
+    }
+
+    private void appendBalancers(StringBuilder html) {
         html.append(
                 "</table><table><tr><th>balancer<th>zone<th>lives<th>CPU (s)<th>memory "
                         + "(MB)<th>descriptors"
@@ -147,6 +160,9 @@
                                                 balancer.datagrams(),
                                                 balancer.datagramBytes(),
                                                 balancer.discoveryCalls())));
+    }
+
+    private void appendMetrics(StringBuilder html) {
         html.append("</table><table><tr><th>figure<th>value</tr>");
         result.metrics()
                 .forEach(
--- a/testbed/src/main/java/loadbalancer/testbed/slowstart/SlowStartSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/slowstart/SlowStartSimulation.java
@@ -163,53 +163,7 @@
     private Map<Integer, WarmingServerLoad> simulate(
             long endMicros, List<Long> arrivalMicros, String faults) {
         double workMs = 1e3 / parameters.warmRate;
-        Scenario scenario =
-                ScenarioReader.parse(
-                        "cold",
-                        String.format(
-                                        Locale.ROOT,
-                                        """
-            length_s = %.1f
-            [fleet]
-            balancers = %d
-            [upstreams]
-            count = %d
-            cores = 1
-            waiting = 12
-            overload_factor = %.1f
-            fall_s = %.1f
-            [load]
-            retries = 2
-            retry_wait_ms = 200
-            [network]
-            peer_loss = %.2f
-            [[class]]
-            name = "keyed"
-            effect = "keyed"
-            aim_ms = %.1f
-            deadline_ms = %.1f
-            work_ms = [%.2f, %.2f]
-            [[fault]]
-            kind = "crash"
-            at_s = %.1f
-            until_s = %.1f
-            on = "upstreams:0-%d"
-            """,
-                                        endMicros / 1e6,
-                                        parameters.balancers,
-                                        SERVER_COUNT,
-                                        BUDGET_FACTOR,
-                                        WINDOW_MICROS / 1e6,
-                                        parameters.lossRate,
-                                        Math.max(100, 4 * workMs),
-                                        Math.max(500, 10 * workMs),
-                                        0.7 * workMs,
-                                        1.3 * workMs,
-                                        RESTART_MICROS / 1e6 - 0.5,
-                                        RESTART_MICROS / 1e6,
-                                        RESTARTED_SERVER_COUNT - 1)
-                                + faults,
-                        true);
+        Scenario scenario = scenario(endMicros, workMs, faults);
         List<WorkloadPlan.Arrival> arrivals =
                 arrivalMicros.stream()
                         .map(
@@ -240,6 +194,55 @@
         return loadByServer;
     }
 
+    private Scenario scenario(long endMicros, double workMs, String faults) {
+        return ScenarioReader.parse(
+                "cold",
+                String.format(
+                                Locale.ROOT,
+                                """
+            length_s = %.1f
+            [fleet]
+            balancers = %d
+            [upstreams]
+            count = %d
+            cores = 1
+            waiting = 12
+            overload_factor = %.1f
+            fall_s = %.1f
+            [load]
+            retries = 2
+            retry_wait_ms = 200
+            [network]
+            peer_loss = %.2f
+            [[class]]
+            name = "keyed"
+            effect = "keyed"
+            aim_ms = %.1f
+            deadline_ms = %.1f
+            work_ms = [%.2f, %.2f]
+            [[fault]]
+            kind = "crash"
+            at_s = %.1f
+            until_s = %.1f
+            on = "upstreams:0-%d"
+            """,
+                                endMicros / 1e6,
+                                parameters.balancers,
+                                SERVER_COUNT,
+                                BUDGET_FACTOR,
+                                WINDOW_MICROS / 1e6,
+                                parameters.lossRate,
+                                Math.max(100, 4 * workMs),
+                                Math.max(500, 10 * workMs),
+                                0.7 * workMs,
+                                1.3 * workMs,
+                                RESTART_MICROS / 1e6 - 0.5,
+                                RESTART_MICROS / 1e6,
+                                RESTARTED_SERVER_COUNT - 1)
+                        + faults,
+                true);
+    }
+
     /** The work of one request: 0.7 to 1.3 times the mean, by its own seed. */
     private static long workMicros(double meanWorkMs, long seed) {
         double factor = 0.7 + 0.6 * new SplittableRandom(seed).nextDouble();
--- a/testbed/src/main/java/loadbalancer/testbed/statistics/RunResultBuilder.java
+++ b/testbed/src/main/java/loadbalancer/testbed/statistics/RunResultBuilder.java
@@ -33,6 +33,33 @@
         metrics.put("service", serviceWindows.weightedService());
         metrics.put("served_share", serviceWindows.servedFraction(0, lengthMicros));
         metrics.put("unserved", (double) serviceWindows.unservedCount(0, lengthMicros));
+        List<RunResult.FaultImpact> impacts = faultImpacts(workload, serviceWindows, metrics);
+        Double maxRecoverySeconds = workload.scenario().expectations().recoveryWithinS();
+        if (maxRecoverySeconds != null) {
+            recordSlowRecoveries(impacts, maxRecoverySeconds, requestInvariants);
+        }
+        return new RunResult(
+                workload.scenario().name(),
+                workload.seed(),
+                workload.digest(),
+                untrustedReason.isEmpty(),
+                untrustedReason,
+                workload.scenario().lengthS(),
+                requestInvariants.violationCount(),
+                requestInvariants.violations().stream().map(Violation::toString).toList(),
+                metrics,
+                latencies(serviceWindows),
+                slices(serviceWindows),
+                impacts,
+                balancers);
+    }
+
+    /** What each fault did to the service; its figures go into the metrics as well. */
+    private static List<RunResult.FaultImpact> faultImpacts(
+            WorkloadPlan workload,
+            ServiceWindows serviceWindows,
+            SortedMap<String, Double> metrics) {
+        long lengthMicros = workload.scenario().lengthMicros();
         List<RunResult.FaultImpact> impacts = new ArrayList<>();
         for (WorkloadPlan.Fault fault : workload.faults()) {
             long recoveryMicros = serviceWindows.recoveryMicrosAfter(fault.startMicros());
@@ -58,38 +85,28 @@
                             / 1e6);
             metrics.put(metricPrefix + "_unserved", (double) unservedCount);
         }
-        Double maxRecoverySeconds = workload.scenario().expectations().recoveryWithinS();
-        if (maxRecoverySeconds != null) {
-            impacts.stream()
-                    .filter(
-                            impact ->
-                                    impact.recoverySeconds() < 0
-                                            || impact.recoverySeconds() > maxRecoverySeconds)
-                    .forEach(
-                            impact ->
-                                    requestInvariants.recordViolation(
-                                            "back in time",
-                                            Math.round(impact.startSeconds() * 1e6),
-                                            null,
-                                            "service was not back within "
-                                                    + maxRecoverySeconds
-                                                    + " s of "
-                                                    + impact.description()));
-        }
-        return new RunResult(
-                workload.scenario().name(),
-                workload.seed(),
-                workload.digest(),
-                untrustedReason.isEmpty(),
-                untrustedReason,
-                workload.scenario().lengthS(),
-                requestInvariants.violationCount(),
-                requestInvariants.violations().stream().map(Violation::toString).toList(),
-                metrics,
-                latencies(serviceWindows),
-                slices(serviceWindows),
-                impacts,
-                balancers);
+        return impacts;
+    }
+
+    private static void recordSlowRecoveries(
+            List<RunResult.FaultImpact> impacts,
+            double maxRecoverySeconds,
+            RequestInvariants requestInvariants) {
+        impacts.stream()
+                .filter(
+                        impact ->
+                                impact.recoverySeconds() < 0
+                                        || impact.recoverySeconds() > maxRecoverySeconds)
+                .forEach(
+                        impact ->
+                                requestInvariants.recordViolation(
+                                        "back in time",
+                                        Math.round(impact.startSeconds() * 1e6),
+                                        null,
+                                        "service was not back within "
+                                                + maxRecoverySeconds
+                                                + " s of "
+                                                + impact.description()));
     }
 
     private static SortedMap<String, RunResult.LatencySummary> latencies(
