--- a/balancer/src/main/java/loadbalancer/routing/gossip/BlockPartition.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/BlockPartition.java
@@ -1,69 +1,74 @@
 package loadbalancer.routing.gossip;
 
+import java.util.stream.IntStream;
+
 /**
- * How the balancers of a fleet are told apart for sums over all of them: by their numbers alone, in
- * blocks that follow one another round a ring. Who speaks to whom follows from it, so nobody has to
- * be agreed upon, and none has more than its part.
+ * Partition of the balancers of a fleet into blocks of consecutive numbers, for aggregation over
+ * the fleet. It follows from the number of balancers alone, so no agreement is needed. Sizes of
+ * blocks differ by one at most. Immutable.
  *
- * @param balancerCount of the fleet, from 1 on
- * @param maxBlockSize balancers that a block has at most, from 1 on; all have as many, to one more
- *     or less
+ * @param balancerCount of the fleet, at least 1
+ * @param maxBlockSize balancers in a block at most, 1 to 255
  */
 public record BlockPartition(int balancerCount, int maxBlockSize) {
-    /** Balancers of a block, at most, as usual: those that a balancer hears itself. */
+    /** Usual size of a block: balancers that a balancer hears directly. */
     public static final int DEFAULT_BLOCK_SIZE = 16;
 
-    /**
-     * So many blocks can there be: those told of in the last step, past 64, have to fit in one
-     * datagram.
-     */
-    public static final int MAX_BLOCKS = 64 + FleetLoadAggregator.MAX_RECORDS;
+    /** Bound on the blocks: the records of the last step, past 64, have to fit in one datagram. */
+    public static final int MAX_BLOCKS = 64 + FleetLoadMessage.MAX_RECORDS;
 
-    /** So many balancers can be summed in blocks of the usual size. */
+    /** Bound on the balancers of a fleet with blocks of the usual size. */
     public static final int MAX_BALANCERS = MAX_BLOCKS * DEFAULT_BLOCK_SIZE;
 
-    /** IllegalArgumentException, with the limit, where there are none or too many. */
+    // The number of balancers of a block is one byte on the wire.
+    private static final int MAX_BLOCK_SIZE = 255;
+
+    /**
+     * Checks the bounds.
+     *
+     * @throws FleetSizeException with the limit, if there are no balancers or too many
+     */
     public BlockPartition {
         if (maxBlockSize < 1
-                || maxBlockSize > 255
+                || maxBlockSize > MAX_BLOCK_SIZE
                 || balancerCount < 1
                 || balancerCount > MAX_BLOCKS * maxBlockSize) {
-            throw new IllegalArgumentException(
-                    "sums over the fleet reach 1 to "
-                            + MAX_BLOCKS * maxBlockSize
-                            + " balancers, not "
-                            + balancerCount);
+            throw new FleetSizeException(balancerCount, MAX_BLOCKS * maxBlockSize);
         }
     }
 
-    /** Blocks of the usual size. */
+    /** Partition into blocks of the usual size. */
     public BlockPartition(int balancerCount) {
         this(balancerCount, DEFAULT_BLOCK_SIZE);
     }
 
-    /** How many there are. */
+    /** Number of blocks. */
     public int blockCount() {
         return (balancerCount + maxBlockSize - 1) / maxBlockSize;
     }
 
-    /** The block of the balancer of that number. */
+    /** Block of the balancer with the number {@code balancer}. */
     public int blockOf(int balancer) {
         return ((balancer + 1) * blockCount() - 1) / balancerCount;
     }
 
-    /** The number of a block's first balancer. */
+    /** Number of the first balancer of {@code block}. */
     public int firstBalancer(int block) {
         return block * balancerCount / blockCount();
     }
 
-    /** How many balancers a block has. */
+    /** Number of balancers of {@code block}. */
     public int blockSize(int block) {
         return firstBalancer(block + 1) - firstBalancer(block);
     }
 
+    /** Numbers of the balancers of {@code block}, in order. */
+    IntStream balancersOf(int block) {
+        return IntStream.range(firstBalancer(block), firstBalancer(block + 1));
+    }
+
     /**
-     * Steps after which what one block of so many tells has come to all: each doubles those that
-     * know it.
+     * Steps after which a record has reached all of {@code blockCount} blocks: log2, rounded up.
      */
     static int stepCount(int blockCount) {
         return Integer.SIZE - Integer.numberOfLeadingZeros(blockCount - 1);
--- a/balancer/src/main/java/loadbalancer/routing/gossip/FleetLoadAggregator.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/FleetLoadAggregator.java
@@ -1,81 +1,74 @@
 package loadbalancer.routing.gossip;
 
+import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.List;
 import java.util.function.IntPredicate;
 import java.util.stream.IntStream;
 
 /**
- * Sums over a fleet of balancers at a small cost, in datagrams that grow with its logarithm and
- * bytes that grow by 0.6 a second for each balancer (a record of 5 bytes for a block of 16, both
- * ways round): recursive doubling over blocks (Hillis and Steele's scan, as all-reduce does it),
- * both ways round a ring, with each block's record told on as it is in place of partial sums, so
- * that what comes twice, late or round about can't count twice. Each balancer hears its block's
- * others itself, and knows their sum; in step k of a round it tells the blocks 2^k further and 2^k
- * back what it knows of the 2^k blocks that end with its own. After log2(blocks) steps each has a
- * record of every block.
+ * Aggregates the request rate over a fleet by recursive doubling over blocks of balancers (the scan
+ * of Hillis and Steele, as all-reduce uses it), in both directions of a ring.
  *
- * <p>A pure state machine: time and datagrams in, datagrams out; not for several threads. A record
- * says how old it is, less its time on the way; the youngest counts, none counts past {@link
- * #EXPIRY_MICROS}. The ring is that of the blocks with a record that counts: those that are lost or
- * cut off are missed within that time and then left out, and are tried one at a time. Nobody's loss
- * stops the others: who lives of a block shares out whom it tells, another one each round.
+ * <p>Each balancer hears the others of its block directly and knows their sum. In step k of a round
+ * it sends to the blocks 2^k further and 2^k back the records that it has of the 2^k blocks that
+ * end with its own; after log2(blocks) steps each balancer has a record of every block. Records are
+ * forwarded as they are instead of partial sums, so duplicated, late or detoured datagrams can't
+ * count twice. Datagrams grow with the logarithm of the fleet, bytes by 0.6 a second per balancer
+ * (a record of 5 bytes per block of 16, in both directions).
+ *
+ * <p>A record carries its age, without its time on the way. The youngest record of a block counts,
+ * and none past {@link #EXPIRY_MICROS}. The ring consists of the blocks with a current record: lost
+ * blocks leave it after that time, and each balancer probes one of them per round. The live
+ * balancers of a block share out the receivers, differently each round.
+ *
+ * <p>A pure state machine: time and datagrams in, datagrams out. Not thread-safe.
  */
 public final class FleetLoadAggregator {
-    /** µs in which all steps are made once. */
+    /** Time in which all steps are made once. */
     public static final long ROUND_MICROS = 1_000_000;
 
-    /** µs after which a record no longer counts. */
+    /** Age after which a record no longer counts. */
     public static final long EXPIRY_MICROS = 5_000_000;
 
-    /** First byte of these datagrams: their format and its version. */
-    public static final byte FORMAT = 6;
+    // A block's mean rate per balancer counts for at most this multiple of the median block's: a
+    // faulty balancer may report nonsense.
+    private static final double MAX_RATE_SKEW = 8;
 
-    static final int HEADER_BYTES = 4;
-    static final int RECORD_BYTES = 5;
-    // In a datagram of 256 bytes
-    static final int MAX_RECORDS = 50;
-    // µs
-    static final long AGE_UNIT_MICROS = 50_000;
-
-    /**
-     * A block's mean rate counts for so many times the middle block's at most: one may talk
-     * nonsense.
-     */
-    static final double MAX_RATE_SKEW = 8;
-
-    // Of a block; where more would be needed the teller's own has lost three of four.
+    // Where more would be needed, three of four of the sender's block are lost.
     private static final int MAX_TARGETS_PER_BLOCK = 4;
-    private static final int MANTISSA_BITS = 12;
-    private static final int MAX_MANTISSA = (1 << MANTISSA_BITS) - 1;
+
+    // Directions in which the records of a datagram follow one another round the ring.
+    private static final int BACKWARD = -1;
+    private static final int FORWARD = 1;
 
     private final BlockPartition partition;
     private final int ownRank;
-    // Block
     private final int ownBlock;
-    // By block, requests a second
+
+    // The records, by block. No record yet: no balancer present.
     private final int[] blockRates;
-    // By block, balancers heard; 0: no record yet
     private final int[] presentCounts;
-    // By block, when it was so; by the own clock
     private final long[] observedAtMicros;
+
     private long lastStepIndex = Long.MIN_VALUE;
 
-    /** Takes a datagram that is to be sent. */
+    /** Sends a datagram to another balancer. */
     public interface DatagramSender {
-        /** To the balancer of that number. */
-        void send(int recipient, byte[] data);
+        /** Sends {@code datagram} to the balancer with the number {@code recipient}. */
+        void send(int recipient, byte[] datagram);
     }
 
     /**
-     * What is known of the fleet.
+     * Load of several balancers together.
      *
-     * @param requestsPerSecond requests a second that come to all balancers
-     * @param presentCount balancers in it
-     * @param ageMicros µs, of the oldest part
+     * @param requestsPerSecond that they receive
+     * @param presentCount number of balancers
+     * @param ageMicros age of the oldest part
      */
     public record LoadTotal(double requestsPerSecond, int presentCount, long ageMicros) {}
 
-    /** {@code ownRank} is this balancer's number. */
+    /** Creates the aggregator of the balancer with the number {@code ownRank}, without records. */
     public FleetLoadAggregator(int ownRank, BlockPartition partition) {
         this.partition = partition;
         this.ownRank = ownRank;
@@ -86,7 +79,7 @@
         Arrays.fill(observedAtMicros, Long.MIN_VALUE / 2);
     }
 
-    /** As another one is now; what is done to one leaves the other as it is. */
+    /** Creates an independent copy of another aggregator in its present state. */
     public FleetLoadAggregator(FleetLoadAggregator other) {
         this.partition = other.partition;
         this.ownRank = other.ownRank;
@@ -97,18 +90,15 @@
         this.lastStepIndex = other.lastStepIndex;
     }
 
-    /** How balancers are told apart. */
+    /** The partition of the fleet into blocks. */
     public BlockPartition partition() {
         return partition;
     }
 
-    /**
-     * True of the own block now: so many of its balancers are there, with so many requests a
-     * second.
-     */
+    /** Sets the record of the own block: its present balancers and their rate at {@code now}. */
     public void ownBlock(long now, int presentCount, long requestsPerSecond) {
         if (presentCounts[ownBlock] == 0) {
-            // Until shown otherwise all blocks are taken to be there.
+            // At the start all blocks are presumed present for one expiry time.
             IntStream.range(0, presentCounts.length)
                     .filter(block -> presentCounts[block] == 0)
                     .forEach(block -> observedAtMicros[block] = now);
@@ -119,163 +109,179 @@
     }
 
     /**
-     * Sends what is due: at most one step for each call, and each step once a round, at a time that
-     * is the same for all whose clocks agree. {@code isAlive}: which of the own block's other
-     * balancers are there; the living share out whom they tell.
+     * Sends what is due: at most one step per call, and each step once a round, at an instant that
+     * is the same for all balancers whose clocks agree.
+     *
+     * @param now µs
+     * @param isAlive which of the other balancers of the own block are present; they share out the
+     *     receivers
+     * @param sender takes the datagrams
      */
     public void tick(long now, IntPredicate isAlive, DatagramSender sender) {
         int stepCount = BlockPartition.stepCount(partition.blockCount());
-        long stepIndex =
-                stepCount == 0 ? lastStepIndex : Math.floorDiv(now, ROUND_MICROS / stepCount);
+        if (stepCount == 0) {
+            return;
+        }
+        long stepIndex = Math.floorDiv(now, ROUND_MICROS / stepCount);
         if (stepIndex == lastStepIndex) {
             return;
         }
         lastStepIndex = stepIndex;
         int step = (int) Math.floorMod(stepIndex, (long) stepCount);
         long round = Math.floorDiv(stepIndex, (long) stepCount);
-        int[] ringBlocks =
+        Ring ring = new Ring(now);
+        sendStep(ring, 1 << step, new BlockSender(isAlive, round, sender));
+        if (step == 0 && ring.blocks.length < partition.blockCount()) {
+            probeMissingBlock(ring, round, sender);
+        }
+    }
+
+    private void sendStep(Ring ring, int distance, BlockSender blockSender) {
+        int ringSize = ring.blocks.length;
+        if (distance >= ringSize) {
+            return;
+        }
+        int recordCount = Math.min(distance, ringSize - distance);
+        blockSender.sendToBlock(ring.blockAt(distance), encodeRecords(ring, BACKWARD, recordCount));
+        // At half of the ring both directions lead to the same block.
+        if (2 * distance != ringSize) {
+            blockSender.sendToBlock(
+                    ring.blockAt(-distance), encodeRecords(ring, FORWARD, recordCount));
+        }
+    }
+
+    // So that the halves of a fleet that was partitioned find each other again.
+    private void probeMissingBlock(Ring ring, long round, DatagramSender sender) {
+        int[] missingBlocks =
                 IntStream.range(0, partition.blockCount())
-                        .filter(candidate -> candidate == ownBlock || isCurrent(now, candidate))
+                        .filter(block -> block != ownBlock && !isCurrent(ring.now, block))
                         .toArray();
-        int ownIndex = Arrays.binarySearch(ringBlocks, ownBlock);
-        BlockSender blockSender = new BlockSender(isAlive, round, sender);
-        int distance = 1 << step;
-        if (distance < ringBlocks.length) {
-            int window = Math.min(distance, ringBlocks.length - distance);
-            blockSender.sendToBlock(
-                    ringBlocks[(ownIndex + distance) % ringBlocks.length],
-                    encode(now, ringBlocks, ownIndex, -1, window));
-            int backwardBlock = ringBlocks[Math.floorMod(ownIndex - distance, ringBlocks.length)];
-            if (2 * distance != ringBlocks.length) {
-                blockSender.sendToBlock(
-                        backwardBlock, encode(now, ringBlocks, ownIndex, 1, window));
-            }
+        int missingIndex = (int) Math.floorMod(round + ownRank, (long) missingBlocks.length);
+        int block = missingBlocks[missingIndex];
+        long memberIndex =
+                Math.floorMod(
+                        round / missingBlocks.length + ownRank, (long) partition.blockSize(block));
+        int recordCount = Math.min(FleetLoadMessage.MAX_RECORDS, ring.blocks.length);
+        sender.send(
+                partition.firstBalancer(block) + (int) memberIndex,
+                encodeRecords(ring, BACKWARD, recordCount));
+    }
+
+    // Records of the ring's next blocks in a direction, the own block first.
+    private byte[] encodeRecords(Ring ring, int direction, int recordCount) {
+        List<FleetLoadMessage.BlockRecord> records = new ArrayList<>(recordCount);
+        for (int i = 0; i < recordCount; i++) {
+            int block = ring.blockAt(direction * i);
+            records.add(
+                    new FleetLoadMessage.BlockRecord(
+                            block,
+                            ring.now - observedAtMicros[block],
+                            presentCounts[block],
+                            blockRates[block]));
         }
-        if (step == 0 && ringBlocks.length < partition.blockCount()) {
-            int[] missingBlocks =
+        return new FleetLoadMessage(partition.balancerCount(), records).encode();
+    }
+
+    /** The own block and the blocks with a current record, in the order of their numbers. */
+    private final class Ring {
+        private final long now;
+        private final int[] blocks;
+        private final int ownIndex;
+
+        Ring(long now) {
+            this.now = now;
+            this.blocks =
                     IntStream.range(0, partition.blockCount())
-                            .filter(
-                                    candidate ->
-                                            candidate != ownBlock && !isCurrent(now, candidate))
+                            .filter(block -> block == ownBlock || isCurrent(now, block))
                             .toArray();
-            int block =
-                    missingBlocks[
-                            (int) Math.floorMod(round + ownRank, (long) missingBlocks.length)];
-            int memberIndex =
-                    (int)
-                            Math.floorMod(
-                                    round / missingBlocks.length + ownRank,
-                                    (long) partition.blockSize(block));
-            sender.send(
-                    partition.firstBalancer(block) + memberIndex,
-                    encode(
-                            now,
-                            ringBlocks,
-                            ownIndex,
-                            -1,
-                            Math.min(MAX_RECORDS, ringBlocks.length)));
+            this.ownIndex = Arrays.binarySearch(blocks, ownBlock);
+        }
+
+        /** The block that many places from the own one. */
+        int blockAt(int distance) {
+            return blocks[Math.floorMod(ownIndex + distance, blocks.length)];
         }
     }
 
-    // Whom this balancer tells of another block. Others each round: a path that is cut is not the
-    // same
-    // receiver's each time.
+    /**
+     * Sends to the receivers in another block that fall to this balancer. They differ each round,
+     * so that a path that is cut does not always affect the same receiver.
+     */
     private final class BlockSender {
         private final long round;
         private final DatagramSender sender;
-        private int liveCount;
-        // Of this one among them
-        private int liveIndex;
+        private final int aliveCount;
+        // Index of this balancer among those alive in its block
+        private final int ownAliveIndex;
 
         BlockSender(IntPredicate isAlive, long round, DatagramSender sender) {
             this.round = round;
             this.sender = sender;
-            for (int i = 0; i < partition.blockSize(ownBlock); i++) {
-                int balancer = partition.firstBalancer(ownBlock) + i;
-                liveIndex = balancer == ownRank ? liveCount : liveIndex;
-                liveCount += balancer == ownRank || isAlive.test(balancer) ? 1 : 0;
-            }
+            int[] alive =
+                    partition
+                            .balancersOf(ownBlock)
+                            .filter(balancer -> balancer == ownRank || isAlive.test(balancer))
+                            .toArray();
+            this.aliveCount = alive.length;
+            this.ownAliveIndex = Arrays.binarySearch(alive, ownRank);
         }
 
-        void sendToBlock(int block, byte[] data) {
+        void sendToBlock(int block, byte[] datagram) {
             int size = partition.blockSize(block);
-            for (int i = 0, sentCount = 0; i < size && sentCount < MAX_TARGETS_PER_BLOCK; i++) {
+            int sentCount = 0;
+            for (int i = 0; i < size && sentCount < MAX_TARGETS_PER_BLOCK; i++) {
                 long memberIndex = Math.floorMod(i + round, (long) size);
-                if (Math.floorMod(memberIndex + round, (long) liveCount) == liveIndex) {
-                    sender.send(partition.firstBalancer(block) + (int) memberIndex, data);
+                if (Math.floorMod(memberIndex + round, (long) aliveCount) == ownAliveIndex) {
+                    sender.send(partition.firstBalancer(block) + (int) memberIndex, datagram);
                     sentCount++;
                 }
             }
         }
     }
 
-    // The records of so many blocks of the ring, from the place on in that direction.
-    private byte[] encode(long now, int[] ringBlocks, int startIndex, int direction, int window) {
-        byte[] data = new byte[HEADER_BYTES + RECORD_BYTES * window];
-        data[0] = FORMAT;
-        writeUnsignedShort(data, 1, partition.balancerCount());
-        data[3] = (byte) window;
-        for (int i = 0; i < window; i++) {
-            int block = ringBlocks[Math.floorMod(startIndex + direction * i, ringBlocks.length)];
-            int offset = HEADER_BYTES + RECORD_BYTES * i;
-            // Rounded up: told on and on, a record does not stay young.
-            long ageUnits =
-                    (Math.max(0, now - observedAtMicros[block]) + AGE_UNIT_MICROS - 1)
-                            / AGE_UNIT_MICROS;
-            data[offset] = (byte) block;
-            data[offset + 1] = (byte) Math.min(255, ageUnits);
-            data[offset + 2] = (byte) presentCounts[block];
-            writeUnsignedShort(data, offset + 3, encodeRate(blockRates[block]));
-        }
-        return data;
-    }
-
     /**
-     * Takes a datagram in; false where it is none of these, or of a fleet of another size, or can't
-     * be true: then nothing is taken of it.
+     * Takes in a datagram.
+     *
+     * @return false, without any effect, if it is of another format, damaged, of a fleet of another
+     *     size, or has a record that can't be true
      */
-    public boolean onDatagram(long now, int sender, byte[] data) {
-        if (data.length < HEADER_BYTES
-                || data[0] != FORMAT
-                || sender < 0
-                || sender >= partition.balancerCount()
-                || readUnsignedShort(data, 1) != partition.balancerCount()
-                || data.length != HEADER_BYTES + RECORD_BYTES * (data[3] & 255)
-                || (data[3] & 255) > MAX_RECORDS) {
+    public boolean onDatagram(long now, int sender, byte[] datagram) {
+        if (sender < 0 || sender >= partition.balancerCount()) {
             return false;
         }
-        for (int offset = HEADER_BYTES; offset < data.length; offset += RECORD_BYTES) {
-            if ((data[offset] & 255) >= partition.blockCount()
-                    || (data[offset + 2] & 255) > partition.blockSize(data[offset] & 255)) {
-                return false;
-            }
-        }
-        for (int offset = HEADER_BYTES; offset < data.length; offset += RECORD_BYTES) {
-            int block = data[offset] & 255;
-            int presentCount = data[offset + 2] & 255;
-            long recordedAtMicros = now - (data[offset + 1] & 255) * AGE_UNIT_MICROS;
-            if (block != ownBlock
-                    && presentCount > 0
-                    && (recordedAtMicros > observedAtMicros[block] || presentCounts[block] == 0)
-                    && now - recordedAtMicros < EXPIRY_MICROS) {
-                observedAtMicros[block] = recordedAtMicros;
-                presentCounts[block] = presentCount;
-                blockRates[block] = decodeRate(readUnsignedShort(data, offset + 3));
-            }
+        return FleetLoadMessage.decode(datagram, partition)
+                .map(
+                        message -> {
+                            message.records().forEach(received -> takeIfNewer(now, received));
+                            return true;
+                        })
+                .orElse(false);
+    }
+
+    private void takeIfNewer(long now, FleetLoadMessage.BlockRecord received) {
+        int block = received.block();
+        long receivedAtMicros = now - received.ageMicros();
+        boolean isNewer = receivedAtMicros > observedAtMicros[block] || presentCounts[block] == 0;
+        if (block != ownBlock
+                && received.presentCount() > 0
+                && isNewer
+                && received.ageMicros() < EXPIRY_MICROS) {
+            observedAtMicros[block] = receivedAtMicros;
+            presentCounts[block] = received.presentCount();
+            blockRates[block] = received.requestsPerSecond();
         }
-        return true;
     }
 
     private boolean isCurrent(long now, int block) {
         return now - observedAtMicros[block] < EXPIRY_MICROS;
     }
 
-    /** Whether the block's record counts still. */
+    /** Whether there is a record of {@code block} that counts. */
     public boolean hasCurrentRecord(long now, int block) {
         return presentCounts[block] > 0 && isCurrent(now, block);
     }
 
-    /** What is known of a block, itself as it was {@code age} µs ago; null where nothing counts. */
+    /** Load of {@code block} by its record; null without a record that counts. */
     public LoadTotal blockTotal(long now, int block) {
         return hasCurrentRecord(now, block)
                 ? new LoadTotal(
@@ -283,7 +289,7 @@
                 : null;
     }
 
-    /** The same for states from which the same follows. */
+    /** Hash of the state relative to {@code now}; equal for states with the same future. */
     public long fingerprint(long now) {
         long hash = ownRank;
         for (int block = 0; block < blockRates.length; block++) {
@@ -295,7 +301,7 @@
         return hash;
     }
 
-    /** All blocks of which there is a record that counts, the own one among them. */
+    /** Load of all blocks with a record that counts, the own block included. */
     public LoadTotal total(long now) {
         double maxRatePerBalancer = maxRatePerBalancer(now);
         double requestsPerSecond = 0;
@@ -323,28 +329,4 @@
         Arrays.sort(meanRates, 0, knownCount);
         return knownCount == 0 ? 0 : MAX_RATE_SKEW * Math.max(1, meanRates[knownCount / 2]);
     }
-
-    /** Four bits of exponent, twelve of the rest: to a part in 2,000, up to 134 million. */
-    static int encodeRate(int rate) {
-        int exponent = 0;
-        int mantissa = Math.max(0, rate);
-        while (mantissa > MAX_MANTISSA && exponent < 15) {
-            mantissa >>= 1;
-            exponent++;
-        }
-        return exponent << MANTISSA_BITS | Math.min(MAX_MANTISSA, mantissa);
-    }
-
-    static int decodeRate(int encodedRate) {
-        return (encodedRate & MAX_MANTISSA) << (encodedRate >> MANTISSA_BITS);
-    }
-
-    private static void writeUnsignedShort(byte[] data, int offset, int value) {
-        data[offset] = (byte) (value >> 8);
-        data[offset + 1] = (byte) value;
-    }
-
-    private static int readUnsignedShort(byte[] data, int offset) {
-        return (data[offset] & 255) << 8 | data[offset + 1] & 255;
-    }
 }
--- a/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossipMessage.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossipMessage.java
@@ -3,19 +3,28 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * One datagram between balancers, as values: how it is written and read. What is told and what to
- * make of it is the module's. Servers go by {@link #endpointCode}; two of a large fleet may share
- * one.
+ * Load report of one balancer, and its encoding as a datagram of format 3. Immutable.
  *
- * <p>Six bytes: the format, the sender's zone, the requests a second that it gets (two bytes), how
- * many queues and how many rests follow. Each queue takes two bytes, 13 bits of code and 3 of its
- * length; each rest four, the code, the class and the tenths of a second left of it; the remaining
- * bytes are codes, two bytes each, of servers that the sender can't connect to.
+ * <p>Endpoints are identified by {@link #endpointCode}, 13 bits of the hash of their id; in a large
+ * fleet two endpoints may share a code.
+ *
+ * <p>Layout, integers big-endian:
+ *
+ * <pre>
+ * header, 6 bytes:        format, zone, requests per second (2), in-flight count, ejection count
+ * in-flight entry, 2:     endpoint code (13 bits), attempts in flight (3 bits, 7 means 7 or more)
+ * ejection entry, 4:      endpoint code (2), class index, remaining time in units of 100 ms
+ * unreachable entry, 2:   endpoint code (2), up to the end of the datagram
+ * </pre>
  *
  * @param zone of the sender, 0 to 255
- * @param requestsPerSecond requests a second that the sender gets, 0 to 65535
+ * @param requestsPerSecond that the sender receives, 0 to 65535 on the wire
+ * @param inFlightEntries attempts of the sender in flight, by endpoint
+ * @param ejectionEntries request classes for which the sender has ejected an endpoint
+ * @param unreachableCodes codes of the endpoints to which the sender can't connect
  */
 public record LoadGossipMessage(
         int zone,
@@ -23,24 +32,35 @@
         List<InFlightEntry> inFlightEntries,
         List<EjectionEntry> ejectionEntries,
         List<Integer> unreachableCodes) {
+    static final int FORMAT = 3;
     static final int MAX_BYTES = 256;
     static final int MAX_EJECTION_ENTRIES = 16;
     static final int MAX_UNREACHABLE_CODES = 40;
     static final int ENDPOINT_CODE_COUNT = 1 << 13;
 
-    private static final int FORMAT = 3;
+    private static final int ZONE_OFFSET = 1;
+    private static final int RATE_OFFSET = 2;
+    private static final int IN_FLIGHT_COUNT_OFFSET = 4;
+    private static final int EJECTION_COUNT_OFFSET = 5;
     private static final int HEADER_BYTES = 6;
+    private static final int IN_FLIGHT_ENTRY_BYTES = 2;
+    private static final int EJECTION_ENTRY_BYTES = 4;
+    private static final int UNREACHABLE_ENTRY_BYTES = 2;
     private static final int IN_FLIGHT_BITS = 3;
     private static final int MAX_IN_FLIGHT = (1 << IN_FLIGHT_BITS) - 1;
-    // µs
     private static final long EJECTION_UNIT_MICROS = 100_000;
 
-    /** Attempts that the sender has out at a server; more than seven are told as seven. */
+    /** Attempts of the sender in flight at an endpoint; more than seven are encoded as seven. */
     record InFlightEntry(int endpointCode, int inFlight) {}
 
-    /** A class that the sender has found a server to fail, for {@code remainingMicros} µs more. */
+    /** A request class for which the sender has ejected an endpoint, and for how much longer. */
     record EjectionEntry(int endpointCode, int classIndex, long remainingMicros) {}
 
+    /**
+     * Copies the lists.
+     *
+     * @throws GossipMessageSizeException if they don't fit in {@link #MAX_BYTES}
+     */
     public LoadGossipMessage {
         inFlightEntries = List.copyOf(inFlightEntries);
         ejectionEntries = List.copyOf(ejectionEntries);
@@ -50,98 +70,120 @@
                 || inFlightEntries.size()
                         > maxInFlightEntries(
                                 MAX_BYTES, ejectionEntries.size(), unreachableCodes.size())) {
-            throw new IllegalArgumentException("more than fits in " + MAX_BYTES + " bytes");
+            throw new GossipMessageSizeException(
+                    inFlightEntries.size(), ejectionEntries.size(), unreachableCodes.size());
         }
     }
 
-    /** How many queues fit in so many bytes beside so many rests and lost servers. */
+    /** Number of in-flight entries that fit in {@code bytes} beside the other entries. */
     static int maxInFlightEntries(int bytes, int ejectionCount, int unreachableCount) {
-        return (bytes - HEADER_BYTES - 4 * ejectionCount - 2 * unreachableCount) / 2;
+        int otherBytes =
+                HEADER_BYTES
+                        + EJECTION_ENTRY_BYTES * ejectionCount
+                        + UNREACHABLE_ENTRY_BYTES * unreachableCount;
+        return (bytes - otherBytes) / IN_FLIGHT_ENTRY_BYTES;
     }
 
-    /** What stands for the server whose id has this hash. */
-    public static int endpointCode(long hash) {
-        return (int) (hash & ENDPOINT_CODE_COUNT - 1);
+    /** Code of the endpoint whose id has the hash {@code idHash}. */
+    public static int endpointCode(long idHash) {
+        return (int) (idHash & (ENDPOINT_CODE_COUNT - 1));
     }
 
+    /** Encodes this message; values beyond the range of a field become the nearest in range. */
     public byte[] encode() {
         byte[] datagram = new byte[MAX_BYTES];
         datagram[0] = FORMAT;
-        datagram[1] = (byte) zone;
-        writeUnsignedShort(datagram, 2, Math.max(0, Math.min(0xffff, requestsPerSecond)));
-        datagram[4] = (byte) inFlightEntries.size();
-        datagram[5] = (byte) ejectionEntries.size();
+        WireBytes.writeByte(datagram, ZONE_OFFSET, zone);
+        int encodedRate = Math.max(0, Math.min(WireBytes.MAX_UNSIGNED_SHORT, requestsPerSecond));
+        WireBytes.writeShort(datagram, RATE_OFFSET, encodedRate);
+        WireBytes.writeByte(datagram, IN_FLIGHT_COUNT_OFFSET, inFlightEntries.size());
+        WireBytes.writeByte(datagram, EJECTION_COUNT_OFFSET, ejectionEntries.size());
         int offset = HEADER_BYTES;
         for (InFlightEntry entry : inFlightEntries) {
-            offset =
-                    writeUnsignedShort(
-                            datagram,
-                            offset,
-                            entry.endpointCode << IN_FLIGHT_BITS
-                                    | Math.min(MAX_IN_FLIGHT, entry.inFlight));
+            offset = write(datagram, offset, entry);
         }
-        for (EjectionEntry ejection : ejectionEntries) {
-            offset = writeUnsignedShort(datagram, offset, ejection.endpointCode);
-            datagram[offset++] = (byte) ejection.classIndex;
-            datagram[offset++] =
-                    (byte) Math.min(255, ejection.remainingMicros / EJECTION_UNIT_MICROS);
+        for (EjectionEntry entry : ejectionEntries) {
+            offset = write(datagram, offset, entry);
         }
         for (int code : unreachableCodes) {
-            offset = writeUnsignedShort(datagram, offset, code);
+            offset = WireBytes.writeShort(datagram, offset, code);
         }
         return Arrays.copyOf(datagram, offset);
     }
 
-    /** The message of these bytes, or null where they are none: another format, or damaged. */
-    static LoadGossipMessage decode(byte[] datagram) {
+    private static int write(byte[] datagram, int offset, InFlightEntry entry) {
+        int inFlight = Math.min(MAX_IN_FLIGHT, entry.inFlight);
+        return WireBytes.writeShort(
+                datagram, offset, (entry.endpointCode << IN_FLIGHT_BITS) | inFlight);
+    }
+
+    private static int write(byte[] datagram, int offset, EjectionEntry entry) {
+        long remainingUnits =
+                Math.min(WireBytes.MAX_UNSIGNED_BYTE, entry.remainingMicros / EJECTION_UNIT_MICROS);
+        int classOffset = WireBytes.writeShort(datagram, offset, entry.endpointCode);
+        int unitsOffset = WireBytes.writeByte(datagram, classOffset, entry.classIndex);
+        return WireBytes.writeByte(datagram, unitsOffset, (int) remainingUnits);
+    }
+
+    /** Decodes a datagram; empty if it is of another format or damaged. */
+    static Optional<LoadGossipMessage> decode(byte[] datagram) {
         if (datagram.length < HEADER_BYTES
                 || datagram.length > MAX_BYTES
                 || datagram[0] != FORMAT) {
-            return null;
+            return Optional.empty();
         }
-        int ejectionsOffset = HEADER_BYTES + 2 * (datagram[4] & 255);
-        int unreachableOffset = ejectionsOffset + 4 * (datagram[5] & 255);
+        int ejectionCount = WireBytes.readUnsignedByte(datagram, EJECTION_COUNT_OFFSET);
+        int ejectionsOffset =
+                HEADER_BYTES
+                        + IN_FLIGHT_ENTRY_BYTES
+                                * WireBytes.readUnsignedByte(datagram, IN_FLIGHT_COUNT_OFFSET);
+        int unreachableOffset = ejectionsOffset + EJECTION_ENTRY_BYTES * ejectionCount;
         int unreachableBytes = datagram.length - unreachableOffset;
         if (unreachableBytes < 0
-                || unreachableBytes % 2 != 0
-                || unreachableBytes > 2 * MAX_UNREACHABLE_CODES
-                || (datagram[5] & 255) > MAX_EJECTION_ENTRIES) {
-            return null;
-        }
-        List<InFlightEntry> inFlightEntries = new ArrayList<>();
-        for (int offset = HEADER_BYTES; offset < ejectionsOffset; offset += 2) {
-            inFlightEntries.add(
-                    new InFlightEntry(
-                            readUnsignedShort(datagram, offset) >> IN_FLIGHT_BITS,
-                            readUnsignedShort(datagram, offset) & MAX_IN_FLIGHT));
+                || unreachableBytes % UNREACHABLE_ENTRY_BYTES != 0
+                || unreachableBytes > UNREACHABLE_ENTRY_BYTES * MAX_UNREACHABLE_CODES
+                || ejectionCount > MAX_EJECTION_ENTRIES) {
+            return Optional.empty();
         }
-        List<EjectionEntry> ejectionEntries = new ArrayList<>();
-        for (int offset = ejectionsOffset; offset < unreachableOffset; offset += 4) {
-            ejectionEntries.add(
-                    new EjectionEntry(
-                            readUnsignedShort(datagram, offset),
-                            datagram[offset + 2] & 255,
-                            (datagram[offset + 3] & 255) * EJECTION_UNIT_MICROS));
-        }
-        List<Integer> unreachableCodes = new ArrayList<>();
-        for (int offset = unreachableOffset; offset < datagram.length; offset += 2) {
-            unreachableCodes.add(readUnsignedShort(datagram, offset));
+        return Optional.of(
+                new LoadGossipMessage(
+                        WireBytes.readUnsignedByte(datagram, ZONE_OFFSET),
+                        WireBytes.readUnsignedShort(datagram, RATE_OFFSET),
+                        readInFlightEntries(datagram, ejectionsOffset),
+                        readEjectionEntries(datagram, ejectionsOffset, unreachableOffset),
+                        readUnreachableCodes(datagram, unreachableOffset)));
+    }
+
+    private static List<InFlightEntry> readInFlightEntries(byte[] datagram, int endOffset) {
+        List<InFlightEntry> entries = new ArrayList<>();
+        for (int offset = HEADER_BYTES; offset < endOffset; offset += IN_FLIGHT_ENTRY_BYTES) {
+            int bits = WireBytes.readUnsignedShort(datagram, offset);
+            entries.add(new InFlightEntry(bits >> IN_FLIGHT_BITS, bits & MAX_IN_FLIGHT));
         }
-        return new LoadGossipMessage(
-                datagram[1] & 255,
-                readUnsignedShort(datagram, 2),
-                inFlightEntries,
-                ejectionEntries,
-                unreachableCodes);
+        return entries;
     }
 
-    private static int writeUnsignedShort(byte[] datagram, int offset, int value) {
-        datagram[offset] = (byte) (value >> 8);
-        datagram[offset + 1] = (byte) value;
-        return offset + 2;
+    private static List<EjectionEntry> readEjectionEntries(
+            byte[] datagram, int startOffset, int endOffset) {
+        List<EjectionEntry> entries = new ArrayList<>();
+        for (int offset = startOffset; offset < endOffset; offset += EJECTION_ENTRY_BYTES) {
+            entries.add(
+                    new EjectionEntry(
+                            WireBytes.readUnsignedShort(datagram, offset),
+                            WireBytes.readUnsignedByte(datagram, offset + 2),
+                            WireBytes.readUnsignedByte(datagram, offset + 3)
+                                    * EJECTION_UNIT_MICROS));
+        }
+        return entries;
     }
 
-    private static int readUnsignedShort(byte[] datagram, int offset) {
-        return (datagram[offset] & 255) << 8 | datagram[offset + 1] & 255;
+    private static List<Integer> readUnreachableCodes(byte[] datagram, int startOffset) {
+        List<Integer> codes = new ArrayList<>();
+        for (int offset = startOffset;
+                offset < datagram.length;
+                offset += UNREACHABLE_ENTRY_BYTES) {
+            codes.add(WireBytes.readUnsignedShort(datagram, offset));
+        }
+        return codes;
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/gossip/FleetLoadAggregatorTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/FleetLoadAggregatorTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Arrays;
@@ -15,7 +14,7 @@
 class FleetLoadAggregatorTest {
     private static final long SECOND_MICROS = 1_000_000;
 
-    // Shortened rates lose up to a part in 2,048.
+    // Of the encoding of rates
     private static final double MAX_ROUNDING_ERROR = 1.0 / 2048;
 
     @ParameterizedTest
@@ -48,7 +47,7 @@
         fleet.run(10 * SECOND_MICROS);
         int maxDatagrams = Arrays.stream(fleet.datagramsSent).max().getAsInt();
         long maxBytes = Arrays.stream(fleet.bytesSent).max().getAsLong();
-        // Blocks differ by one balancer: one may tell two in place of one.
+        // Blocks differ by one balancer: one may have two receivers in place of one.
         assertTrue(
                 maxDatagrams <= 1.5 * 10 * datagramsPerRound,
                 maxDatagrams + " datagrams in 10 rounds");
@@ -99,7 +98,7 @@
         fleet.run(3 * SECOND_MICROS);
         assertTrue(
                 fleet.worstError() <= MAX_ROUNDING_ERROR,
-                "error after their return " + fleet.worstError());
+                "error after their restart " + fleet.worstError());
     }
 
     @Test
@@ -116,7 +115,7 @@
         assertTrue(fleet.worstError() <= MAX_ROUNDING_ERROR, "error " + fleet.worstError());
     }
 
-    /** Whoever has died, its part falls to those of its block that live: none is told by nobody. */
+    /** The receivers of crashed balancers fall to those alive in the same block. */
     @Test
     void survivorsTakeOverReceiversOfTheDead() {
         SimulatedAggregatorFleet fleet = new SimulatedAggregatorFleet(new BlockPartition(160), 7);
@@ -144,7 +143,7 @@
         assertTrue(worstError <= 0.1, "error " + worstError);
     }
 
-    /** One that tells of absurd rates is worth no more than eight of the middle blocks. */
+    /** A block with an absurd rate counts for at most eight times the median block. */
     @Test
     void implausibleRateIsBounded() {
         SimulatedAggregatorFleet fleet =
@@ -168,31 +167,29 @@
         FleetLoadAggregator sender = new FleetLoadAggregator(0, partition);
         sender.ownBlock(SECOND_MICROS, 14, 1_000);
         byte[][] sentPayload = new byte[1][];
-        sender.tick(0, m -> false, (to, data) -> sentPayload[0] = data);
+        sender.tick(0, balancer -> false, (to, data) -> sentPayload[0] = data);
         byte[] valid = sentPayload[0];
         FleetLoadAggregator.LoadTotal totalBefore = receiver.total(SECOND_MICROS);
 
-        assertEquals(
-                FleetLoadAggregator.HEADER_BYTES + FleetLoadAggregator.RECORD_BYTES, valid.length);
+        assertEquals(FleetLoadMessage.HEADER_BYTES + FleetLoadMessage.RECORD_BYTES, valid.length);
         byte[] otherFleet = valid.clone();
         otherFleet[2]++;
-        assertFalse(
-                receiver.onDatagram(SECOND_MICROS, 0, otherFleet), "of a fleet of another size");
+        assertFalse(receiver.onDatagram(SECOND_MICROS, 0, otherFleet), "fleet of another size");
         byte[] tooManyPresent = valid.clone();
-        tooManyPresent[FleetLoadAggregator.HEADER_BYTES + 2] = 15;
+        tooManyPresent[FleetLoadMessage.HEADER_BYTES + 2] = 15;
         assertFalse(
                 receiver.onDatagram(SECOND_MICROS, 0, tooManyPresent),
                 "more balancers than a block has");
         byte[] unknownBlock = valid.clone();
-        unknownBlock[FleetLoadAggregator.HEADER_BYTES] = 7;
-        assertFalse(receiver.onDatagram(SECOND_MICROS, 0, unknownBlock), "a block that is none");
-        assertFalse(receiver.onDatagram(SECOND_MICROS, 100, valid), "from nobody");
+        unknownBlock[FleetLoadMessage.HEADER_BYTES] = 7;
+        assertFalse(receiver.onDatagram(SECOND_MICROS, 0, unknownBlock), "unknown block");
+        assertFalse(receiver.onDatagram(SECOND_MICROS, 100, valid), "unknown sender");
         assertFalse(
                 receiver.onDatagram(SECOND_MICROS, 0, Arrays.copyOf(valid, valid.length - 1)),
-                "cut short");
+                "truncated");
         assertFalse(
                 receiver.onDatagram(SECOND_MICROS, 0, Arrays.copyOf(valid, valid.length + 1)),
-                "with something behind it");
+                "trailing byte");
         assertFalse(receiver.onDatagram(SECOND_MICROS, 0, new byte[0]), "empty");
         assertEquals(totalBefore, receiver.total(SECOND_MICROS));
         assertTrue(receiver.onDatagram(SECOND_MICROS, 0, valid));
@@ -202,13 +199,13 @@
             byte[] noise = new byte[random.nextInt(260)];
             random.nextBytes(noise);
             if (noise.length > 4) {
-                noise[0] = FleetLoadAggregator.FORMAT;
+                noise[0] = FleetLoadMessage.FORMAT;
                 noise[1] = 0;
                 noise[2] = 100;
                 noise[3] =
                         (byte)
-                                ((noise.length - FleetLoadAggregator.HEADER_BYTES)
-                                        / FleetLoadAggregator.RECORD_BYTES);
+                                ((noise.length - FleetLoadMessage.HEADER_BYTES)
+                                        / FleetLoadMessage.RECORD_BYTES);
             }
             receiver.onDatagram(SECOND_MICROS, random.nextInt(-1, 101), noise);
             assertTrue(receiver.total(SECOND_MICROS).presentCount() <= 100);
@@ -238,49 +235,4 @@
             }
         }
     }
-
-    @Test
-    void blocksPartitionAllBalancers() {
-        for (int balancerCount = 1;
-                balancerCount <= BlockPartition.MAX_BALANCERS;
-                balancerCount++) {
-            BlockPartition partition = new BlockPartition(balancerCount);
-            int nextBalancer = 0;
-            for (int block = 0; block < partition.blockCount(); block++) {
-                assertEquals(nextBalancer, partition.firstBalancer(block));
-                assertTrue(
-                        partition.blockSize(block) >= 1
-                                && partition.blockSize(block) <= BlockPartition.DEFAULT_BLOCK_SIZE);
-                for (int i = 0; i < partition.blockSize(block); i++) {
-                    assertEquals(block, partition.blockOf(nextBalancer++));
-                }
-            }
-            assertEquals(balancerCount, nextBalancer);
-        }
-    }
-
-    @Test
-    void fleetBeyondTheLimitIsRejected() {
-        IllegalArgumentException rejection =
-                assertThrows(
-                        IllegalArgumentException.class,
-                        () -> new BlockPartition(BlockPartition.MAX_BALANCERS + 1));
-        assertTrue(rejection.getMessage().contains("1824"), rejection.getMessage());
-        assertThrows(IllegalArgumentException.class, () -> new BlockPartition(0));
-    }
-
-    @Test
-    void compressedRatesKeepRelativePrecision() {
-        SplittableRandom random = new SplittableRandom(13);
-        for (int i = 0; i < 10_000; i++) {
-            int rate = random.nextInt(1 << random.nextInt(1, 28));
-            int restored = FleetLoadAggregator.decodeRate(FleetLoadAggregator.encodeRate(rate));
-            assertTrue(
-                    restored <= rate && rate - restored <= rate * MAX_ROUNDING_ERROR,
-                    rate + " came back as " + restored);
-        }
-        assertEquals(
-                4095 << 15,
-                FleetLoadAggregator.decodeRate(FleetLoadAggregator.encodeRate(Integer.MAX_VALUE)));
-    }
 }
--- a/balancer/src/test/java/loadbalancer/routing/gossip/GoldenLoadGossipTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/GoldenLoadGossipTest.java
@@ -27,9 +27,9 @@
  * Load reports between balancers, byte for byte: the codec's extremes, and what a balancer sends.
  */
 class GoldenLoadGossipTest {
-    private static final int GREATEST_CODE = 8_191;
+    private static final int MAX_CODE = 8_191;
     private static final byte LOAD_REPORT = 3;
-    private static final int RESTS_OFFSET = 5;
+    private static final int EJECTION_COUNT_OFFSET = 5;
 
     /** The messages by the names of their golden files. */
     static Map<String, LoadGossipMessage> messages() {
@@ -43,23 +43,23 @@
                         List.of(
                                 new InFlightEntry(0, 0),
                                 new InFlightEntry(0, 7),
-                                new InFlightEntry(GREATEST_CODE, 0),
-                                new InFlightEntry(GREATEST_CODE, 7),
+                                new InFlightEntry(MAX_CODE, 0),
+                                new InFlightEntry(MAX_CODE, 7),
                                 new InFlightEntry(4_660, 3)),
                         List.of(
                                 new EjectionEntry(0, 0, 0),
-                                new EjectionEntry(GREATEST_CODE, 255, 25_500_000),
+                                new EjectionEntry(MAX_CODE, 255, 25_500_000),
                                 new EjectionEntry(258, 1, 100_000)),
-                        List.of(0, GREATEST_CODE, 772)));
+                        List.of(0, MAX_CODE, 772)));
         messages.put(
                 "most-queues.hex",
-                new LoadGossipMessage(1, 256, queues(125), List.of(), List.of()));
+                new LoadGossipMessage(1, 256, inFlightEntries(125), List.of(), List.of()));
         messages.put(
                 "most-rests-and-lost.hex",
                 new LoadGossipMessage(
                         127,
                         32_768,
-                        queues(53),
+                        inFlightEntries(53),
                         IntStream.range(0, 16)
                                 .mapToObj(i -> new EjectionEntry(i * 511, i * 17, i * 1_600_000L))
                                 .toList(),
@@ -67,7 +67,7 @@
         return messages;
     }
 
-    private static List<InFlightEntry> queues(int size) {
+    private static List<InFlightEntry> inFlightEntries(int size) {
         return IntStream.range(0, size).mapToObj(i -> new InFlightEntry(i * 65, i % 8)).toList();
     }
 
@@ -80,7 +80,7 @@
     void bytesGiveValues(String name) {
         assertEquals(
                 messages().get(name),
-                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/" + name)));
+                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/" + name)).orElseThrow());
     }
 
     @ParameterizedTest
@@ -117,26 +117,33 @@
                         List.of(new InFlightEntry(5, 7)),
                         List.of(new EjectionEntry(5, 255, 25_500_000)),
                         List.of()),
-                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/beyond-greatest.hex")));
+                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/beyond-greatest.hex"))
+                        .orElseThrow());
         assertEquals(
                 new LoadGossipMessage(
                         0, 0, List.of(), List.of(new EjectionEntry(5, 0, 0)), List.of()),
-                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/below-least.hex")));
+                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/below-least.hex"))
+                        .orElseThrow());
     }
 
     /** The last report with a failing class that a balancer of a fleet of that size sends. */
-    static byte[] sentInFleetOf(int balancers) {
-        RequestClass unsafe =
+    static byte[] sentInFleetOf(int balancerCount) {
+        RequestClass nonIdempotent =
                 RoutingEngineHarness.requestClass(
                         Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
         RoutingSettings base =
                 RoutingEngineHarness.settings(
-                        balancers, true, DiscoveryMode.PUSH, List.of(), unsafe, unsafe);
+                        balancerCount,
+                        true,
+                        DiscoveryMode.PUSH,
+                        List.of(),
+                        nonIdempotent,
+                        nonIdempotent);
         RoutingLimits limits = new RoutingLimits(5, true, true, true, 250_000, 0, true);
         RoutingEngineHarness harness =
                 new RoutingEngineHarness(
                                 new RoutingSettings(
-                                        balancers,
+                                        balancerCount,
                                         1,
                                         9,
                                         base.requestClasses(),
@@ -177,17 +184,17 @@
     private static byte[] lastReportOfFailures(RoutingEngineHarness harness) {
         List<byte[]> reports =
                 harness.gossipMessages.stream()
-                        .filter(data -> data[0] == LOAD_REPORT && data[RESTS_OFFSET] > 0)
+                        .filter(data -> data[0] == LOAD_REPORT && data[EJECTION_COUNT_OFFSET] > 0)
                         .toList();
         return reports.get(reports.size() - 1);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {14, 100})
-    void balancerSendsBytes(int balancers) {
+    void balancerSendsBytes(int balancerCount) {
         assertEquals(
-                GoldenFiles.text("load-gossip/sent-in-fleet-of-" + balancers + ".hex"),
-                GoldenFiles.hexLines(sentInFleetOf(balancers)));
+                GoldenFiles.text("load-gossip/sent-in-fleet-of-" + balancerCount + ".hex"),
+                GoldenFiles.hexLines(sentInFleetOf(balancerCount)));
     }
 
     @Test
@@ -212,7 +219,8 @@
                                 new EjectionEntry(4_671, 1, 1_800_000),
                                 new EjectionEntry(6_872, 1, 1_900_000)),
                         List.of(5_267)),
-                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/sent-in-fleet-of-14.hex")));
+                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/sent-in-fleet-of-14.hex"))
+                        .orElseThrow());
     }
 
     @Test
@@ -232,7 +240,7 @@
                                 new InFlightEntry(413, 1)),
                         List.of(new EjectionEntry(6_872, 1, 300_000)),
                         List.of()),
-                LoadGossipMessage.decode(
-                        GoldenFiles.bytes("load-gossip/sent-in-fleet-of-100.hex")));
+                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/sent-in-fleet-of-100.hex"))
+                        .orElseThrow());
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/gossip/LoadGossipMessageTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/LoadGossipMessageTest.java
@@ -1,17 +1,17 @@
 package loadbalancer.routing.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** A datagram's bytes: whole, full, cut short and of chance. */
+/** Encoding and decoding of {@link LoadGossipMessage}: full, truncated and random datagrams. */
 class LoadGossipMessageTest {
     private static final LoadGossipMessage.EjectionEntry EJECTION =
             new LoadGossipMessage.EjectionEntry(8191, 3, 1_500_000);
@@ -27,22 +27,25 @@
                                 new LoadGossipMessage.InFlightEntry(0, 1)),
                         List.of(EJECTION),
                         List.of(5, 8191));
-        assertEquals(message, LoadGossipMessage.decode(message.encode()));
+        assertEquals(Optional.of(message), LoadGossipMessage.decode(message.encode()));
     }
 
     @Test
     void valuesBeyondTheirBitsAreClamped() {
         LoadGossipMessage decoded =
                 LoadGossipMessage.decode(
-                        new LoadGossipMessage(
-                                        0,
-                                        70_000,
-                                        List.of(new LoadGossipMessage.InFlightEntry(1, 900)),
-                                        List.of(
-                                                new LoadGossipMessage.EjectionEntry(
-                                                        1, 0, 60_000_000)),
-                                        List.of())
-                                .encode());
+                                new LoadGossipMessage(
+                                                0,
+                                                70_000,
+                                                List.of(
+                                                        new LoadGossipMessage.InFlightEntry(
+                                                                1, 900)),
+                                                List.of(
+                                                        new LoadGossipMessage.EjectionEntry(
+                                                                1, 0, 60_000_000)),
+                                                List.of())
+                                        .encode())
+                        .orElseThrow();
         assertEquals(65_535, decoded.requestsPerSecond());
         assertEquals(7, decoded.inFlightEntries().get(0).inFlight());
         assertEquals(25_500_000, decoded.ejectionEntries().get(0).remainingMicros());
@@ -54,23 +57,25 @@
                 Collections.nCopies(LoadGossipMessage.MAX_EJECTION_ENTRIES, EJECTION);
         List<Integer> unreachableCodes =
                 Collections.nCopies(LoadGossipMessage.MAX_UNREACHABLE_CODES, 9);
-        int maxLoads =
+        int maxInFlightEntries =
                 LoadGossipMessage.maxInFlightEntries(
                         LoadGossipMessage.MAX_BYTES, ejections.size(), unreachableCodes.size());
         LoadGossipMessage fullMessage =
                 new LoadGossipMessage(
                         0,
                         1,
-                        Collections.nCopies(maxLoads, new LoadGossipMessage.InFlightEntry(1, 1)),
+                        Collections.nCopies(
+                                maxInFlightEntries, new LoadGossipMessage.InFlightEntry(1, 1)),
                         ejections,
                         unreachableCodes);
         assertEquals(LoadGossipMessage.MAX_BYTES, fullMessage.encode().length);
-        assertEquals(fullMessage, LoadGossipMessage.decode(fullMessage.encode()));
-        List<LoadGossipMessage.InFlightEntry> tooManyLoads =
-                Collections.nCopies(maxLoads + 1, new LoadGossipMessage.InFlightEntry(1, 1));
+        assertEquals(Optional.of(fullMessage), LoadGossipMessage.decode(fullMessage.encode()));
+        List<LoadGossipMessage.InFlightEntry> tooManyEntries =
+                Collections.nCopies(
+                        maxInFlightEntries + 1, new LoadGossipMessage.InFlightEntry(1, 1));
         assertThrows(
-                IllegalArgumentException.class,
-                () -> new LoadGossipMessage(0, 1, tooManyLoads, ejections, unreachableCodes));
+                GossipMessageSizeException.class,
+                () -> new LoadGossipMessage(0, 1, tooManyEntries, ejections, unreachableCodes));
     }
 
     @Test
@@ -83,13 +88,18 @@
                                 List.of(EJECTION),
                                 List.of())
                         .encode();
-        assertNotNull(LoadGossipMessage.decode(encoded));
+        assertTrue(LoadGossipMessage.decode(encoded).isPresent());
         for (int length = 0; length < encoded.length; length++) {
-            assertNull(LoadGossipMessage.decode(Arrays.copyOf(encoded, length)), length + " bytes");
+            assertEquals(
+                    Optional.empty(),
+                    LoadGossipMessage.decode(Arrays.copyOf(encoded, length)),
+                    length + " bytes");
         }
         encoded[0]++;
-        assertNull(LoadGossipMessage.decode(encoded));
-        assertNull(LoadGossipMessage.decode(new byte[LoadGossipMessage.MAX_BYTES + 1]));
+        assertEquals(Optional.empty(), LoadGossipMessage.decode(encoded));
+        assertEquals(
+                Optional.empty(),
+                LoadGossipMessage.decode(new byte[LoadGossipMessage.MAX_BYTES + 1]));
     }
 
     @Test
@@ -104,12 +114,12 @@
                 bytes[4] &= 7;
                 bytes[5] &= 3;
             }
-            LoadGossipMessage message = LoadGossipMessage.decode(bytes);
-            if (message != null) {
+            Optional<LoadGossipMessage> message = LoadGossipMessage.decode(bytes);
+            if (message.isPresent()) {
                 decodedCount++;
-                assertEquals(message, LoadGossipMessage.decode(message.encode()));
+                assertEquals(message, LoadGossipMessage.decode(message.get().encode()));
             }
         }
-        assertEquals(true, decodedCount > 1_000, decodedCount + " were messages");
+        assertTrue(decodedCount > 1_000, decodedCount + " decoded");
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/gossip/LoadGossipTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/LoadGossipTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What balancers tell one another, and that nothing depends on it. */
+/** Exchange of load reports between routing engines, over {@link RoutingEngineHarness}. */
 class LoadGossipTest {
     private static final RequestClass NON_IDEMPOTENT =
             RoutingEngineHarness.requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
@@ -57,7 +57,7 @@
                         EndpointListKind.CACHED, RoutingEngineHarness.endpoints(endpointCount));
     }
 
-    /** The last message of balancer 1, which has many attempts out at the first two servers. */
+    /** Last report of balancer 1, which has many attempts in flight at the first two endpoints. */
     private static byte[] busyPeerMessage() {
         RoutingEngineHarness peer = harness(14, 1, true, 2);
         for (int i = 0; i < 12; i++) {
@@ -67,7 +67,7 @@
         return peer.gossipMessages.get(peer.gossipMessages.size() - 1);
     }
 
-    /** How many of forty requests, served one by one, go to the first two servers. */
+    /** How many of forty requests, served one after another, go to the first two endpoints. */
     private static long countSentToFirstTwo(RoutingEngineHarness harness) {
         int sentBefore = harness.sentAttempts.size();
         for (int i = 0; i < 40; i++) {
@@ -83,11 +83,11 @@
 
     @Test
     void reportedRemoteQueuesAreAvoided() {
-        // Own queues said nothing: sends met 5.7 attempts of all balancers, the mean of all
-        // servers.
+        // By the own queues alone, requests met 5.7 attempts of all balancers: the mean of all
+        // endpoints.
         RoutingEngineHarness harness = harness(14, 0, true, 6);
         harness.policy.onPeerMessage(harness.now, 1, busyPeerMessage(), harness);
-        assertTrue(countSentToFirstTwo(harness) == 0, "busy servers are avoided");
+        assertTrue(countSentToFirstTwo(harness) == 0, "requests at busy endpoints");
     }
 
     @Test
@@ -95,10 +95,10 @@
         RoutingEngineHarness harness = harness(14, 0, true, 6);
         harness.policy.onPeerMessage(harness.now, 1, busyPeerMessage(), harness);
         harness.advanceTime(2_000_000);
-        assertTrue(countSentToFirstTwo(harness) >= 6, "a balancer that is gone holds nothing");
+        assertTrue(countSentToFirstTwo(harness) >= 6, "an expired report has no effect");
         harness.policy.onPeerMessage(harness.now, 1, busyPeerMessage(), harness);
         harness.policy.onPeerMessage(harness.now, 1, new byte[] {3, 0, 0, 0, 0, 0}, harness);
-        assertTrue(countSentToFirstTwo(harness) >= 6, "the last message counts");
+        assertTrue(countSentToFirstTwo(harness) >= 6, "the last report replaces the one before");
     }
 
     @Test
@@ -125,7 +125,7 @@
                 harness.logLines.stream()
                         .filter(line -> line.contains("passed over a message"))
                         .count());
-        assertTrue(countSentToFirstTwo(harness) >= 6, "nothing was learnt");
+        assertTrue(countSentToFirstTwo(harness) >= 6, "a malformed report has an effect");
     }
 
     @Test
@@ -152,9 +152,7 @@
         assertFalse(harness.gossipMessages.isEmpty());
     }
 
-    /**
-     * Serves requests, twelve at a time, those at {@code s0} failing; returns how many went there.
-     */
+    /** Serves requests, twelve at a time; those at {@code s0} fail. Returns how many went there. */
     private static long countSentToFailing(RoutingEngineHarness harness, int requestCount) {
         long measuredFrom = harness.now;
         for (int i = 0; i < requestCount; i++) {
@@ -178,8 +176,8 @@
 
     @Test
     void gossipedEjectionIsAppliedAtOnce() {
-        // Each of fourteen found out by failures of its own: 60 errors a second, a twentieth of all
-        // requests.
+        // Without gossip each of fourteen needs errors of its own: 60 errors a second, a twentieth
+        // of all requests.
         RoutingEngineHarness reporter = harness(14, 1, true, 6);
         assertTrue(countSentToFailing(reporter, 60) >= 2);
         reporter.advanceTime(130_000);
@@ -190,11 +188,12 @@
                 reporter.gossipMessages.get(reporter.gossipMessages.size() - 1),
                 harness);
         assertTrue(
-                countSentToFailing(harness(14, 0, true, 6), 60) >= 1, "untold it would be sent to");
-        assertEquals(0, countSentToFailing(harness, 60), "it rests at once");
+                countSentToFailing(harness(14, 0, true, 6), 60) >= 1,
+                "without the report it would receive requests");
+        assertEquals(0, countSentToFailing(harness, 60), "it is ejected at once");
         harness.advanceTime(3_000_000);
         long sentCount = countSentToFailing(harness, 60);
-        assertTrue(sentCount == 1, "then it is tried for itself: " + sentCount);
+        assertTrue(sentCount == 1, "then one request tests it: " + sentCount);
     }
 
     @Test
@@ -210,7 +209,7 @@
                 harness);
         harness.advanceTime(200_000);
         byte[] payload = harness.gossipMessages.get(harness.gossipMessages.size() - 1);
-        assertEquals(List.of(), LoadGossipMessage.decode(payload).ejectionEntries());
+        assertEquals(List.of(), LoadGossipMessage.decode(payload).orElseThrow().ejectionEntries());
     }
 
     @Test
@@ -226,9 +225,7 @@
         assertEquals(0, harness.policy.remoteRequestsPerSecond());
     }
 
-    /**
-     * Counted work: what a balancer tells of itself, in 10 s under load, whatever the fleet's size.
-     */
+    /** Counted work: what a balancer sends in 10 s under load, at any size of the fleet. */
     @ParameterizedTest
     @ValueSource(ints = {34, 100, 400, 1_600})
     void largeFleetGossipStaysWithinItsBudget(int balancerCount) {
@@ -256,8 +253,8 @@
                 harness.gossipMessages.size() <= 10 * 50,
                 harness.gossipMessages.size() + " datagrams in 10 s");
         assertTrue(totalBytes <= 10 * 2_700, totalBytes + " bytes in 10 s");
-        assertFalse(harness.gossipReceivers.contains(-1), "not to all");
-        assertFalse(harness.gossipReceivers.contains(balancerCount - 1), "not to itself");
+        assertFalse(harness.gossipReceivers.contains(-1), "broadcast");
+        assertFalse(harness.gossipReceivers.contains(balancerCount - 1), "sent to itself");
         Set<Integer> loadReportReceivers =
                 IntStream.range(0, harness.gossipMessages.size())
                         .filter(i -> harness.gossipMessages.get(i)[0] == 3)
@@ -314,15 +311,16 @@
                         .flatMap(
                                 payload ->
                                         LoadGossipMessage.decode(payload)
+                                                .orElseThrow()
                                                 .unreachableCodes()
                                                 .stream())
                         .collect(Collectors.toSet());
         assertTrue(
                 unreachableCodes.size() > 7,
-                "more than one message holds: " + unreachableCodes.size());
+                "no more than one report holds: " + unreachableCodes.size());
     }
 
-    /** A fleet of a hundred, the told datagrams handed over every 50 ms, one in ten lost. */
+    /** A fleet of a hundred, datagrams delivered every 50 ms, one in ten lost. */
     @Test
     void hundredBalancersConvergeOnTotalRate() {
         List<RoutingEngineHarness> fleet =
@@ -338,9 +336,9 @@
                     fleet.get(rank).policy.remoteRequestsPerSecond() / (totalRate - rateOf(rank));
             assertTrue(
                     knownFraction > 0.8 && knownFraction < 1.2,
-                    knownFraction + " of what the others get, at " + rank);
+                    knownFraction + " of the true remote rate, at balancer " + rank);
         }
-        // Half of them die: the others know it within the time for which a block's record counts.
+        // Half of them crash: the others know it once the records of their blocks have expired.
         List<RoutingEngineHarness> survivors = fleet.subList(0, 50);
         runFleet(survivors, 7_000_000, random);
         double survivorRate = 0;
@@ -353,7 +351,7 @@
                             / (survivorRate - rateOf(rank));
             assertTrue(
                     knownFraction > 0.8 && knownFraction < 1.2,
-                    knownFraction + " of what the others get, at " + rank);
+                    knownFraction + " of the true remote rate, at balancer " + rank);
         }
     }
 
--- a/balancer/src/test/java/loadbalancer/routing/gossip/SimulatedAggregatorFleet.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/SimulatedAggregatorFleet.java
@@ -6,24 +6,21 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet of {@link FleetLoadAggregator} in simulated time, whose datagrams are late, lost or come
- * twice by a seed.
+ * A fleet of {@link FleetLoadAggregator} in simulated time, whose datagrams are delayed, lost or
+ * duplicated by a seeded generator.
  */
 final class SimulatedAggregatorFleet {
-    // µs between looks
     static final long TICK_MICROS = 50_000;
-    // µs on the way
     private static final long MAX_DELAY_MICROS = 2_000;
 
     final BlockPartition partition;
     final List<FleetLoadAggregator> aggregators = new ArrayList<>();
     final int[] rates;
     final boolean[] alive;
-    // µs that a member's clock is ahead
+    // How far the clock of each member is ahead
     final long[] clockSkewMicros;
-    // Datagrams, by member
+    // By member
     final int[] datagramsSent;
-    // The same
     final long[] bytesSent;
     double lossProbability;
     double duplicateProbability;
@@ -58,7 +55,7 @@
         }
     }
 
-    /** A process in place of a member's: it knows nothing. */
+    /** Replaces the process of a member by a new one, without any record. */
     void restart(int member) {
         aggregators.set(member, new FleetLoadAggregator(member, partition));
         alive[member] = true;
@@ -86,9 +83,7 @@
         int block = partition.blockOf(memberIndex);
         int presentCount = 0;
         long rate = 0;
-        for (int peer = partition.firstBalancer(block);
-                peer < partition.firstBalancer(block) + partition.blockSize(block);
-                peer++) {
+        for (int peer : partition.balancersOf(block).toArray()) {
             presentCount += alive[peer] ? 1 : 0;
             rate += alive[peer] ? rates[peer] : 0;
         }
@@ -140,7 +135,7 @@
         return count;
     }
 
-    /** The largest part by which a living member's sum is off. */
+    /** Greatest relative error of the total of any member that is alive. */
     double worstError() {
         double worst = 0;
         for (int i = 0; i < rates.length; i++) {
