--- a/balancer/src/test/java/loadbalancer/routing/gossip/GoldenFleetLoadTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/GoldenFleetLoadTest.java
@@ -10,7 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Datagrams of fleet-wide sums, byte for byte: one record and as many as fit, with extreme values.
+ * Datagrams of {@link FleetLoadAggregator}, byte for byte: one record and as many as fit, with
+ * extreme values.
  */
 class GoldenFleetLoadTest {
     private static final String LONE = "sums/lone-block.hex";
@@ -20,17 +21,17 @@
     private static final BlockPartition MOST_BLOCKS =
             new BlockPartition(BlockPartition.MAX_BALANCERS);
     private static final int BLOCK_COUNT = 114;
-    private static final int RECORDS = 50;
+    private static final int RECORD_COUNT = 50;
     private static final int UNKNOWN_BLOCK = 7;
     private static final long STEP_MICROS = 142_857;
-    private static final long FIRST_STEP_AT = 7_000 * STEP_MICROS;
-    private static final long LAST_STEP_AT = FIRST_STEP_AT + 6 * STEP_MICROS;
+    private static final long FIRST_STEP_AT_MICROS = 7_000 * STEP_MICROS;
+    private static final long LAST_STEP_AT_MICROS = FIRST_STEP_AT_MICROS + 6 * STEP_MICROS;
     private static final long AGE_UNIT_MICROS = 50_000;
 
     private record Datagram(int to, byte[] data) {}
 
     /**
-     * Requests a second of a block: the extremes of the shortened form, then values all over its
+     * Requests a second of a block: the extremes of the encoded form, then values all over its
      * range.
      */
     private static long rate(int block) {
@@ -38,7 +39,7 @@
         return block < extremes.length ? extremes[block] : 37L * block * block;
     }
 
-    /** The rate of a block after it was shortened: literal where it loses digits. */
+    /** The rate of a block after encoding: literal where it loses digits. */
     private static double receivedRate(int block) {
         return switch (block) {
             case 0 -> 134_184_960;
@@ -52,86 +53,95 @@
         return rate >> lostBits << lostBits;
     }
 
-    private static int present(int block) {
+    private static int presentCount(int block) {
         return 1 + block % 16;
     }
 
-    private static long ageAtFirstStep(int block) {
+    private static long ageAtFirstStepMicros(int block) {
         return block == 1 ? 0 : Math.min(81, block) * AGE_UNIT_MICROS;
     }
 
     /** Age of a record in the golden datagrams, whole units rounded up, µs. */
-    private static long receivedAge(int block) {
+    private static long receivedAgeMicros(int block) {
         if (block == 0) {
             return 0;
         }
-        long micros = ageAtFirstStep(block) + LAST_STEP_AT - FIRST_STEP_AT;
+        long micros = ageAtFirstStepMicros(block) + LAST_STEP_AT_MICROS - FIRST_STEP_AT_MICROS;
         return (micros + AGE_UNIT_MICROS - 1) / AGE_UNIT_MICROS * AGE_UNIT_MICROS;
     }
 
-    /** The datagram by which a block's first balancer tells of its own block. */
-    private static byte[] ownRecord(int block) {
-        FleetLoadAggregator sums =
+    /** The datagram with which the first balancer of a block reports its own block. */
+    private static byte[] ownRecordDatagram(int block) {
+        FleetLoadAggregator aggregator =
                 new FleetLoadAggregator(MOST_BLOCKS.firstBalancer(block), MOST_BLOCKS);
-        sums.ownBlock(FIRST_STEP_AT - ageAtFirstStep(block), present(block), rate(block));
-        return sent(sums, FIRST_STEP_AT).get(0).data();
+        aggregator.ownBlock(
+                FIRST_STEP_AT_MICROS - ageAtFirstStepMicros(block),
+                presentCount(block),
+                rate(block));
+        return sent(aggregator, FIRST_STEP_AT_MICROS).get(0).data();
     }
 
-    private static List<Datagram> sent(FleetLoadAggregator sums, long now) {
+    private static List<Datagram> sent(FleetLoadAggregator aggregator, long now) {
         List<Datagram> sent = new ArrayList<>();
-        sums.tick(now, balancer -> true, (to, data) -> sent.add(new Datagram(to, data)));
+        aggregator.tick(now, balancer -> true, (to, data) -> sent.add(new Datagram(to, data)));
         return sent;
     }
 
     /** What balancer 0 of the largest fleet sends in the last step, knowing all blocks but one. */
-    private static List<Datagram> lastStep() {
-        FleetLoadAggregator sums = new FleetLoadAggregator(0, MOST_BLOCKS);
-        sums.ownBlock(FIRST_STEP_AT, present(0), rate(0));
+    private static List<Datagram> sentInLastStep() {
+        FleetLoadAggregator aggregator = new FleetLoadAggregator(0, MOST_BLOCKS);
+        aggregator.ownBlock(FIRST_STEP_AT_MICROS, presentCount(0), rate(0));
         for (int block = 1; block < BLOCK_COUNT; block++) {
             if (block != UNKNOWN_BLOCK) {
                 assertTrue(
-                        sums.onDatagram(
-                                FIRST_STEP_AT, MOST_BLOCKS.firstBalancer(block), ownRecord(block)));
+                        aggregator.onDatagram(
+                                FIRST_STEP_AT_MICROS,
+                                MOST_BLOCKS.firstBalancer(block),
+                                ownRecordDatagram(block)));
             }
         }
-        sums.ownBlock(LAST_STEP_AT, present(0), rate(0));
-        return sent(sums, LAST_STEP_AT);
+        aggregator.ownBlock(LAST_STEP_AT_MICROS, presentCount(0), rate(0));
+        return sent(aggregator, LAST_STEP_AT_MICROS);
     }
 
-    static byte[] forward() {
-        return lastStep().get(0).data();
+    static byte[] forwardDatagram() {
+        return sentInLastStep().get(0).data();
     }
 
-    static byte[] backward() {
-        List<Datagram> sent = lastStep();
+    static byte[] backwardDatagram() {
+        List<Datagram> sent = sentInLastStep();
         return sent.get(sent.size() - 1).data();
     }
 
     /** The only block left of three, whose own figures are older than the format can say. */
-    static byte[] lone() {
-        FleetLoadAggregator sums = new FleetLoadAggregator(0, new BlockPartition(34));
-        sums.ownBlock(0, 11, 0);
-        return sent(sums, 20_000_000).get(0).data();
+    static byte[] loneDatagram() {
+        FleetLoadAggregator aggregator = new FleetLoadAggregator(0, new BlockPartition(34));
+        aggregator.ownBlock(0, 11, 0);
+        return sent(aggregator, 20_000_000).get(0).data();
     }
 
     private static void assertBlocks(String file, int first, int direction) {
         byte[] data = GoldenFiles.bytes(file);
-        assertEquals(4 + 5 * RECORDS, data.length);
+        assertEquals(4 + 5 * RECORD_COUNT, data.length);
         FleetLoadAggregator receiver =
                 new FleetLoadAggregator(MOST_BLOCKS.firstBalancer(57), MOST_BLOCKS);
-        assertTrue(receiver.onDatagram(LAST_STEP_AT, 0, data));
-        for (int i = 0; i < RECORDS; i++) {
+        assertTrue(receiver.onDatagram(LAST_STEP_AT_MICROS, 0, data));
+        for (int i = 0; i < RECORD_COUNT; i++) {
             int block = Math.floorMod(first + direction * i, BLOCK_COUNT);
             FleetLoadAggregator.LoadTotal expected =
                     block == UNKNOWN_BLOCK
                             ? null
                             : new FleetLoadAggregator.LoadTotal(
-                                    receivedRate(block), present(block), receivedAge(block));
-            assertEquals(expected, receiver.blockTotal(LAST_STEP_AT, block), "block " + block);
+                                    receivedRate(block),
+                                    presentCount(block),
+                                    receivedAgeMicros(block));
+            assertEquals(
+                    expected, receiver.blockTotal(LAST_STEP_AT_MICROS, block), "block " + block);
         }
         assertNull(
                 receiver.blockTotal(
-                        LAST_STEP_AT, Math.floorMod(first + direction * RECORDS, BLOCK_COUNT)));
+                        LAST_STEP_AT_MICROS,
+                        Math.floorMod(first + direction * RECORD_COUNT, BLOCK_COUNT)));
     }
 
     @Test
@@ -146,17 +156,17 @@
 
     @Test
     void valuesGiveForwardBytes() {
-        assertEquals(GoldenFiles.text(FORWARD), GoldenFiles.hexLines(forward()));
+        assertEquals(GoldenFiles.text(FORWARD), GoldenFiles.hexLines(forwardDatagram()));
     }
 
     @Test
     void valuesGiveBackwardBytes() {
-        assertEquals(GoldenFiles.text(BACKWARD), GoldenFiles.hexLines(backward()));
+        assertEquals(GoldenFiles.text(BACKWARD), GoldenFiles.hexLines(backwardDatagram()));
     }
 
     /** The greatest age of the format is past the time after which a record counts. */
     @Test
-    void loneBytesAreTakenButDoNotCount() {
+    void loneBytesAreAcceptedButDoNotCount() {
         FleetLoadAggregator receiver = new FleetLoadAggregator(33, new BlockPartition(34));
         assertTrue(receiver.onDatagram(20_000_000, 0, GoldenFiles.bytes(LONE)));
         assertNull(receiver.blockTotal(20_000_000, 0));
@@ -164,6 +174,6 @@
 
     @Test
     void valuesGiveLoneBytes() {
-        assertEquals(GoldenFiles.text(LONE), GoldenFiles.hexLines(lone()));
+        assertEquals(GoldenFiles.text(LONE), GoldenFiles.hexLines(loneDatagram()));
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/gossip/GoldenLoadGossipTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/GoldenLoadGossipTest.java
@@ -9,13 +9,6 @@
 import loadbalancer.GoldenFiles;
 import loadbalancer.routing.RoutingEngineHarness;
 import loadbalancer.routing.api.AttemptOutcome;
-import loadbalancer.routing.api.DeduplicationScope;
-import loadbalancer.routing.api.DiscoveryMode;
-import loadbalancer.routing.api.EndpointListKind;
-import loadbalancer.routing.api.Idempotency;
-import loadbalancer.routing.api.RequestClass;
-import loadbalancer.routing.api.RoutingLimits;
-import loadbalancer.routing.api.RoutingSettings;
 import loadbalancer.routing.gossip.LoadGossipMessage.EjectionEntry;
 import loadbalancer.routing.gossip.LoadGossipMessage.InFlightEntry;
 import org.junit.jupiter.api.Test;
@@ -128,39 +121,15 @@
 
     /** The last report with a failing class that a balancer of a fleet of that size sends. */
     static byte[] sentInFleetOf(int balancerCount) {
-        RequestClass nonIdempotent =
-                RoutingEngineHarness.requestClass(
-                        Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
-        RoutingSettings base =
-                RoutingEngineHarness.settings(
+        RoutingEngineHarness harness =
+                GossipFixtures.harness(
                         balancerCount,
+                        1,
+                        9,
                         true,
-                        DiscoveryMode.PUSH,
-                        List.of(),
-                        nonIdempotent,
-                        nonIdempotent);
-        RoutingLimits limits = new RoutingLimits(5, true, true, true, 250_000, 0, true);
-        RoutingEngineHarness harness =
-                new RoutingEngineHarness(
-                                new RoutingSettings(
-                                        balancerCount,
-                                        1,
-                                        9,
-                                        base.requestClasses(),
-                                        base.tenants(),
-                                        base.overQuotaWeightFactor(),
-                                        base.objectiveWeights(),
-                                        base.costs(),
-                                        base.weightPerWorkUnit(),
-                                        base.discoveryMode(),
-                                        base.loadReportSource(),
-                                        base.keyAffinityEnabled(),
-                                        limits,
-                                        base.bounds(),
-                                        base.clockTickMicros()),
-                                5)
-                        .updateEndpoints(
-                                EndpointListKind.CACHED, RoutingEngineHarness.endpoints(12));
+                        12,
+                        GossipFixtures.NON_IDEMPOTENT,
+                        GossipFixtures.NON_IDEMPOTENT);
         for (int i = 0; i < 400; i++) {
             RoutingEngineHarness.SentAttempt attempt = harness.request("request-" + i, i % 2);
             harness.advanceTime(5_000);
--- a/balancer/src/test/java/loadbalancer/routing/gossip/LoadGossipTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/LoadGossipTest.java
@@ -13,48 +13,21 @@
 import java.util.stream.Stream;
 import loadbalancer.routing.RoutingEngineHarness;
 import loadbalancer.routing.api.AttemptOutcome;
-import loadbalancer.routing.api.DeduplicationScope;
-import loadbalancer.routing.api.DiscoveryMode;
-import loadbalancer.routing.api.EndpointListKind;
-import loadbalancer.routing.api.Idempotency;
-import loadbalancer.routing.api.RequestClass;
-import loadbalancer.routing.api.RoutingLimits;
-import loadbalancer.routing.api.RoutingSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Exchange of load reports between routing engines, over {@link RoutingEngineHarness}. */
 class LoadGossipTest {
-    private static final RequestClass NON_IDEMPOTENT =
-            RoutingEngineHarness.requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
-
     private static RoutingEngineHarness harness(
             int balancerCount, int rank, boolean gossipAllowed, int endpointCount) {
-        RoutingSettings baseSettings =
-                RoutingEngineHarness.settings(
-                        balancerCount, true, DiscoveryMode.PUSH, List.of(), NON_IDEMPOTENT);
-        RoutingLimits limits = new RoutingLimits(5, true, true, true, 250_000, 0, gossipAllowed);
-        return new RoutingEngineHarness(
-                        new RoutingSettings(
-                                balancerCount,
-                                rank,
-                                0,
-                                baseSettings.requestClasses(),
-                                baseSettings.tenants(),
-                                baseSettings.overQuotaWeightFactor(),
-                                baseSettings.objectiveWeights(),
-                                baseSettings.costs(),
-                                baseSettings.weightPerWorkUnit(),
-                                baseSettings.discoveryMode(),
-                                baseSettings.loadReportSource(),
-                                baseSettings.keyAffinityEnabled(),
-                                limits,
-                                baseSettings.bounds(),
-                                baseSettings.clockTickMicros()),
-                        5)
-                .updateEndpoints(
-                        EndpointListKind.CACHED, RoutingEngineHarness.endpoints(endpointCount));
+        return GossipFixtures.harness(
+                balancerCount,
+                rank,
+                0,
+                gossipAllowed,
+                endpointCount,
+                GossipFixtures.NON_IDEMPOTENT);
     }
 
     /** Last report of balancer 1, which has many attempts in flight at the first two endpoints. */
