--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/config/EndpointListCodec.java
@@ -0,0 +1,197 @@
+package loadbalancer.config;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufUtil;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointStatus;
+
+/**
+ * Decodes endpoint lists from discovery's JSON: {@code {"rev": N, "all": true, "targets": [...]}}.
+ * Fields that it doesn't know are skipped. All methods throw {@link InvalidEndpointListException}
+ * for a document that is not such a list. Stateless.
+ */
+public final class EndpointListCodec {
+    /** Entries that one list may have; more would not fit into memory beside the requests. */
+    static final int MAX_ENTRIES = 20_000;
+
+    private static final String ENTRIES_FIELD = "targets";
+    private static final String REVISION_FIELD = "rev";
+    private static final String COMPLETE_FIELD = "all";
+    private static final long MICROS_PER_MS = 1_000;
+    private static final int UNKNOWN_CELL = -1;
+    private static final JsonFactory JSON_FACTORY = new JsonFactory();
+
+    private EndpointListCodec() {}
+
+    /** Decodes a JSON text; {@code boot} names the zones and machine types. */
+    public static EndpointList decode(String json, BootSettings boot) {
+        byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
+        return decode(bytes, 0, bytes.length, boot);
+    }
+
+    /** Decodes the readable bytes of {@code json}, which keeps its reference count and indexes. */
+    public static EndpointList decode(ByteBuf json, BootSettings boot) {
+        byte[] bytes = json.hasArray() ? json.array() : ByteBufUtil.getBytes(json);
+        int offset = json.hasArray() ? json.arrayOffset() + json.readerIndex() : 0;
+        return decode(bytes, offset, json.readableBytes(), boot);
+    }
+
+    /**
+     * Decodes {@code length} bytes of UTF-8 from {@code offset} on, entry by entry: as one tree, a
+     * list of 14,000 entries took many times its own size in memory.
+     */
+    public static EndpointList decode(byte[] json, int offset, int length, BootSettings boot) {
+        try (JsonParser parser = JSON_FACTORY.createParser(json, offset, length)) {
+            List<EndpointList.Entry> entries = null;
+            Map<String, Object> fields = new HashMap<>();
+            if (parser.nextToken() == JsonToken.START_OBJECT) {
+                while (parser.nextToken() == JsonToken.FIELD_NAME) {
+                    String name = parser.currentName();
+                    JsonToken valueStart = parser.nextToken();
+                    if (valueStart == JsonToken.START_ARRAY && name.equals(ENTRIES_FIELD)) {
+                        entries = decodeEntries(parser, boot);
+                    }
+                    putUnique(fields, name, readPlainValue(parser));
+                }
+            }
+            if (entries == null) {
+                throw missingEntries();
+            }
+            return toEndpointList(fields, entries);
+        } catch (IOException e) {
+            throw new InvalidEndpointListException("not JSON", e);
+        }
+    }
+
+    /** Decodes a list that is part of a larger document, from the tree that its reader made. */
+    static EndpointList decodeTree(Object json, BootSettings boot) {
+        if (!(json instanceof Map<?, ?> fields)
+                || !(fields.get(ENTRIES_FIELD) instanceof List<?> elements)) {
+            throw missingEntries();
+        }
+        requireEntryCount(elements.size());
+        List<EndpointList.Entry> entries = new ArrayList<>();
+        for (Object element : elements) {
+            entries.add(toEntry(element instanceof Map<?, ?> map ? map : Map.of(), boot));
+        }
+        return toEndpointList(fields, List.copyOf(entries));
+    }
+
+    private static List<EndpointList.Entry> decodeEntries(JsonParser parser, BootSettings boot)
+            throws IOException {
+        List<EndpointList.Entry> entries = new ArrayList<>();
+        // One map for all entries: a map for each would be most of what decoding allocates
+        Map<String, Object> fields = new HashMap<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            fields.clear();
+            if (parser.currentToken() == JsonToken.START_OBJECT) {
+                readFields(parser, fields);
+            }
+            requireEntryCount(entries.size() + 1);
+            entries.add(toEntry(fields, boot));
+        }
+        return List.copyOf(entries);
+    }
+
+    private static void readFields(JsonParser parser, Map<String, Object> fields)
+            throws IOException {
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
+            putUnique(fields, name, readPlainValue(parser));
+        }
+    }
+
+    // Duplicate names are refused, as the configuration's JSON reader refuses them.
+    private static void putUnique(Map<String, Object> fields, String name, Object value) {
+        if (fields.containsKey(name)) {
+            throw new InvalidEndpointListException("not JSON");
+        }
+        fields.put(name, value);
+    }
+
+    // A string, number or boolean; null for null, and for objects and arrays, which are skipped.
+    private static Object readPlainValue(JsonParser parser) throws IOException {
+        return switch (parser.currentToken()) {
+            case VALUE_STRING -> parser.getText();
+            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
+            case VALUE_TRUE -> true;
+            case VALUE_FALSE -> false;
+            case START_OBJECT, START_ARRAY -> {
+                parser.skipChildren();
+                yield null;
+            }
+            default -> null;
+        };
+    }
+
+    private static EndpointList toEndpointList(Map<?, ?> fields, List<EndpointList.Entry> entries) {
+        long revision = (long) finiteNumber(fields.get(REVISION_FIELD), 0);
+        boolean complete = Boolean.TRUE.equals(fields.get(COMPLETE_FIELD));
+        return new EndpointList(revision, complete, entries);
+    }
+
+    private static EndpointList.Entry toEntry(Map<?, ?> fields, BootSettings boot) {
+        if (!(fields.get("uid") instanceof String id) || id.isEmpty()) {
+            throw new InvalidEndpointListException("a target without uid");
+        }
+        EndpointStatus status = toStatus(fields.get("state"));
+        InetSocketAddress address = toAddress(fields.get("endpoint"), status);
+        double weight = finiteNumber(fields.get("capacity_hint"), 1);
+        Endpoint endpoint =
+                new Endpoint(
+                        id,
+                        status,
+                        (long) (finiteNumber(fields.get("boot_ms"), 0) * MICROS_PER_MS),
+                        weight > 0 ? weight : 1,
+                        (int) finiteNumber(fields.get("pod_group"), UNKNOWN_CELL),
+                        PlatformTerms.indexOfName(boot.machineTypeNames(), fields.get("model")),
+                        PlatformTerms.indexOfName(boot.zoneNames(), fields.get("az")));
+        return new EndpointList.Entry(endpoint, address);
+    }
+
+    private static EndpointStatus toStatus(Object state) {
+        EndpointStatus status = PlatformTerms.endpointStatus(String.valueOf(state));
+        if (status == null) {
+            throw new InvalidEndpointListException("unknown state: '" + state + "'");
+        }
+        return status;
+    }
+
+    private static InetSocketAddress toAddress(Object address, EndpointStatus status) {
+        if (address == null && status == EndpointStatus.REMOVED) {
+            return null;
+        }
+        try {
+            return SocketAddressParser.parse(String.valueOf(address));
+        } catch (InvalidAddressException e) {
+            throw new InvalidEndpointListException(e.getMessage(), e);
+        }
+    }
+
+    private static double finiteNumber(Object value, double defaultValue) {
+        return value instanceof Number number && Double.isFinite(number.doubleValue())
+                ? number.doubleValue()
+                : defaultValue;
+    }
+
+    private static void requireEntryCount(int entryCount) {
+        if (entryCount > MAX_ENTRIES) {
+            throw new InvalidEndpointListException("more than " + MAX_ENTRIES + " targets");
+        }
+    }
+
+    private static InvalidEndpointListException missingEntries() {
+        return new InvalidEndpointListException("no list of targets");
+    }
+}
--- a/balancer/src/main/java/loadbalancer/config/FileChangeDetector.java
+++ b/balancer/src/main/java/loadbalancer/config/FileChangeDetector.java
@@ -4,36 +4,47 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
+import java.nio.file.attribute.FileTime;
 
-/** Tells whether a file has been replaced or written since the last look. */
+/**
+ * Polls a file's attributes for a change of its content or its replacement by another file. Not
+ * thread-safe: it belongs to the thread that polls.
+ */
 public final class FileChangeDetector {
     private final Path file;
-    private String lastFingerprint;
+    // Null until the file has been seen
+    private Fingerprint lastFingerprint;
 
+    /** What differs between two versions of a file, as far as its attributes show. */
+    private record Fingerprint(Object fileKey, long sizeBytes, FileTime lastModified) {}
+
+    /** Takes the file's present version as the one to compare with. */
     public FileChangeDetector(Path file) {
         this.file = file;
         this.lastFingerprint = fingerprint();
     }
 
+    /**
+     * Whether the file differs from the version that the last call saw. A missing file is no
+     * change: while a file is being replaced there may be none for a moment.
+     */
     public boolean hasChanged() {
-        String currentFingerprint = fingerprint();
-        boolean changed =
-                !currentFingerprint.isEmpty() && !currentFingerprint.equals(lastFingerprint);
-        // Between two files there may be none
-        lastFingerprint = currentFingerprint.isEmpty() ? lastFingerprint : currentFingerprint;
-        return changed;
+        Fingerprint currentFingerprint = fingerprint();
+        if (currentFingerprint == null || currentFingerprint.equals(lastFingerprint)) {
+            return false;
+        }
+        lastFingerprint = currentFingerprint;
+        return true;
     }
 
-    private String fingerprint() {
+    // Null where the file can't be read.
+    private Fingerprint fingerprint() {
         try {
             BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
-            return attributes.fileKey()
-                    + " "
-                    + attributes.size()
-                    + " "
-                    + attributes.lastModifiedTime();
+            return new Fingerprint(
+                    attributes.fileKey(), attributes.size(), attributes.lastModifiedTime());
         } catch (IOException e) {
-            return "";
+            return null;
         }
     }
 }
--- a/balancer/src/main/java/loadbalancer/config/InvalidConfigException.java
+++ b/balancer/src/main/java/loadbalancer/config/InvalidConfigException.java
@@ -1,10 +1,17 @@
 package loadbalancer.config;
 
-/** What is wrong with the configuration, in one line. */
+/**
+ * The configuration can't be used. The message is one line for operators that names the file or
+ * variable, the field and what is wrong with it.
+ */
 public final class InvalidConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     InvalidConfigException(String message) {
         super(message);
     }
+
+    InvalidConfigException(String message, Throwable cause) {
+        super(message, cause);
+    }
 }
--- a/balancer/src/main/java/loadbalancer/config/LocalSettings.java
+++ b/balancer/src/main/java/loadbalancer/config/LocalSettings.java
@@ -8,65 +8,83 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * The program's own settings, of which the platform's configuration knows nothing: a TOML file that
- * {@code TANSYFERRY_SETTINGS} names, and variables that win over it. Without either all is as it
- * was before there were any. A file with faults is refused as a whole, and all its faults are told
- * at once.
+ * Settings of the load balancer itself, which the platform's configuration does not have: a TOML
+ * file that {@code TANSYFERRY_SETTINGS} names, and environment variables that override it. Without
+ * either each setting has its default. A file with errors is rejected as a whole, and all errors
+ * are reported at once. Immutable.
  */
 public final class LocalSettings {
-    /** What may be set; the order is that of the documents' table. */
+    private static final String FILE_VARIABLE = "TANSYFERRY_SETTINGS";
+    private static final String ON = "on";
+    private static final String OFF = "off";
+
+    /** The settings, in the order of the table in {@code docs/settings.md}. */
     public enum Setting {
+        /** Whether balancers detect each other's failure. */
         MEMBERSHIP_ENABLED(
                 "membership.on",
                 "TANSYFERRY_MEMBERSHIP",
                 ValueType.BOOLEAN,
-                "off",
-                0,
-                0,
-                "balancers tell each other who is present"),
+                OFF,
+                "SWIM membership: balancers detect which of them are alive"),
+        /** Whether leases are held; needs membership. */
         LEASES_ENABLED(
                 "duties.on",
                 "TANSYFERRY_DUTIES",
                 ValueType.BOOLEAN,
-                "off",
-                0,
-                0,
-                "what only one of them does at a time; needs `membership.on`"),
+                OFF,
+                "leases for work that one balancer does at a time; needs `membership.on`"),
+        /** Whether requests fail over to other zones as a whole. */
         ZONE_FAILOVER_ENABLED(
                 "zones.on",
                 "TANSYFERRY_ZONES",
                 ValueType.BOOLEAN,
-                "off",
-                0,
-                0,
-                "a lost zone is left as a whole, and met again in steps"),
+                OFF,
+                "zone failover: a lost zone is ejected as a whole, and its traffic ramps up"
+                        + " again in steps"),
+        /** Where state that survives a crash is stored. */
         STATE_DIRECTORY(
                 "state.dir",
                 "TANSYFERRY_STATE_DIR",
                 ValueType.DIRECTORY,
                 "",
-                0,
-                0,
-                "a folder of this balancer's own, for what outlives a crash; none: nothing is kept"),
+                "directory of this balancer alone, for state that survives a crash; none: no"
+                        + " state is stored"),
+        /** Least time between two snapshots. */
         SNAPSHOT_INTERVAL_MS(
                 "state.every_ms",
-                null,
-                ValueType.MILLISECONDS,
                 "1000",
                 100,
                 60_000,
-                "least time between two snapshots of the list");
+                "least time between two snapshots of the endpoint list");
+
+        private static final String NO_VARIABLE = "";
+
+        private final String key;
+        private final String environmentVariable;
+        private final ValueType type;
+        private final String defaultValue;
+        private final long min;
+        private final long max;
+        private final String description;
+
+        /** A setting without bounds that a variable overrides. */
+        Setting(
+                String key,
+                String environmentVariable,
+                ValueType type,
+                String defaultValue,
+                String description) {
+            this(key, environmentVariable, type, defaultValue, 0, 0, description);
+        }
 
-        final String key;
-        // Null: the file only
-        final String environmentVariable;
-        final ValueType type;
-        final String defaultValue;
-        final long min;
-        final long max;
-        final String description;
+        /** A duration that only the file sets, from {@code min} to {@code max} ms. */
+        Setting(String key, String defaultValue, long min, long max, String description) {
+            this(key, NO_VARIABLE, ValueType.MILLISECONDS, defaultValue, min, max, description);
+        }
 
         Setting(
                 String key,
@@ -84,147 +102,177 @@
             this.max = max;
             this.description = description;
         }
+
+        String key() {
+            return key;
+        }
+
+        ValueType type() {
+            return type;
+        }
+
+        /** What is wrong with a value as a variable or the file gives it; empty if nothing is. */
+        Optional<String> problemWith(String value) {
+            return switch (type) {
+                case BOOLEAN ->
+                        value.equals(ON) || value.equals(OFF)
+                                ? Optional.empty()
+                                : Optional.of("neither on nor off: '" + value + "'");
+                case DIRECTORY ->
+                        isValidPath(value)
+                                ? Optional.empty()
+                                : Optional.of("no path: '" + value + "'");
+                case MILLISECONDS ->
+                        isWithinBounds(value) ? Optional.empty() : Optional.of(typeProblem());
+            };
+        }
+
+        private boolean isWithinBounds(String value) {
+            return value.matches("\\d{1,9}")
+                    && Long.parseLong(value) >= min
+                    && Long.parseLong(value) <= max;
+        }
+
+        private static boolean isValidPath(String value) {
+            try {
+                Path.of(value);
+                return true;
+            } catch (InvalidPathException e) {
+                return false;
+            }
+        }
+
+        /** What is wrong with a value of another type. */
+        String typeProblem() {
+            return switch (type) {
+                case BOOLEAN -> "not true or false";
+                case DIRECTORY -> "not a text that names a folder";
+                case MILLISECONDS -> "not a whole number of ms from " + min + " to " + max;
+            };
+        }
+
+        private String markdownRow() {
+            return String.format(
+                    Locale.ROOT,
+                    "| `%s` | %s | %s | %s | %s | %s |%n",
+                    key,
+                    environmentVariable.isEmpty() ? "-" : "`" + environmentVariable + "`",
+                    type.unit,
+                    shownDefault(),
+                    type == ValueType.MILLISECONDS ? min + " to " + max : "-",
+                    description);
+        }
+
+        private String shownDefault() {
+            if (defaultValue.isEmpty()) {
+                return "none";
+            }
+            return type == ValueType.BOOLEAN ? "false" : defaultValue;
+        }
     }
 
-    /** How a value is written. */
+    /** The type of a setting's value. */
     enum ValueType {
         BOOLEAN("true, false"),
         DIRECTORY("path"),
         MILLISECONDS("ms");
 
-        final String unit;
+        private final String unit;
 
         ValueType(String unit) {
             this.unit = unit;
         }
     }
 
-    private final Map<Setting, String> values = new EnumMap<>(Setting.class);
-    private final List<String> errors = new ArrayList<>();
+    // As a variable would give them
+    private final Map<Setting, String> values;
 
-    private LocalSettings() {}
+    private LocalSettings(Map<Setting, String> values) {
+        this.values = values;
+    }
 
     /**
-     * Reads what the environment names and says.
+     * Reads the file that {@code environment} names, and the variables that override it.
      *
-     * @throws InvalidConfigException with all that is wrong, in one line
+     * @throws InvalidConfigException with all errors in one line
      */
     static LocalSettings read(Map<String, String> environment) {
-        LocalSettings settings = new LocalSettings();
+        Map<Setting, String> values = new EnumMap<>(Setting.class);
+        List<String> errors = new ArrayList<>();
         for (Setting setting : Setting.values()) {
-            settings.values.put(setting, setting.defaultValue);
+            values.put(setting, setting.defaultValue);
         }
-        String file = environment.getOrDefault("TANSYFERRY_SETTINGS", "");
+        String file = environment.getOrDefault(FILE_VARIABLE, "");
         if (!file.isBlank()) {
-            LocalSettingsParser.read(file, settings::apply, settings.errors::add);
-        }
-        for (Setting setting : Setting.values()) {
-            String variableValue =
-                    setting.environmentVariable == null
-                            ? ""
-                            : environment.getOrDefault(setting.environmentVariable, "");
-            if (!variableValue.isBlank()) {
-                settings.apply(setting, variableValue, setting.environmentVariable);
-            }
+            LocalSettingsParser.Result parsed = LocalSettingsParser.parse(file);
+            values.putAll(parsed.values());
+            errors.addAll(parsed.errors());
         }
+        applyVariables(environment, values, errors);
+        LocalSettings settings = new LocalSettings(values);
         if (settings.isEnabled(Setting.LEASES_ENABLED)
                 && !settings.isEnabled(Setting.MEMBERSHIP_ENABLED)) {
-            settings.errors.add("duties are on without membership, by which they go");
+            errors.add("duties are on without membership, by which they go");
         }
-        if (!settings.errors.isEmpty()) {
-            throw new InvalidConfigException(String.join("; ", settings.errors));
+        if (!errors.isEmpty()) {
+            throw new InvalidConfigException(String.join("; ", errors));
         }
         return settings;
     }
 
-    // A value from some place; null: one of another type.
-    private void apply(Setting setting, String value, String location) {
-        String problem =
-                value == null
-                        ? expectation(setting)
-                        : switch (setting.type) {
-                            case BOOLEAN ->
-                                    value.equals("on") || value.equals("off")
-                                            ? null
-                                            : "neither on nor off: '" + value + "'";
-                            case DIRECTORY ->
-                                    isValidPath(value) ? null : "no path: '" + value + "'";
-                            case MILLISECONDS ->
-                                    value.matches("\\d{1,9}")
-                                                    && Long.parseLong(value) >= setting.min
-                                                    && Long.parseLong(value) <= setting.max
-                                            ? null
-                                            : expectation(setting);
-                        };
-        if (problem != null) {
-            errors.add(location + ": " + problem);
-        } else {
-            values.put(setting, value);
+    private static void applyVariables(
+            Map<String, String> environment, Map<Setting, String> values, List<String> errors) {
+        for (Setting setting : Setting.values()) {
+            String variable = setting.environmentVariable;
+            String value = variable.isEmpty() ? "" : environment.getOrDefault(variable, "");
+            if (value.isBlank()) {
+                continue;
+            }
+            Optional<String> problem = setting.problemWith(value);
+            if (problem.isPresent()) {
+                errors.add(variable + ": " + problem.get());
+            } else {
+                values.put(setting, value);
+            }
         }
     }
 
-    private static String expectation(Setting setting) {
-        return switch (setting.type) {
-            case BOOLEAN -> "not true or false";
-            case DIRECTORY -> "not a text that names a folder";
-            case MILLISECONDS ->
-                    "not a whole number of ms from " + setting.min + " to " + setting.max;
-        };
-    }
-
-    private static boolean isValidPath(String text) {
-        try {
-            return Path.of(text) != null;
-        } catch (InvalidPathException e) {
-            return false;
-        }
+    /** How a variable gives a boolean. */
+    static String booleanText(boolean value) {
+        return value ? ON : OFF;
     }
 
+    /** Whether a boolean setting is on. */
     public boolean isEnabled(Setting setting) {
-        return values.get(setting).equals("on");
+        return values.get(setting).equals(ON);
     }
 
-    /** Null where none is named. */
+    /** The path of a directory setting, or null if none is set. */
     public Path directory(Setting setting) {
-        return values.get(setting).isBlank() ? null : Path.of(values.get(setting));
+        String path = values.get(setting);
+        return path.isBlank() ? null : Path.of(path);
     }
 
+    /** The value of a duration setting, in ms. */
     public long milliseconds(Setting setting) {
         return Long.parseLong(values.get(setting));
     }
 
-    /** What others say differently, by their paths. */
+    /** The keys of the settings that differ in {@code other}, in the table's order. */
     public List<String> changedKeys(LocalSettings other) {
         return Arrays.stream(Setting.values())
                 .filter(setting -> !values.get(setting).equals(other.values.get(setting)))
-                .map(setting -> setting.key)
+                .map(Setting::key)
                 .toList();
     }
 
-    /** All of them, as the documents show them. */
+    /** The table of all settings in {@code docs/settings.md}. */
     static String markdownTable() {
         StringBuilder table = new StringBuilder();
         table.append("| setting | variable | unit | default | bounds | meaning |\n");
         table.append("| --- | --- | --- | --- | --- | --- |\n");
         for (Setting setting : Setting.values()) {
-            table.append(
-                    String.format(
-                            Locale.ROOT,
-                            "| `%s` | %s | %s | %s | %s | %s |%n",
-                            setting.key,
-                            setting.environmentVariable == null
-                                    ? "-"
-                                    : "`" + setting.environmentVariable + "`",
-                            setting.type.unit,
-                            setting.defaultValue.isEmpty()
-                                    ? "none"
-                                    : setting.type == ValueType.BOOLEAN
-                                            ? "false"
-                                            : setting.defaultValue,
-                            setting.type == ValueType.MILLISECONDS
-                                    ? setting.min + " to " + setting.max
-                                    : "-",
-                            setting.description));
+            table.append(setting.markdownRow());
         }
         return table.toString();
     }
--- a/balancer/src/main/java/loadbalancer/config/LocalSettingsParser.java
+++ b/balancer/src/main/java/loadbalancer/config/LocalSettingsParser.java
@@ -7,18 +7,22 @@
 import java.nio.file.Files;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.EnumMap;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
+import java.util.Optional;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import loadbalancer.config.LocalSettings.Setting;
+import loadbalancer.config.LocalSettings.ValueType;
 
 /**
- * Reads the file of the program's own settings. A class of its own: a start without one loads
- * nothing of it.
+ * Parses the TOML file of the local settings. A class apart from {@link LocalSettings}, so that a
+ * start without such a file loads neither it nor the TOML library.
  */
 final class LocalSettingsParser {
     private static final Pattern TABLE_HEADER =
@@ -26,46 +30,39 @@
     private static final Pattern KEY_VALUE = Pattern.compile("\\s*([\\w.-]+)\\s*=.*");
 
     private final String fileName;
-    private final ValueConsumer valueConsumer;
-    private final Consumer<String> errorConsumer;
     private final Map<String, Integer> lineNumberByKey = new HashMap<>();
+    private final Map<Setting, String> values = new EnumMap<>(Setting.class);
+    private final List<String> errors = new ArrayList<>();
 
-    /** Takes the value of a field, null for one of another type, from a place. */
-    interface ValueConsumer {
-        void accept(Setting setting, String value, String location);
-    }
+    /**
+     * What a file holds.
+     *
+     * @param values the valid values, each as an environment variable would give it
+     * @param errors all that is wrong, each with file, line and key as far as they are known
+     */
+    record Result(Map<Setting, String> values, List<String> errors) {}
 
-    private LocalSettingsParser(
-            String fileName, ValueConsumer valueConsumer, Consumer<String> errorConsumer) {
+    private LocalSettingsParser(String fileName) {
         this.fileName = fileName;
-        this.valueConsumer = valueConsumer;
-        this.errorConsumer = errorConsumer;
     }
 
-    /**
-     * Reads all of it; {@code errorConsumer} hears of each with file and line, {@code
-     * valueConsumer} of each value.
-     */
-    static void read(String fileName, ValueConsumer valueConsumer, Consumer<String> errorConsumer) {
+    /** Parses all of a file; one that can't be read or is no TOML gives a single error. */
+    static Result parse(String fileName) {
+        LocalSettingsParser parser = new LocalSettingsParser(fileName);
         try {
             String text = Files.readString(Path.of(fileName));
-            LocalSettingsParser parser =
-                    new LocalSettingsParser(fileName, valueConsumer, errorConsumer);
             parser.indexLines(text);
             parser.visit("", new TomlMapper().readTree(text));
         } catch (JsonProcessingException e) {
-            errorConsumer.accept(
-                    fileName
-                            + ": line "
-                            + e.getLocation().getLineNr()
-                            + ": "
-                            + e.getOriginalMessage());
+            int lineNumber = e.getLocation().getLineNr();
+            parser.errors.add(fileName + ": line " + lineNumber + ": " + e.getOriginalMessage());
         } catch (IOException | InvalidPathException e) {
-            errorConsumer.accept("can't read the settings " + fileName + ": " + e.getMessage());
+            parser.errors.add("can't read the settings " + fileName + ": " + e.getMessage());
         }
+        return new Result(parser.values, parser.errors);
     }
 
-    // The line of each key that stands on one of its own: the library's tree does not tell it.
+    // The line of each key that stands on a line of its own: the library's tree has no locations.
     private void indexLines(String text) {
         String tablePrefix = "";
         int lineNumber = 0;
@@ -82,45 +79,69 @@
         }
     }
 
-    private void visit(String parentKey, JsonNode node) {
-        for (Map.Entry<String, JsonNode> entry : node.properties()) {
-            String key = parentKey.isEmpty() ? entry.getKey() : parentKey + "." + entry.getKey();
-            JsonNode value = entry.getValue();
-            String location =
-                    fileName
-                            + ": "
-                            + (lineNumberByKey.containsKey(key)
-                                    ? "line " + lineNumberByKey.get(key) + ": "
-                                    : "")
-                            + key;
-            Setting setting =
-                    Arrays.stream(Setting.values())
-                            .filter(candidate -> candidate.key.equals(key))
-                            .findAny()
-                            .orElse(null);
-            if (setting != null) {
-                valueConsumer.accept(setting, toVariableText(setting, value), location);
-            } else if (value.isObject()
-                    && Arrays.stream(Setting.values())
-                            .anyMatch(candidate -> candidate.key.startsWith(key + "."))) {
-                visit(key, value);
+    private void visit(String tableKey, JsonNode table) {
+        for (Map.Entry<String, JsonNode> entry : table.properties()) {
+            String key = tableKey.isEmpty() ? entry.getKey() : tableKey + "." + entry.getKey();
+            JsonNode node = entry.getValue();
+            Optional<Setting> setting = findSetting(key);
+            if (setting.isPresent()) {
+                readValue(setting.get(), node);
+            } else if (node.isObject() && isTableOfSettings(key)) {
+                visit(key, node);
             } else {
-                errorConsumer.accept(
-                        location
-                                + ": unknown, known are "
-                                + Arrays.stream(Setting.values())
-                                        .map(candidate -> candidate.key)
-                                        .collect(Collectors.joining(", ")));
+                errors.add(location(key) + ": unknown, known are " + knownKeys());
             }
         }
     }
 
-    // As a variable would say it.
-    private static String toVariableText(Setting setting, JsonNode value) {
-        return switch (setting.type) {
-            case BOOLEAN -> !value.isBoolean() ? null : value.asBoolean() ? "on" : "off";
-            case DIRECTORY -> value.isTextual() ? value.asText() : null;
-            case MILLISECONDS -> value.isIntegralNumber() ? value.asText() : null;
-        };
+    private void readValue(Setting setting, JsonNode node) {
+        Optional<String> text = toVariableText(setting.type(), node);
+        Optional<String> problem =
+                text.isPresent()
+                        ? setting.problemWith(text.get())
+                        : Optional.of(setting.typeProblem());
+        if (problem.isPresent()) {
+            errors.add(location(setting.key()) + ": " + problem.get());
+        } else {
+            values.put(setting, text.get());
+        }
+    }
+
+    // As an environment variable would give the value; empty where it is of another type.
+    private static Optional<String> toVariableText(ValueType type, JsonNode node) {
+        boolean hasType =
+                switch (type) {
+                    case BOOLEAN -> node.isBoolean();
+                    case DIRECTORY -> node.isTextual();
+                    case MILLISECONDS -> node.isIntegralNumber();
+                };
+        if (!hasType) {
+            return Optional.empty();
+        }
+        return Optional.of(
+                type == ValueType.BOOLEAN
+                        ? LocalSettings.booleanText(node.asBoolean())
+                        : node.asText());
+    }
+
+    private String location(String key) {
+        Integer lineNumber = lineNumberByKey.get(key);
+        String line = lineNumber == null ? "" : "line " + lineNumber + ": ";
+        return fileName + ": " + line + key;
+    }
+
+    private static Optional<Setting> findSetting(String key) {
+        return Arrays.stream(Setting.values())
+                .filter(setting -> setting.key().equals(key))
+                .findAny();
+    }
+
+    private static boolean isTableOfSettings(String key) {
+        return Arrays.stream(Setting.values())
+                .anyMatch(setting -> setting.key().startsWith(key + "."));
+    }
+
+    private static String knownKeys() {
+        return Arrays.stream(Setting.values()).map(Setting::key).collect(Collectors.joining(", "));
     }
 }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/config/NumberParser.java
@@ -0,0 +1,37 @@
+package loadbalancer.config;
+
+/** Parses numbers of settings and of the simulator's wire. Stateless. */
+public final class NumberParser {
+    private NumberParser() {}
+
+    /**
+     * Parses a decimal integer.
+     *
+     * @throws InvalidValueException if {@code text} is not one, or does not fit 64 bits
+     */
+    public static long parseLong(String text) {
+        try {
+            return Long.parseLong(text);
+        } catch (NumberFormatException e) {
+            throw new InvalidValueException("a whole number", text);
+        }
+    }
+
+    /**
+     * Parses a floating-point number that is neither infinite nor NaN.
+     *
+     * @throws InvalidValueException if {@code text} is not one
+     */
+    public static double parseFiniteDouble(String text) {
+        double number;
+        try {
+            number = Double.parseDouble(text);
+        } catch (NumberFormatException e) {
+            throw new InvalidValueException("a number", text);
+        }
+        if (!Double.isFinite(number)) {
+            throw new InvalidValueException("a finite number", text);
+        }
+        return number;
+    }
+}
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/config/PlatformTerms.java
@@ -0,0 +1,79 @@
+package loadbalancer.config;
+
+import java.util.List;
+import java.util.Map;
+import loadbalancer.routing.api.DeduplicationScope;
+import loadbalancer.routing.api.DiscoveryMode;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.LoadReportSource;
+
+/**
+ * The platform's vocabulary in its configuration and in discovery's lists, and the terms that the
+ * code has for it. The platform's texts are fixed by its pages, whatever the constants are called.
+ * Stateless.
+ */
+public final class PlatformTerms {
+    /** Setting {@code MembershipMode}, in upper case. */
+    static final Map<String, DiscoveryMode> DISCOVERY_MODES =
+            Map.of("PUSH", DiscoveryMode.PUSH, "ASK", DiscoveryMode.POLL);
+
+    /** Setting {@code Stats.How}, in upper case. */
+    static final Map<String, LoadReportSource> LOAD_REPORT_SOURCES =
+            Map.of(
+                    "ANSWERS",
+                    LoadReportSource.RESPONSES,
+                    "PROBE",
+                    LoadReportSource.HEALTH_CHECKS,
+                    "NONE",
+                    LoadReportSource.NONE);
+
+    /** Setting {@code Classes.N.Idempotency}, in upper case. */
+    static final Map<String, Idempotency> IDEMPOTENCY =
+            Map.of(
+                    "SAFE",
+                    Idempotency.IDEMPOTENT,
+                    "KEYED",
+                    Idempotency.IDEMPOTENCY_KEY,
+                    "UNSAFE",
+                    Idempotency.NON_IDEMPOTENT);
+
+    /** Setting {@code Classes.N.DedupScope}, in upper case. */
+    static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPES =
+            Map.of(
+                    "ALL",
+                    DeduplicationScope.ALL,
+                    "ZONE",
+                    DeduplicationScope.ZONE,
+                    "CELL",
+                    DeduplicationScope.CELL);
+
+    private static final Map<String, EndpointStatus> ENDPOINT_STATUSES =
+            Map.of(
+                    "in_service",
+                    EndpointStatus.UP,
+                    "terminating",
+                    EndpointStatus.DRAINING,
+                    "terminated",
+                    EndpointStatus.REMOVED);
+
+    private PlatformTerms() {}
+
+    /** The status that field {@code state} of a list's entry names; null if it is unknown. */
+    static EndpointStatus endpointStatus(String term) {
+        return ENDPOINT_STATUSES.get(term);
+    }
+
+    /**
+     * A name as the platform writes it in settings: spaces and commas, which separate values there,
+     * become underscores. Names from elsewhere (headers, endpoint lists) are compared in this form.
+     */
+    public static String normalizeName(Object name) {
+        return String.valueOf(name).replace(' ', '_').replace(',', '_');
+    }
+
+    /** The position of {@code name} in {@code normalizedNames}, or -1 if it is not one of them. */
+    static int indexOfName(List<String> normalizedNames, Object name) {
+        return normalizedNames.indexOf(normalizeName(name));
+    }
+}
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/config/ProcessLimits.java
@@ -0,0 +1,38 @@
+package loadbalancer.config;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Locale;
+
+/**
+ * Limits of the operating system on this process, from Linux's {@code /proc/self/limits}. The JDK's
+ * management classes know them too, but loading those makes a start longer.
+ */
+final class ProcessLimits {
+    /** The system has no such limit, or does not tell it. */
+    static final int UNLIMITED = Integer.MAX_VALUE;
+
+    private static final Path LIMITS_FILE = Path.of("/proc/self/limits");
+    private static final String OPEN_FILES_PREFIX = "max open files";
+    // Columns: three words of the name, then the soft limit
+    private static final int SOFT_LIMIT_COLUMN = 3;
+
+    private ProcessLimits() {}
+
+    /** The soft limit on open file descriptors, or {@link #UNLIMITED}. */
+    static int maxOpenDescriptors() {
+        try {
+            for (String line : Files.readAllLines(LIMITS_FILE)) {
+                if (line.toLowerCase(Locale.ROOT).startsWith(OPEN_FILES_PREFIX)) {
+                    long softLimit = Long.parseLong(line.trim().split("\\s+")[SOFT_LIMIT_COLUMN]);
+                    return (int) Math.min(UNLIMITED, softLimit);
+                }
+            }
+        } catch (IOException | NumberFormatException e) {
+            // The text is "unlimited", or the system has no such file
+            return UNLIMITED;
+        }
+        return UNLIMITED;
+    }
+}
--- a/balancer/src/main/java/loadbalancer/config/SettingsReader.java
+++ b/balancer/src/main/java/loadbalancer/config/SettingsReader.java
@@ -2,15 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeSet;
-import java.util.function.BiFunction;
-import loadbalancer.routing.api.DeduplicationScope;
 import loadbalancer.routing.api.DiscoveryMode;
-import loadbalancer.routing.api.Idempotency;
-import loadbalancer.routing.api.LoadReportSource;
 import loadbalancer.routing.api.ObjectiveWeights;
 import loadbalancer.routing.api.RequestClass;
 import loadbalancer.routing.api.RoutingBounds;
@@ -20,246 +13,180 @@
 import loadbalancer.routing.api.Tenant;
 
 /**
- * Reads the settings of a balancer from path=value pairs, whether they come from the simulator's
- * wire or from the configuration of a real balancer; keys that it doesn't know are passed over.
+ * Reads the platform's settings of a balancer from path=value pairs, whether they come from the
+ * simulator's wire or from the configuration of a real balancer. Paths that it doesn't know are
+ * ignored. Durations are in µs. Belongs to the thread that reads the settings.
  */
 public final class SettingsReader {
-    // The words of the settings, in upper case; they stay whatever the constants are called.
-    private static final Map<String, DiscoveryMode> DISCOVERY_MODES =
-            Map.of("PUSH", DiscoveryMode.PUSH, "ASK", DiscoveryMode.POLL);
-    private static final Map<String, LoadReportSource> LOAD_REPORTS =
-            Map.of(
-                    "ANSWERS",
-                    LoadReportSource.RESPONSES,
-                    "PROBE",
-                    LoadReportSource.HEALTH_CHECKS,
-                    "NONE",
-                    LoadReportSource.NONE);
-    private static final Map<String, Idempotency> IDEMPOTENCY =
-            Map.of(
-                    "SAFE",
-                    Idempotency.IDEMPOTENT,
-                    "KEYED",
-                    Idempotency.IDEMPOTENCY_KEY,
-                    "UNSAFE",
-                    Idempotency.NON_IDEMPOTENT);
-    private static final Map<String, DeduplicationScope> SCOPES =
-            Map.of(
-                    "ALL",
-                    DeduplicationScope.ALL,
-                    "ZONE",
-                    DeduplicationScope.ZONE,
-                    "CELL",
-                    DeduplicationScope.CELL);
-
-    private final Map<String, String> values;
-    private final BiFunction<String, String, ? extends RuntimeException> errorFactory;
-
-    private SettingsReader(
-            Map<String, String> values,
-            BiFunction<String, String, ? extends RuntimeException> errorFactory) {
+    private static final String CLASSES = "Classes";
+    private static final String TENANTS = "Realms";
+    private static final String ZONES = "Areas";
+    private static final String MACHINE_TYPES = "Kinds";
+    private static final String OWN_ZONE = "Locality";
+    // Where the message of an error that concerns several settings points to
+    private static final String ALL_SETTINGS = "BootInfo";
+
+    private final SettingsValues values;
+    private final int zoneCount;
+    private final int machineTypeCount;
+
+    private SettingsReader(SettingsValues values) {
         this.values = values;
-        this.errorFactory = errorFactory;
+        this.zoneCount = values.text(ZONES, "").split(",").length;
+        this.machineTypeCount = values.text(MACHINE_TYPES, "").split(",").length;
     }
 
     /**
-     * Reads {@code values}.
+     * Reads {@code values}, pairs of a path and its value.
      *
-     * @param errorFactory makes the exception for a path and what is wrong there
+     * @throws InvalidSettingException at the first setting that is missing or out of its bounds
      */
-    public static BootSettings read(
-            Map<String, String> values,
-            BiFunction<String, String, ? extends RuntimeException> errorFactory) {
-        SettingsReader reader = new SettingsReader(values, errorFactory);
+    public static BootSettings read(Map<String, String> values) {
+        SettingsValues settingsValues = new SettingsValues(values);
+        SettingsReader reader = new SettingsReader(settingsValues);
         try {
             return new BootSettings(
-                    reader.settings(),
-                    reader.listValue("Stats.Fields"),
-                    reader.names("Classes"),
-                    reader.names("Realms"),
-                    reader.listValue("Areas"),
-                    reader.listValue("Kinds"),
-                    reader.longValue("Limits.IdleClose", 0L));
+                    reader.routingSettings(),
+                    settingsValues.textList("Stats.Fields"),
+                    reader.names(CLASSES),
+                    reader.names(TENANTS),
+                    settingsValues.textList(ZONES),
+                    settingsValues.textList(MACHINE_TYPES),
+                    settingsValues.integer("Limits.IdleClose", 0));
         } catch (IllegalArgumentException e) {
-            throw errorFactory.apply("BootInfo", e.getMessage());
+            throw new InvalidSettingException(ALL_SETTINGS, e);
         }
     }
 
-    private List<String> listValue(String path) {
-        String value = stringValue(path, "");
-        return value.isEmpty() ? List.of() : List.of(value.split(","));
-    }
-
     private List<String> names(String path) {
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < count(path, false); i++) {
-            names.add(stringValue(path + "." + i + ".Name", ""));
+        for (int i = 0; i < values.countOrZero(path); i++) {
+            names.add(values.text(path + "." + i + ".Name", ""));
         }
         return List.copyOf(names);
     }
 
-    private RoutingSettings settings() {
-        int zoneCount = stringValue("Areas", "").split(",").length;
-        int machineTypeCount = stringValue("Kinds", "").split(",").length;
-        List<RequestClass> requestClasses = new ArrayList<>();
-        for (int i = 0; i < count("Classes", true); i++) {
-            requestClasses.add(requestClass("Classes." + i, zoneCount, machineTypeCount));
-        }
-        List<Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < count("Realms", false); i++) {
-            tenants.add(new Tenant(doubleValue("Realms." + i + ".AllowancePerS", null)));
-        }
-        boolean sendsRetryAfter = booleanValue("Limits.RetryAfter", false);
-        int maxAttempts = (int) Math.min(Integer.MAX_VALUE, longValue("Limits.TryLimit", null));
-        RoutingLimits limits =
-                new RoutingLimits(
-                        maxAttempts,
-                        booleanValue("Limits.MayDuplicate", null),
-                        booleanValue("Limits.Cancel", null),
-                        booleanValue("Limits.Probes", null),
-                        longValue("Limits.DialTimeout", 0L),
-                        sendsRetryAfter ? longValue("Limits.MaxRetryAfter", 0L) : 0L,
-                        booleanValue("Limits.PeerMessages", false));
-        boolean polls = enumValue(DISCOVERY_MODES, "MembershipMode", null) == DiscoveryMode.POLL;
-        RoutingBounds bounds =
-                new RoutingBounds(
-                        longValue("Rules.AnswerSlack", null),
-                        longValue("Rules.DrainGrace", null),
-                        longValue("Rules.AskWithin", polls ? null : 0L),
-                        doubleValue("Rules.ColdFrom", null),
-                        longValue("Rules.RampTime", null),
-                        doubleValue("Rules.OverloadFactor", null),
-                        longValue("Rules.Fall", null),
-                        longValue("Rules.OrderPause", 0L));
-        ObjectiveWeights objectiveWeights =
-                new ObjectiveWeights(
-                        doubleValue("Blend.Whole", 1.0),
-                        doubleValue("Blend.WorstWindow", 0.0),
-                        doubleValue("Blend.WorstClass", 0.0),
-                        doubleValue("Blend.WorstTenant", 0.0));
+    // The settings are read in this order: the first fault is the one that is reported.
+    private RoutingSettings routingSettings() {
+        List<RequestClass> requestClasses = requestClasses();
+        List<Tenant> tenants = tenants();
+        RoutingLimits limits = limits();
+        DiscoveryMode discoveryMode = values.term("MembershipMode", PlatformTerms.DISCOVERY_MODES);
+        RoutingBounds bounds = bounds(discoveryMode);
+        ObjectiveWeights objectiveWeights = objectiveWeights();
         return new RoutingSettings(
-                (int) Math.min(Integer.MAX_VALUE, longValue("Balancers", null)),
-                (int) longValue("Rank", 0L),
-                ownZone(zoneCount),
-                List.copyOf(requestClasses),
-                List.copyOf(tenants),
-                doubleValue("OverShareWorth", 1.0),
+                toSaturatedInt(values.integer("Balancers")),
+                (int) values.integer("Rank", 0),
+                ownZone(),
+                requestClasses,
+                tenants,
+                values.number("OverShareWorth", 1.0),
                 objectiveWeights,
-                new RoutingCosts(
-                        doubleValue("Prices.CrossZone", 0.0),
-                        doubleValue("Prices.Handshake", 0.0),
-                        doubleValue("Prices.Peer", 0.0)),
-                stringValue("WorthBy", "request").equals("work"),
-                polls ? DiscoveryMode.POLL : DiscoveryMode.PUSH,
-                enumValue(LOAD_REPORTS, "Stats.How", "none"),
-                booleanValue("Specifics.WarmKeys", false),
+                costs(),
+                values.text("WorthBy", "request").equals("work"),
+                discoveryMode,
+                values.term("Stats.How", "none", PlatformTerms.LOAD_REPORT_SOURCES),
+                values.flag("Specifics.WarmKeys", false),
                 limits,
                 bounds,
-                longValue("Quantum", null));
+                values.integer("Quantum"));
+    }
+
+    private List<RequestClass> requestClasses() {
+        List<RequestClass> requestClasses = new ArrayList<>();
+        for (int i = 0; i < values.count(CLASSES); i++) {
+            requestClasses.add(requestClass(CLASSES + "." + i));
+        }
+        return List.copyOf(requestClasses);
     }
 
-    private RequestClass requestClass(String path, int zoneCount, int machineTypeCount) {
+    private RequestClass requestClass(String path) {
         String prefix = path + ".";
         try {
             return new RequestClass(
-                    enumValue(IDEMPOTENCY, prefix + "Idempotency", null),
-                    enumValue(SCOPES, prefix + "DedupScope", "all"),
-                    longValue(prefix + "KeyTtl", 0L),
-                    longValue(prefix + "GoalTime", null),
-                    longValue(prefix + "GiveUp", null),
-                    doubleValue(prefix + "AimStretch", 0.0),
-                    doubleValue(prefix + "Gain", 1.0),
-                    doubleValue(prefix + "LateShare", 0.0),
-                    booleanValue(prefix + "Stream", false),
-                    booleanValue(prefix + "InOrder", false),
-                    indexSet(prefix + "AllowedIn", zoneCount),
-                    indexSet(prefix + "RunsOn", machineTypeCount));
+                    values.term(prefix + "Idempotency", PlatformTerms.IDEMPOTENCY),
+                    values.term(prefix + "DedupScope", "all", PlatformTerms.DEDUPLICATION_SCOPES),
+                    values.integer(prefix + "KeyTtl", 0),
+                    values.integer(prefix + "GoalTime"),
+                    values.integer(prefix + "GiveUp"),
+                    values.number(prefix + "AimStretch", 0.0),
+                    values.number(prefix + "Gain", 1.0),
+                    values.number(prefix + "LateShare", 0.0),
+                    values.flag(prefix + "Stream", false),
+                    values.flag(prefix + "InOrder", false),
+                    values.indexSet(prefix + "AllowedIn", zoneCount),
+                    values.indexSet(prefix + "RunsOn", machineTypeCount));
         } catch (IllegalArgumentException e) {
-            throw errorFactory.apply(path, e.getMessage());
+            throw new InvalidSettingException(path, e);
         }
     }
 
-    private String stringValue(String path, String defaultValue) {
-        String value = values.get(path);
-        if (value != null && !value.equals("-")) {
-            return value;
-        }
-        if (defaultValue == null) {
-            throw errorFactory.apply(path, "required setting is missing");
+    private List<Tenant> tenants() {
+        List<Tenant> tenants = new ArrayList<>();
+        for (int i = 0; i < values.countOrZero(TENANTS); i++) {
+            tenants.add(new Tenant(values.number(TENANTS + "." + i + ".AllowancePerS")));
         }
-        return defaultValue;
+        return List.copyOf(tenants);
     }
 
-    private long longValue(String path, Long defaultValue) {
-        String value = stringValue(path, defaultValue == null ? null : defaultValue.toString());
-        try {
-            return Long.parseLong(value);
-        } catch (NumberFormatException e) {
-            throw errorFactory.apply(path, "not a whole number: '" + value + "'");
-        }
+    private RoutingLimits limits() {
+        boolean sendsRetryAfter = values.flag("Limits.RetryAfter", false);
+        int maxAttempts = toSaturatedInt(values.integer("Limits.TryLimit"));
+        return new RoutingLimits(
+                maxAttempts,
+                values.flag("Limits.MayDuplicate"),
+                values.flag("Limits.Cancel"),
+                values.flag("Limits.Probes"),
+                values.integer("Limits.DialTimeout", 0),
+                sendsRetryAfter ? values.integer("Limits.MaxRetryAfter", 0) : 0,
+                values.flag("Limits.PeerMessages", false));
     }
 
-    private double doubleValue(String path, Double defaultValue) {
-        String value = stringValue(path, defaultValue == null ? null : defaultValue.toString());
-        try {
-            double number = Double.parseDouble(value);
-            if (Double.isFinite(number)) {
-                return number;
-            }
-        } catch (NumberFormatException e) {
-            throw errorFactory.apply(path, "not a number: '" + value + "'");
-        }
-        throw errorFactory.apply(path, "not a finite number: '" + value + "'");
+    private RoutingBounds bounds(DiscoveryMode discoveryMode) {
+        return new RoutingBounds(
+                values.integer("Rules.AnswerSlack"),
+                values.integer("Rules.DrainGrace"),
+                pollDeadlineMicros(discoveryMode),
+                values.number("Rules.ColdFrom"),
+                values.integer("Rules.RampTime"),
+                values.number("Rules.OverloadFactor"),
+                values.integer("Rules.Fall"),
+                values.integer("Rules.OrderPause", 0));
     }
 
-    private boolean booleanValue(String path, Boolean defaultValue) {
-        String value = stringValue(path, defaultValue == null ? null : defaultValue.toString());
-        return switch (value) {
-            case "true", "1" -> true;
-            case "false", "0" -> false;
-            default -> throw errorFactory.apply(path, "not true or false: '" + value + "'");
-        };
+    // Required only where the list is polled.
+    private long pollDeadlineMicros(DiscoveryMode discoveryMode) {
+        String path = "Rules.AskWithin";
+        return discoveryMode == DiscoveryMode.POLL ? values.integer(path) : values.integer(path, 0);
     }
 
-    private int count(String path, boolean required) {
-        long count = longValue(path + ".count", required ? null : 0L);
-        if (count < 0 || count > values.size()) {
-            throw errorFactory.apply(path + ".count", "not a count of what follows: " + count);
-        }
-        return (int) count;
+    private ObjectiveWeights objectiveWeights() {
+        return new ObjectiveWeights(
+                values.number("Blend.Whole", 1.0),
+                values.number("Blend.WorstWindow", 0.0),
+                values.number("Blend.WorstClass", 0.0),
+                values.number("Blend.WorstTenant", 0.0));
     }
 
-    /** The zone of this instance; it must be one of the named ones, where zones are named. */
-    private int ownZone(int zoneCount) {
-        long zone = longValue("Locality", 0L);
-        if (zone < 0 || zone >= zoneCount && values.containsKey("Areas")) {
-            throw errorFactory.apply(
-                    "Locality", "not between 0 and " + (zoneCount - 1) + ": " + zone);
-        }
-        return (int) zone;
+    private RoutingCosts costs() {
+        return new RoutingCosts(
+                values.number("Prices.CrossZone", 0.0),
+                values.number("Prices.Handshake", 0.0),
+                values.number("Prices.Peer", 0.0));
     }
 
-    /** Positions in a list of {@code size} names; empty where the setting is not given. */
-    private Set<Integer> indexSet(String path, int size) {
-        Set<Integer> indexes = new TreeSet<>();
-        String value = stringValue(path, "");
-        for (String index : value.isEmpty() ? new String[0] : value.split(",", -1)) {
-            if (!index.matches("\\d{1,9}") || Integer.parseInt(index) >= size) {
-                throw errorFactory.apply(
-                        path, "not between 0 and " + (size - 1) + ": '" + index + "'");
-            }
-            indexes.add(Integer.valueOf(index));
+    /** The zone of this balancer; it must be one of the named ones, where zones are named. */
+    private int ownZone() {
+        long zone = values.integer(OWN_ZONE, 0);
+        boolean beyondNamedZones = zone >= zoneCount && values.contains(ZONES);
+        if (zone < 0 || beyondNamedZones) {
+            throw new InvalidSettingException(
+                    OWN_ZONE, "not between 0 and " + (zoneCount - 1) + ": " + zone);
         }
-        return indexes;
+        return (int) zone;
     }
 
-    /** The value that a setting's word stands for, in upper or lower case. */
-    private <E> E enumValue(Map<String, E> byWord, String path, String defaultValue) {
-        String value = stringValue(path, defaultValue);
-        E found = byWord.get(value.toUpperCase(Locale.ROOT));
-        if (found == null) {
-            throw errorFactory.apply(path, "unknown word: '" + value + "'");
-        }
-        return found;
+    private static int toSaturatedInt(long value) {
+        return (int) Math.min(Integer.MAX_VALUE, value);
     }
 }
--- a/balancer/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/balancer/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -30,6 +30,8 @@
 import java.util.function.Consumer;
 import loadbalancer.config.BootSettings;
 import loadbalancer.config.EndpointList;
+import loadbalancer.config.EndpointListCodec;
+import loadbalancer.config.InvalidEndpointListException;
 import loadbalancer.routing.api.DiscoveryMode;
 import loadbalancer.routing.api.EndpointListKind;
 
@@ -238,14 +240,14 @@
                 return;
             }
             try {
-                EndpointList endpointList = EndpointList.parse(list, boot);
+                EndpointList endpointList = EndpointListCodec.decode(list, boot);
                 if ((answered || !watching) && endpointList.revision() < revision) {
                     // Older than what has been heard already
                     finishUnlessWatching();
                 } else {
                     accept(endpointList);
                 }
-            } catch (IllegalArgumentException e) {
+            } catch (InvalidEndpointListException e) {
                 onUnreadableList(e.getMessage());
             }
         }
--- a/balancer/src/main/java/loadbalancer/http/ProxyRequestParser.java
+++ b/balancer/src/main/java/loadbalancer/http/ProxyRequestParser.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Stream;
-import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.BootSettings;
+import loadbalancer.config.PlatformTerms;
 import loadbalancer.proxy.BodyRelay;
 import loadbalancer.proxy.ProxyRequest;
 import loadbalancer.routing.api.Idempotency;
@@ -61,7 +61,7 @@
         }
         int requestClass =
                 classIndexes.getOrDefault(
-                        BalancerConfig.toWireValue(headers.get("Req-Kind", "")), -1);
+                        PlatformTerms.normalizeName(headers.get("Req-Kind", "")), -1);
         if (requestClass < 0) {
             throw new IllegalArgumentException("unknown Req-Kind");
         }
@@ -82,7 +82,7 @@
         String key = path.substring(path.lastIndexOf('/') + 1);
         int tenant =
                 tenantIndexes.getOrDefault(
-                        BalancerConfig.toWireValue(headers.get("Req-Owner", "")), 0);
+                        PlatformTerms.normalizeName(headers.get("Req-Owner", "")), 0);
         return new ProxyRequest(
                 request.method(),
                 request.uri(),
--- a/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
+++ b/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
@@ -18,6 +18,8 @@
 import java.util.function.Consumer;
 import loadbalancer.config.BootSettings;
 import loadbalancer.config.EndpointList;
+import loadbalancer.config.EndpointListCodec;
+import loadbalancer.config.InvalidEndpointListException;
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointListKind;
 import loadbalancer.routing.api.EndpointStatus;
@@ -191,7 +193,7 @@
         }
         try {
             EndpointList recovered =
-                    EndpointList.parse(
+                    EndpointListCodec.decode(
                             recoveredSnapshot.content(),
                             0,
                             recoveredSnapshot.content().length,
@@ -206,7 +208,7 @@
                                 + known.revision());
                 return recovered;
             }
-        } catch (IllegalArgumentException e) {
+        } catch (InvalidEndpointListException e) {
             log.accept("state: a list that can't be read: " + e.getMessage());
         }
         return known;
--- a/balancer/src/main/java/loadbalancer/simulator/WireFrame.java
+++ b/balancer/src/main/java/loadbalancer/simulator/WireFrame.java
@@ -1,6 +1,8 @@
 package loadbalancer.simulator;
 
 import java.util.Base64;
+import loadbalancer.config.InvalidValueException;
+import loadbalancer.config.NumberParser;
 
 /**
  * One line of the wire: its name and its values, read with plain complaints about what is
@@ -63,11 +65,10 @@
     }
 
     long longValue(int position, String field) {
-        String value = requiredText(position, field);
         try {
-            return Long.parseLong(value);
-        } catch (NumberFormatException e) {
-            throw malformed(field, "not a whole number: '" + value + "'");
+            return NumberParser.parseLong(requiredText(position, field));
+        } catch (InvalidValueException e) {
+            throw malformed(field, e.getMessage());
         }
     }
 
@@ -94,14 +95,10 @@
 
     double doubleValue(String value, String field) {
         try {
-            double number = Double.parseDouble(value);
-            if (Double.isFinite(number)) {
-                return number;
-            }
-        } catch (NumberFormatException e) {
-            throw malformed(field, "not a number: '" + value + "'");
+            return NumberParser.parseFiniteDouble(value);
+        } catch (InvalidValueException e) {
+            throw malformed(field, e.getMessage());
         }
-        throw malformed(field, "not a finite number: '" + value + "'");
     }
 
     boolean booleanValue(int position, String field) {
--- a/balancer/src/main/java/loadbalancer/simulator/WireSettingsParser.java
+++ b/balancer/src/main/java/loadbalancer/simulator/WireSettingsParser.java
@@ -3,6 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import loadbalancer.config.BootSettings;
+import loadbalancer.config.InvalidSettingException;
 import loadbalancer.config.SettingsReader;
 
 /** Turns the path=value pairs of an ENLIST line into what an instance is started with. */
@@ -19,6 +20,10 @@
             }
             values.put(pair.substring(0, separator), pair.substring(separator + 1));
         }
-        return SettingsReader.read(values, frame::malformed);
+        try {
+            return SettingsReader.read(values);
+        } catch (InvalidSettingException e) {
+            throw frame.malformed(e.path(), e.problem());
+        }
     }
 }
--- a/balancer/src/test/java/loadbalancer/config/EndpointListTest.java
+++ b/balancer/src/test/java/loadbalancer/config/EndpointListCodecTest.java
@@ -16,8 +16,8 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Lists in discovery's form, read entry by entry. */
-class EndpointListTest {
+/** {@link EndpointListCodec}: what it decodes, what it rejects, and what decoding allocates. */
+class EndpointListCodecTest {
     private static final BootSettings BOOT_SETTINGS =
             new BootSettings(
                     null,
@@ -42,14 +42,14 @@
 
     private static String listJson(int entryCount) {
         return IntStream.range(0, entryCount)
-                .mapToObj(EndpointListTest::entryJson)
+                .mapToObj(EndpointListCodecTest::entryJson)
                 .collect(Collectors.joining(",", "{\"rev\":7,\"all\":true,\"targets\":[", "]}"));
     }
 
     private static String parseError(String json) {
         return assertThrows(
                         IllegalArgumentException.class,
-                        () -> EndpointList.parse(json, BOOT_SETTINGS),
+                        () -> EndpointListCodec.decode(json, BOOT_SETTINGS),
                         () -> json.substring(0, Math.min(json.length(), 300)))
                 .getMessage();
     }
@@ -58,7 +58,7 @@
         return values[random.nextInt(values.length)];
     }
 
-    /** Read as it is told a list is what it is as a tree. */
+    /** The streaming decoder gives what the decoder of a tree gives, and rejects the same lists. */
     @Test
     void streamedListEqualsTree() throws IOException {
         Random random = new Random(5);
@@ -133,9 +133,11 @@
             json.append("]").append(randomOf(random, "}", ",\"rev\":9}", ",\"all\":false}"));
             EndpointList expected;
             try {
-                expected = EndpointList.fromJson(JSON.std.anyFrom(json.toString()), BOOT_SETTINGS);
+                expected =
+                        EndpointListCodec.decodeTree(
+                                JSON.std.anyFrom(json.toString()), BOOT_SETTINGS);
             } catch (IOException e) {
-                // A name came twice
+                // A field name occurs twice
                 parseError(json.toString());
                 continue;
             } catch (IllegalArgumentException e) {
@@ -144,14 +146,17 @@
             }
             parsedCount++;
             assertEquals(
-                    expected, EndpointList.parse(json.toString(), BOOT_SETTINGS), json.toString());
+                    expected,
+                    EndpointListCodec.decode(json.toString(), BOOT_SETTINGS),
+                    json.toString());
             byte[] bytes = json.toString().getBytes(StandardCharsets.UTF_8);
             assertEquals(
                     expected,
-                    EndpointList.parse(Unpooled.directBuffer().writeBytes(bytes), BOOT_SETTINGS));
+                    EndpointListCodec.decode(
+                            Unpooled.directBuffer().writeBytes(bytes), BOOT_SETTINGS));
             assertEquals(
                     expected,
-                    EndpointList.parse(
+                    EndpointListCodec.decode(
                             Unpooled.buffer().writeByte(1).writeBytes(bytes).skipBytes(1),
                             BOOT_SETTINGS));
         }
@@ -170,24 +175,22 @@
     @Test
     void oversizedListIsRejected() throws IOException {
         assertEquals(
-                EndpointList.MAX_ENTRIES,
-                EndpointList.parse(listJson(EndpointList.MAX_ENTRIES), BOOT_SETTINGS)
+                EndpointListCodec.MAX_ENTRIES,
+                EndpointListCodec.decode(listJson(EndpointListCodec.MAX_ENTRIES), BOOT_SETTINGS)
                         .entries()
                         .size());
-        String oversized = listJson(EndpointList.MAX_ENTRIES + 1);
+        String oversized = listJson(EndpointListCodec.MAX_ENTRIES + 1);
         assertEquals("more than 20000 targets", parseError(oversized));
         Object tree = JSON.std.anyFrom(oversized);
         assertEquals(
                 "more than 20000 targets",
                 assertThrows(
                                 IllegalArgumentException.class,
-                                () -> EndpointList.fromJson(tree, BOOT_SETTINGS))
+                                () -> EndpointListCodec.decodeTree(tree, BOOT_SETTINGS))
                         .getMessage());
     }
 
-    /**
-     * What reading a list allocates, by entry: with a tree, or a copy of the text, it was 1,455.
-     */
+    /** Bytes allocated for each entry; decoding by a tree or a copy of the text took 1,455. */
     @Test
     void parsingAllocationIsBounded() {
         byte[] json = listJson(14_000).getBytes(StandardCharsets.UTF_8);
@@ -195,7 +198,7 @@
         long bytesPerEntry = 0;
         for (int i = 0; i < 3; i++) {
             long bytesBefore = threads.getThreadAllocatedBytes(Thread.currentThread().getId());
-            EndpointList.parse(json, 0, json.length, BOOT_SETTINGS);
+            EndpointListCodec.decode(json, 0, json.length, BOOT_SETTINGS);
             bytesPerEntry =
                     (threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - bytesBefore)
                             / 14_000;
--- a/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
+++ b/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
@@ -15,8 +15,9 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.BootSettings;
-import loadbalancer.config.EndpointList;
+import loadbalancer.config.SettingsFlattener;
 import loadbalancer.config.SettingsReader;
+import loadbalancer.config.SocketAddressParser;
 import loadbalancer.routing.RoutingEngine;
 import loadbalancer.server.BalancerServer;
 import loadbalancer.server.BalancerServerTest;
@@ -47,14 +48,12 @@
         discoveryServer = new FakeHttpServer();
         Map<String, Object> settings = new HashMap<>(BalancerServerTest.settings());
         settings.put("MembershipMode", "push");
-        Map<String, String> flattened = new HashMap<>();
-        BalancerConfig.flatten("", settings, flattened);
-        BootSettings boot =
-                SettingsReader.read(flattened, (path, what) -> new IllegalStateException(path));
+        Map<String, String> flattened = SettingsFlattener.flatten(settings);
+        BootSettings boot = SettingsReader.read(flattened);
         client =
                 new DiscoveryClient(
                         eventLoop,
-                        EndpointList.parseAddress(discoveryServer.address()),
+                        SocketAddressParser.parse(discoveryServer.address()),
                         boot,
                         41,
                         (kind, endpointList) ->
@@ -155,7 +154,7 @@
         expectWatchFrom(41);
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
             eventLoop.execute(
-                    () -> client.reconnectTo(EndpointList.parseAddress(backlogListener.address())));
+                    () -> client.reconnectTo(SocketAddressParser.parse(backlogListener.address())));
             // Its first packets have been dropped by then
             long packetsLostAtNanos = System.nanoTime() + 1_100_000_000;
             while (System.nanoTime() < packetsLostAtNanos) {
@@ -346,7 +345,7 @@
         }
         try (FakeHttpServer newServer = new FakeHttpServer()) {
             eventLoop.execute(
-                    () -> client.reconnectTo(EndpointList.parseAddress(newServer.address())));
+                    () -> client.reconnectTo(SocketAddressParser.parse(newServer.address())));
             FakeHttpServer.ReceivedRequest newWatch = newServer.nextRequest();
             assertEquals("GET /api/targets?watch=1&from=42 HTTP/1.1", newWatch.requestLine());
             if (oldWatchState.equals("silent")) {
--- a/balancer/src/test/java/loadbalancer/recovery/GoldenStateContentTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/GoldenStateContentTest.java
@@ -15,6 +15,7 @@
 import loadbalancer.GoldenFiles;
 import loadbalancer.config.BootSettings;
 import loadbalancer.config.EndpointList;
+import loadbalancer.config.SocketAddressParser;
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointListKind;
 import loadbalancer.routing.api.EndpointStatus;
@@ -68,7 +69,7 @@
                                         Integer.MAX_VALUE,
                                         1,
                                         1),
-                                EndpointList.parseAddress("255.255.255.255:65535")),
+                                SocketAddressParser.parse("255.255.255.255:65535")),
                         new EndpointList.Entry(
                                 new Endpoint(
                                         "s\u0151\"2\\",
@@ -78,10 +79,10 @@
                                         -1,
                                         -1,
                                         -1),
-                                EndpointList.parseAddress("0.0.0.0:0")),
+                                SocketAddressParser.parse("0.0.0.0:0")),
                         new EndpointList.Entry(
                                 new Endpoint("s3", EndpointStatus.UP, 7_000, 1, 0, 0, 0),
-                                EndpointList.parseAddress("[2001:db8::1]:80"))));
+                                SocketAddressParser.parse("[2001:db8::1]:80"))));
     }
 
     /** What the policy knew, with the least and greatest value of each field. */
--- a/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.EndpointList;
+import loadbalancer.config.EndpointListCodec;
 import loadbalancer.routing.api.EndpointListKind;
 import loadbalancer.routing.api.PolicySnapshot;
 import org.junit.jupiter.api.AfterEach;
@@ -69,7 +70,8 @@
     }
 
     private EndpointList parseList(long revision, boolean complete, String state) {
-        return EndpointList.parse(LIST_JSON.formatted(revision, complete, state), config.boot());
+        return EndpointListCodec.decode(
+                LIST_JSON.formatted(revision, complete, state), config.boot());
     }
 
     @AfterEach
--- a/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import loadbalancer.config.EndpointList;
+import loadbalancer.config.SocketAddressParser;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -133,7 +133,7 @@
         reader.setDaemon(true);
         reader.start();
         return new RunningBalancer(
-                process, EndpointList.parseAddress(line.substring(line.lastIndexOf(' ') + 1)));
+                process, SocketAddressParser.parse(line.substring(line.lastIndexOf(' ') + 1)));
     }
 
     private static boolean isReady(InetSocketAddress address) throws IOException {
--- a/balancer/src/test/java/loadbalancer/upstream/UpstreamPoolTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamPoolTest.java
@@ -7,7 +7,6 @@
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import java.io.IOException;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.BlockingQueue;
@@ -16,10 +15,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 import loadbalancer.admin.EventLog;
 import loadbalancer.admin.Metrics;
-import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.BootSettings;
 import loadbalancer.config.EndpointList;
+import loadbalancer.config.SettingsFlattener;
 import loadbalancer.config.SettingsReader;
+import loadbalancer.config.SocketAddressParser;
 import loadbalancer.proxy.BodyRelay;
 import loadbalancer.proxy.FileDescriptorBudget;
 import loadbalancer.proxy.ProxyRequest;
@@ -45,10 +45,8 @@
     @BeforeEach
     void open() throws Exception {
         upstream = new FakeHttpServer();
-        Map<String, String> flattened = new HashMap<>();
-        BalancerConfig.flatten("", BalancerServerTest.settings(), flattened);
-        BootSettings boot =
-                SettingsReader.read(flattened, (path, what) -> new IllegalStateException(path));
+        Map<String, String> flattened = SettingsFlattener.flatten(BalancerServerTest.settings());
+        BootSettings boot = SettingsReader.read(flattened);
         upstreamPool =
                 new UpstreamPool(
                         eventLoop,
@@ -69,7 +67,7 @@
                                                 List.of(
                                                         new EndpointList.Entry(
                                                                 endpoint,
-                                                                EndpointList.parseAddress(
+                                                                SocketAddressParser.parse(
                                                                         upstream.address())))),
                                         clock.get()))
                 .sync();
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/PlatformSettings.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/PlatformSettings.java
@@ -123,8 +123,7 @@
     public static BootSettings bootSettings(Scenario scenario, int balancer) {
         Map<String, String> flatSettings = new LinkedHashMap<>();
         flatten("", settings(scenario, balancer), flatSettings);
-        return SettingsReader.read(
-                flatSettings, (path, what) -> new IllegalStateException(path + ": " + what));
+        return SettingsReader.read(flatSettings);
     }
 
     private static void flatten(String path, Object value, Map<String, String> flattened) {
