--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/simulator/EndpointListBuffers.java
@@ -0,0 +1,69 @@
+package loadbalancer.simulator;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointStatus;
+
+/**
+ * The numbered buffers of endpoint lists that LIST fills and SYNC refers to, shared by all
+ * instances. Not thread-safe.
+ */
+final class EndpointListBuffers {
+    private static final int BUFFER_COUNT = 16;
+    private static final String BUFFER = "Buffer";
+    private static final String ENTRIES = "Entries";
+    private static final String STATUS = "StageState";
+    private static final String[] ITEM_FIELDS = {
+        "StartTime", "Upstream", STATUS, "Heft", "Group", "GenerationHw", "Locality"
+    };
+    private static final int UNKNOWN_INDEX = -1;
+
+    // Null where no LIST has filled a buffer
+    private final List<List<Endpoint>> buffers = new ArrayList<>();
+
+    EndpointListBuffers() {
+        for (int i = 0; i < BUFFER_COUNT; i++) {
+            buffers.add(null);
+        }
+    }
+
+    /** Reads the ITEM frames that {@code listFrame} announces into the buffer that it names. */
+    void read(WireFrame listFrame, FrameReader frames) throws IOException {
+        int bufferIndex = listFrame.withFields(BUFFER, ENTRIES).index(BUFFER, BUFFER_COUNT);
+        int entryCount = listFrame.index(ENTRIES, Integer.MAX_VALUE);
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (int i = 0; i < entryCount; i++) {
+            WireFrame item = frames.next();
+            if (item == null || !item.name().equals("ITEM")) {
+                throw frames.malformed(
+                        "LIST", ENTRIES, entryCount + " ITEM lines announced, " + i + " found");
+            }
+            endpoints.add(toEndpoint(item.withFields(ITEM_FIELDS)));
+        }
+        buffers.set(bufferIndex, List.copyOf(endpoints));
+    }
+
+    private static Endpoint toEndpoint(WireFrame item) {
+        // The status first: of several faults in a line it is the one that is reported
+        EndpointStatus status = item.term(STATUS, "word", WireTerms.ENDPOINT_STATUSES);
+        return new Endpoint(
+                item.text("Upstream"),
+                status,
+                item.integer("StartTime", 0),
+                item.number("Heft", 1),
+                item.index("Group", Integer.MAX_VALUE, UNKNOWN_INDEX),
+                item.index("GenerationHw", Integer.MAX_VALUE, UNKNOWN_INDEX),
+                item.index("Locality", Integer.MAX_VALUE, UNKNOWN_INDEX));
+    }
+
+    /** The list in the buffer that a frame's field {@code Buffer} names. */
+    List<Endpoint> get(WireFrame frame) {
+        List<Endpoint> endpoints = buffers.get(frame.index(BUFFER, BUFFER_COUNT));
+        if (endpoints == null) {
+            throw frame.malformed(BUFFER, "no LIST has that number: " + frame.rawValue(BUFFER));
+        }
+        return endpoints;
+    }
+}
--- a/balancer/src/main/java/loadbalancer/simulator/WireFormatException.java
+++ b/balancer/src/main/java/loadbalancer/simulator/WireFormatException.java
@@ -1,10 +1,10 @@
 package loadbalancer.simulator;
 
-/** What is wrong with the input, in one line that names the place. */
+/** Input that breaks the simulator's wire format, in one line with the place of the fault. */
 public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireFormatException(String message) {
-        super(message);
+    WireFormatException(long lineNumber, String message, String field, String problem) {
+        super("line " + lineNumber + ": " + message + ": field " + field + ": " + problem);
     }
 }
--- a/balancer/src/main/java/loadbalancer/simulator/WireFrame.java
+++ b/balancer/src/main/java/loadbalancer/simulator/WireFrame.java
@@ -1,22 +1,32 @@
 package loadbalancer.simulator;
 
 import java.util.Base64;
+import java.util.Map;
 import loadbalancer.config.InvalidValueException;
 import loadbalancer.config.NumberParser;
 
 /**
- * One line of the wire: its name and its values, read with plain complaints about what is
- * malformed.
+ * One line of the simulator's wire: the name of a message and its values, separated by tabs. Its
+ * reader declares the message's fields once, then reads values by field. All methods that read
+ * throw {@link WireFormatException} with line, message and field. Belongs to the thread that reads
+ * the wire.
  */
 final class WireFrame {
+    private static final String SEPARATOR = "\t";
+    private static final String ABSENT = "-";
+    private static final String[] NO_FIELDS = {};
+
     private final long lineNumber;
+    // The name, then the values
     private final String[] columns;
+    private String[] fields = NO_FIELDS;
 
     WireFrame(long lineNumber, String text) {
         this.lineNumber = lineNumber;
-        this.columns = text.split("\t", -1);
+        this.columns = text.split(SEPARATOR, -1);
     }
 
+    /** The message's name. */
     String name() {
         return columns[0];
     }
@@ -25,75 +35,94 @@
         return columns.length - 1;
     }
 
+    /** The exception for what is wrong with a field of this line. */
     WireFormatException malformed(String field, String problem) {
-        return new WireFormatException(
-                "line " + lineNumber + ": " + columns[0] + ": field " + field + ": " + problem);
+        return new WireFormatException(lineNumber, name(), field, problem);
     }
 
-    /** Checks the number of values, so that a cut or joined line is noticed. */
-    WireFrame requireFields(String... fields) {
-        if (valueCount() < fields.length) {
-            throw malformed(fields[valueCount()], "is missing");
-        }
-        if (valueCount() > fields.length) {
+    /** Declares all fields; another number of values means that the line was cut or joined. */
+    WireFrame withFields(String... names) {
+        withLeadingFields(names);
+        int surplus = valueCount() - names.length;
+        if (surplus > 0) {
             throw malformed(
-                    fields.length == 0 ? "1" : fields[fields.length - 1],
-                    "is followed by "
-                            + (valueCount() - fields.length)
-                            + " more value(s) than the message has");
+                    names.length == 0 ? "1" : names[names.length - 1],
+                    "is followed by " + surplus + " more value(s) than the message has");
         }
         return this;
     }
 
-    String rawValue(int position, String field) {
-        if (position > valueCount()) {
-            throw malformed(field, "is missing");
+    /** Declares the first fields of a message whose further values have no names. */
+    WireFrame withLeadingFields(String... names) {
+        if (valueCount() < names.length) {
+            throw malformed(names[valueCount()], "is missing");
         }
+        fields = names;
+        return this;
+    }
+
+    /** The value at a position, of which 1 is the first after the name. */
+    String valueAt(int position) {
         return columns[position];
     }
 
-    String requiredText(int position, String field) {
-        String value = rawValue(position, field);
-        if (value.isEmpty() || value.equals("-")) {
-            throw malformed(field, "is absent");
+    /** The value of a declared field, be it as absent. */
+    String rawValue(String field) {
+        for (int i = 0; i < fields.length; i++) {
+            if (fields[i].equals(field)) {
+                return valueAt(i + 1);
+            }
         }
-        return value;
+        throw new IllegalStateException("field " + field + " of " + name() + " is not declared");
     }
 
-    boolean isAbsent(int position, String field) {
-        return rawValue(position, field).equals("-");
+    boolean isAbsent(String field) {
+        return rawValue(field).equals(ABSENT);
     }
 
-    long longValue(int position, String field) {
+    String text(String field) {
+        String value = rawValue(field);
+        if (value.isEmpty() || value.equals(ABSENT)) {
+            throw malformed(field, "is absent");
+        }
+        return value;
+    }
+
+    long integer(String field) {
         try {
-            return NumberParser.parseLong(requiredText(position, field));
+            return NumberParser.parseLong(text(field));
         } catch (InvalidValueException e) {
             throw malformed(field, e.getMessage());
         }
     }
 
-    long longValue(int position, String field, long defaultValue) {
-        return isAbsent(position, field) ? defaultValue : longValue(position, field);
+    long integer(String field, long defaultValue) {
+        return isAbsent(field) ? defaultValue : integer(field);
     }
 
-    int index(int position, String field, int limit) {
-        long value = longValue(position, field);
+    /** A number from 0 to below {@code limit}. */
+    int index(String field, int limit) {
+        long value = integer(field);
         if (value < 0 || value >= limit) {
             throw malformed(field, "not between 0 and " + (limit - 1) + ": " + value);
         }
         return (int) value;
     }
 
-    /** An index that may be absent: -1 then. */
-    int index(int position, String field) {
-        return isAbsent(position, field) ? -1 : index(position, field, Integer.MAX_VALUE);
+    int index(String field, int limit, int defaultValue) {
+        return isAbsent(field) ? defaultValue : index(field, limit);
+    }
+
+    double number(String field) {
+        return parseNumber(field, text(field));
     }
 
-    double doubleValue(int position, String field) {
-        return doubleValue(requiredText(position, field), field);
+    double number(String field, double defaultValue) {
+        return isAbsent(field) ? defaultValue : number(field);
     }
 
-    double doubleValue(String value, String field) {
+    /** Parses a number that is a part of a field's value. */
+    double parseNumber(String field, String value) {
         try {
             return NumberParser.parseFiniteDouble(value);
         } catch (InvalidValueException e) {
@@ -101,22 +130,34 @@
         }
     }
 
-    boolean booleanValue(int position, String field) {
-        return switch (requiredText(position, field)) {
+    boolean flag(String field) {
+        return switch (text(field)) {
             case "1" -> true;
             case "0" -> false;
-            default -> throw malformed(field, "not 0 or 1: '" + rawValue(position, field) + "'");
+            default -> throw malformed(field, "not 0 or 1: '" + rawValue(field) + "'");
         };
     }
 
-    byte[] decodedBytes(int position, String field) {
-        if (isAbsent(position, field)) {
+    /** The constant that a term of the wire stands for; {@code kind} is what the term is called. */
+    <E> E term(String field, String kind, Map<String, E> terms) {
+        String value = text(field);
+        E constant = terms.get(value);
+        if (constant == null) {
+            throw malformed(field, "unknown " + kind + ": '" + value + "'");
+        }
+        return constant;
+    }
+
+    /** Bytes in Base64; none where the field is absent. */
+    byte[] bytes(String field) {
+        if (isAbsent(field)) {
             return new byte[0];
         }
+        String value = rawValue(field);
         try {
-            return Base64.getDecoder().decode(rawValue(position, field));
+            return Base64.getDecoder().decode(value);
         } catch (IllegalArgumentException e) {
-            throw malformed(field, "not base64: '" + rawValue(position, field) + "'");
+            throw malformed(field, "not base64: '" + value + "'");
         }
     }
 }
--- a/balancer/src/main/java/loadbalancer/simulator/WireSettingsParser.java
+++ b/balancer/src/main/java/loadbalancer/simulator/WireSettingsParser.java
@@ -6,17 +6,20 @@
 import loadbalancer.config.InvalidSettingException;
 import loadbalancer.config.SettingsReader;
 
-/** Turns the path=value pairs of an ENLIST line into what an instance is started with. */
+/** Reads the settings of a new instance from the path=value pairs of its ENLIST line. Stateless. */
 final class WireSettingsParser {
+    private static final String PAIRS = "BootInfo";
+
     private WireSettingsParser() {}
 
+    /** Reads the pairs from position {@code firstPairPosition} on; 1 is the first value. */
     static BootSettings read(WireFrame frame, int firstPairPosition) {
         Map<String, String> values = new HashMap<>();
         for (int i = firstPairPosition; i <= frame.valueCount(); i++) {
-            String pair = frame.rawValue(i, "BootInfo");
+            String pair = frame.valueAt(i);
             int separator = pair.indexOf('=');
             if (separator <= 0) {
-                throw frame.malformed("BootInfo", "not path=value: '" + pair + "'");
+                throw frame.malformed(PAIRS, "not path=value: '" + pair + "'");
             }
             values.put(pair.substring(0, separator), pair.substring(separator + 1));
         }
