--- a/balancer/src/main/java/loadbalancer/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -15,37 +15,62 @@
 import loadbalancer.simulator.WireFormatException;
 
 /**
- * Starts a real balancer, or the adapter on standard input and output; {@code prepare} starts a
- * balancer that ends once it could serve, for the virtual machine to write down which classes that
- * takes.
+ * Command entry of the load balancer.
+ *
+ * <ul>
+ *   <li>{@code serve} runs a balancer until it is signalled to stop.
+ *   <li>{@code prepare} starts a balancer, warms it up and stops it, for the JVM to record which
+ *       classes a start loads.
+ *   <li>{@code wirehost} runs the routing policy on the simulator's wire, on standard input and
+ *       output.
+ * </ul>
  */
 public final class Main {
+    private static final String USAGE =
+            "usage: java -jar load-balancer.jar serve | prepare | wirehost";
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_FAILURE = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int BUFFER_SIZE_BYTES = 1 << 16;
+
     private Main() {}
 
+    /** Runs the command that the only argument names, and exits with its code. */
     public static void main(String[] args) {
-        if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(BalancerServer.serve(System.getenv()));
-        }
-        if (args.length == 1 && args[0].equals("prepare")) {
-            System.exit(BalancerServer.runWarmUpOnly());
+        String command = args.length == 1 ? args[0] : "";
+        switch (command) {
+            case "serve" -> System.exit(BalancerServer.serve(System.getenv()));
+            case "prepare" -> System.exit(BalancerServer.runWarmUpOnly());
+            case "wirehost" -> exitUnlessOk(runSimulatorAdapter());
+            default -> {
+                System.err.println(USAGE);
+                System.exit(EXIT_USAGE);
+            }
         }
-        if (args.length != 1 || !args[0].equals("wirehost")) {
-            System.err.println("usage: java -jar load-balancer.jar serve | prepare | wirehost");
-            System.exit(2);
+    }
+
+    // After a session that ended in order the JVM ends by itself.
+    private static void exitUnlessOk(int exitCode) {
+        if (exitCode != EXIT_OK) {
+            System.exit(exitCode);
         }
+    }
+
+    private static int runSimulatorAdapter() {
         try (BufferedReader input =
                         new BufferedReader(
                                 new InputStreamReader(
                                         new FileInputStream(FileDescriptor.in),
                                         StandardCharsets.UTF_8),
-                                1 << 16);
+                                BUFFER_SIZE_BYTES);
                 OutputStream output =
                         new BufferedOutputStream(
-                                new FileOutputStream(FileDescriptor.out), 1 << 16)) {
+                                new FileOutputStream(FileDescriptor.out), BUFFER_SIZE_BYTES)) {
             new SimulatorAdapter(RoutingEngine::new, input, output).run();
+            return EXIT_OK;
         } catch (WireFormatException | IOException e) {
             System.err.println("load-balancer: " + e.getMessage());
-            System.exit(1);
+            return EXIT_FAILURE;
         }
     }
 }
--- a/balancer/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/balancer/src/main/java/loadbalancer/admin/AdminServer.java
@@ -24,32 +24,48 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operators' door: one line to a connection, answered at once by a thread of its own, however
- * busy the balancer is. It reads what the balancer last published, and hands on what operators ask
- * for.
+ * The administration interface: a TCP server that reads one command line from each connection,
+ * answers it and closes. It has a thread of its own, so that it answers however busy the balancer
+ * is; its handlers and the set of connections are confined to that thread. {@link #listen} and
+ * {@link #close} may be called from any thread.
  */
 public final class AdminServer {
-    /** Callers at one time; one more takes the place of the earliest. */
+    /** Open connections; one more closes the oldest. */
     static final int MAX_CONNECTIONS = 12;
 
+    /** Length of a command line. */
     static final int MAX_LINE_BYTES = 128;
-    // For a line to be whole, and for its answer to be taken
+
+    // From accept until the client has read the response
     private static final long CONNECTION_TIMEOUT_MS = 3_000;
     private static final int BACKLOG = 64;
 
     private final AdminOperations operations;
     private final NioEventLoopGroup group =
             new NioEventLoopGroup(1, new DefaultThreadFactory("admin", true));
-    // The earliest first
+    // The oldest first
     private final Set<Channel> connections = new LinkedHashSet<>();
 
+    /** A server that listens nowhere yet; {@code operations} is called on the server's thread. */
     public AdminServer(AdminOperations operations) {
         this.operations = operations;
     }
 
-    /** Listens; returns the address in use. */
+    /**
+     * Binds to {@code address} and waits until it is bound.
+     *
+     * @return the bound address, with the port that the system chose where {@code address} has 0
+     * @throws IOException if the address can't be bound
+     */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         EventLoop loop = group.next();
+        ChannelInitializer<Channel> connectionInitializer =
+                new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        addConnection(channel);
+                    }
+                };
         Channel listener =
                 new ServerBootstrap()
                         .group(loop, loop)
@@ -59,13 +75,7 @@
                         .childOption(
                                 ChannelOption.RCVBUF_ALLOCATOR,
                                 new FixedRecvByteBufAllocator(MAX_LINE_BYTES))
-                        .childHandler(
-                                new ChannelInitializer<Channel>() {
-                                    @Override
-                                    protected void initChannel(Channel channel) {
-                                        addConnection(channel);
-                                    }
-                                })
+                        .childHandler(connectionInitializer)
                         .bind(address)
                         .awaitUninterruptibly()
                         .channel();
@@ -75,16 +85,15 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
+    /** Closes the listener and all connections, without waiting for it. */
     public void close() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     private void addConnection(Channel channel) {
-        if (connections.size() >= MAX_CONNECTIONS) {
-            connections.iterator().next().close();
-        }
+        closeOldestIfFull();
         connections.add(channel);
-        Future<?> timer =
+        Future<?> timeout =
                 channel.eventLoop()
                         .schedule(
                                 () -> channel.close(),
@@ -93,7 +102,7 @@
         channel.closeFuture()
                 .addListener(
                         closed -> {
-                            timer.cancel(false);
+                            timeout.cancel(false);
                             connections.remove(channel);
                         });
         channel.pipeline()
@@ -102,31 +111,36 @@
                         new ConnectionHandler());
     }
 
+    private void closeOldestIfFull() {
+        if (connections.size() >= MAX_CONNECTIONS) {
+            connections.iterator().next().close();
+        }
+    }
+
+    // The response to a command line, with its line ends.
     private String execute(String command) {
-        switch (command) {
-            case "ready":
-                return operations.stats().ready() ? "200 ready\n" : "400 not ready\n";
-            case "show-stat":
-                return "200 figures\n" + operations.stats().toStatsdText() + "EOF\n";
-            case "drain":
+        return switch (command) {
+            case "ready" -> operations.stats().ready() ? "200 ready\n" : "400 not ready\n";
+            case "show-stat" -> "200 figures\n" + operations.stats().toStatsdText() + "EOF\n";
+            case "drain" -> {
                 operations.drain();
-                return "200 draining\n";
-            case "resume":
+                yield "200 draining\n";
+            }
+            case "resume" -> {
                 operations.resume();
-                return "200 back to work\n";
-            default:
-                return "400 not a call: ready, show-stat, drain or resume\n";
-        }
+                yield "200 back to work\n";
+            }
+            default -> "400 not a call: ready, show-stat, drain or resume\n";
+        };
     }
 
-    /** One connection. */
+    /** Answers the first line of one connection, and ignores all that follows. */
     private final class ConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private boolean replied;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
             if (!replied) {
-                // One line to a connection: what follows is passed over
                 reply(context, execute(line.toString(StandardCharsets.UTF_8).strip()));
             }
         }
--- a/balancer/src/main/java/loadbalancer/admin/MetricsSnapshot.java
+++ b/balancer/src/main/java/loadbalancer/admin/MetricsSnapshot.java
@@ -3,9 +3,14 @@
 import java.util.List;
 
 /**
- * The figures of one moment, as operators read them. {@code inFlightRequests} counts requests taken
- * and not ended, {@code endpointCount} the upstreams in the list and {@code unhealthyCount} those
- * of them that get nothing now.
+ * The metrics of one moment. Immutable, so it may be published to other threads.
+ *
+ * @param ready whether the balancer can serve
+ * @param countersByClass counters of requests, one entry for each request class
+ * @param attemptsSent attempts whose request was written to an upstream completely
+ * @param inFlightRequests requests that were accepted and have no final response yet
+ * @param endpointCount endpoints in the list
+ * @param unhealthyCount endpoints of them that receive no requests now
  */
 public record MetricsSnapshot(
         boolean ready,
@@ -14,23 +19,25 @@
         int inFlightRequests,
         int endpointCount,
         int unhealthyCount) {
+    // The names of all metrics are fixed by the operators' page
     private static final String METRIC_PREFIX = "app.";
 
-    /** How the requests of one class have ended since the start. */
-    record ClassCounters(String requestClass, long served, long rejected, long failed) {}
+    /** How the requests of one class have ended since the process started. */
+    record ClassCounters(String className, long served, long rejected, long failed) {}
 
-    /** What is known before anything has happened. */
+    /** Before the balancer has published any metrics: not ready, and no counters. */
     public static final MetricsSnapshot EMPTY = new MetricsSnapshot(false, List.of(), 0, 0, 0, 0);
 
+    /** Copies the list. */
     public MetricsSnapshot {
         countersByClass = List.copyOf(countersByClass);
     }
 
-    /** As StatsD's text, a figure to a line; counters count from the start of the process. */
+    /** The metrics as StatsD text, one to a line; counters count from the start of the process. */
     String toStatsdText() {
         StringBuilder text = new StringBuilder();
         for (ClassCounters counters : countersByClass) {
-            String classPrefix = "transactions." + counters.requestClass() + ".";
+            String classPrefix = "transactions." + counters.className() + ".";
             appendCounter(text, classPrefix + "answered", counters.served());
             appendCounter(text, classPrefix + "deferred", counters.rejected());
             appendCounter(text, classPrefix + "errored", counters.failed());
--- a/balancer/src/test/java/loadbalancer/admin/AdminServerTest.java
+++ b/balancer/src/test/java/loadbalancer/admin/AdminServerTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The operators' door, over loopback sockets. */
+/** {@link AdminServer} over loopback sockets. */
 @Timeout(60)
 class AdminServerTest {
     private final List<String> calls = new CopyOnWriteArrayList<>();
@@ -131,19 +131,19 @@
         }
     }
 
-    /** Silent and half-written callers wait at the door in greater number than it lets in. */
+    /** More clients than {@code MAX_CONNECTIONS} connect and send nothing, or half a line. */
     @Test
-    void idleCallersDoNotBlockOthers() throws IOException {
-        List<Socket> idleCallers = new ArrayList<>();
+    void idleConnectionsDoNotBlockOthers() throws IOException {
+        List<Socket> idleConnections = new ArrayList<>();
         try {
             for (int i = 0; i < 2 * AdminServer.MAX_CONNECTIONS; i++) {
-                idleCallers.add(connect());
-                write(idleCallers.get(i), i % 2 == 0 ? "show-st" : "");
+                idleConnections.add(connect());
+                write(idleConnections.get(i), i % 2 == 0 ? "show-st" : "");
                 assertTrue(call("ready\n").startsWith("400 "));
             }
-            assertEquals("", readToEnd(idleCallers.get(0)));
+            assertEquals("", readToEnd(idleConnections.get(0)));
         } finally {
-            for (Socket socket : idleCallers) {
+            for (Socket socket : idleConnections) {
                 socket.close();
             }
         }
