--- a/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
+++ b/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
@@ -9,16 +9,20 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.BootSettings;
+import loadbalancer.config.EndpointList;
 import loadbalancer.config.SettingsFlattener;
 import loadbalancer.config.SettingsReader;
 import loadbalancer.config.SocketAddressParser;
 import loadbalancer.routing.RoutingEngine;
+import loadbalancer.routing.api.Endpoint;
+import loadbalancer.routing.api.EndpointListKind;
 import loadbalancer.server.BalancerServer;
 import loadbalancer.server.BalancerServerTest;
 import loadbalancer.server.FakeHttpServer;
@@ -31,7 +35,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Watches that fall silent, break or are replaced, where lists are pushed. */
+/** {@link DiscoveryClient}: watches that fall silent, break or are replaced. */
 @Timeout(60)
 class DiscoveryClientTest {
     private static final String CHUNKED_HEAD =
@@ -56,24 +60,20 @@
                         SocketAddressParser.parse(discoveryServer.address()),
                         boot,
                         41,
-                        (kind, endpointList) ->
-                                updates.add(
-                                        kind
-                                                + " "
-                                                + (endpointList == null
-                                                        ? ""
-                                                        : endpointList.revision()
-                                                                + " "
-                                                                + endpointList.entries().stream()
-                                                                        .map(
-                                                                                entry ->
-                                                                                        entry.endpoint()
-                                                                                                .id())
-                                                                        .toList())),
+                        (kind, endpointList) -> updates.add(describe(kind, endpointList)),
                         line -> {});
         eventLoop.execute(client::start);
     }
 
+    // Such as "DELTA 43 [b]"; a failure has no list.
+    private static String describe(EndpointListKind kind, EndpointList endpointList) {
+        if (endpointList == null) {
+            return kind + " ";
+        }
+        List<String> ids = endpointList.endpoints().stream().map(Endpoint::id).toList();
+        return kind + " " + endpointList.revision() + " " + ids;
+    }
+
     @AfterEach
     void close() throws IOException {
         eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -103,8 +103,8 @@
     }
 
     /**
-     * Answers the newest watch from there until one has heard: a call is given up while a test is
-     * slow.
+     * Responds to the newest watch until the client has got the payload: while the test is slow the
+     * client may close a call before its response.
      */
     private FakeHttpServer.ReceivedRequest answerNewestWatch(
             int revision, String payload, String expected) throws Exception {
@@ -116,7 +116,7 @@
             try {
                 watch.sendRaw(CHUNKED_HEAD + chunk(payload));
             } catch (IOException e) {
-                // Given up before
+                // The client has closed this call
                 continue;
             }
             String update = updates.poll(2, TimeUnit.SECONDS);
@@ -132,8 +132,8 @@
     }
 
     /**
-     * As while discovery is down: what the agent gets at its return has to be heard within the
-     * grace.
+     * While discovery is down its agent accepts connections and is silent. What it learns at its
+     * return must arrive within the grace of drains.
      */
     @Test
     void initiallySilentWatchIsReopenedInTime() throws Exception {
@@ -146,8 +146,8 @@
     }
 
     /**
-     * As of an agent that takes nothing in: a connect that waits may be noticed seconds after it is
-     * back.
+     * While an agent accepts no connections the system repeats lost connects after seconds; a
+     * connect that is new reaches it at once.
      */
     @Test
     void unconnectedWatchIsRetriedInTime() throws Exception {
@@ -155,7 +155,7 @@
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
             eventLoop.execute(
                     () -> client.reconnectTo(SocketAddressParser.parse(backlogListener.address())));
-            // Its first packets have been dropped by then
+            // The system has dropped the connect's first packets by then
             long packetsLostAtNanos = System.nanoTime() + 1_100_000_000;
             while (System.nanoTime() < packetsLostAtNanos) {
                 Thread.onSpinWait();
@@ -169,8 +169,8 @@
     }
 
     /**
-     * What it misses counts as told 6 s after it fell silent, whether that is amid a list or
-     * between two.
+     * What a watch misses must be known 6 s after it fell silent, be it within a list or between
+     * two.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "{\"rev\":43,\"all\":fal"})
@@ -185,53 +185,39 @@
         assertTrue(System.nanoTime() - silentSinceNanos < 6_000_000_000L);
     }
 
+    private static BalancerServer balancer(String mode, String discoveryAddress) {
+        Map<String, Object> rules = new HashMap<>();
+        rules.put("AnswerSlack", 8_000);
+        rules.put("DrainGrace", 2_800_000);
+        rules.put("AskWithin", 10_000_000);
+        rules.put("ColdFrom", 0.3);
+        rules.put("RampTime", 8_400_000);
+        rules.put("OverloadFactor", 3.0);
+        rules.put("Fall", 1_000_000);
+        Map<String, Object> settings = new HashMap<>(BalancerServerTest.settings());
+        settings.put("MembershipMode", mode);
+        settings.put("Rules", rules);
+        Map<String, Object> config = new HashMap<>();
+        config.put("name", "n1");
+        config.put("listen", "127.0.0.1:0");
+        config.put("discovery", discoveryAddress);
+        config.put("seed", "1");
+        config.put("settings", settings);
+        return new BalancerServer(
+                BalancerConfig.parse(Map.of(), config), RoutingEngine::new, false, line -> {});
+    }
+
     /**
-     * One clock for all of it: the watch falls silent, the next call is given up, the one after
-     * that reset, and each is followed by a pause. It is the module that asks again where lists are
-     * asked for.
+     * One deadline for all of it: the watch falls silent, the next call times out, the one after
+     * that is reset, and a backoff follows each. Where lists are polled it is the routing policy
+     * that calls again.
      */
     @ParameterizedTest
     @CsvSource({"push,2", "ask,1"})
     void successiveFailuresEndWithinNotifyDeadline(String mode, int abandonedCalls)
             throws Exception {
         try (FakeHttpServer server = new FakeHttpServer()) {
-            Map<String, Object> settings = new HashMap<>(BalancerServerTest.settings());
-            settings.put("MembershipMode", mode);
-            settings.put(
-                    "Rules",
-                    Map.of(
-                            "AnswerSlack",
-                            8_000,
-                            "DrainGrace",
-                            2_800_000,
-                            "AskWithin",
-                            10_000_000,
-                            "ColdFrom",
-                            0.3,
-                            "RampTime",
-                            8_400_000,
-                            "OverloadFactor",
-                            3.0,
-                            "Fall",
-                            1_000_000));
-            BalancerServer balancer =
-                    new BalancerServer(
-                            BalancerConfig.parse(
-                                    Map.of(),
-                                    Map.of(
-                                            "name",
-                                            "n1",
-                                            "listen",
-                                            "127.0.0.1:0",
-                                            "discovery",
-                                            server.address(),
-                                            "seed",
-                                            "1",
-                                            "settings",
-                                            settings)),
-                            RoutingEngine::new,
-                            false,
-                            line -> {});
+            BalancerServer balancer = balancer(mode, server.address());
             try {
                 balancer.start();
                 FakeHttpServer.ReceivedRequest watch = server.nextRequest();
@@ -239,7 +225,7 @@
                 long silentSinceNanos = System.nanoTime();
                 FakeHttpServer.ReceivedRequest nextCall = server.nextRequest();
                 while (!nextCall.requestLine().contains("from=42")) {
-                    // The first was given up while the test was slow
+                    // The client closed the first while the test was slow
                     watch = nextCall;
                     watch.sendRaw(CHUNKED_HEAD + chunk(listJson(42, true, "a") + "\n"));
                     silentSinceNanos = System.nanoTime();
@@ -250,7 +236,7 @@
                     nextCall = server.nextRequest();
                 }
                 nextCall.reset();
-                // Answered at once, this one would tell it
+                // A response to this call would bring the missed change
                 server.nextRequest();
                 long elapsedNanos = System.nanoTime() - silentSinceNanos;
                 assertTrue(elapsedNanos < 5_900_000_000L, elapsedNanos / 1_000_000 + " ms");
@@ -261,8 +247,8 @@
     }
 
     /**
-     * Half a list, and the empty lines that come while nothing changes: what follows would be lost
-     * in it.
+     * Half a list, and then only the empty lines that come while nothing changes: a list that
+     * follows would become part of the first.
      */
     @Test
     void endlessListIsAbandoned() throws Exception {
@@ -274,7 +260,7 @@
                     try {
                         watch.sendRaw(chunk("\n"));
                     } catch (IOException e) {
-                        // It has been closed: this task ends
+                        // The client has closed the watch; the exception ends this task
                         throw new UncheckedIOException(e);
                     }
                 },
@@ -297,7 +283,7 @@
 
     @Test
     void listsMaySpanLinesAndChunks() throws Exception {
-        // Nothing has changed so far
+        // Blank: nothing has changed since the revision
         FakeHttpServer.ReceivedRequest watch = answerNewestWatch(41, "  \n", "DELTA 41 []");
         String prettyList =
                 JSON.std
@@ -332,10 +318,10 @@
         assertEquals("DELTA 47 [c]", nextUpdate());
     }
 
-    /** As after SIGHUP, while the old watch is silent, broken off or amid a list. */
+    /** After a reload, while the old watch is silent, reset or within a list. */
     @ParameterizedTest
     @ValueSource(strings = {"silent", "reset", "{\"rev\":43,"})
-    void newAddressIsPolledAtOnce(String oldWatchState) throws Exception {
+    void newAddressIsWatchedAtOnce(String oldWatchState) throws Exception {
         FakeHttpServer.ReceivedRequest watch =
                 answerNewestWatch(41, listJson(42, true, "a") + "\n", "COMPLETE 42 [a]");
         if (oldWatchState.equals("reset")) {
@@ -352,7 +338,7 @@
                 assertTrue(watch.isClosedByPeer());
             }
             newWatch.sendRaw(CHUNKED_HEAD + chunk(listJson(7, true, "elsewhere") + "\n"));
-            // It counts for itself
+            // The new discovery has revisions of its own
             assertEquals("COMPLETE 7 [elsewhere]", nextUpdate());
         }
     }
