--- a/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
+++ b/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
@@ -7,6 +7,7 @@
 import java.util.function.Consumer;
 import loadbalancer.config.BootSettings;
 import loadbalancer.config.EndpointList;
+import loadbalancer.config.InvalidEndpointListException;
 import loadbalancer.routing.api.EndpointListKind;
 import loadbalancer.routing.api.PolicySnapshot;
 import loadbalancer.storage.FileSystemDirectory;
@@ -154,7 +155,7 @@
         EndpointList recovered;
         try {
             recovered = contentCodec.decodeEndpoints(recoveredSnapshot.get().content());
-        } catch (IllegalArgumentException e) {
+        } catch (InvalidEndpointListException e) {
             log.accept("state: stored endpoint list can't be read: " + e.getMessage());
             return known;
         }
