--- a/balancer/src/main/java/loadbalancer/dispatch/ExchangeAttempt.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/ExchangeAttempt.java
@@ -1,7 +1,7 @@
 package loadbalancer.dispatch;
 
 import java.util.concurrent.Future;
-import loadbalancer.upstream.UpstreamPool;
+import loadbalancer.upstream.UpstreamRequest;
 
 final class ExchangeAttempt {
     final Exchange exchange;
@@ -9,7 +9,7 @@
     final String endpointId;
     long startedAtMicros;
     long timeoutMicros;
-    UpstreamPool.UpstreamRequest upstreamRequest;
+    UpstreamRequest upstreamRequest;
     Future<?> timeoutTask;
     boolean ended;
 
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/upstream/IdleConnectionEvictor.java
@@ -0,0 +1,84 @@
+package loadbalancer.upstream;
+
+import java.util.Collection;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Closes idle connections: those idle for too long, by a timer that it owns, and the one idle for
+ * longest where a descriptor is needed. Event loop thread only.
+ */
+final class IdleConnectionEvictor {
+    private static final long MIN_SWEEP_INTERVAL_MICROS = 10_000;
+    private static final long MAX_SWEEP_INTERVAL_MICROS = 1_000_000;
+    private static final int SWEEPS_PER_IDLE_TIMEOUT = 10;
+
+    /**
+     * An endpoint that has drained is forgotten after this time, so that the table stays bounded.
+     */
+    private static final long ENDPOINT_EXPIRY_MICROS = 60_000_000;
+
+    private final PoolContext context;
+    private final Collection<EndpointPool> endpointPools;
+    private Future<?> sweepTask;
+
+    /** {@code endpointPools} is the pool's live view; expired endpoints are removed from it. */
+    IdleConnectionEvictor(PoolContext context, Collection<EndpointPool> endpointPools) {
+        this.context = context;
+        this.endpointPools = endpointPools;
+    }
+
+    /** Starts the timer, where connections have a limit on their idle time. */
+    void start() {
+        if (context.maxIdleMicros() == Long.MAX_VALUE) {
+            return;
+        }
+        long intervalMicros =
+                Math.max(
+                        MIN_SWEEP_INTERVAL_MICROS,
+                        Math.min(
+                                MAX_SWEEP_INTERVAL_MICROS,
+                                context.maxIdleMicros() / SWEEPS_PER_IDLE_TIMEOUT));
+        sweepTask =
+                context.loop()
+                        .scheduleWithFixedDelay(
+                                this::sweep, intervalMicros, intervalMicros, TimeUnit.MICROSECONDS);
+    }
+
+    void stop() {
+        if (sweepTask != null) {
+            sweepTask.cancel(false);
+        }
+    }
+
+    // Connections are closed well before their upstream closes them: a request that meets a close
+    // is
+    // reset and may have run, and requests of most classes can't be retried then.
+    private void sweep() {
+        long expiredBefore = context.nowMicros() - ENDPOINT_EXPIRY_MICROS;
+        endpointPools.removeIf(endpoint -> endpoint.wasDrainedBefore(expiredBefore));
+        for (EndpointPool endpoint : endpointPools) {
+            endpoint.closeExpiredConnections();
+        }
+    }
+
+    /** Closes the connection that has been idle for longest; false where none is idle. */
+    boolean closeLongestIdle() {
+        EndpointPool ownerOfLongestIdle = null;
+        long longestIdleSinceMicros = 0;
+        for (EndpointPool endpoint : endpointPools) {
+            UpstreamConnection candidate = endpoint.longestIdle();
+            if (candidate != null
+                    && (ownerOfLongestIdle == null
+                            || candidate.idleSinceMicros() < longestIdleSinceMicros)) {
+                ownerOfLongestIdle = endpoint;
+                longestIdleSinceMicros = candidate.idleSinceMicros();
+            }
+        }
+        if (ownerOfLongestIdle == null) {
+            return false;
+        }
+        ownerOfLongestIdle.closeLongestIdle();
+        return true;
+    }
+}
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
@@ -0,0 +1,70 @@
+package loadbalancer.upstream;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.AdaptiveRecvByteBufAllocator;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.local.LocalChannel;
+import io.netty.handler.codec.http.HttpRequestEncoder;
+import java.net.SocketAddress;
+
+/** Opens connections to endpoints and sets up their pipelines. Event loop thread only. */
+final class UpstreamConnector {
+    private static final int MIN_READ_BYTES = 64;
+    private static final int INITIAL_READ_BYTES = 2048;
+    private static final int MAX_READ_BYTES = 32 * 1024;
+
+    private final PoolContext context;
+    private final Bootstrap bootstrap;
+    private final SocketAddress inProcessAddress;
+
+    /**
+     * {@code inProcessAddress}: where every endpoint is, within this process; null: each endpoint
+     * is at its own address.
+     */
+    UpstreamConnector(
+            PoolContext context, int connectTimeoutMillis, SocketAddress inProcessAddress) {
+        this.context = context;
+        this.inProcessAddress = inProcessAddress;
+        this.bootstrap =
+                new Bootstrap()
+                        .group(context.loop())
+                        .option(
+                                ChannelOption.RCVBUF_ALLOCATOR,
+                                new AdaptiveRecvByteBufAllocator(
+                                        MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES))
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis);
+        if (inProcessAddress == null) {
+            bootstrap
+                    .channelFactory(StaleCheckSocketChannel::new)
+                    .option(ChannelOption.TCP_NODELAY, true);
+        } else {
+            bootstrap.channel(LocalChannel.class);
+        }
+    }
+
+    /** Opens a connection that writes {@code request} once it is established. */
+    void connect(EndpointPool endpoint, UpstreamRequest request) {
+        UpstreamConnection connection = new UpstreamConnection(context, endpoint);
+        connection.assign(request);
+        context.onConnectionOpened();
+        SocketAddress address = inProcessAddress == null ? endpoint.address() : inProcessAddress;
+        connection.open(bootstrap.clone().handler(pipelineFor(connection)).connect(address));
+    }
+
+    private ChannelInitializer<Channel> pipelineFor(UpstreamConnection connection) {
+        ResponseReader responseReader = new ResponseReader(context, connection);
+        return new ChannelInitializer<>() {
+            @Override
+            protected void initChannel(Channel channel) {
+                channel.pipeline()
+                        .addLast(
+                                connection,
+                                responseReader.decoder(),
+                                new HttpRequestEncoder(),
+                                responseReader);
+            }
+        };
+    }
+}
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamResponseListener.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamResponseListener.java
@@ -6,24 +6,32 @@
 import loadbalancer.routing.api.AttemptOutcome;
 import loadbalancer.routing.api.LoadReport;
 
-/**
- * How a request to an upstream ended; {@code answer} is null but for OK, and the caller's to
- * release.
- */
+/** Receives the outcome of one {@link UpstreamRequest}, on the event loop's thread. */
 public interface UpstreamResponseListener {
     /**
-     * Whether it may still be written, asked right before its first byte where it had to wait for a
-     * connection; where not, it ends as NOT_SENT.
+     * Whether the request may still be written; asked right before its first byte if it had to wait
+     * for a connection. Where not, it ends as {@link AttemptOutcome#NOT_SENT}.
      */
     default boolean mayStart() {
         return true;
     }
 
+    /**
+     * The request has ended; called once, unless the request was abandoned.
+     *
+     * @param response a buffered response, valid during the call only and released by the pool;
+     *     null where none came or where it was streamed
+     * @param load the load report that came with the response, or null
+     */
     void onComplete(AttemptOutcome outcome, FullHttpResponse response, LoadReport load);
 
     /**
-     * A long 200 answer has begun, and comes by {@code body}; {@code contentLength} is -1 where it
-     * is not known. Its end is told by {@link #onComplete}, without an answer.
+     * A 200 response that is streamed has begun; {@link #onComplete} reports its end, without a
+     * response.
+     *
+     * @param contentLength the length of the body in bytes, or -1 where it is unknown
+     * @param body the body, now owned by the listener
+     * @param load the load report in the header fields, or null
      */
     default void onResponseStarted(
             HttpResponse responseHead, long contentLength, BodyRelay body, LoadReport load) {
--- a/balancer/src/test/java/loadbalancer/upstream/UpstreamPoolTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamPoolTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Which of an upstream's resting connections is used, by a clock that the test sets. */
+/** Which idle connection of an endpoint is used, by a clock that the test sets. */
 @Timeout(60)
 class UpstreamPoolTest {
     private final NioEventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
@@ -115,8 +115,8 @@
     }
 
     /**
-     * A second answer may come some milliseconds late, least likely on the one that rests for
-     * longest.
+     * A second response may arrive some milliseconds late, least likely on the connection that has
+     * been idle for longest.
      */
     @Test
     void recentlyUsedConnectionIsAvoided() throws Exception {
@@ -132,12 +132,12 @@
         FakeHttpServer.ReceivedRequest next = sendRequest("d");
         assertEquals(first.connectionNumber(), next.connectionNumber());
         clock.addAndGet(9_500);
-        // B has rested for long enough, c has not
+        // The connection of b has been idle for long enough, that of c has not
         next = sendRequest("e");
         assertEquals(second.connectionNumber(), next.connectionNumber());
         respondAndAwait(next, "e");
         clock.addAndGet(20_000);
-        // The last that was used: others may close
+        // The most recently used one: their upstream may close the others
         assertEquals(second.connectionNumber(), sendRequest("f").connectionNumber());
     }
 }
