--- a/balancer/src/main/java/loadbalancer/proxy/BodyRelay.java
+++ b/balancer/src/main/java/loadbalancer/proxy/BodyRelay.java
@@ -10,31 +10,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A long body on its way from one connection to another, as fast as the slower of them allows: what
- * is held of it is a few reads at most. Both connections belong to one event loop, and all of it
- * runs there.
+ * Streams a body from one connection, its source, to another, its sink, at the speed of the slower
+ * of them: reading from the source pauses while the sink can't take more, so that a few reads at
+ * most are buffered. The relay owns the buffers that it is given and its timers until it has
+ * finished. Both connections belong to one event loop, and so does the relay.
  */
 public final class BodyRelay {
-    /**
-     * Bytes that may wait before there is a sink: a body up to that length is no matter for a
-     * relay.
-     */
+    /** Bytes that are buffered before there is a sink; bodies up to that length need no relay. */
     public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-    // Without a byte moved: one side stands still
+    /** Without progress for this long the side that makes none is closed. */
     private static final long STALL_TIMEOUT_NS = 10_000_000_000L;
+
     private static final long STALL_CHECK_INTERVAL_MS = 1_000;
-    // Bytes of overhead that a part is counted for
+
+    /** Counted for each buffered part on top of its bytes. */
     private static final int PART_OVERHEAD_BYTES = 128;
-    // Between looks for the end of a client whose body waits: a little is read, for it stands
-    // behind that.
+
+    /** Between reads from a paused source: the end of its input follows unread bytes. */
     private static final long DISCONNECT_CHECK_INTERVAL_MS = 100;
-    // Held at most for that
+
+    /** A paused source is not read beyond this. */
     private static final int MAX_DISCONNECT_CHECK_BYTES = 4 * MAX_BUFFERED_BYTES;
 
     /**
-     * What the relays of a process hold together. Guards against many at a time that each hold
-     * little.
+     * The bytes that all relays of a process buffer together: many relays that buffer little each
+     * may not add up without a bound.
      */
     public static final class BufferBudget {
         private static final long MAX_BYTES = 4 << 20;
@@ -45,12 +46,12 @@
         }
     }
 
-    /** Hears how it ended, once. */
+    /** Called once at the end, unless the sink has discarded the body. */
     public interface Listener {
-        /** All of it has been written to the sink. */
+        /** All of the body has been written to the sink. */
         void onComplete();
 
-        /** The source broke off: what has been written is not all. */
+        /** The source has ended early: what has been written is incomplete. */
         void onAborted();
     }
 
@@ -59,25 +60,28 @@
     private final Runnable onDiscarded;
     private final ArrayDeque<ByteBuf> pendingParts = new ArrayDeque<>();
     private final Future<?> stallCheck;
-    // Null where the source's end is no news
+    // Null where an early end of the source need not be detected
     private final Future<?> disconnectCheck;
-    // Null until there is one
+    // Both null until writeTo
     private Channel sink;
     private Listener listener;
-    // Waiting, or written and not yet taken by the system
+    // Pending, or written and not yet flushed to the socket
     private long bufferedBytes;
     private long lastProgressNanos = System.nanoTime();
-    // The source has given all
+    // All of the body has arrived
     private boolean sourceEnded;
-    // Of it, held back until the source has been looked at
+    // The last part, until it is known whether the source is still connected
     private ByteBuf deferredLastPart;
     private boolean lastContentWritten;
+    // writePending is not re-entrant
     private boolean writing;
     private boolean finished;
 
     /**
-     * {@code onDiscarded} runs once if the sink wants no more before the end; {@code
-     * detectDisconnect}: the source's end is looked for while it waits for the sink, too.
+     * A relay without a sink; its timers start.
+     *
+     * @param detectDisconnect the end of the source's input is looked for while reading is paused
+     * @param onDiscarded runs once if the sink discards the body before its end
      */
     public BodyRelay(
             Channel source,
@@ -87,22 +91,17 @@
         this.source = source;
         this.bufferBudget = bufferBudget;
         this.onDiscarded = onDiscarded;
-        stallCheck =
-                source.eventLoop()
-                        .scheduleWithFixedDelay(
-                                this::checkForStall,
-                                STALL_CHECK_INTERVAL_MS,
-                                STALL_CHECK_INTERVAL_MS,
-                                TimeUnit.MILLISECONDS);
+        stallCheck = schedule(this::checkForStall, STALL_CHECK_INTERVAL_MS);
         disconnectCheck =
-                !detectDisconnect
-                        ? null
-                        : source.eventLoop()
-                                .scheduleWithFixedDelay(
-                                        this::checkForDisconnect,
-                                        DISCONNECT_CHECK_INTERVAL_MS,
-                                        DISCONNECT_CHECK_INTERVAL_MS,
-                                        TimeUnit.MILLISECONDS);
+                detectDisconnect
+                        ? schedule(this::checkForDisconnect, DISCONNECT_CHECK_INTERVAL_MS)
+                        : null;
+    }
+
+    private Future<?> schedule(Runnable check, long intervalMillis) {
+        return source.eventLoop()
+                .scheduleWithFixedDelay(
+                        check, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
     }
 
     private void checkForDisconnect() {
@@ -115,36 +114,48 @@
         }
     }
 
-    /** Whether a sink has got any of it: it can't be given to another from the start. */
+    // Before there is a sink, the deadline of the request bounds the time
+    private void checkForStall() {
+        if (sink != null && System.nanoTime() - lastProgressNanos > STALL_TIMEOUT_NS) {
+            Channel stalled = bufferedBytes > 0 || sourceEnded ? sink : source;
+            stalled.close();
+        }
+    }
+
+    /** Whether a sink may have got some of the body: it can't be sent again then. */
     boolean hasStarted() {
         return sink != null;
     }
 
-    /** Whether the source has given all. */
+    /** Whether all of the body has arrived. */
     public boolean isSourceEnded() {
         return sourceEnded;
     }
 
-    /** Whether the source is kept waiting for the sink. */
+    /** Whether reading from the source is paused for the sink. */
     public boolean isSourcePaused() {
         return !source.config().isAutoRead();
     }
 
-    // ---------------------------------------------------------------- the source
+    // ---------------------------------------------------------------- source
 
-    /** Takes over a part. */
+    /** Takes over a part of the body and releases it after its write. */
     public void add(ByteBuf part) {
         if (finished || !part.isReadable()) {
             part.release();
             return;
         }
-        pendingParts.add(part);
-        adjustBufferedBytes(part.readableBytes() + PART_OVERHEAD_BYTES);
+        addPending(part);
         lastProgressNanos = System.nanoTime();
         writePending();
     }
 
-    /** The source has given all; what it sends from here on is no part of this. */
+    private void addPending(ByteBuf part) {
+        pendingParts.add(part);
+        adjustBufferedBytes(part.readableBytes() + PART_OVERHEAD_BYTES);
+    }
+
+    /** All of the body has arrived; what the source sends next belongs to another message. */
     public void complete() {
         if (!sourceEnded) {
             sourceEnded = true;
@@ -154,14 +165,48 @@
         }
     }
 
-    /** The source breaks off. */
+    /**
+     * Takes over the last part of the body. It is written after what follows it has been read:
+     * where that is the end of the input the client has disconnected, maybe long ago, and its
+     * request must not become complete.
+     */
+    public void complete(ByteBuf lastPart) {
+        if (finished || sourceEnded) {
+            lastPart.release();
+            return;
+        }
+        deferredLastPart = lastPart;
+        complete();
+        source.eventLoop().execute(this::writeLastPartIfConnected);
+    }
+
+    private void writeLastPartIfConnected() {
+        if (source.unsafe() instanceof AbstractNioChannel.NioUnsafe socket && source.isActive()) {
+            socket.read();
+        }
+        ByteBuf lastPart = deferredLastPart;
+        deferredLastPart = null;
+        if (finished || !source.isActive()) {
+            lastPart.release();
+            abortUnlessFinished();
+            return;
+        }
+        if (lastPart.isReadable()) {
+            addPending(lastPart);
+        } else {
+            lastPart.release();
+        }
+        writePending();
+    }
+
+    /** The source's connection has ended; without effect once all of the body has arrived. */
     public void abort() {
         if (!sourceEnded) {
-            abortNow();
+            abortUnlessFinished();
         }
     }
 
-    private void abortNow() {
+    private void abortUnlessFinished() {
         if (!finished) {
             finish();
             if (listener != null) {
@@ -170,59 +215,22 @@
         }
     }
 
-    /**
-     * The same, with the last part. It goes on once all that stands behind it has been read: where
-     * that is the source's end its client has left, maybe long ago, and its request must not become
-     * whole.
-     */
-    public void complete(ByteBuf part) {
-        if (finished || sourceEnded) {
-            part.release();
-            return;
-        }
-        deferredLastPart = part;
-        complete();
-        source.eventLoop()
-                .execute(
-                        () -> {
-                            if (source.unsafe() instanceof AbstractNioChannel.NioUnsafe socket
-                                    && source.isActive()) {
-                                socket.read();
-                            }
-                            ByteBuf lastPart = deferredLastPart;
-                            deferredLastPart = null;
-                            if (finished || !source.isActive()) {
-                                lastPart.release();
-                                abortNow();
-                            } else {
-                                if (lastPart.isReadable()) {
-                                    adjustBufferedBytes(
-                                            lastPart.readableBytes() + PART_OVERHEAD_BYTES);
-                                    pendingParts.add(lastPart);
-                                } else {
-                                    lastPart.release();
-                                }
-                                writePending();
-                            }
-                        });
-    }
-
-    // ---------------------------------------------------------------- the sink
+    // ---------------------------------------------------------------- sink
 
-    /** Begins to write, after what has been written there already. */
+    /** Sets the sink and starts to write to it, behind what has been written there already. */
     public void writeTo(Channel channel, Listener completionListener) {
         sink = channel;
         listener = completionListener;
         lastProgressNanos = System.nanoTime();
         if (finished) {
-            // The source broke off before
+            // The source had ended early
             completionListener.onAborted();
         } else {
             writePending();
         }
     }
 
-    /** The sink wants no more. */
+    /** The sink takes no more: the rest of the body is dropped. */
     public void discard() {
         if (!finished) {
             finish();
@@ -233,40 +241,16 @@
         }
     }
 
-    /** Goes on, as the sink may have room again. */
+    /** Writes on; to be called when the sink has become writable. */
     public void writePending() {
         if (writing || finished) {
             return;
         }
         if (sink != null) {
             writing = true;
-            boolean needsFlush = false;
-            while (!finished && !pendingParts.isEmpty() && sink.isWritable()) {
-                ByteBuf part = pendingParts.poll();
-                int sizeBytes = part.readableBytes() + PART_OVERHEAD_BYTES;
-                sink.write(new DefaultHttpContent(part))
-                        .addListener(done -> onPartWritten(sizeBytes, done.isSuccess()));
-                needsFlush = true;
-                if (!sink.isWritable()) {
-                    // May make room at once
-                    sink.flush();
-                    needsFlush = false;
-                }
-            }
-            if (!finished
-                    && sourceEnded
-                    && deferredLastPart == null
-                    && pendingParts.isEmpty()
-                    && !lastContentWritten) {
-                lastContentWritten = true;
-                sink.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
-                        .addListener(
-                                done -> {
-                                    if (done.isSuccess() && !finished) {
-                                        finish();
-                                        listener.onComplete();
-                                    }
-                                });
+            boolean needsFlush = writePendingParts();
+            if (isLastContentDue()) {
+                writeLastContent();
             } else if (needsFlush) {
                 sink.flush();
             }
@@ -275,27 +259,66 @@
         updateAutoRead();
     }
 
+    // Whether something is left to flush
+    private boolean writePendingParts() {
+        boolean needsFlush = false;
+        while (!finished && !pendingParts.isEmpty() && sink.isWritable()) {
+            ByteBuf part = pendingParts.poll();
+            int sizeBytes = part.readableBytes() + PART_OVERHEAD_BYTES;
+            sink.write(new DefaultHttpContent(part))
+                    .addListener(done -> onPartWritten(sizeBytes, done.isSuccess()));
+            needsFlush = true;
+            if (!sink.isWritable()) {
+                // The flush may make it writable at once
+                sink.flush();
+                needsFlush = false;
+            }
+        }
+        return needsFlush;
+    }
+
+    private boolean isLastContentDue() {
+        return !finished
+                && sourceEnded
+                && deferredLastPart == null
+                && pendingParts.isEmpty()
+                && !lastContentWritten;
+    }
+
+    private void writeLastContent() {
+        lastContentWritten = true;
+        sink.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
+                .addListener(
+                        done -> {
+                            if (done.isSuccess() && !finished) {
+                                finish();
+                                listener.onComplete();
+                            }
+                        });
+    }
+
     private void onPartWritten(int sizeBytes, boolean success) {
         adjustBufferedBytes(-sizeBytes);
         lastProgressNanos = System.nanoTime();
         if (!success) {
-            // Whose it is learns of it there
+            // The owner of the sink learns of the close
             sink.close();
         } else if (!writing) {
             updateAutoRead();
         }
     }
 
-    // Reads on where what has come is on its way; with the budget spent, one read at a time.
+    // ---------------------------------------------------------------- flow control
+
+    // Reading goes on once what has arrived is written; with the budget exhausted, read by read
     private void updateAutoRead() {
         if (!finished && !sourceEnded) {
             boolean hasCapacity =
                     sink == null
                             ? bufferedBytes < MAX_BUFFERED_BYTES
                             : pendingParts.isEmpty() && sink.isWritable();
-            source.config()
-                    .setAutoRead(
-                            hasCapacity && (bufferedBytes == 0 || !bufferBudget.isExhausted()));
+            boolean withinBudget = bufferedBytes == 0 || !bufferBudget.isExhausted();
+            source.config().setAutoRead(hasCapacity && withinBudget);
         }
     }
 
@@ -304,6 +327,7 @@
         bufferBudget.usedBytes += deltaBytes;
     }
 
+    // The one place in which timers end and buffers that were not written are released
     private void finish() {
         finished = true;
         stallCheck.cancel(false);
@@ -319,12 +343,4 @@
             disconnectCheck.cancel(false);
         }
     }
-
-    // Ends what stands still, however slowly it may move. Before there is a sink, others bound the
-    // time.
-    private void checkForStall() {
-        if (sink != null && System.nanoTime() - lastProgressNanos > STALL_TIMEOUT_NS) {
-            (bufferedBytes > 0 || sourceEnded ? sink : source).close();
-        }
-    }
 }
--- a/balancer/src/main/java/loadbalancer/proxy/ProxyRequest.java
+++ b/balancer/src/main/java/loadbalancer/proxy/ProxyRequest.java
@@ -4,10 +4,19 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A client's request: what goes on to an upstream unchanged, and what the module is told of it.
- * Times are in µs; {@code workEstimate} is -1 where the client gives no guess. Where {@code upload}
- * is not null the body comes that way, {@code contentLength} bytes of it or, where that is -1, as
- * many as there are; {@code body} is empty then.
+ * A client's request: what is forwarded to an upstream unchanged, and what the routing policy is
+ * given. Its {@code body} is complete, or it is streamed by {@code upload} and {@code body} is
+ * empty.
+ *
+ * @param body not copied: neither the creator nor a reader may change it
+ * @param requestClass the index of the request's class in the settings
+ * @param tenant the index of the request's tenant; 0 where there are none
+ * @param key what requests are ordered by, or null
+ * @param timeLeftMicros the time in µs from the request's start to the client's deadline
+ * @param workEstimate the client's estimate of the work, or -1
+ * @param resubmission whether the client has sent the request before
+ * @param upload the streamed body, or null
+ * @param contentLength the length of the body in bytes; -1 for a streamed body of unknown length
  */
 public record ProxyRequest(
         HttpMethod method,
@@ -22,10 +31,10 @@
         boolean resubmission,
         BodyRelay upload,
         long contentLength) {
-    /** The milliseconds that are left of a request's time, as the platform names it. */
+    /** The header with the milliseconds that are left to the request's deadline. */
     public static final String DEADLINE_HEADER = "Req-Deadline-Ms";
 
-    /** With a body that is all there. */
+    /** A request whose body is complete. */
     public ProxyRequest(
             HttpMethod method,
             String uri,
@@ -52,12 +61,12 @@
                 body.length);
     }
 
-    /** The client's name for it, for the log. */
+    /** The client's id of the request, for the log; null where it gave none. */
     public String clientRequestId() {
         return headers.get("Req-Id");
     }
 
-    /** The same for another path. */
+    /** The same request with another URI. */
     public ProxyRequest withUri(String newUri) {
         return new ProxyRequest(
                 method,
@@ -74,7 +83,7 @@
                 contentLength);
     }
 
-    /** Whether it can be sent from its first byte on. */
+    /** Whether all of it can be sent: none of a streamed body has been sent yet. */
     public boolean isReplayable() {
         return upload == null || !upload.hasStarted();
     }
--- a/balancer/src/main/java/loadbalancer/proxy/StrictFraming.java
+++ b/balancer/src/main/java/loadbalancer/proxy/StrictFraming.java
@@ -13,32 +13,32 @@
 import java.util.List;
 
 /**
- * Decoders that turn a message down where two parties may read its length differently (RFC 9112,
- * 6.3). Guards against request smuggling: Netty's own choose one reading, so that what a sender
- * means as a body is taken for a message of its own. What they turn down is malformed, and so is
- * all that follows on its connection.
+ * Decoders that refuse a message whose length two parties may read differently (RFC 9112, 6.3).
+ * Netty's own decoders choose one reading, which permits request smuggling: what a sender means as
+ * a body is read as a message of its own. A refused message has a failed decoder result, mostly by
+ * a {@link FramingException}, and nothing that follows on its connection is decoded.
  */
 public final class StrictFraming {
     private StrictFraming() {}
 
-    /** Of clients' requests. */
+    /** Decodes clients' requests. */
     public static final class RequestDecoder extends HttpRequestDecoder {
-        /** Whether a part of a line has come that is not read yet. */
+        /** Whether bytes have arrived that are not decoded yet. */
         public boolean hasUndecodedBytes() {
             return actualReadableBytes() > 0;
         }
 
+        // Called when the headers are complete and before Netty removes any
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
-            // The headers are whole, and none has been dropped yet
             validateFraming(message);
             return super.isContentAlwaysEmpty(message);
         }
     }
 
-    /** Of upstreams' answers. */
+    /** Decodes upstreams' responses. */
     public static final class ResponseDecoder extends HttpResponseDecoder {
-        /** Whether a part of a line has come that is not read yet. */
+        /** Whether bytes have arrived that are not decoded yet. */
         public boolean hasUndecodedBytes() {
             return actualReadableBytes() > 0;
         }
@@ -47,16 +47,16 @@
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
             validateFraming(message);
             if (((HttpResponse) message).status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
-                throw new IllegalArgumentException("another protocol, unasked");
+                throw new FramingException("another protocol, unasked");
             }
             return super.isContentAlwaysEmpty(message);
         }
 
-        // Netty ends a name at white space too, and so takes a line without a colon for a header.
+        // Netty ends a header's name at white space too, and so accepts a line without a colon
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
             if (line[start + length] != ':') {
-                throw new IllegalArgumentException("no colon after a header's name");
+                throw new FramingException("no colon after a header's name");
             }
             return super.splitHeaderName(line, start, length);
         }
@@ -66,21 +66,21 @@
         HttpHeaders headers = message.headers();
         HttpVersion version = message.protocolVersion();
         if (!version.protocolName().equals("HTTP") || version.majorVersion() != 1) {
-            throw new IllegalArgumentException("not HTTP/1");
+            throw new FramingException("not HTTP/1");
         }
         List<String> transferCodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (transferCodings.isEmpty()) {
             return;
         }
         if (version.minorVersion() == 0) {
-            throw new IllegalArgumentException("Transfer-Encoding in HTTP/1.0");
+            throw new FramingException("Transfer-Encoding in HTTP/1.0");
         }
         if (transferCodings.size() > 1
                 || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(transferCodings.get(0))) {
-            throw new IllegalArgumentException("Transfer-Encoding is not just chunked");
+            throw new FramingException("Transfer-Encoding is not just chunked");
         }
         if (headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
-            throw new IllegalArgumentException("both Transfer-Encoding and Content-Length");
+            throw new FramingException("both Transfer-Encoding and Content-Length");
         }
     }
 }
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/proxy/BodyRelayTest.java
@@ -0,0 +1,97 @@
+package loadbalancer.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.LastHttpContent;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+
+/** Flow control, ends and buffers of a relay between two embedded channels. */
+class BodyRelayTest {
+    private final EmbeddedChannel source = new EmbeddedChannel();
+    private final EmbeddedChannel sink = new EmbeddedChannel();
+    private final List<String> events = new ArrayList<>();
+    private final BodyRelay relay =
+            new BodyRelay(
+                    source, new BodyRelay.BufferBudget(), false, () -> events.add("discarded"));
+
+    private final BodyRelay.Listener listener =
+            new BodyRelay.Listener() {
+                @Override
+                public void onComplete() {
+                    events.add("complete");
+                }
+
+                @Override
+                public void onAborted() {
+                    events.add("aborted");
+                }
+            };
+
+    @AfterEach
+    void close() {
+        source.finishAndReleaseAll();
+        sink.finishAndReleaseAll();
+    }
+
+    private static ByteBuf part(int sizeBytes) {
+        return Unpooled.buffer(sizeBytes).writeZero(sizeBytes);
+    }
+
+    @Test
+    void readingPausesUntilThereIsASink() {
+        relay.add(part(BodyRelay.MAX_BUFFERED_BYTES));
+        assertTrue(relay.isSourcePaused());
+        relay.writeTo(sink, listener);
+        assertFalse(relay.isSourcePaused());
+        HttpContent written = sink.readOutbound();
+        assertEquals(BodyRelay.MAX_BUFFERED_BYTES, written.content().readableBytes());
+        written.release();
+    }
+
+    @Test
+    void lastPartIsWrittenWhereTheSourceIsConnected() {
+        relay.writeTo(sink, listener);
+        relay.complete(part(1));
+        assertNull(sink.readOutbound());
+        source.runPendingTasks();
+        HttpContent written = sink.readOutbound();
+        assertEquals(1, written.content().readableBytes());
+        written.release();
+        assertSame(LastHttpContent.EMPTY_LAST_CONTENT, sink.readOutbound());
+        assertEquals(List.of("complete"), events);
+    }
+
+    @Test
+    void lastPartOfADisconnectedSourceIsReleasedAndNotWritten() {
+        ByteBuf lastPart = part(1);
+        relay.writeTo(sink, listener);
+        relay.complete(lastPart);
+        // Closes before it runs pending tasks; EmbeddedChannel.close() runs them first
+        source.unsafe().close(source.newPromise());
+        source.runPendingTasks();
+        assertNull(sink.readOutbound());
+        assertEquals(0, lastPart.refCnt());
+        assertEquals(List.of("aborted"), events);
+    }
+
+    @Test
+    void discardReleasesWhatIsBufferedAndEndsTheSource() {
+        ByteBuf buffered = part(1);
+        relay.add(buffered);
+        relay.discard();
+        relay.discard();
+        assertEquals(0, buffered.refCnt());
+        assertEquals(List.of("discarded"), events);
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/proxy/StrictFramingTest.java
@@ -0,0 +1,65 @@
+package loadbalancer.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelHandler;
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.handler.codec.DecoderResult;
+import io.netty.handler.codec.http.HttpMessage;
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** The rule that a refused message is said to break; | stands for the end of a line. */
+class StrictFramingTest {
+    private static DecoderResult decode(ChannelHandler decoder, String message) {
+        EmbeddedChannel channel = new EmbeddedChannel(decoder);
+        String lines = message.replace("|", "\r\n");
+        channel.writeInbound(Unpooled.copiedBuffer(lines, StandardCharsets.US_ASCII));
+        HttpMessage head = channel.readInbound();
+        DecoderResult result = head.decoderResult();
+        channel.finishAndReleaseAll();
+        return result;
+    }
+
+    private static void assertBreaks(String expectedRule, DecoderResult result) {
+        assertTrue(result.isFailure());
+        assertEquals(FramingException.class, result.cause().getClass());
+        assertEquals(expectedRule, result.cause().getMessage());
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "'POST / HTTP/2.0|Content-Length: 0||', not HTTP/1",
+        "'POST / HTTP/1.0|Transfer-Encoding: chunked||', Transfer-Encoding in HTTP/1.0",
+        "'POST / HTTP/1.1|Transfer-Encoding: gzip||', Transfer-Encoding is not just chunked",
+        "'POST / HTTP/1.1|Transfer-Encoding: chunked|Content-Length: 1||',"
+                + " both Transfer-Encoding and Content-Length"
+    })
+    void refusedRequestNamesTheRule(String message, String expectedRule) {
+        assertBreaks(expectedRule, decode(new StrictFraming.RequestDecoder(), message));
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "'HTTP/1.1 101 Switching|Upgrade: x||', 'another protocol, unasked'",
+        "'HTTP/1.1 200 OK|no colon|Content-Length: 2||', no colon after a header's name",
+        "'HTTP/1.1 200 OK|Transfer-Encoding: chunked|Content-Length: 1||',"
+                + " both Transfer-Encoding and Content-Length"
+    })
+    void refusedResponseNamesTheRule(String message, String expectedRule) {
+        assertBreaks(expectedRule, decode(new StrictFraming.ResponseDecoder(), message));
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "'POST / HTTP/1.1|Transfer-Encoding: Chunked||'",
+        "'GET / HTTP/1.0||'",
+        "'POST / HTTP/1.1|Content-Length: 3||'"
+    })
+    void unambiguousRequestIsDecoded(String message) {
+        assertTrue(decode(new StrictFraming.RequestDecoder(), message).isSuccess());
+    }
+}
