--- a/balancer/src/main/java/loadbalancer/dispatch/RequestHandle.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestHandle.java
@@ -1,10 +1,10 @@
 package loadbalancer.dispatch;
 
-/** What the client's side tells of a request that it has handed over. */
+/** By which the client side reports on a request that it has submitted; event loop thread only. */
 public interface RequestHandle {
-    /** The client has left. */
+    /** The client has disconnected before the end of its response. */
     void onClientDisconnected();
 
-    /** The whole of its body has come, where it was handed over before. */
+    /** All of the body of a request that was submitted before its end has arrived. */
     void onBodyComplete();
 }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestLifecycle.java
@@ -0,0 +1,122 @@
+package loadbalancer.dispatch;
+
+import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.routing.api.AttemptOutcome;
+
+/**
+ * A client's request from its submission on: the end of its upload, its disconnect, and the
+ * fallback response where the policy leaves it without one. Event loop thread only.
+ */
+final class RequestLifecycle {
+    private final DispatchContext context;
+    private final RequestTable requests;
+    private final FinalResponses responses;
+    private final AttemptRunner attempts;
+    private final PolicyEvents policyEvents;
+    private long fallbackResponseCount;
+
+    RequestLifecycle(
+            DispatchContext context,
+            RequestTable requests,
+            FinalResponses responses,
+            AttemptRunner attempts,
+            PolicyEvents policyEvents) {
+        this.context = context;
+        this.requests = requests;
+        this.responses = responses;
+        this.attempts = attempts;
+        this.policyEvents = policyEvents;
+    }
+
+    /** The number of requests that the policy has left without a response. */
+    long fallbackResponseCount() {
+        return fallbackResponseCount;
+    }
+
+    RequestHandle submit(ProxyRequest proxyRequest, ResponseSender responseSender) {
+        Exchange exchange = requests.add(proxyRequest, responseSender, context.nowMicros());
+        scheduleFallback(exchange);
+        policyEvents.requestReceived(exchange);
+        if (exchange.isUploading()) {
+            policyEvents.uploadStarted(exchange);
+        }
+        return new Handle(exchange);
+    }
+
+    private final class Handle implements RequestHandle {
+        private final Exchange exchange;
+
+        Handle(Exchange exchange) {
+            this.exchange = exchange;
+        }
+
+        @Override
+        public void onClientDisconnected() {
+            RequestLifecycle.this.onClientDisconnected(exchange);
+        }
+
+        @Override
+        public void onBodyComplete() {
+            onUploadComplete(exchange);
+        }
+    }
+
+    private void scheduleFallback(Exchange exchange) {
+        exchange.setFallbackTimer(
+                context.loop()
+                        .schedule(
+                                () -> onFallbackTimer(exchange),
+                                exchange.fallbackDelayMicros(),
+                                TimeUnit.MICROSECONDS));
+    }
+
+    // From here on the time of the request and of its attempt counts
+    private void onUploadComplete(Exchange exchange) {
+        exchange.markUploaded();
+        if (exchange.isClosed()) {
+            return;
+        }
+        long nowMicros = context.nowMicros();
+        exchange.restartDeadline(nowMicros);
+        exchange.cancelFallbackTimer();
+        scheduleFallback(exchange);
+        attempts.restartTimeouts(exchange, nowMicros);
+        policyEvents.uploadCompleted(exchange);
+    }
+
+    private void onClientDisconnected(Exchange exchange) {
+        if (exchange.isStreaming()) {
+            responses.finishStreaming(exchange);
+            exchange.responseBody().discard();
+            attempts.abandon(exchange.streamingAttempt(), AttemptOutcome.CANCELLED);
+        } else {
+            responses.closeDisconnected(exchange);
+        }
+    }
+
+    private void onFallbackTimer(Exchange exchange) {
+        if (exchange.isUploading() && exchange.hasAttemptsInFlight()) {
+            // The request's time has not started
+            scheduleFallback(exchange);
+        } else if (!exchange.isClosed()) {
+            sendFallbackResponse(exchange);
+        }
+    }
+
+    // The policy has not answered in time, or has failed on an event: the client gets a failure
+    // before
+    // its deadline
+    private void sendFallbackResponse(Exchange exchange) {
+        fallbackResponseCount++;
+        if (Long.bitCount(fallbackResponseCount) == 1) {
+            context.log().accept("last-resort answers: " + fallbackResponseCount);
+        }
+        responses.failAtDeadline(exchange);
+        policyEvents.clientDisconnected(exchange);
+        for (ExchangeAttempt attempt : exchange.attempts()) {
+            attempts.abandon(attempt, AttemptOutcome.CANCELLED);
+        }
+        requests.removeIfFinished(exchange);
+    }
+}
--- a/balancer/src/main/java/loadbalancer/dispatch/ResponseSender.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/ResponseSender.java
@@ -5,17 +5,19 @@
 import java.util.function.Consumer;
 import loadbalancer.proxy.BodyRelay;
 
-/** Where the one final answer to a request goes. */
+/** Receives the one final response to a request; event loop thread only. */
 public interface ResponseSender {
-    /** Whether its client is still there, as of now. */
+    /** Whether the client is still connected, as of now. */
     boolean isClientConnected();
 
-    /** Served: passes the upstream's body on; the caller keeps the response. */
+    /** Sends a response of an upstream; the caller keeps it and releases it. */
     void send(FullHttpResponse response);
 
     /**
-     * Served, with an answer that is still coming; {@code onFinished} hears whether it was passed
-     * on whole.
+     * Sends a response whose body is still arriving.
+     *
+     * @param contentLength the length of the body in bytes, or -1 where it is unknown
+     * @param onFinished called once with whether all of it was sent
      */
     void send(
             HttpResponse responseHead,
@@ -23,7 +25,9 @@
             BodyRelay body,
             Consumer<Boolean> onFinished);
 
+    /** Rejects the request; {@code retryAfterMicros} 0 gives no Retry-After. */
     void reject(long retryAfterMicros);
 
+    /** Fails the request: it may have run. */
     void fail();
 }
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/dispatch/PolicyEventsTest.java
@@ -0,0 +1,46 @@
+package loadbalancer.dispatch;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import loadbalancer.routing.api.EndpointListKind;
+import org.junit.jupiter.api.Test;
+
+/** The order in which the policy is given its events, and what its failures do. */
+class PolicyEventsTest {
+    private final RecordingPolicy policy = new RecordingPolicy();
+    private final List<String> logLines = new ArrayList<>();
+    private final PolicyEvents policyEvents =
+            new PolicyEvents(policy, new MonotonicClock(), logLines::add);
+
+    @Test
+    void eventDuringAnotherOneWaitsForItsEnd() {
+        policy.onTimer(() -> policyEvents.endpointListReceived(EndpointListKind.FAILED, null));
+        policyEvents.timerExpired();
+        assertEquals(List.of("timer begins", "timer ends", "list FAILED 0"), policy.events());
+    }
+
+    @Test
+    void failureOfThePolicyIsLoggedAndTheNextEventIsHandled() {
+        policy.onTimer(
+                () -> {
+                    policyEvents.endpointListReceived(EndpointListKind.FAILED, null);
+                    throw new ArithmeticException("planted");
+                });
+        policyEvents.timerExpired();
+        assertEquals(List.of("timer begins", "list FAILED 0"), policy.events());
+        assertEquals(1, policyEvents.faultCount());
+        assertEquals(1, logLines.size());
+        String expectedStart = "fault 1: java.lang.ArithmeticException: planted at loadbalancer.";
+        assertTrue(logLines.get(0).startsWith(expectedStart), logLines.get(0));
+    }
+
+    @Test
+    void retiredPolicyGetsNoEvent() {
+        policyEvents.retire();
+        policyEvents.timerExpired();
+        assertEquals(List.of(), policy.events());
+    }
+}
