--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/routing/AttemptRecorder.java
@@ -0,0 +1,236 @@
+package loadbalancer.routing;
+
+import java.util.SplittableRandom;
+import loadbalancer.routing.admission.LoadShedder;
+import loadbalancer.routing.api.AttemptOutcome;
+import loadbalancer.routing.api.LoadReport;
+import loadbalancer.routing.api.RoutingActions;
+import loadbalancer.routing.endpoint.Attempt;
+import loadbalancer.routing.endpoint.EndpointState;
+import loadbalancer.routing.endpoint.LatencyTracker;
+import loadbalancer.routing.endpoint.PendingRequest;
+import loadbalancer.routing.endpoint.TrafficCounters;
+import loadbalancer.routing.health.OutlierEjection;
+import loadbalancer.routing.health.ZoneFailover;
+
+/**
+ * Records the start and the outcome of each attempt with all that learn from them: the state of the
+ * endpoint, outlier and class ejection, zone failover, latencies, load shedding and queue lengths.
+ *
+ * <p>Not thread-safe: belongs to the thread of its {@link RoutingEngine}.
+ */
+final class AttemptRecorder {
+    // Without a success for this long an endpoint that rejects is not merely overloaded
+    private static final double RECENT_SUCCESS_MICROS = 2e6;
+    // Latency over objective that a rejected attempt counts as in the overload ratio
+    private static final double REJECTED_OVERLOAD_RATIO = 1.5;
+    // The same for an attempt that timed out
+    private static final double TIMEOUT_OVERLOAD_RATIO = 1.2;
+    // Weights of failures: how much they say of the endpoint as a whole
+    private static final double NO_FAILURE_WEIGHT = 0;
+    private static final double HALF_FAILURE_WEIGHT = 0.5;
+    private static final double FULL_FAILURE_WEIGHT = 1;
+    // An attempt that failed without an answer occupies its slot for this many usual latencies
+    private static final int PENALTY_LATENCIES = 2;
+    // Beyond this many expected latencies a cancelled attempt counts as slow
+    private static final int SLOW_CANCELLED_LATENCIES = 2;
+
+    private final TrafficCounters trafficCounters;
+    private final LatencyTracker latencyTracker;
+    private final QueueLengthEstimator queueLengths;
+    private final OutlierEjection outlierEjection;
+    private final ZoneFailover zoneFailover;
+    private final LoadShedder loadShedder;
+    private final SplittableRandom random;
+    private final RateLimitedLog log;
+
+    AttemptRecorder(
+            TrafficCounters trafficCounters,
+            LatencyTracker latencyTracker,
+            QueueLengthEstimator queueLengths,
+            OutlierEjection outlierEjection,
+            ZoneFailover zoneFailover,
+            LoadShedder loadShedder,
+            SplittableRandom random,
+            RateLimitedLog log) {
+        this.trafficCounters = trafficCounters;
+        this.latencyTracker = latencyTracker;
+        this.queueLengths = queueLengths;
+        this.outlierEjection = outlierEjection;
+        this.zoneFailover = zoneFailover;
+        this.loadShedder = loadShedder;
+        this.random = random;
+        this.log = log;
+    }
+
+    /** Records that an attempt of a request starts. */
+    void recordStart(PendingRequest request, EndpointState endpoint, long now) {
+        Attempt attempt = new Attempt(endpoint, request, now);
+        attempt.recordStart(trafficCounters.scale());
+        queueLengths.onAttemptStarted();
+        zoneFailover.onAttemptStarted(endpoint, now);
+    }
+
+    /**
+     * Records how an attempt has ended.
+     *
+     * @param latencyMicros µs since it was sent
+     * @param load the report that came with the answer, or null
+     */
+    void recordEnd(
+            Attempt attempt,
+            AttemptOutcome outcome,
+            long latencyMicros,
+            LoadReport load,
+            long now,
+            RoutingActions actions) {
+        attempt.recordEnd(!outcome.neverRan());
+        queueLengths.onAttemptEnded();
+        trafficCounters.rejections(outcome.neverRan() ? 1 : 0);
+        attempt.endpoint.recordLoadReport(load, now);
+        recordReachability(attempt.endpoint, outcome);
+        recordHealth(attempt, outcome, latencyMicros, now, actions);
+    }
+
+    private void recordReachability(EndpointState endpoint, AttemptOutcome outcome) {
+        if (outcome == AttemptOutcome.NOT_SENT || outcome == AttemptOutcome.CANCELLED) {
+            return;
+        }
+        boolean connectFailed = outcome == AttemptOutcome.CONNECT_FAILED;
+        endpoint.consecutiveConnectFailures =
+                connectFailed ? endpoint.consecutiveConnectFailures + 1 : 0;
+        endpoint.reportedUnreachable = false;
+        if (outcome == AttemptOutcome.OK || connectFailed) {
+            zoneFailover.onAttemptEnded(endpoint, outcome == AttemptOutcome.OK);
+        }
+    }
+
+    private void recordHealth(
+            Attempt attempt,
+            AttemptOutcome outcome,
+            long latencyMicros,
+            long now,
+            RoutingActions actions) {
+        double usualLatencyMicros = latencyTracker.usualMicros(attempt.request.classIndex);
+        long penaltyMicros = (long) (PENALTY_LATENCIES * usualLatencyMicros);
+        switch (outcome) {
+            case OK -> recordSuccess(attempt, latencyMicros, now, actions);
+            case CANCELLED -> recordCancelled(attempt, latencyMicros, penaltyMicros, now, actions);
+            case NOT_SENT -> {}
+            case REJECTED -> recordRejected(attempt.endpoint, usualLatencyMicros, now, actions);
+            case TIMEOUT -> recordTimeout(attempt, latencyMicros, penaltyMicros, now, actions);
+            case ERROR -> recordError(attempt, penaltyMicros, now, actions);
+            case CONNECT_FAILED, RESET ->
+                    recordFailure(
+                            attempt.endpoint, FULL_FAILURE_WEIGHT, penaltyMicros, now, actions);
+        }
+    }
+
+    private void recordSuccess(
+            Attempt attempt, long latencyMicros, long now, RoutingActions actions) {
+        EndpointState endpoint = attempt.endpoint;
+        PendingRequest request = attempt.request;
+        double expectedLatencyMicros = expectedLatencyMicros(request);
+        endpoint.decayedSuccesses += trafficCounters.scale();
+        endpoint.lastSuccessAtMicros = now;
+        attempt.classEjection.onSuccess(
+                () -> {
+                    String endpointId = endpoint.descriptor.id();
+                    String message = "recovered " + endpointId + ", class " + request.classIndex;
+                    log.log(now, message, actions);
+                });
+        endpoint.recordLatencyRatio(latencyMicros / expectedLatencyMicros, now);
+        latencyTracker.recordLatency(request.classIndex, latencyMicros);
+        outlierEjection.onSuccess(
+                endpoint, () -> log.log(now, "recovered " + endpoint.descriptor.id(), actions));
+        double latencyObjectiveMicros = request.requestClass.latencyObjectiveMicros();
+        loadShedder.recordSample(latencyMicros / latencyObjectiveMicros, now);
+    }
+
+    // The hedged copy was answered first, or the client has left: the endpoint may still be working
+    // on the request if that took long.
+    private void recordCancelled(
+            Attempt attempt,
+            long latencyMicros,
+            long penaltyMicros,
+            long now,
+            RoutingActions actions) {
+        EndpointState endpoint = attempt.endpoint;
+        double expectedLatencyMicros = expectedLatencyMicros(attempt.request);
+        if (latencyMicros > SLOW_CANCELLED_LATENCIES * expectedLatencyMicros) {
+            recordFailure(endpoint, NO_FAILURE_WEIGHT, penaltyMicros, now, actions);
+            double latencyRatio =
+                    Math.max(endpoint.latencyRatio(now), latencyMicros / expectedLatencyMicros);
+            endpoint.recordLatencyRatio(latencyRatio, now);
+        }
+    }
+
+    // A hung endpoint fills up, then only rejects: without successes that is no mere overload.
+    private void recordRejected(
+            EndpointState endpoint, double usualLatencyMicros, long now, RoutingActions actions) {
+        boolean isLikelyHung = now - endpoint.lastSuccessAtMicros > RECENT_SUCCESS_MICROS;
+        double failureWeight = isLikelyHung ? HALF_FAILURE_WEIGHT : NO_FAILURE_WEIGHT;
+        recordFailure(endpoint, failureWeight, (long) usualLatencyMicros, now, actions);
+        outlierEjection.onRejected(endpoint, usualLatencyMicros, now);
+        loadShedder.recordSample(REJECTED_OVERLOAD_RATIO, now);
+    }
+
+    // The load may be the cause of a time-out, so it says less of the endpoint.
+    private void recordTimeout(
+            Attempt attempt,
+            long latencyMicros,
+            long penaltyMicros,
+            long now,
+            RoutingActions actions) {
+        double latencyRatio = latencyMicros / expectedLatencyMicros(attempt.request);
+        attempt.endpoint.recordLatencyRatio(latencyRatio, now);
+        loadShedder.recordSample(TIMEOUT_OVERLOAD_RATIO, now);
+        recordFailure(attempt.endpoint, HALF_FAILURE_WEIGHT, penaltyMicros, now, actions);
+    }
+
+    // The endpoint runs and answers: an error counts against its class only.
+    private void recordError(
+            Attempt attempt, long penaltyMicros, long now, RoutingActions actions) {
+        EndpointState endpoint = attempt.endpoint;
+        int classIndex = attempt.request.classIndex;
+        recordFailure(endpoint, NO_FAILURE_WEIGHT, penaltyMicros, now, actions);
+        attempt.classEjection.onFailure(
+                now,
+                random,
+                ejectionMicros ->
+                        log.log(
+                                now,
+                                "ejected "
+                                        + endpoint.descriptor.id()
+                                        + " for "
+                                        + ejectionMicros / 1000
+                                        + " ms after failures of class "
+                                        + classIndex,
+                                actions));
+    }
+
+    /** An endpoint broke off an answer after its success had been recorded. */
+    void recordAbortedResponse(EndpointState endpoint, long now, RoutingActions actions) {
+        long penaltyMicros = (long) latencyTracker.shortestUsualMicros();
+        recordFailure(endpoint, FULL_FAILURE_WEIGHT, penaltyMicros, now, actions);
+    }
+
+    private void recordFailure(
+            EndpointState endpoint,
+            double failureWeight,
+            long penaltyMicros,
+            long now,
+            RoutingActions actions) {
+        outlierEjection.onFailure(
+                endpoint,
+                failureWeight,
+                penaltyMicros,
+                trafficCounters.scale(),
+                now,
+                message -> log.log(now, message, actions));
+    }
+
+    private double expectedLatencyMicros(PendingRequest request) {
+        return latencyTracker.usualMicros(request.classIndex) * request.expectedLatencyRatio;
+    }
+}
--- a/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
@@ -237,7 +237,7 @@
         harness.updateEndpoints(
                 EndpointListKind.COMPLETE,
                 List.of(new Endpoint("c", EndpointStatus.UP, 0, 1, 0, 0, 0)));
-        assertEquals(0, collectionSize(harness.policy, "openRequests"));
+        assertEquals(0, collectionSize(readField(harness.policy, "requests"), "openRequests"));
         assertTrue(collectionSize(readField(harness.policy, "registry"), "endpointsById") <= 1);
     }
 
@@ -245,6 +245,8 @@
     void readmeQuotesLogLinesOfThePolicy() throws IOException {
         String sources =
                 Files.readString(Path.of("src/main/java/loadbalancer/routing/RoutingEngine.java"))
+                        + Files.readString(
+                                Path.of("src/main/java/loadbalancer/routing/AttemptRecorder.java"))
                         + Files.readString(
                                 Path.of(
                                         "src/main/java/loadbalancer/routing/health/OutlierEjection.java"));
