--- a/balancer/src/main/java/loadbalancer/routing/api/DeduplicationScope.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/DeduplicationScope.java
@@ -1,8 +1,11 @@
 package loadbalancer.routing.api;
 
-/** The servers that drop a repeat of a keyed request. */
+/** Which endpoints recognize an idempotency key that one of them has seen, and drop the repeat. */
 public enum DeduplicationScope {
+    /** All endpoints. */
     ALL,
+    /** Those in the same zone. */
     ZONE,
+    /** Those in the same cell. */
     CELL
 }
--- a/balancer/src/main/java/loadbalancer/routing/api/DiscoveryMode.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/DiscoveryMode.java
@@ -1,7 +1,9 @@
 package loadbalancer.routing.api;
 
-/** How the list of servers is learnt: changes come unasked, or only after watch or fetch. */
+/** How a balancer gets the endpoint list. */
 public enum DiscoveryMode {
+    /** Discovery sends the list and its changes unasked. */
     PUSH,
+    /** The balancer asks for the list, by watch or fetch. */
     POLL
 }
--- a/balancer/src/main/java/loadbalancer/routing/api/Endpoint.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/Endpoint.java
@@ -1,9 +1,14 @@
 package loadbalancer.routing.api;
 
 /**
- * One entry of the list. {@code startedAtMicros} is 0 where the last start is long past; {@code
- * weight} compares servers only; {@code cell}, {@code machineType} and {@code zone} are numbers, or
- * -1.
+ * One entry of the endpoint list.
+ *
+ * @param id opaque, unique in the list
+ * @param startedAtMicros when its process started; 0 if that is long past
+ * @param weight its capacity relative to other endpoints
+ * @param cell the number of its cell, or -1
+ * @param machineType the number of its machine type, or -1
+ * @param zone the number of its zone, or -1
  */
 public record Endpoint(
         String id,
@@ -13,7 +18,7 @@
         int cell,
         int machineType,
         int zone) {
-    /** The same server in another state. */
+    /** The same endpoint with another status. */
     public Endpoint withStatus(EndpointStatus newStatus) {
         return new Endpoint(id, newStatus, startedAtMicros, weight, cell, machineType, zone);
     }
--- a/balancer/src/main/java/loadbalancer/routing/api/EndpointStatus.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/EndpointStatus.java
@@ -1,8 +1,11 @@
 package loadbalancer.routing.api;
 
-/** A listed server runs, finishes its work without taking more, or has gone. */
+/** The status of an endpoint in the list. */
 public enum EndpointStatus {
+    /** Takes requests. */
     UP,
+    /** Finishes the requests that it has, and takes no others. */
     DRAINING,
+    /** Is no longer there. */
     REMOVED
 }
--- a/balancer/src/main/java/loadbalancer/routing/api/LoadReport.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/LoadReport.java
@@ -1,8 +1,14 @@
 package loadbalancer.routing.api;
 
 /**
- * A server's own report; a figure that it doesn't carry is NaN. {@code recentLatencyMicros} is in
- * µs.
+ * The load of an endpoint as it reports it. A figure that the report does not carry is NaN.
+ *
+ * @param inFlight requests in flight at it
+ * @param queued requests that wait there
+ * @param utilization part of its capacity in use
+ * @param recentLatencyMicros latency of its recent requests, µs
+ * @param throughput requests per second
+ * @param errorsPerSecond errors per second
  */
 public record LoadReport(
         double inFlight,
--- a/balancer/src/main/java/loadbalancer/routing/api/PolicySnapshot.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/PolicySnapshot.java
@@ -3,29 +3,31 @@
 import java.util.List;
 
 /**
- * What a module knows that is worth keeping over a crash, as it was at one time. What it is worth
- * later only the module says: it fades by its age, and what discovery says goes first.
+ * What a routing policy has learnt, as of one time, to be restored after a crash. The policy itself
+ * weighs it by its age when it restores it; what discovery says takes precedence.
  *
- * @param endpoints of those listed then
- * @param usualLatenciesMicros µs, the usual one of each class
+ * @param endpoints the endpoints that were listed
+ * @param usualLatenciesMicros the usual latency of each class, µs, by class index
  */
 public record PolicySnapshot(List<EndpointSnapshot> endpoints, List<Double> usualLatenciesMicros) {
+    /** Copies the lists. */
     public PolicySnapshot {
         endpoints = List.copyOf(endpoints);
         usualLatenciesMicros = List.copyOf(usualLatenciesMicros);
     }
 
     /**
-     * What is known of one server.
+     * What has been learnt of one endpoint.
      *
-     * @param id the server's, of the process that started at {@code startedAtMicros} µs
-     * @param accomplishment accomplishment: faded dispatches
-     * @param decayedSuccesses faded
-     * @param decayedFailures faded
-     * @param ejectedForMicros µs that it gets nothing yet; 0: it is used
-     * @param consecutiveEjections in a row
-     * @param consecutiveConnectFailures failed connects in a row
-     * @param classEjectedForMicros µs that it gets nothing of each class yet, by the class's number
+     * @param id the endpoint's
+     * @param startedAtMicros when its process started, µs
+     * @param accomplishment decayed number of dispatches to it
+     * @param decayedSuccesses decayed number of successes
+     * @param decayedFailures decayed number of failures
+     * @param ejectedForMicros how long it is still ejected, µs; 0: it is not
+     * @param consecutiveEjections ejections since it last recovered
+     * @param consecutiveConnectFailures failed connects since one succeeded
+     * @param classEjectedForMicros how long each class of it is still ejected, µs, by class index
      */
     public record EndpointSnapshot(
             String id,
@@ -37,6 +39,7 @@
             int consecutiveEjections,
             int consecutiveConnectFailures,
             List<Long> classEjectedForMicros) {
+        /** Copies the list. */
         public EndpointSnapshot {
             classEjectedForMicros = List.copyOf(classEjectedForMicros);
         }
--- a/balancer/src/main/java/loadbalancer/routing/api/RequestClass.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RequestClass.java
@@ -3,11 +3,20 @@
 import java.util.Set;
 
 /**
- * A class of requests: an answer within {@code latencyObjectiveMicros} earns {@code
- * priorityWeight}, one before {@code deadline} the {@code lateWeightFactor} of it. {@code
- * objectiveMicrosPerWorkUnit} lengthens the aim by that multiple of the request's work. {@code
- * ordered}: requests with one key run one at a time, in the order taken. {@code allowedZones} and
- * {@code allowedMachineTypes} are the only ones whose servers may be sent to; empty: all.
+ * A class of requests: what they need and what their answers earn.
+ *
+ * @param idempotency whether a request may be sent again
+ * @param deduplicationScope which endpoints recognize its idempotency key
+ * @param idempotencyWindowMicros for how long they do, µs from the first attempt
+ * @param latencyObjectiveMicros µs within which an answer earns {@code priorityWeight}
+ * @param deadlineMicros µs within which an answer earns {@code lateWeightFactor} of it
+ * @param objectiveMicrosPerWorkUnit µs by which each unit of a work hint lengthens the objective
+ * @param priorityWeight what an answer in time earns
+ * @param lateWeightFactor the part of it that a late answer earns
+ * @param streamed whether answers are streamed
+ * @param ordered whether requests with one key run one at a time, in the order of their arrival
+ * @param allowedZones the zones whose endpoints may be used; empty: all
+ * @param allowedMachineTypes the machine types whose endpoints may be used; empty: all
  */
 public record RequestClass(
         Idempotency idempotency,
@@ -22,6 +31,11 @@
         boolean ordered,
         Set<Integer> allowedZones,
         Set<Integer> allowedMachineTypes) {
+    /**
+     * Copies the sets and checks the values.
+     *
+     * @throws InvalidSettingException if a time is out of its range
+     */
     public RequestClass {
         allowedZones = Set.copyOf(allowedZones);
         allowedMachineTypes = Set.copyOf(allowedMachineTypes);
@@ -33,14 +47,14 @@
                 objectiveMicrosPerWorkUnit >= 0, "aimStretch", objectiveMicrosPerWorkUnit);
     }
 
-    /** Rule 6: a class may be bound to zones and kinds of machine, at every attempt. */
+    /** Whether an endpoint is in a zone and of a machine type that the class allows. */
     public boolean allowsPlacementOn(Endpoint endpoint) {
         return (allowedZones.isEmpty() || allowedZones.contains(endpoint.zone()))
                 && (allowedMachineTypes.isEmpty()
                         || allowedMachineTypes.contains(endpoint.machineType()));
     }
 
-    /** A class without order or placement. */
+    /** A class that needs no order and may be placed everywhere. */
     public RequestClass(
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
--- a/balancer/src/main/java/loadbalancer/routing/api/RoutingActions.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingActions.java
@@ -1,41 +1,54 @@
 package loadbalancer.routing.api;
 
-/** What the module may ask for: a sink that the caller implements. */
+/**
+ * The actions that a routing policy asks for, implemented by its caller. They are carried out in
+ * the order in which they are asked for, on the thread that delivers the policy's events.
+ */
 public interface RoutingActions {
-    /** Send an attempt; {@code timeoutMicros} 0 means until the request's deadline. */
+    /**
+     * Sends the next attempt of a request.
+     *
+     * @param timeoutMicros µs after which the attempt ends as {@link AttemptOutcome#TIMEOUT}; 0: at
+     *     the request's deadline
+     */
     void send(String requestId, String endpointId, long timeoutMicros);
 
     /**
-     * Final answer: refused, trying again is harmless; {@code retryAfterMicros} 0 gives no advice.
+     * Gives the final answer that the request is rejected and may be sent again without harm.
+     *
+     * @param retryAfterMicros the delay that the client is asked for, µs; 0: none is given
      */
     void reject(String requestId, long retryAfterMicros);
 
-    /** Final answer: failed, nothing promised. */
+    /** Gives the final answer that the request has failed; it may have run. */
     void fail(String requestId);
 
-    /** Stop waiting for an attempt. */
+    /** Stops waiting for an attempt; it ends as {@link AttemptOutcome#CANCELLED}. */
     void cancel(String requestId, int attemptNumber);
 
-    /** Ask a server how it is. */
+    /** Sends a health check to an endpoint. */
     void checkHealth(String endpointId);
 
-    /** Subscribe to changes of the list from here on, or end the subscription. */
+    /** Subscribes to changes of the endpoint list from now on, or ends the subscription. */
     void watchEndpoints(boolean enabled);
 
-    /** Ask for the complete list once. */
+    /** Asks for the complete endpoint list once. */
     void fetchEndpointList();
 
-    /** Close the idle connections to a server. */
+    /** Closes the idle connections to an endpoint. */
     void closeIdleConnections(String endpointId);
 
     /**
-     * Send at most 256 bytes to the balancer of that number, or to all where {@code peer} is -1.
+     * Sends a message to another balancer.
+     *
+     * @param peer its number, or -1 for all of them
+     * @param payload at most 256 bytes
      */
     void sendToPeer(int peer, byte[] payload);
 
-    /** Call {@link RoutingPolicy#onTimer} once after {@code delayMicros}. */
+    /** Schedules one call of {@link RoutingPolicy#onTimer} after {@code delayMicros} µs. */
     void scheduleTimer(long delayMicros);
 
-    /** A line for the operators. */
+    /** Logs an event for the operators. */
     void log(String message);
 }
--- a/balancer/src/main/java/loadbalancer/routing/api/RoutingBounds.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingBounds.java
@@ -1,8 +1,16 @@
 package loadbalancer.routing.api;
 
 /**
- * The figures of the rules; {@code keyCooldownMicros}: a key's rest after an attempt that may still
- * run.
+ * Figures of the rules that a balancer must keep.
+ *
+ * @param responseSlackMicros how much later than its deadline a final answer may be, µs
+ * @param drainGraceMicros how long a draining endpoint finishes its requests, µs
+ * @param pollDeadlineMicros how long discovery may take to answer, µs
+ * @param initialCapacityFraction the part of its capacity that a started endpoint has at once
+ * @param slowStartMicros how long after its start an endpoint reaches its full capacity, µs
+ * @param overloadFactor the multiple of its capacity that overloads an endpoint in slow start
+ * @param overloadWindowMicros the window over which this is measured, µs
+ * @param keyCooldownMicros how long a key waits after an attempt that may still run, µs
  */
 public record RoutingBounds(
         long responseSlackMicros,
@@ -13,6 +21,11 @@
         double overloadFactor,
         long overloadWindowMicros,
         long keyCooldownMicros) {
+    /**
+     * Checks the values.
+     *
+     * @throws InvalidSettingException if one is out of its range
+     */
     public RoutingBounds {
         SettingsValidation.require(keyCooldownMicros >= 0, "orderPause", keyCooldownMicros);
         SettingsValidation.require(
--- a/balancer/src/main/java/loadbalancer/routing/api/RoutingLimits.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingLimits.java
@@ -1,6 +1,16 @@
 package loadbalancer.routing.api;
 
-/** What the site allows. {@code maxRetryAfterMicros} is 0 where clients get no such advice. */
+/**
+ * What the site allows a balancer to do.
+ *
+ * @param maxAttempts attempts of one request, the first among them
+ * @param hedgingAllowed whether a request may have several attempts in flight
+ * @param cancellationAllowed whether attempts may be cancelled
+ * @param healthChecksAllowed whether endpoints may be asked how they are
+ * @param connectTimeoutMicros after which a connect has failed, µs
+ * @param maxRetryAfterMicros the longest Retry-After, µs; 0: clients get none
+ * @param gossipAllowed whether balancers may send one another messages
+ */
 public record RoutingLimits(
         int maxAttempts,
         boolean hedgingAllowed,
@@ -9,6 +19,11 @@
         long connectTimeoutMicros,
         long maxRetryAfterMicros,
         boolean gossipAllowed) {
+    /**
+     * Checks the values.
+     *
+     * @throws InvalidSettingException if no attempt is allowed
+     */
     public RoutingLimits {
         SettingsValidation.require(maxAttempts > 0, "maxAttempts", maxAttempts);
     }
--- a/balancer/src/main/java/loadbalancer/routing/api/RoutingPolicy.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingPolicy.java
@@ -3,31 +3,34 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module: what one balancer tells it (the methods below) and
- * what it may ask for in return ({@link RoutingActions}).
+ * The routing policy of one balancer: its caller delivers events (the methods below), and the
+ * policy asks for actions in return ({@link RoutingActions}).
  *
- * <p>All times are microseconds in a {@code long}; {@code now} is the caller's clock and never goes
- * back. Ids are opaque. One object serves one balancer and is not thread-safe: events are handed
- * over one at a time, in the order in which they happened, and each returns before the next.
- * Actions are carried out in the order in which they are asked for, at the time {@code now}. A new
- * or restarted balancer is a new object, and its first event is {@link #onEndpointList} with {@link
- * EndpointListKind#CACHED}. Events about requests, attempts or servers that the module no longer
- * holds are legal and passed over.
+ * <p>All times are in microseconds; {@code now} is the caller's clock and never goes back. Ids are
+ * opaque. A policy is not thread-safe: events are delivered one at a time, in the order in which
+ * they happened, and each call returns before the next. Actions are carried out in the order in
+ * which they are asked for, at the time {@code now}. A balancer that starts has a new policy, whose
+ * first event is {@link #onEndpointList} with {@link EndpointListKind#CACHED}. Events about
+ * requests, attempts or endpoints that the policy no longer knows are legal and ignored.
  */
 public interface RoutingPolicy {
     /**
-     * News of the list of servers; {@code endpoints} is empty for {@link EndpointListKind#FAILED}.
+     * The endpoint list, or changes of it.
+     *
+     * @param endpoints empty for {@link EndpointListKind#FAILED}
      */
     void onEndpointList(
             long now, EndpointListKind kind, List<Endpoint> endpoints, RoutingActions actions);
 
     /**
-     * A request has come in and is owed one final answer before {@code remainingMicros} is over.
+     * A request has arrived. It must get exactly one final answer.
      *
-     * @param tenantIndex 0 where there are none
+     * @param classIndex of {@link RoutingSettings#requestClasses}
+     * @param tenantIndex of {@link RoutingSettings#tenants}; 0 where there are none
      * @param key what the request concerns, or null
-     * @param workHint the client's guess of the work, or -1
-     * @param resubmission the client says that it has tried before
+     * @param remainingMicros µs within which the final answer is due
+     * @param workHint the client's estimate of the work, or -1
+     * @param resubmission whether the client says that it has sent the request before
      */
     void onRequest(
             long now,
@@ -43,11 +46,12 @@
     /**
      * An attempt has ended; each attempt that was sent ends once.
      *
-     * @param attemptNumber the request's attempts are numbered 0, 1, 2 ... in the order of their
-     *     sends
-     * @param closed the request has had its final answer (an OK is passed to the client by the
-     *     caller)
-     * @param load null where no report came with it
+     * @param attemptNumber the request's attempts are numbered 0, 1, 2 ... in the order in which
+     *     they were sent
+     * @param latencyMicros µs from its send to its end
+     * @param closed whether the request has had its final answer (the caller itself passes an OK to
+     *     the client)
+     * @param load the load report that came with the answer, or null
      */
     void onAttemptEnded(
             long now,
@@ -61,38 +65,46 @@
 
     /**
      * Whether an attempt that had to wait for a connection may still be sent, asked right before
-     * its first byte: meanwhile its request may have ended, its server have left or come anew, its
-     * key's window have passed. Where not it ends as {@link AttemptOutcome#NOT_SENT}.
+     * its first byte: meanwhile its request may have ended, its endpoint may have been removed or
+     * restarted, or the window of its idempotency key may be over. If not it ends as {@link
+     * AttemptOutcome#NOT_SENT}.
      */
     default boolean canStartAttempt(long now, String requestId, int attemptNumber) {
         return true;
     }
 
-    /** The request that has just been handed over is still coming in: its time has not begun. */
+    /**
+     * The body of the request that has just arrived is still being received: its time has not
+     * begun.
+     */
     default void onUploadStarted(long now, String requestId) {}
 
     /**
-     * All of such a request has come: {@code remainingMicros}, and that of its attempt, count from
-     * here on.
+     * The body of such a request is complete.
+     *
+     * @param remainingMicros µs within which the final answer is due; the time of an attempt in
+     *     flight begins now too
      */
     default void onUploadCompleted(
             long now, String requestId, long remainingMicros, RoutingActions actions) {}
 
     /**
-     * The server broke off an answer after its {@link AttemptOutcome#OK}, when its client had got a
-     * part of it.
+     * The endpoint broke off an answer after the attempt's {@link AttemptOutcome#OK}, when the
+     * client had received a part of it.
      */
     default void onResponseAborted(long now, String endpointId, RoutingActions actions) {}
 
-    /**
-     * A streamed answer has begun: the attempt belongs to the client, its time-outs no longer hold.
-     */
+    /** A streamed answer has begun: the attempt is neither cancelled nor timed out from now on. */
     void onStreamStarted(long now, String requestId, int attemptNumber, RoutingActions actions);
 
-    /** The client has left: nothing more is owed. */
+    /** The client of a request has disconnected: no answer is due. */
     void onClientDisconnected(long now, String requestId, RoutingActions actions);
 
-    /** A probe has come back. */
+    /**
+     * A health check has ended.
+     *
+     * @param load the load report that came with its answer, or null
+     */
     default void onHealthCheckResult(
             long now,
             String endpointId,
@@ -101,32 +113,36 @@
             LoadReport load,
             RoutingActions actions) {}
 
-    /** The time asked for with {@link RoutingPolicy#onTimer} has come. */
+    /** A timer that was asked for with {@link RoutingActions#scheduleTimer} has expired. */
     void onTimer(long now, RoutingActions actions);
 
-    /**
-     * How many of the listed servers get nothing now as they have failed; short rests don't count.
-     */
+    /** The number of listed endpoints that are ejected for failures. */
     default int ejectedEndpointCount(long now) {
         return 0;
     }
 
-    /** What is worth keeping over a crash, as of now; null: nothing. */
+    /** What the policy has learnt and would restore after a crash, or null if nothing. */
     default PolicySnapshot snapshot(long now) {
         return null;
     }
 
-    /** What was kept {@code ageMicros} µs ago; after the first list, before the first request. */
+    /**
+     * Restores a snapshot; called after the first endpoint list and before the first request.
+     *
+     * @param ageMicros µs since the snapshot was taken
+     */
     default void restore(long now, PolicySnapshot snapshot, long ageMicros) {}
 
-    /** Requests a second that other balancers get, as they told of late; 0 where none is heard. */
+    /** Requests per second at the other balancers, as they reported lately; 0 if none did. */
     default double remoteRequestsPerSecond() {
         return 0;
     }
 
     /**
-     * A message from the balancer of that number, late or not at all; the module keeps {@code
-     * data}.
+     * A message of another balancer. Messages may be late, lost or damaged.
+     *
+     * @param fromBalancer its number
+     * @param payload the policy may retain it
      */
     default void onPeerMessage(
             long now, int fromBalancer, byte[] payload, RoutingActions actions) {}
--- a/balancer/src/main/java/loadbalancer/routing/api/SettingsValidation.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/SettingsValidation.java
@@ -1,17 +1,20 @@
 package loadbalancer.routing.api;
 
-/** Checks of what a balancer's settings may hold. */
+/** Checks of the values that settings may have. */
 final class SettingsValidation {
     private SettingsValidation() {}
 
     /**
-     * Fails unless a setting holds a possible value.
+     * Refuses a setting whose value is not valid.
      *
-     * @throws IllegalArgumentException naming the setting and its value
+     * @param isValid whether the value is valid
+     * @param setting the name of the setting, as the pages of the operators give it
+     * @param value named in the exception's message
+     * @throws InvalidSettingException if the value is not valid
      */
-    static void require(boolean holds, String name, Object value) {
-        if (!holds) {
-            throw new IllegalArgumentException("impossible " + name + ": " + value);
+    static void require(boolean isValid, String setting, Object value) {
+        if (!isValid) {
+            throw new InvalidSettingException(setting, value);
         }
     }
 }
