--- a/balancer/src/test/java/loadbalancer/routing/AttemptStartTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/AttemptStartTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What was decided while it was allowed, and is to be written when it may no longer be. */
+/** Whether an attempt that has waited for a connection may still be sent. */
 class AttemptStartTest {
     // Shorter than a connect may take
     private static final long IDEMPOTENCY_WINDOW_MICROS = 40_000;
@@ -130,7 +130,7 @@
         assertEquals(2, harness.attemptsOf("r").size());
     }
 
-    /** No server may be used; once its key is forgotten none ever may. */
+    /** No endpoint may be used; once its key is forgotten none ever may. */
     @Test
     void pendingRetryIsAnsweredWhenItsWindowEnds() {
         RoutingEngineHarness harness = warmedUpHarness(keyedClass(DeduplicationScope.ALL), 2);
--- a/balancer/src/test/java/loadbalancer/routing/JsqDasSelectorTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/JsqDasSelectorTest.java
@@ -27,7 +27,7 @@
                             Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
 
     /**
-     * Six servers, as many as a subset holds, three of them of a heavier kind, so that p is one
+     * Six endpoints, as many as a subset holds, three of them of a heavier kind, so that p is one
      * half.
      */
     private static RoutingEngineHarness twoWeightHarness(long seed) {
@@ -44,7 +44,7 @@
     @Test
     void initialRankingDiffersBetweenBalancers() {
         // Ranked by listed weight, all balancers sent their first requests to the same half of the
-        // servers.
+        // endpoints.
         Map<String, Integer> firstChoiceCounts = new HashMap<>();
         for (int seed = 0; seed < 2000; seed++) {
             firstChoiceCounts.merge(
@@ -98,7 +98,7 @@
 
     @Test
     void shortestSampledQueueIsChosen() {
-        // Every server of the top set is given work; then the empty ones of the rest must win.
+        // Every endpoint of the top set is given work; then the empty ones of the rest must win.
         for (int seed = 0; seed < 50; seed++) {
             RoutingEngineHarness harness = twoWeightHarness(seed);
             Set<String> busyEndpoints = new HashSet<>();
@@ -156,7 +156,7 @@
         assertEquals(2, harness.attemptsOf("bad").size());
         assertTrue(!harness.attemptsOf("bad").get(1).endpointId.equals(failedAttempt.endpointId));
         for (int i = 0; i < 2; i++) {
-            // Two other servers are empty: the failed one's slot still counts
+            // Two other endpoints are empty: the failed one's slot still counts
             assertTrue(!harness.request("n" + i, 0).endpointId.equals(failedAttempt.endpointId));
         }
     }
--- a/balancer/src/test/java/loadbalancer/routing/LargeFleetRoutingTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/LargeFleetRoutingTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a balancer must not do, or learn too late, where it is one of many before many servers. */
+/** The decisions of one of many balancers before many endpoints. */
 class LargeFleetRoutingTest {
     private static final RequestClass NON_IDEMPOTENT =
             RoutingEngineHarness.requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
@@ -86,7 +86,7 @@
 
     @Test
     void newBalancerFeedsWarmingEndpoint() {
-        // Two seconds' answers were taken as ten seconds': new servers idled while the old ones
+        // Two seconds' answers were taken as ten seconds': new endpoints idled while the old ones
         // were overrun.
         RoutingEngineHarness harness = harness(14, 9);
         List<Endpoint> warmingEndpoints =
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Of 400 requests, those whose every attempt met one of the servers that {@code isUnreachable}
-     * names.
+     * Of 400 requests, those whose every attempt met one of the endpoints that {@code
+     * isUnreachable} names.
      */
     private static long countUnserved(
             RoutingEngineHarness harness, Predicate<String> isUnreachable) {
@@ -135,7 +135,8 @@
     @ParameterizedTest
     @CsvSource({"60, 12", "60, 40", "10, 6", "10, 7", "2, 1"})
     void lostZoneGetsNoTraffic(int endpointCount, int lostCount) {
-        // With 38 of 60 servers gone all were used, and two balancers had 1,500 failed connects in
+        // With 38 of 60 endpoints gone all were used, and two balancers had 1,500 failed connects
+        // in
         // 2 s.
         RoutingEngineHarness harness = harness(14, endpointCount);
         countUnserved(harness, s -> false);
@@ -168,8 +169,8 @@
 
     @Test
     void rejectingEndpointBacksOffLonger() {
-        // 740 attempts a second were turned away, each for the price of a handshake at a full
-        // server.
+        // 740 attempts a second were rejected, each for the price of a handshake at a full
+        // endpoint.
         RoutingEngineHarness harness = harness(14, 6);
         driveTraffic(harness, 100, 2, 100_000);
         long measuredFrom = harness.now;
@@ -191,7 +192,7 @@
         assertTrue(sentCount >= 3 && sentCount <= 8, "it is tried now and then: " + sentCount);
     }
 
-    /** One of fourteen, that hears the others and reaches sixty servers. */
+    /** One of fourteen, that hears the others and reaches sixty endpoints. */
     private static RoutingEngineHarness gossipingHarness() {
         RoutingSettings baseSettings =
                 RoutingEngineHarness.settings(
@@ -220,7 +221,7 @@
 
     /**
      * Brings 100 requests a second while another balancer tells of {@code remoteRate} and of lost
-     * servers.
+     * endpoints.
      */
     private static long countRejectedWithGossip(
             RoutingEngineHarness harness,
@@ -245,7 +246,7 @@
 
     @Test
     void excessLoadIsShedBeforeResponsesAreLate() {
-        // With two thirds of the servers lost refusal began when the first answers came late,
+        // With two thirds of the endpoints lost refusal began when the first answers came late,
         // seconds after.
         RoutingEngineHarness harness = gossipingHarness();
         assertTrue(countRejectedWithGossip(harness, 4, 1_100, 0, 20_000) < 60, "all in reach");
--- a/balancer/src/test/java/loadbalancer/routing/PolicySnapshotTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/PolicySnapshotTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.routing.api.PolicySnapshot;
 import org.junit.jupiter.api.Test;
 
-/** What one module keeps, and what another makes of it after a crash. */
+/** Snapshots of what a policy has learnt, restored by another one after a crash. */
 class PolicySnapshotTest {
     private final List<Endpoint> endpoints =
             List.of(
@@ -33,12 +33,12 @@
         return harness;
     }
 
-    // Of so many requests, those that go to one server fail.
+    // Of so many requests, those that go to one endpoint fail.
     private RoutingEngineHarness trainedHarness(String failingEndpoint) {
         RoutingEngineHarness harness = newHarness();
         for (int i = 0; i < 50; i++) {
             for (int j = 0; j < 8; j++) {
-                // At once: else one server would take all
+                // At once: else one endpoint would take all
                 harness.request("r" + i + "-" + j, 0);
             }
             harness.advanceTime(2_000);
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/routing/QueueLengthEstimatorTest.java
@@ -0,0 +1,34 @@
+package loadbalancer.routing;
+
+import static loadbalancer.routing.RoutingEngineHarness.IDEMPOTENT;
+import static loadbalancer.routing.RoutingEngineHarness.withEndpoints;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import loadbalancer.routing.RoutingEngineHarness.SentAttempt;
+import loadbalancer.routing.api.AttemptOutcome;
+import org.junit.jupiter.api.Test;
+
+/** Load reports of endpoints in the estimate of their queues. */
+class QueueLengthEstimatorTest {
+    @Test
+    void plausibleLoadReportsSteerSelection() {
+        // Own queues are empty nearly always: ties sent 94% of all to half of the endpoints.
+        for (double reportedQueue : new double[] {50, Double.NaN, -3, 1e18}) {
+            RoutingEngineHarness harness = withEndpoints(11, 4, IDEMPOTENT);
+            for (int i = 0; i < 200; i++) {
+                SentAttempt attempt = harness.request("r" + i, 0);
+                harness.now += 20_000;
+                harness.reportedInFlight = attempt.endpointId.equals("s1") ? reportedQueue : 2;
+                harness.endAttempt(attempt, AttemptOutcome.OK);
+            }
+            long recentlySent =
+                    harness.sentAttempts.stream()
+                            .skip(100)
+                            .filter(attempt -> attempt.endpointId.equals("s1"))
+                            .count();
+            assertTrue(
+                    reportedQueue != 50 || recentlySent <= 15,
+                    "a long reported queue is avoided: " + recentlySent);
+        }
+    }
+}
--- a/balancer/src/test/java/loadbalancer/routing/RandomizedRoutingInvariantsTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RandomizedRoutingInvariantsTest.java
@@ -58,7 +58,7 @@
                 return "sent after its answer";
             }
             if (!usable) {
-                return "sent to a draining or gone server";
+                return "sent to a draining or removed endpoint";
             }
             for (int i = 0; i < request.outcomes.size(); i++) {
                 boolean mayHaveRun =
@@ -68,11 +68,11 @@
                     return "an unsafe effect may happen twice";
                 }
                 boolean outsideScope =
-                        request.requestClass.deduplicationScope() == DeduplicationScope.CELL
-                                        && request.endpoints.get(i).cell() != endpoint.cell()
-                                || request.requestClass.deduplicationScope()
-                                                == DeduplicationScope.ZONE
-                                        && request.endpoints.get(i).zone() != endpoint.zone();
+                        switch (request.requestClass.deduplicationScope()) {
+                            case ALL -> false;
+                            case CELL -> request.endpoints.get(i).cell() != endpoint.cell();
+                            case ZONE -> request.endpoints.get(i).zone() != endpoint.zone();
+                        };
                 if (mayHaveRun
                         && request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && (outsideScope
@@ -101,9 +101,9 @@
                             .anyMatch(outcome -> outcome == null || !outcome.neverRan());
             boolean repeatable =
                     request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                            || request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                            || (request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                                     && request.requestClass.deduplicationScope()
-                                            == DeduplicationScope.ALL;
+                                            == DeduplicationScope.ALL);
             return response.equals("refused") && mayHaveRun && !repeatable
                     ? "refused though it may have run"
                     : null;
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Most sends to a cold server within any window, against its budget of all balancers. */
+    /** Most sends to a warming endpoint within any window, against its budget of all balancers. */
     static String checkSlowStartBudget(
             List<Long> sendTimes, long startedAt, double warmPerSecond, RoutingBounds bounds) {
         for (int i = 0; i < sendTimes.size(); i++) {
--- a/balancer/src/test/java/loadbalancer/routing/RoutingEngineHarness.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingEngineHarness.java
@@ -23,14 +23,22 @@
 import loadbalancer.routing.api.RoutingSettings;
 import loadbalancer.routing.api.Tenant;
 
-/** Drives one module by hand and writes down what it asks for. */
+/** Drives one routing policy by hand and records the actions that it asks for. */
 public final class RoutingEngineHarness implements RoutingActions {
     static final long START_MICROS = 1_000_000_000L;
     static final long LATENCY_OBJECTIVE_MICROS = 600_000;
     public static final long DEADLINE_MICROS = 3_000_000;
     static final long KEY_COOLDOWN_MICROS = 100_000;
 
-    /** An attempt that was sent; {@code ended} once its outcome was told. */
+    /** A class whose requests may be repeated everywhere. */
+    public static final RequestClass IDEMPOTENT =
+            requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+
+    /** A class whose requests must not be repeated. */
+    public static final RequestClass NON_IDEMPOTENT =
+            requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
+
+    /** An attempt that was sent; {@code ended} once its outcome was reported. */
     public static final class SentAttempt {
         public final String requestId;
         final int attemptNumber;
@@ -73,6 +81,20 @@
         policy = new RoutingEngine(settings, seed);
     }
 
+    /** A policy with so many endpoints, which may be none. */
+    static RoutingEngineHarness withEndpoints(
+            long seed, int endpointCount, RequestClass... requestClasses) {
+        return new RoutingEngineHarness(settings(requestClasses), seed)
+                .updateEndpoints(EndpointListKind.CACHED, endpoints(endpointCount));
+    }
+
+    /** A policy with six endpoints that has served requests of its class for a while. */
+    static RoutingEngineHarness warmedUp(long seed, RequestClass requestClass) {
+        RoutingEngineHarness harness = withEndpoints(seed, 6, requestClass);
+        harness.warmUp(60, 0, 40_000);
+        return harness;
+    }
+
     public static RequestClass requestClass(Idempotency idempotency, DeduplicationScope scope) {
         return new RequestClass(
                 idempotency,
@@ -211,7 +233,7 @@
                 this);
     }
 
-    /** Lets time pass, waking the module when it asked for it. */
+    /** Lets time pass, with the timer events that the policy asked for. */
     public void advanceTime(long durationMicros) {
         long until = now + durationMicros;
         while (timerAt <= until) {
@@ -222,7 +244,7 @@
         now = until;
     }
 
-    /** Serves requests one after another so that the module learns what is usual. */
+    /** Serves requests one after another so that the policy learns what is usual. */
     void warmUp(int requestCount, int classIndex, long latencyMicros) {
         for (int i = 0; i < requestCount; i++) {
             SentAttempt sent = request("warm-" + now + "-" + i, classIndex);
@@ -231,6 +253,51 @@
         }
     }
 
+    /**
+     * Serves four requests at a time, each round with one latency.
+     *
+     * @param failureOutcomes how attempts end, by endpoint; OK at the others
+     */
+    void serveConcurrently(
+            int rounds, long latencyMicros, Map<String, AttemptOutcome> failureOutcomes) {
+        for (int i = 0; i < rounds; i++) {
+            for (int j = 0; j < 4; j++) {
+                request("q" + now + "/" + i + "/" + j, 0);
+            }
+            advanceTime(latencyMicros);
+            sentAttempts.stream()
+                    .filter(attempt -> !attempt.ended)
+                    .toList()
+                    .forEach(
+                            attempt ->
+                                    endAttempt(
+                                            attempt,
+                                            failureOutcomes.getOrDefault(
+                                                    attempt.endpointId, AttemptOutcome.OK)));
+        }
+    }
+
+    /**
+     * Serves requests one by one, each answered after its latency; returns how many of them were
+     * sent.
+     */
+    int serveSequentially(int requestCount, int classIndex, int tenantIndex, long latencyMicros) {
+        int sentCount = 0;
+        for (int i = 0; i < requestCount; i++) {
+            SentAttempt attempt =
+                    request("o" + now + "/" + i, classIndex, tenantIndex, DEADLINE_MICROS);
+            advanceTime(latencyMicros);
+            if (attempt != null) {
+                sentCount++;
+                endAttempt(attempt, AttemptOutcome.OK);
+                attemptsOf(attempt.requestId).stream()
+                        .filter(hedge -> !hedge.ended)
+                        .forEach(hedge -> endAttempt(hedge, AttemptOutcome.CANCELLED));
+            }
+        }
+        return sentCount;
+    }
+
     public long countSentTo(String endpointId, long sinceMicros) {
         return sentAttempts.stream()
                 .filter(
--- a/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
@@ -117,7 +117,7 @@
     /** Settings unlike any deployment: sensible behaviour, every request answered. */
     @ParameterizedTest
     @CsvSource({
-        // servers, balancers, aim, deadline, attempts, copies, rate a second, latency
+        // endpoints, balancers, objective, deadline, attempts, copies, rate a second, latency
         "1, 1, 600000, 1200000, 3, true, 20, 20000",
         "60, 12, 600000, 1200000, 3, true, 200, 40000",
         "5, 2, 4000, 10000, 3, true, 500, 1000",
@@ -259,7 +259,7 @@
                         "recovered ",
                         "discovery failed ",
                         " times, asking again")) {
-            assertTrue(sources.contains(line), "the module writes: " + line);
+            assertTrue(sources.contains(line), "the policy writes: " + line);
             assertTrue(readme.contains(line.strip()), "the README names: " + line);
         }
     }
