--- a/balancer/src/main/java/loadbalancer/routing/RetryPolicy.java
+++ b/balancer/src/main/java/loadbalancer/routing/RetryPolicy.java
@@ -25,12 +25,23 @@
  *   <li>{@link KeyOrdering}: the cooldown of a key after an attempt that may still run.
  * </ul>
  *
- * <p>Who changes any of this must keep: a request that may have run is repeated only as its class
- * allows ({@link #isRepeatAllowed}, {@link #isWithinDeduplicationScope}); retries after failures
- * and hedged requests together are at most {@link #BUDGET_PER_REQUEST} of the arrivals, so that
- * they cannot feed an overload; the final answer is due before the deadline, so a delay must count
- * against the time that is left ({@link #allowsRetry}). {@code RetryPolicyTest}, {@code
- * RoutingInvariantsTest} and {@code RandomizedRoutingInvariantsTest} check these.
+ * <p>To put a delay between attempts, change {@link RequestLifecycle}, where it sends or queues the
+ * retry of an attempt that has ended. Such a change must keep:
+ *
+ * <ul>
+ *   <li>a request that may have run is repeated only as its class allows, see {@link
+ *       #isRepeatAllowed} and {@link #isWithinDeduplicationScope};
+ *   <li>the final answer is due before the deadline, so a delay counts against the time left, see
+ *       {@link #allowsRetry}; the queue answers requests whose time is over;
+ *   <li>retries of attempts that may have run, and hedged requests, add at most {@link
+ *       #BUDGET_PER_REQUEST} attempts per arrival beyond {@link #MAX_BUDGET} saved ones, so that
+ *       they cannot feed an overload.
+ * </ul>
+ *
+ * <p>{@code RetryPolicyTest}, {@code RoutingInvariantsTest} and {@code
+ * RandomizedRoutingInvariantsTest} check these. {@code KeyOrderingTest} ({@code
+ * keyOwnerIsRetriedWithoutDelay}) and {@code RetryPolicyTest} ({@code
+ * unexecutedNonIdempotentRequestIsRetried}) expect a retry without delay.
  *
  * <p>Not thread-safe: belongs to the thread of its {@link RoutingEngine}.
  */
--- a/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
@@ -18,6 +18,7 @@
 import loadbalancer.routing.api.EndpointListKind;
 import loadbalancer.routing.api.EndpointStatus;
 import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.InvalidSettingException;
 import loadbalancer.routing.api.LoadReportSource;
 import loadbalancer.routing.api.RequestClass;
 import loadbalancer.routing.api.RoutingBounds;
@@ -51,7 +52,7 @@
         assertEquals(
                 "impossible aim: 0",
                 assertThrows(
-                                IllegalArgumentException.class,
+                                InvalidSettingException.class,
                                 () ->
                                         new RequestClass(
                                                 Idempotency.IDEMPOTENT,
@@ -67,18 +68,18 @@
         assertEquals(
                 "impossible coldFrom: 0.0",
                 assertThrows(
-                                IllegalArgumentException.class,
+                                InvalidSettingException.class,
                                 () -> new RoutingBounds(1, 1, 1, 0, 1, 2, 1, 0))
                         .getMessage());
         assertEquals(
                 "impossible maxAttempts: 0",
                 assertThrows(
-                                IllegalArgumentException.class,
+                                InvalidSettingException.class,
                                 () -> new RoutingLimits(0, true, true, true, 1, 0))
                         .getMessage());
         assertEquals(
                 "impossible classes: none",
-                assertThrows(IllegalArgumentException.class, () -> RoutingEngineHarness.settings())
+                assertThrows(InvalidSettingException.class, () -> RoutingEngineHarness.settings())
                         .getMessage());
     }
 
@@ -93,7 +94,7 @@
         assertEquals(
                 expectedMessage,
                 assertThrows(
-                                IllegalArgumentException.class,
+                                InvalidSettingException.class,
                                 () ->
                                         new RoutingSettings(
                                                 balancerCount,
