--- a/balancer/src/main/java/loadbalancer/recovery/SnapshotContentCodec.java
+++ b/balancer/src/main/java/loadbalancer/recovery/SnapshotContentCodec.java
@@ -9,6 +9,7 @@
 import java.util.Optional;
 import loadbalancer.config.BootSettings;
 import loadbalancer.config.EndpointList;
+import loadbalancer.config.EndpointListCodec;
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointStatus;
 import loadbalancer.routing.api.PolicySnapshot;
@@ -67,10 +68,10 @@
     /**
      * Decodes the endpoint list.
      *
-     * @throws IllegalArgumentException if it is malformed
+     * @throws loadbalancer.config.InvalidEndpointListException if it is malformed
      */
     EndpointList decodeEndpoints(byte[] content) {
-        return EndpointList.parse(content, 0, content.length, boot);
+        return EndpointListCodec.decode(content, 0, content.length, boot);
     }
 
     /**
--- a/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
@@ -18,6 +18,7 @@
 import loadbalancer.routing.api.EndpointListKind;
 import loadbalancer.routing.api.EndpointStatus;
 import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.InvalidSettingException;
 import loadbalancer.routing.api.LoadReportSource;
 import loadbalancer.routing.api.RequestClass;
 import loadbalancer.routing.api.RoutingBounds;
@@ -51,7 +52,7 @@
         assertEquals(
                 "impossible aim: 0",
                 assertThrows(
-                                IllegalArgumentException.class,
+                                InvalidSettingException.class,
                                 () ->
                                         new RequestClass(
                                                 Idempotency.IDEMPOTENT,
@@ -67,18 +68,18 @@
         assertEquals(
                 "impossible coldFrom: 0.0",
                 assertThrows(
-                                IllegalArgumentException.class,
+                                InvalidSettingException.class,
                                 () -> new RoutingBounds(1, 1, 1, 0, 1, 2, 1, 0))
                         .getMessage());
         assertEquals(
                 "impossible maxAttempts: 0",
                 assertThrows(
-                                IllegalArgumentException.class,
+                                InvalidSettingException.class,
                                 () -> new RoutingLimits(0, true, true, true, 1, 0))
                         .getMessage());
         assertEquals(
                 "impossible classes: none",
-                assertThrows(IllegalArgumentException.class, () -> RoutingEngineHarness.settings())
+                assertThrows(InvalidSettingException.class, () -> RoutingEngineHarness.settings())
                         .getMessage());
     }
 
@@ -93,7 +94,7 @@
         assertEquals(
                 expectedMessage,
                 assertThrows(
-                                IllegalArgumentException.class,
+                                InvalidSettingException.class,
                                 () ->
                                         new RoutingSettings(
                                                 balancerCount,
@@ -117,7 +118,7 @@
     /** Settings unlike any deployment: sensible behaviour, every request answered. */
     @ParameterizedTest
     @CsvSource({
-        // servers, balancers, aim, deadline, attempts, copies, rate a second, latency
+        // endpoints, balancers, objective, deadline, attempts, copies, rate a second, latency
         "1, 1, 600000, 1200000, 3, true, 20, 20000",
         "60, 12, 600000, 1200000, 3, true, 200, 40000",
         "5, 2, 4000, 10000, 3, true, 500, 1000",
@@ -237,7 +238,7 @@
         harness.updateEndpoints(
                 EndpointListKind.COMPLETE,
                 List.of(new Endpoint("c", EndpointStatus.UP, 0, 1, 0, 0, 0)));
-        assertEquals(0, collectionSize(harness.policy, "openRequests"));
+        assertEquals(0, collectionSize(readField(harness.policy, "requests"), "openRequests"));
         assertTrue(collectionSize(readField(harness.policy, "registry"), "endpointsById") <= 1);
     }
 
@@ -245,6 +246,8 @@
     void onCallPageQuotesLogLinesOfThePolicy() throws IOException {
         String sources =
                 Files.readString(Path.of("src/main/java/loadbalancer/routing/RoutingEngine.java"))
+                        + Files.readString(
+                                Path.of("src/main/java/loadbalancer/routing/AttemptRecorder.java"))
                         + Files.readString(
                                 Path.of(
                                         "src/main/java/loadbalancer/routing/health/OutlierEjection.java"));
@@ -257,7 +260,7 @@
                         "recovered ",
                         "discovery failed ",
                         " times, asking again")) {
-            assertTrue(sources.contains(line), "the module writes: " + line);
+            assertTrue(sources.contains(line), "the policy writes: " + line);
             assertTrue(onCallPage.contains(line.strip()), "docs/on-call.md names: " + line);
         }
     }
