--- a/balancer/src/test/java/loadbalancer/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/loadbalancer/dispatch/DispatcherTest.java
@@ -8,14 +8,12 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
 import loadbalancer.admin.EventLog;
 import loadbalancer.admin.Metrics;
-import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.BootSettings;
+import loadbalancer.config.SettingsFlattener;
 import loadbalancer.config.SettingsReader;
 import loadbalancer.proxy.BodyRelay;
 import loadbalancer.proxy.ProxyRequest;
@@ -66,10 +64,8 @@
     }
 
     private Dispatcher newDispatcher() {
-        Map<String, String> flattened = new HashMap<>();
-        BalancerConfig.flatten("", BalancerServerTest.settings(), flattened);
         BootSettings boot =
-                SettingsReader.read(flattened, (path, what) -> new IllegalStateException(path));
+                SettingsReader.read(SettingsFlattener.flatten(BalancerServerTest.settings()));
         return new Dispatcher(
                 channel.eventLoop(),
                 boot,
