--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/http/ClientListener.java
@@ -0,0 +1,197 @@
+package loadbalancer.http;
+
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.channel.AdaptiveRecvByteBufAllocator;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.local.LocalAddress;
+import io.netty.channel.local.LocalServerChannel;
+import io.netty.channel.socket.nio.NioServerSocketChannel;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.channels.ServerSocketChannel;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+
+/**
+ * The listening socket, its accept backlog, and the in-process listener of a warm-up. Belongs to
+ * the event loop, except for the two methods {@code listen}, which block another thread until the
+ * socket is bound.
+ */
+final class ClientListener {
+    /** Reads of one connection in one turn of the loop: the longest request and its end. */
+    static final int MAX_READS_PER_LOOP = 4;
+
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final int MIN_READ_BYTES = 64;
+    private static final int INITIAL_READ_BYTES = 2048;
+    private static final int MAX_READ_BYTES = 32 * 1024;
+    private static final long BACKLOG_POLL_INTERVAL_MS = 2;
+    private static final int MAX_BACKLOG_POLLS = 50;
+    // Differs from every count of connections, so that the first poll is never the last.
+    private static final long NO_PREVIOUS_COUNT = -1;
+
+    private final EventLoop loop;
+    private final ChannelInitializer<Channel> connectionInitializer;
+    private Channel serverChannel;
+    // Null unless a warm-up listens within this process.
+    private Channel inProcessChannel;
+    private boolean accepting;
+
+    /** {@code onAccepted} sets up the pipeline of each accepted channel, on the event loop. */
+    ClientListener(EventLoop loop, Consumer<Channel> onAccepted) {
+        this.loop = loop;
+        this.connectionInitializer =
+                new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        onAccepted.accept(channel);
+                    }
+                };
+    }
+
+    /** Binds and accepts at once; returns the address in use. Not called on the event loop. */
+    InetSocketAddress listen(InetSocketAddress address) throws IOException {
+        accepting = true;
+        return awaitBound(
+                serverBootstrap(new NioServerSocketChannel())
+                        .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .bind(address));
+    }
+
+    /** Uses a socket that listens already; accepts nothing before {@link #startAccepting}. */
+    InetSocketAddress listen(ServerSocketChannel inheritedSocket) throws IOException {
+        return awaitBound(
+                serverBootstrap(new NioServerSocketChannel(inheritedSocket))
+                        .option(ChannelOption.AUTO_READ, false)
+                        .register());
+    }
+
+    private ServerBootstrap serverBootstrap(NioServerSocketChannel newServerChannel) {
+        return new ServerBootstrap()
+                .group(loop, loop)
+                .channelFactory(() -> newServerChannel)
+                // Set before the socket listens: a connection can be accepted before bind has
+                // returned to the starting thread, and the connection limit needs the listener.
+                .handler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                serverChannel = channel;
+                            }
+                        })
+                .childOption(ChannelOption.RCVBUF_ALLOCATOR, readUntilEmptyAllocator())
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(connectionInitializer);
+    }
+
+    // Reads until nothing is left, so that a client's close is seen together with what it sent
+    // before.
+    private static AdaptiveRecvByteBufAllocator readUntilEmptyAllocator() {
+        AdaptiveRecvByteBufAllocator allocator =
+                new AdaptiveRecvByteBufAllocator(
+                        MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
+        allocator.maxMessagesPerRead(MAX_READS_PER_LOOP);
+        allocator.respectMaybeMoreData(false);
+        return allocator;
+    }
+
+    private static InetSocketAddress awaitBound(ChannelFuture bindFuture) throws IOException {
+        try {
+            if (Thread.interrupted()) {
+                // sync() checks for an interrupt only while the bind is under way.
+                throw new InterruptedException();
+            }
+            return (InetSocketAddress) bindFuture.sync().channel().localAddress();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+            throw new IOException("interrupted");
+        }
+    }
+
+    /** Accepts connections within this process; {@code onListening} runs on the event loop. */
+    void listenInProcess(LocalAddress address, Runnable onListening) {
+        ChannelFuture bindFuture =
+                new ServerBootstrap()
+                        .group(loop, loop)
+                        .channel(LocalServerChannel.class)
+                        .childHandler(connectionInitializer)
+                        .bind(address);
+        inProcessChannel = bindFuture.channel();
+        bindFuture.addListener(bound -> onListening.run());
+    }
+
+    /** Closes the in-process listener, if there is one; its connections stay. */
+    void closeInProcess() {
+        if (inProcessChannel != null) {
+            inProcessChannel.close();
+        }
+    }
+
+    boolean isOpen() {
+        return serverChannel.isOpen();
+    }
+
+    /** Whether connections are accepted as long as there is capacity. */
+    boolean isAccepting() {
+        return accepting;
+    }
+
+    /** Takes effect with the next {@link #setHasCapacity}. */
+    void startAccepting() {
+        accepting = true;
+    }
+
+    /**
+     * Leaves new connections to the process that shares the socket. The socket stays open: it is
+     * descriptor 0 of the process, and closing it would end the log as well.
+     */
+    void stopAccepting() {
+        accepting = false;
+        serverChannel.config().setAutoRead(false);
+    }
+
+    /** Accepts, or leaves new connections in the backlog where there is no capacity for them. */
+    void setHasCapacity(boolean hasCapacity) {
+        serverChannel.config().setAutoRead(hasCapacity && accepting);
+    }
+
+    /**
+     * Closes the socket once its backlog is empty, since connections in the backlog of a closed
+     * socket are reset along with what they have sent.
+     *
+     * @param acceptedCount the number of connections ever accepted
+     * @param onClosed runs on the event loop, after requests of the last accepted connections that
+     *     have arrived already were read
+     */
+    void closeWhenBacklogEmpty(LongSupplier acceptedCount, Runnable onClosed) {
+        accepting = false;
+        pollBacklog(NO_PREVIOUS_COUNT, MAX_BACKLOG_POLLS, acceptedCount, onClosed);
+    }
+
+    private void pollBacklog(
+            long previousCount, int remainingPolls, LongSupplier acceptedCount, Runnable onClosed) {
+        if (serverChannel != null
+                && serverChannel.isOpen()
+                && previousCount != acceptedCount.getAsLong()
+                && remainingPolls > 0) {
+            // Regardless of the connection limit: no connection comes after these.
+            serverChannel.config().setAutoRead(true);
+            long currentCount = acceptedCount.getAsLong();
+            loop.schedule(
+                    () -> pollBacklog(currentCount, remainingPolls - 1, acceptedCount, onClosed),
+                    BACKLOG_POLL_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
+            return;
+        }
+        if (serverChannel != null) {
+            serverChannel.close();
+        }
+        loop.schedule(onClosed, BACKLOG_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+    }
+}
--- a/balancer/src/main/java/loadbalancer/http/ClientLiveness.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientLiveness.java
@@ -6,38 +6,41 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * Tells whether a client is there, as of now and not as of when the loop last came to its
- * connection. Guards against attempts that begin for clients that have left: an end stands in the
- * system's buffer until it is read, and in a long turn of the loop, or after it stood still, others
- * are read before it.
+ * Whether a client is still connected, as of now rather than as of when the event loop last read
+ * its connection. A close stays in the socket's receive buffer until it is read; during a long turn
+ * of the loop, or after a stall, other connections are read first, and requests of clients that
+ * have left would be forwarded. Belongs to the event loop.
  */
 final class ClientLiveness extends ChannelInboundHandlerAdapter {
-    // An attempt may begin for 0.1 s after its client's end: what was found that lately need not be
-    // looked
-    // for again, and as a rule a request is sent on right after it was read.
-    private static final long FRESHNESS_NS = 20_000_000;
-    // Of several reads each, where much stands before an end
+    // An attempt may begin up to 0.1 s after its client has closed, so a result that is younger
+    // than
+    // this needs no read of its own; most requests are forwarded right after they were read.
+    private static final long FRESHNESS_NANOS = 20_000_000;
+    // Each of several reads, where much was sent before the close.
     private static final int MAX_READ_ATTEMPTS = 4;
     private final Channel channel;
     private final int maxReadsPerLoop;
-    // This connection is being read further up the stack
+    // Whether this call comes, indirectly, from a read of this connection.
     private boolean reading;
-    // Of this look
+    // Since the last channelReadComplete.
     private int readCount;
-    // When a read last found nothing more
+    // When reads last emptied the receive buffer.
     private long lastEmptyReadNanos;
 
     /**
-     * {@code maxReadsPerLoop}: after so many the loop turns to other connections, whether more is
-     * there or not.
+     * @param maxReadsPerLoop after so many reads the loop turns to other connections, whether or
+     *     not the receive buffer is empty
      */
     ClientLiveness(Channel channel, int maxReadsPerLoop) {
         this.channel = channel;
         this.maxReadsPerLoop = maxReadsPerLoop;
-        this.lastEmptyReadNanos = System.nanoTime() - FRESHNESS_NS;
+        this.lastEmptyReadNanos = System.nanoTime() - FRESHNESS_NANOS;
     }
 
-    /** Whether the client has left; what it has sent before is read, and handled, first. */
+    /**
+     * Whether the client has disconnected. What it sent before is read, and handled, within this
+     * call.
+     */
     boolean isDisconnected() {
         if (!reading && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
             for (int i = 0; i < MAX_READ_ATTEMPTS && channel.isActive() && isStale(); i++) {
@@ -48,7 +51,7 @@
     }
 
     private boolean isStale() {
-        return System.nanoTime() - lastEmptyReadNanos >= FRESHNESS_NS;
+        return System.nanoTime() - lastEmptyReadNanos >= FRESHNESS_NANOS;
     }
 
     @Override
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/http/ClientResponseSender.java
@@ -0,0 +1,87 @@
+package loadbalancer.http;
+
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import java.nio.charset.StandardCharsets;
+import java.util.Locale;
+import java.util.function.Consumer;
+import loadbalancer.dispatch.ResponseSender;
+import loadbalancer.proxy.BodyRelay;
+
+/**
+ * Sends the final response to one request, which the dispatcher gives exactly once. Belongs to the
+ * event loop.
+ */
+final class ClientResponseSender implements ResponseSender {
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private final ClientConnection connection;
+    private final boolean keepAlive;
+    private boolean responded;
+
+    ClientResponseSender(ClientConnection connection, boolean keepAlive) {
+        this.connection = connection;
+        this.keepAlive = keepAlive;
+    }
+
+    /** Whether a complete response was sent; a streamed one does not count. */
+    boolean hasResponded() {
+        return responded;
+    }
+
+    @Override
+    public boolean isClientConnected() {
+        return !connection.isDisconnected();
+    }
+
+    @Override
+    public void send(FullHttpResponse response) {
+        responded = true;
+        connection.sendResponse(
+                ResponseWriter.newResponse(
+                        HttpResponseStatus.OK,
+                        response.content().retain(),
+                        response.headers().get(HttpHeaderNames.CONTENT_TYPE)),
+                keepAlive);
+    }
+
+    @Override
+    public void send(
+            HttpResponse responseHead,
+            long contentLength,
+            BodyRelay body,
+            Consumer<Boolean> onFinished) {
+        connection.streamResponse(
+                contentLength,
+                responseHead.headers().get(HttpHeaderNames.CONTENT_TYPE),
+                body,
+                keepAlive,
+                onFinished);
+    }
+
+    @Override
+    public void reject(long retryAfterMicros) {
+        responded = true;
+        FullHttpResponse response =
+                ResponseWriter.newResponse(
+                        HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        Unpooled.copiedBuffer(
+                                "refused: trying again is harmless\n", StandardCharsets.UTF_8),
+                        "text/plain");
+        if (retryAfterMicros > 0) {
+            double retryAfterSeconds = retryAfterMicros / MICROS_PER_SECOND;
+            response.headers()
+                    .set("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfterSeconds));
+        }
+        connection.sendResponse(response, keepAlive);
+    }
+
+    @Override
+    public void fail() {
+        responded = true;
+        connection.sendText(HttpResponseStatus.BAD_GATEWAY, "failed", keepAlive);
+    }
+}
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/http/FrontendContext.java
@@ -0,0 +1,18 @@
+package loadbalancer.http;
+
+import io.netty.channel.EventLoop;
+import loadbalancer.admin.EventLog;
+import loadbalancer.proxy.BodyRelay;
+
+/**
+ * What all client connections of one {@link HttpFrontend} share.
+ *
+ * @param bufferBudget the bound on what is buffered of all streamed bodies together
+ */
+record FrontendContext(
+        EventLoop loop,
+        ServingState servingState,
+        ClientConnections connections,
+        RequestProcessor requestProcessor,
+        EventLog events,
+        BodyRelay.BufferBudget bufferBudget) {}
--- a/balancer/src/main/java/loadbalancer/http/ProxyRequestParser.java
+++ b/balancer/src/main/java/loadbalancer/http/ProxyRequestParser.java
@@ -17,8 +17,11 @@
 import loadbalancer.proxy.ProxyRequest;
 import loadbalancer.routing.api.Idempotency;
 
-/** Reads what a client asks for out of its request. */
-public final class ProxyRequestParser {
+/**
+ * Parses the head of a client's request into a {@link ProxyRequest}: class, tenant, key, deadline
+ * and the headers to forward. Immutable; any thread.
+ */
+final class ProxyRequestParser {
     private static final Set<String> HOP_BY_HOP_HEADERS =
             Set.of(
                     "connection",
@@ -34,9 +37,12 @@
                     "content-length",
                     ProxyRequest.DEADLINE_HEADER.toLowerCase(Locale.ROOT));
 
+    private static final int DEFAULT_TENANT = 0;
+    private static final long MICROS_PER_MS = 1000;
+
     private final BootSettings boot;
     private final Map<String, Integer> classIndexes;
-    // Some deployments have tens of thousands
+    // A map, since some deployments have tens of thousands.
     private final Map<String, Integer> tenantIndexes;
 
     ProxyRequestParser(BootSettings boot) {
@@ -53,51 +59,71 @@
         return indexes;
     }
 
-    /** IllegalArgumentException where it is no proper one, with why. */
+    /**
+     * @param body the buffered body, empty where {@code upload} streams it
+     * @param upload the streamed body, or null
+     * @param contentLength the body's length in bytes, or negative where it is unknown
+     * @throws InvalidRequestException if a header is missing, or contradicts the class's settings
+     * @throws IllegalArgumentException if a header to be forwarded is malformed
+     */
     ProxyRequest parse(HttpRequest request, byte[] body, BodyRelay upload, long contentLength) {
         HttpHeaders headers = request.headers();
         if (headers.get("Req-Id", "").isEmpty()) {
-            throw new IllegalArgumentException("no Req-Id");
-        }
-        int requestClass =
-                classIndexes.getOrDefault(
-                        BalancerConfig.toWireValue(headers.get("Req-Kind", "")), -1);
-        if (requestClass < 0) {
-            throw new IllegalArgumentException("unknown Req-Kind");
-        }
-        Idempotency idempotency = boot.settings().requestClasses().get(requestClass).idempotency();
-        HttpMethod method =
-                idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
-        boolean hasIdempotencyKey = headers.contains("Idempotency-Key");
-        if (!request.method().equals(method)
-                || hasIdempotencyKey != (idempotency == Idempotency.IDEMPOTENCY_KEY)) {
-            throw new IllegalArgumentException(
-                    "method or Idempotency-Key contradicts the Req-Kind");
+            throw new InvalidRequestException("no Req-Id");
         }
+        int requestClass = parseRequestClass(headers);
+        checkIdempotency(request, requestClass);
         long timeLeftMs = parseNumber(headers.get(ProxyRequest.DEADLINE_HEADER), -1);
         if (timeLeftMs <= 0) {
-            throw new IllegalArgumentException("no or bad " + ProxyRequest.DEADLINE_HEADER);
+            throw new InvalidRequestException("no or bad " + ProxyRequest.DEADLINE_HEADER);
         }
-        String path = request.uri().split("[?#]", 2)[0];
-        String key = path.substring(path.lastIndexOf('/') + 1);
-        int tenant =
-                tenantIndexes.getOrDefault(
-                        BalancerConfig.toWireValue(headers.get("Req-Owner", "")), 0);
         return new ProxyRequest(
                 request.method(),
                 request.uri(),
                 endToEndHeaders(headers),
                 body,
                 requestClass,
-                tenant,
-                key.isEmpty() ? null : key,
-                timeLeftMs * 1000,
+                parseTenant(headers),
+                parseKey(request.uri()),
+                timeLeftMs * MICROS_PER_MS,
                 parseNumber(headers.get("Req-Cost"), -1),
                 "1".equals(headers.get("Req-Retry")),
                 upload,
                 contentLength);
     }
 
+    private int parseRequestClass(HttpHeaders headers) {
+        String className = BalancerConfig.toWireValue(headers.get("Req-Kind", ""));
+        int requestClass = classIndexes.getOrDefault(className, -1);
+        if (requestClass < 0) {
+            throw new InvalidRequestException("unknown Req-Kind");
+        }
+        return requestClass;
+    }
+
+    private void checkIdempotency(HttpRequest request, int requestClass) {
+        Idempotency idempotency = boot.settings().requestClasses().get(requestClass).idempotency();
+        HttpMethod method =
+                idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+        boolean hasIdempotencyKey = request.headers().contains("Idempotency-Key");
+        if (!request.method().equals(method)
+                || hasIdempotencyKey != (idempotency == Idempotency.IDEMPOTENCY_KEY)) {
+            throw new InvalidRequestException("method or Idempotency-Key contradicts the Req-Kind");
+        }
+    }
+
+    private int parseTenant(HttpHeaders headers) {
+        String tenantName = BalancerConfig.toWireValue(headers.get("Req-Owner", ""));
+        return tenantIndexes.getOrDefault(tenantName, DEFAULT_TENANT);
+    }
+
+    // The last segment of the path; null where it is empty.
+    private static String parseKey(String uri) {
+        String path = uri.split("[?#]", 2)[0];
+        String key = path.substring(path.lastIndexOf('/') + 1);
+        return key.isEmpty() ? null : key;
+    }
+
     private static long parseNumber(String text, long defaultValue) {
         return text != null && text.strip().matches("\\d{1,12}")
                 ? Long.parseLong(text.strip())
@@ -106,16 +132,7 @@
 
     private static HttpHeaders endToEndHeaders(HttpHeaders headers) {
         HttpHeaders forwarded = new DefaultHttpHeaders();
-        Set<String> connectionOptions =
-                Set.copyOf(
-                        headers.getAll(HttpHeaderNames.CONNECTION).stream()
-                                .flatMap(
-                                        value ->
-                                                Stream.of(
-                                                        value.toLowerCase(Locale.ROOT)
-                                                                .split("\\s*,\\s*")))
-                                .distinct()
-                                .toList());
+        Set<String> connectionOptions = connectionOptions(headers);
         for (Map.Entry<String, String> header : headers) {
             String name = header.getKey().toLowerCase(Locale.ROOT);
             if (!HOP_BY_HOP_HEADERS.contains(name) && !connectionOptions.contains(name)) {
@@ -124,4 +141,16 @@
         }
         return forwarded;
     }
+
+    // The headers that Connection names as hop-by-hop, in lower case.
+    private static Set<String> connectionOptions(HttpHeaders headers) {
+        return Set.copyOf(
+                headers.getAll(HttpHeaderNames.CONNECTION).stream()
+                        .flatMap(
+                                value ->
+                                        Stream.of(
+                                                value.toLowerCase(Locale.ROOT).split("\\s*,\\s*")))
+                        .distinct()
+                        .toList());
+    }
 }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/http/RequestReader.java
@@ -0,0 +1,296 @@
+package loadbalancer.http;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.DecoderResult;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.EmptyHttpHeaders;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+import loadbalancer.proxy.BodyRelay;
+
+/**
+ * Reads the requests of one client connection: short ones are buffered until they are complete,
+ * long bodies are streamed (an <em>upload</em>). Owns what has been read of the request under way,
+ * and releases it when the connection is closed. The last inbound handler of the pipeline; belongs
+ * to the event loop.
+ */
+final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
+    /** A longer body is streamed. */
+    static final int MAX_BUFFERED_BODY_BYTES = BodyRelay.MAX_BUFFERED_BYTES;
+
+    private static final int MAX_BODY_BYTES = 32 * 1024 * 1024;
+
+    /** Where a streamed body and its request stand. */
+    private enum UploadState {
+        /** No body is being streamed. */
+        NONE,
+        /** The body is being received; the request waits for the response to an earlier one. */
+        WAITING,
+        /** The request has been handed over, and its body is being received. */
+        FORWARDING,
+        /** The whole body has been received; the request waits for an earlier one. */
+        RECEIVED,
+        /** The request was answered before its body was complete; the rest is dropped. */
+        DISCARDED
+    }
+
+    private final ClientConnection connection;
+    private final Channel channel;
+    private final BodyRelay.BufferBudget bufferBudget;
+    // Of the request under way; null between requests.
+    private HttpRequest requestHead;
+    // Null without a body, and once the body is streamed.
+    private ByteBuf bufferedBody;
+    // Received of the body of the request under way.
+    private long bodyBytes;
+    // Null in the state NONE.
+    private BodyRelay upload;
+    private UploadState uploadState = UploadState.NONE;
+
+    RequestReader(
+            ClientConnection connection, Channel channel, BodyRelay.BufferBudget bufferBudget) {
+        this.connection = connection;
+        this.channel = channel;
+        this.bufferBudget = bufferBudget;
+    }
+
+    /** The bytes received of the body of the request under way. */
+    long bodyBytes() {
+        return bodyBytes;
+    }
+
+    boolean hasUpload() {
+        return upload != null;
+    }
+
+    /** Whether a request with a streamed body still waits to be handed over. */
+    boolean hasWaitingUpload() {
+        return upload != null && uploadState != UploadState.FORWARDING;
+    }
+
+    /** Whether the relay of a long body watches for the client's close while it reads. */
+    boolean isRelayReading() {
+        return upload != null && !upload.isSourceEnded();
+    }
+
+    /** Whether the body's relay has stopped reading until an upstream has taken more of it. */
+    boolean isPausedByBackPressure() {
+        return upload != null && upload.isSourcePaused();
+    }
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
+        if (message instanceof HttpRequest requestStart) {
+            onRequestHead(requestStart);
+        }
+        if (message instanceof HttpContent content && requestHead != null) {
+            onBodyContent(content);
+        }
+    }
+
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext context) {
+        connection.onWritabilityChanged();
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        channel.close();
+    }
+
+    private void onRequestHead(HttpRequest request) {
+        requestHead = request;
+        bodyBytes = 0;
+        connection.requestTimeout().onRequestHead();
+        if (!request.decoderResult().isSuccess()) {
+            // Answered as far as it goes: nothing can follow it.
+            onRequestComplete();
+        } else if (HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES) {
+            requestHead = null;
+            connection.rejectIncompleteRequest(
+                    request, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+        } else if (!connection.isRequestInProgress() && HttpUtil.is100ContinueExpected(request)) {
+            channel.writeAndFlush(
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1,
+                            HttpResponseStatus.CONTINUE,
+                            Unpooled.EMPTY_BUFFER));
+        }
+    }
+
+    private void onBodyContent(HttpContent content) {
+        if (content.content().isReadable()) {
+            bodyBytes += content.content().readableBytes();
+            connection.requestTimeout().onBodyBytes();
+        }
+        if (!content.decoderResult().isSuccess()) {
+            onMalformedBody(content.decoderResult());
+            return;
+        }
+        if (bodyBytes > MAX_BODY_BYTES) {
+            abortAndReject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            return;
+        }
+        if (upload == null && bodyBytes > MAX_BUFFERED_BODY_BYTES) {
+            startUpload();
+        }
+        boolean isLast = content instanceof LastHttpContent;
+        if (upload != null) {
+            addToUpload(content.content(), isLast);
+        } else {
+            addToBuffer(content.content());
+        }
+        if (isLast && upload != null) {
+            onUploadReceived();
+        } else if (isLast) {
+            onRequestComplete();
+        }
+    }
+
+    private void addToBuffer(ByteBuf content) {
+        if (!content.isReadable()) {
+            return;
+        }
+        if (bufferedBody == null) {
+            int initialBytes = Math.min(MAX_BUFFERED_BODY_BYTES, content.capacity());
+            bufferedBody = channel.alloc().heapBuffer(initialBytes);
+        }
+        bufferedBody.writeBytes(content);
+    }
+
+    private void addToUpload(ByteBuf content, boolean isLast) {
+        if (isLast) {
+            upload.complete(content.retain());
+        } else {
+            upload.add(content.retain());
+        }
+    }
+
+    private void onRequestComplete() {
+        FullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        requestHead.protocolVersion(),
+                        requestHead.method(),
+                        requestHead.uri(),
+                        bufferedBody == null ? Unpooled.EMPTY_BUFFER : bufferedBody,
+                        requestHead.headers(),
+                        EmptyHttpHeaders.INSTANCE);
+        request.setDecoderResult(requestHead.decoderResult());
+        requestHead = null;
+        bufferedBody = null;
+        connection.onRequestReceived(request);
+        request.release();
+    }
+
+    // A malformed body was never part of a complete request.
+    private void onMalformedBody(DecoderResult decoderResult) {
+        if (upload == null) {
+            requestHead.setDecoderResult(decoderResult);
+            onRequestComplete();
+        } else {
+            abortAndReject(HttpResponseStatus.BAD_REQUEST);
+        }
+    }
+
+    private void abortAndReject(HttpResponseStatus status) {
+        HttpRequest request = requestHead;
+        abortRequest();
+        connection.rejectIncompleteRequest(request, status);
+    }
+
+    private void abortRequest() {
+        discardPartialRequest();
+        if (upload != null) {
+            BodyRelay abortedUpload = upload;
+            boolean wasForwarding = uploadState == UploadState.FORWARDING;
+            upload = null;
+            uploadState = UploadState.NONE;
+            if (wasForwarding) {
+                connection.cancelRequest();
+            }
+            abortedUpload.abort();
+        }
+    }
+
+    private void discardPartialRequest() {
+        requestHead = null;
+        if (bufferedBody != null) {
+            bufferedBody.release();
+            bufferedBody = null;
+        }
+    }
+
+    private void startUpload() {
+        upload = new BodyRelay(channel, bufferBudget, true, () -> {});
+        uploadState = UploadState.WAITING;
+        if (bufferedBody != null) {
+            upload.add(bufferedBody);
+            bufferedBody = null;
+        }
+        if (!connection.isRequestInProgress()) {
+            forwardUpload();
+        }
+    }
+
+    /** Hands over a request whose body is streamed and, as a rule, still being received. */
+    void forwardUpload() {
+        if (uploadState != UploadState.RECEIVED) {
+            uploadState = UploadState.FORWARDING;
+        }
+        connection.forwardStreamedRequest(requestHead, upload);
+        if (uploadState == UploadState.RECEIVED) {
+            completeUpload();
+        }
+    }
+
+    private void onUploadReceived() {
+        connection.onUploadReceived();
+        if (uploadState == UploadState.FORWARDING) {
+            completeUpload();
+        } else {
+            uploadState = UploadState.RECEIVED;
+            // The connection ends with the response to this request.
+            connection.acceptNoMoreRequests();
+        }
+    }
+
+    private void completeUpload() {
+        uploadState = UploadState.NONE;
+        upload = null;
+        requestHead = null;
+        connection.onRequestBodyComplete();
+    }
+
+    /**
+     * Drops the rest of a body that is being forwarded, as its request gets a final response now.
+     *
+     * @return whether there was such a body
+     */
+    boolean discardUnfinishedUpload() {
+        if (uploadState != UploadState.FORWARDING) {
+            return false;
+        }
+        uploadState = UploadState.DISCARDED;
+        upload.discard();
+        return true;
+    }
+
+    /** Releases what has been read of a request, as the connection has been closed. */
+    void onConnectionClosed() {
+        discardPartialRequest();
+        if (upload != null) {
+            upload.abort();
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/http/ResponseWriter.java
@@ -0,0 +1,164 @@
+package loadbalancer.http;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.socket.SocketChannel;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.DefaultHttpResponse;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import loadbalancer.proxy.BodyRelay;
+
+/** Writes the responses of one client connection. Belongs to the event loop. */
+final class ResponseWriter {
+    // The socket's buffer while a response is streamed.
+    private static final int SEND_BUFFER_BYTES = 128 * 1024;
+    private static final long WRITE_TIMEOUT_MS = 2_200;
+    // For a client to read its response while it is still sending.
+    private static final long UPLOAD_LINGER_TIMEOUT_MS = 4_000;
+
+    private final ClientConnection connection;
+    private final Channel channel;
+    // The body of the response that is being streamed, or null.
+    private BodyRelay streamedBody;
+
+    ResponseWriter(ClientConnection connection, Channel channel) {
+        this.connection = connection;
+        this.channel = channel;
+    }
+
+    /** A response with its length; it owns {@code body}. */
+    static FullHttpResponse newResponse(
+            HttpResponseStatus status, ByteBuf body, String contentTypeOrNull) {
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+        if (contentTypeOrNull != null) {
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentTypeOrNull);
+        }
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+        return response;
+    }
+
+    /** A response with one line of plain text. */
+    static FullHttpResponse newTextResponse(HttpResponseStatus status, String text) {
+        ByteBuf body = Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8);
+        return newResponse(status, body, "text/plain");
+    }
+
+    /**
+     * Writes a complete response; a client that does not read it in time is dropped, so that unread
+     * responses do not pile up in memory.
+     *
+     * @param keepOpen whether the connection serves further requests
+     * @param uploadUnfinished whether the client is still sending the request
+     */
+    void write(FullHttpResponse response, boolean keepOpen, boolean uploadUnfinished) {
+        if (!keepOpen) {
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        }
+        ChannelFuture writeFuture = channel.writeAndFlush(response);
+        Future<?> writeTimeout = writeFuture.isDone() ? null : startWriteTimeout();
+        writeFuture.addListener(
+                done -> {
+                    if (writeTimeout != null) {
+                        writeTimeout.cancel(false);
+                    }
+                    if (uploadUnfinished && done.isSuccess()) {
+                        LingeringClose.start(channel, UPLOAD_LINGER_TIMEOUT_MS);
+                    } else {
+                        connection.onResponseWritten(keepOpen && done.isSuccess());
+                    }
+                });
+    }
+
+    private Future<?> startWriteTimeout() {
+        return channel.eventLoop()
+                .schedule(
+                        () -> connection.drop("response not read in time"),
+                        WRITE_TIMEOUT_MS,
+                        TimeUnit.MILLISECONDS);
+    }
+
+    /**
+     * Writes a response whose body is still being received from the upstream.
+     *
+     * @param head as {@link #newStreamedHead} makes it
+     * @param selfDelimited whether the client can tell the end of the body from its closing early
+     * @param keepOpen whether the connection serves further requests
+     * @param onFinished gets whether the response was complete
+     */
+    void stream(
+            HttpResponse head,
+            BodyRelay body,
+            boolean selfDelimited,
+            boolean keepOpen,
+            Consumer<Boolean> onFinished) {
+        if (channel instanceof SocketChannel socket) {
+            // With a larger one, a slow client's progress shows in steps of many seconds.
+            socket.config().setSendBufferSize(SEND_BUFFER_BYTES);
+        }
+        streamedBody = body;
+        channel.write(head);
+        body.writeTo(
+                channel,
+                new BodyRelay.Listener() {
+                    @Override
+                    public void onComplete() {
+                        connection.onStreamComplete();
+                        streamedBody = null;
+                        onFinished.accept(true);
+                        connection.onResponseWritten(keepOpen);
+                    }
+
+                    @Override
+                    public void onAborted() {
+                        streamedBody = null;
+                        onFinished.accept(false);
+                        abort(selfDelimited);
+                    }
+                });
+    }
+
+    /** The head of a streamed response; a negative {@code contentLength} stands for unknown. */
+    static HttpResponse newStreamedHead(
+            long contentLength, String contentTypeOrNull, boolean selfDelimited, boolean keepOpen) {
+        HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        if (contentTypeOrNull != null) {
+            head.headers().set(HttpHeaderNames.CONTENT_TYPE, contentTypeOrNull);
+        }
+        if (contentLength >= 0) {
+            HttpUtil.setContentLength(head, contentLength);
+        } else if (selfDelimited) {
+            HttpUtil.setTransferEncodingChunked(head, true);
+        }
+        if (!keepOpen) {
+            head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        }
+        return head;
+    }
+
+    // A body that ends with the connection has to end with a reset, or it would look complete.
+    private void abort(boolean selfDelimited) {
+        if (!selfDelimited && channel instanceof SocketChannel socket) {
+            socket.config().setSoLinger(0);
+        }
+        channel.close();
+    }
+
+    /** Continues a streamed response that waits for the client to read. */
+    void onWritabilityChanged() {
+        if (streamedBody != null) {
+            streamedBody.writePending();
+        }
+    }
+}
