--- a/balancer/src/main/java/loadbalancer/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -10,7 +10,7 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import loadbalancer.routing.RoutingEngine;
-import loadbalancer.server.BalancerServer;
+import loadbalancer.server.BalancerProcess;
 import loadbalancer.simulator.SimulatorAdapter;
 import loadbalancer.simulator.WireFormatException;
 
@@ -24,10 +24,10 @@
 
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(BalancerServer.serve(System.getenv()));
+            System.exit(BalancerProcess.serve(System.getenv()));
         }
         if (args.length == 1 && args[0].equals("prepare")) {
-            System.exit(BalancerServer.runWarmUpOnly());
+            System.exit(BalancerProcess.runWarmUpOnly());
         }
         if (args.length != 1 || !args[0].equals("wirehost")) {
             System.err.println("usage: java -jar load-balancer.jar serve | prepare | wirehost");
--- a/balancer/src/main/java/loadbalancer/server/BalancerServer.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerServer.java
@@ -1,15 +1,12 @@
 package loadbalancer.server;
 
-import com.fasterxml.jackson.jr.ob.JSON;
 import io.netty.channel.EventLoop;
 import io.netty.channel.local.LocalAddress;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
-import java.io.InputStream;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.file.Path;
-import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
@@ -23,8 +20,6 @@
 import loadbalancer.cluster.PeerTransport;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.EndpointList;
-import loadbalancer.config.FileChangeDetector;
-import loadbalancer.config.InvalidConfigException;
 import loadbalancer.config.LocalSettings;
 import loadbalancer.discovery.DiscoveryClient;
 import loadbalancer.dispatch.Dispatcher;
@@ -32,7 +27,6 @@
 import loadbalancer.proxy.BodyRelay;
 import loadbalancer.proxy.FileDescriptorBudget;
 import loadbalancer.recovery.RecoveryStore;
-import loadbalancer.routing.RoutingEngine;
 import loadbalancer.routing.api.EndpointListKind;
 import loadbalancer.routing.api.EndpointStatus;
 import loadbalancer.routing.api.PolicySnapshot;
@@ -40,20 +34,18 @@
 import loadbalancer.routing.api.RoutingSettings;
 import loadbalancer.upstream.UpstreamPool;
 
-/** One real balancer: its start, its readiness and its orderly stop. */
+/**
+ * One balancer: wires its parts together, and owns its start, readiness and graceful shutdown. All
+ * parts run on one event loop, which this class owns as well; the constructor, {@link #start} and
+ * {@link #stop} are called on other threads.
+ */
 public final class BalancerServer {
-    // After SIGTERM: clients go on coming for a while
+    // From SIGTERM until the listener closes: clients still connect for a while.
     private static final long SHUTDOWN_LINGER_MS = 600;
-    // From readiness until the old process has ended, at most
+    // From readiness until the process that this one replaces has ended, at most.
     private static final long HANDOVER_TIMEOUT_SECONDS = 10;
-    // Between looks at the configuration, without SIGHUP
-    private static final long CONFIG_POLL_INTERVAL_MS = 500;
-    // Between figures for operators
     private static final long STATS_INTERVAL_MS = 100;
-    // At most
-    private static final long PREPARE_TIMEOUT_SECONDS = 30;
-    // Between looks at the counters
-    private static final long COUNTERS_INTERVAL_SECONDS = 5;
+    private static final long LOG_SUMMARY_INTERVAL_SECONDS = 5;
 
     private final Consumer<String> log;
     private final EventLog events;
@@ -63,30 +55,33 @@
     private final UpstreamPool upstreamPool;
     private final DiscoveryClient discovery;
     private final PeerTransport peers;
-    // Null where nothing is kept
+    // Null where no state directory is set.
     private final RecoveryStore stateStore;
-    // The newest list from before this start
+    // The newest list from before this start, of the configuration or the recovery store.
     private final EndpointList knownEndpoints;
-    // Null where membership is off
+    // Null where membership is off.
     private final ClusterCoordinator cluster;
     private final HttpFrontend frontend;
     private final BalancerConfig config;
     private final FileDescriptorBudget descriptorBudget;
     private final Metrics metrics;
-    // Null where operators have no door
+    // Null where no administration address is set.
     private final AdminServer adminServer;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private InetSocketAddress boundAdminAddress;
-    // The listening socket, with other processes
+    // Whether other processes may accept at the same socket.
     private volatile boolean listenerShared;
-    // To listen
-    private volatile boolean listenFailed;
     private boolean hasUsableEndpointList;
     private boolean warmedUp;
-    // As last published: all that the door's thread reads
+    // Published by the event loop, read by the administration thread.
     private volatile MetricsSnapshot stats = MetricsSnapshot.EMPTY;
 
-    /** A node that is ready without a rehearsal, where {@code warmUp} is false. */
+    /**
+     * @param policyFactory makes the routing policy from the settings and the random seed
+     * @param warmUp whether a warm-up precedes readiness
+     * @param log takes the log lines; called from several threads
+     * @throws loadbalancer.config.InvalidConfigException if the state directory can't be used
+     */
     public BalancerServer(
             BalancerConfig config,
             BiFunction<RoutingSettings, Long, RoutingPolicy> policyFactory,
@@ -111,18 +106,7 @@
                         events,
                         metrics,
                         bufferBudget);
-        Path stateDirectory =
-                config.localSettings().directory(LocalSettings.Setting.STATE_DIRECTORY);
-        stateStore =
-                stateDirectory == null
-                        ? null
-                        : RecoveryStore.open(
-                                stateDirectory,
-                                config.name(),
-                                config.boot(),
-                                config.localSettings()
-                                        .milliseconds(LocalSettings.Setting.SNAPSHOT_INTERVAL_MS),
-                                log);
+        stateStore = openRecoveryStore(config, log);
         knownEndpoints =
                 stateStore == null
                         ? config.initialEndpoints()
@@ -151,7 +135,21 @@
                 config.adminAddress() == null ? null : new AdminServer(new EventLoopAdminHandler());
     }
 
-    /** What comes from other balancers, led to whom it concerns. */
+    private static RecoveryStore openRecoveryStore(BalancerConfig config, Consumer<String> log) {
+        LocalSettings settings = config.localSettings();
+        Path stateDirectory = settings.directory(LocalSettings.Setting.STATE_DIRECTORY);
+        if (stateDirectory == null) {
+            return null;
+        }
+        return RecoveryStore.open(
+                stateDirectory,
+                config.name(),
+                config.boot(),
+                settings.milliseconds(LocalSettings.Setting.SNAPSHOT_INTERVAL_MS),
+                log);
+    }
+
+    /** Hands messages of other balancers to the cluster coordinator or the routing policy. */
     private final class PeerMessageRouter implements PeerTransport.Listener {
         @Override
         public void onPeerMessage(int sender, byte[] data) {
@@ -168,40 +166,40 @@
         }
     }
 
-    /** What operators ask for, handed to the loop. */
+    /** Carries the operators' calls from the administration thread to the event loop. */
     private final class EventLoopAdminHandler implements AdminOperations {
         @Override
         public MetricsSnapshot stats() {
             return stats;
         }
 
-        private void setDraining(boolean draining) {
-            if (cluster != null) {
-                cluster.setDraining(draining);
-            }
-        }
-
         @Override
         public void drain() {
-            loop.execute(
-                    () -> {
-                        log.accept("draining, as operators asked");
-                        frontend.drain();
-                        setDraining(true);
-                        publishStats();
-                    });
+            loop.execute(BalancerServer.this::drain);
         }
 
         @Override
         public void resume() {
-            loop.execute(
-                    () -> {
-                        log.accept("back to work, as operators asked");
-                        frontend.resume();
-                        setDraining(false);
-                        publishStats();
-                    });
+            loop.execute(BalancerServer.this::resume);
+        }
+    }
+
+    private void drain() {
+        log.accept("draining, as operators asked");
+        frontend.drain();
+        if (cluster != null) {
+            cluster.setDraining(true);
         }
+        publishStats();
+    }
+
+    private void resume() {
+        log.accept("back to work, as operators asked");
+        frontend.resume();
+        if (cluster != null) {
+            cluster.setDraining(false);
+        }
+        publishStats();
     }
 
     private void publishStats() {
@@ -214,107 +212,17 @@
     }
 
     /**
-     * Starts a balancer by itself, whose only upstream does not exist, and returns once it has
-     * rehearsed: 0, or 1 where that takes too long. Run with {@code -XX:ArchiveClassesAtExit} it
-     * leaves the classes of a start.
+     * Listens and begins to work.
+     *
+     * @return the address in use
+     * @throws IOException if an address can't be bound, or the configuration says that the socket
+     *     is inherited and descriptor 0 is none
      */
-    public static int runWarmUpOnly() {
-        try (InputStream configuration =
-                BalancerServer.class.getResourceAsStream("/prepare.json")) {
-            BalancerServer balancer =
-                    new BalancerServer(
-                            BalancerConfig.parse(Map.of(), JSON.std.mapFrom(configuration)),
-                            RoutingEngine::new,
-                            true,
-                            System.err::println);
-            balancer.start();
-            long deadlineNanos =
-                    System.nanoTime() + TimeUnit.SECONDS.toNanos(PREPARE_TIMEOUT_SECONDS);
-            while (!balancer.stats.ready() && System.nanoTime() - deadlineNanos < 0) {
-                TimeUnit.MILLISECONDS.sleep(10);
-            }
-            boolean ready = balancer.stats.ready();
-            balancer.stop();
-            return ready ? 0 : 1;
-        } catch (IOException e) {
-            System.err.println("load-balancer: " + e.getMessage());
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-        return 1;
-    }
-
-    /** Runs a balancer until it is told to stop; returns only if it can't start. */
-    public static int serve(Map<String, String> environment) {
-        Consumer<String> log = line -> System.err.println("load-balancer: " + line);
-        BalancerServer balancer;
-        InetSocketAddress address;
-        try {
-            BalancerConfig config = BalancerConfig.read(environment);
-            balancer =
-                    new BalancerServer(
-                            config,
-                            (settings, seed) ->
-                                    new RoutingEngine(
-                                            settings,
-                                            seed,
-                                            config.localSettings()
-                                                    .isEnabled(
-                                                            LocalSettings.Setting
-                                                                    .ZONE_FAILOVER_ENABLED)),
-                            true,
-                            log);
-        } catch (InvalidConfigException e) {
-            log.accept(e.getMessage());
-            return 1;
-        }
-        boolean signalHandled = false;
-        // Before it listens: from then on a signal to end may cross a request that has been taken.
-        Runtime.getRuntime()
-                .addShutdownHook(
-                        new Thread(
-                                () -> {
-                                    if (!balancer.listenFailed) {
-                                        balancer.stop();
-                                    }
-                                    // Without this the exit code would tell of the signal, not of
-                                    // the orderly end.
-                                    Runtime.getRuntime().halt(balancer.listenFailed ? 1 : 0);
-                                }));
-        try {
-            signalHandled = ReloadSignal.install(() -> balancer.reload(environment));
-        } catch (ReflectiveOperationException e) {
-            log.accept("SIGHUP is not heard here: " + e);
-        }
-        try {
-            address = balancer.start();
-        } catch (Exception e) {
-            // sync() rethrows what bind failed with, whatever its type
-            log.accept(
-                    "can't listen on " + balancer.config.listenAddress() + ": " + e.getMessage());
-            balancer.listenFailed = true;
-            return 1;
-        }
-        if (!signalHandled) {
-            log.accept(
-                    "SIGHUP is ignored here since the start: looking at the configuration instead");
-            balancer.watchConfig(environment);
-        }
-        // Said only now: whoever reads it may send the signal at once.
-        log.accept(
-                "listening on " + address.getAddress().getHostAddress() + ":" + address.getPort());
-        balancer.awaitStopped();
-        return 0;
-    }
-
-    /** Listens and begins to work; returns the address in use. */
     public InetSocketAddress start() throws IOException {
         return start(config.listenSocketInherited() ? inheritedSocket() : null);
     }
 
-    /**
-     * The same; {@code listeningSocket} listens already, as other processes may at it, or is null.
-     */
+    /** As {@link #start()}, at a socket that listens already where it is not null. */
     InetSocketAddress start(ServerSocketChannel listeningSocket) throws IOException {
         listenerShared = listeningSocket != null;
         if (adminServer != null) {
@@ -324,47 +232,49 @@
                 listeningSocket == null
                         ? frontend.listen(config.listenAddress())
                         : frontend.listen(listeningSocket);
-        loop.execute(
-                () -> {
-                    if (adminServer != null) {
-                        publishStats();
-                        loop.scheduleWithFixedDelay(
-                                this::publishStats,
-                                STATS_INTERVAL_MS,
-                                STATS_INTERVAL_MS,
-                                TimeUnit.MILLISECONDS);
-                    }
-                    onEndpointListUpdate(EndpointListKind.CACHED, knownEndpoints);
-                    if (stateStore != null) {
-                        restoreState();
-                    }
-                    discovery.start();
-                    peers.start(log);
-                    if (cluster != null) {
-                        cluster.start();
-                    }
-                    loop.scheduleWithFixedDelay(
-                            () ->
-                                    events.logSummary(
-                                            () ->
-                                                    dispatcher.summary()
-                                                            + ", "
-                                                            + descriptorBudget
-                                                            + ": "
-                                                            + frontend
-                                                            + ", "
-                                                            + upstreamPool),
-                            COUNTERS_INTERVAL_SECONDS,
-                            COUNTERS_INTERVAL_SECONDS,
-                            TimeUnit.SECONDS);
-                    if (!warmedUp) {
-                        startWarmUp(address);
-                    }
-                });
+        loop.execute(() -> startOnLoop(address));
         return address;
     }
 
-    // What was kept goes to the module once it has a list; from then on snapshots are taken.
+    private void startOnLoop(InetSocketAddress address) {
+        if (adminServer != null) {
+            publishStats();
+            loop.scheduleWithFixedDelay(
+                    this::publishStats,
+                    STATS_INTERVAL_MS,
+                    STATS_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
+        }
+        onEndpointListUpdate(EndpointListKind.CACHED, knownEndpoints);
+        if (stateStore != null) {
+            restoreState();
+        }
+        discovery.start();
+        peers.start(log);
+        if (cluster != null) {
+            cluster.start();
+        }
+        loop.scheduleWithFixedDelay(
+                () -> events.logSummary(this::summary),
+                LOG_SUMMARY_INTERVAL_SECONDS,
+                LOG_SUMMARY_INTERVAL_SECONDS,
+                TimeUnit.SECONDS);
+        if (!warmedUp) {
+            startWarmUp(address);
+        }
+    }
+
+    private String summary() {
+        return dispatcher.summary()
+                + ", "
+                + descriptorBudget
+                + ": "
+                + frontend
+                + ", "
+                + upstreamPool;
+    }
+
+    // The routing policy has an endpoint list by now; snapshots are taken from here on.
     private void restoreState() {
         PolicySnapshot snapshot = stateStore.recoveredPolicySnapshot();
         if (snapshot != null) {
@@ -383,7 +293,8 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    // At an inherited socket the process that this one takes over from would answer.
+    // At a shared socket the process that this one replaces would answer, so that the warm-up's
+    // requests stay within this process.
     private void startWarmUp(InetSocketAddress address) {
         LocalAddress inProcessAddress = listenerShared ? new LocalAddress("rehearsal") : null;
         WarmUp warmUp =
@@ -393,11 +304,7 @@
                         inProcessAddress,
                         dispatcher::acceptedRequestCount,
                         () -> !listenerShared && dispatcher.isInService(),
-                        () -> {
-                            warmedUp = true;
-                            frontend.setWarmUp(null);
-                            updateReadiness();
-                        });
+                        this::onWarmUpFinished);
         frontend.setWarmUp(warmUp);
         if (inProcessAddress == null) {
             warmUp.start(address);
@@ -406,6 +313,12 @@
         }
     }
 
+    private void onWarmUpFinished() {
+        warmedUp = true;
+        frontend.setWarmUp(null);
+        updateReadiness();
+    }
+
     private static ServerSocketChannel inheritedSocket() throws IOException {
         if (System.inheritedChannel() instanceof ServerSocketChannel socket) {
             return socket;
@@ -413,53 +326,19 @@
         throw new IOException("descriptor 0 is no listening socket");
     }
 
-    /** Where operators reach it; null where they have no door. */
+    /** The bound administration address, or null where none is set. */
     InetSocketAddress adminAddress() {
         return boundAdminAddress;
     }
 
-    // In place of SIGHUP: a balancer that never hears of its new discovery sends to servers that
-    // drain.
-    private void watchConfig(Map<String, String> environment) {
-        FileChangeDetector configFile =
-                new FileChangeDetector(Path.of(environment.get("ROUTER_CONFIG")));
-        loop.scheduleWithFixedDelay(
-                () -> {
-                    if (configFile.hasChanged()) {
-                        reload(environment);
-                    }
-                },
-                CONFIG_POLL_INTERVAL_MS,
-                CONFIG_POLL_INTERVAL_MS,
-                TimeUnit.MILLISECONDS);
+    /** Watches and polls discovery at another address from now on; any thread. */
+    void reconnectDiscovery(InetSocketAddress discoveryAddress) {
+        loop.execute(() -> discovery.reconnectTo(discoveryAddress));
     }
 
-    // Only the address of discovery may change while it runs; all else takes effect at the next
-    // start.
-    private void reload(Map<String, String> environment) {
-        try {
-            BalancerConfig newConfig = BalancerConfig.readForReload(environment);
-            InetSocketAddress discoveryAddress = newConfig.discoveryAddress();
-            log.accept(
-                    "configuration reread: discovery at "
-                            + discoveryAddress.getAddress().getHostAddress()
-                            + ":"
-                            + discoveryAddress.getPort());
-            config.localSettings()
-                    .changedKeys(newConfig.localSettings())
-                    .forEach(
-                            path ->
-                                    log.accept(
-                                            "settings: "
-                                                    + path
-                                                    + " takes effect at the next start"));
-            loop.execute(() -> discovery.reconnectTo(discoveryAddress));
-        } catch (InvalidConfigException e) {
-            log.accept("keeping the old configuration: " + e.getMessage());
-        } catch (RuntimeException e) {
-            // Of a file that is odd in a way not thought of
-            log.accept("keeping the old configuration: " + e);
-        }
+    /** What the administration endpoint shows; any thread. */
+    MetricsSnapshot publishedStats() {
+        return stats;
     }
 
     EventLoop loop() {
@@ -470,64 +349,43 @@
         return frontend;
     }
 
-    /** Final answers that are owed; on the loop's thread only. */
+    /** The number of requests without a final response; on the event loop only. */
     int pendingRequestCount() {
         return dispatcher.pendingRequestCount();
     }
 
-    // Ready once an upstream may be sent to: what was known from before will do until discovery
-    // answers.
+    // A cached list makes the balancer ready as well, if it has an endpoint that is up.
     private void onEndpointListUpdate(EndpointListKind kind, EndpointList endpointList) {
         dispatcher.onEndpointListUpdate(kind, endpointList);
         if (stateStore != null) {
             stateStore.onEndpointList(kind, endpointList);
         }
-        boolean usable =
-                kind == EndpointListKind.COMPLETE
-                        || endpointList != null
-                                && endpointList.entries().stream()
-                                        .anyMatch(
-                                                entry ->
-                                                        entry.endpoint().status()
-                                                                == EndpointStatus.UP);
-        if (usable) {
+        if (kind == EndpointListKind.COMPLETE || hasEndpointUp(endpointList)) {
             hasUsableEndpointList = true;
             updateReadiness();
         }
     }
 
+    private static boolean hasEndpointUp(EndpointList endpointListOrNull) {
+        return endpointListOrNull != null
+                && endpointListOrNull.entries().stream()
+                        .anyMatch(entry -> entry.endpoint().status() == EndpointStatus.UP);
+    }
+
     private void updateReadiness() {
         if (hasUsableEndpointList && warmedUp) {
             frontend.ready();
             publishStats();
-            // By then the process that this one took over from has had its time, and holds no
-            // descriptors.
+            // Until then the process that this one replaces may hold descriptors.
             loop.schedule(
                     descriptorBudget::useFullLimit, HANDOVER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
-    /** Ends in order, as after SIGTERM, and returns when all that was taken has been answered. */
+    /** Shuts down gracefully; returns once all accepted requests have been answered. */
     public void stop() {
-        loop.execute(
-                () -> {
-                    frontend.stopping(listenerShared);
-                    publishStats();
-                    if (cluster != null) {
-                        cluster.leave();
-                    }
-                    if (listenerShared) {
-                        // The process that takes over wants the address
-                        peers.close();
-                    }
-                });
-        loop.schedule(
-                () -> {
-                    frontend.close(() -> dispatcher.whenIdle(stopped::countDown));
-                    peers.close();
-                },
-                SHUTDOWN_LINGER_MS,
-                TimeUnit.MILLISECONDS);
+        loop.execute(this::beginShutdown);
+        loop.schedule(this::closeFrontend, SHUTDOWN_LINGER_MS, TimeUnit.MILLISECONDS);
         awaitStopped();
         log.accept("stopped: " + dispatcher.summary() + "; " + events);
         eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -539,7 +397,25 @@
         }
     }
 
-    private void awaitStopped() {
+    private void beginShutdown() {
+        frontend.stopping(listenerShared);
+        publishStats();
+        if (cluster != null) {
+            cluster.leave();
+        }
+        if (listenerShared) {
+            // The process that takes over binds this address.
+            peers.close();
+        }
+    }
+
+    private void closeFrontend() {
+        frontend.close(() -> dispatcher.whenIdle(stopped::countDown));
+        peers.close();
+    }
+
+    /** Returns once a shutdown is complete, or the calling thread is interrupted. */
+    void awaitStopped() {
         try {
             stopped.await();
         } catch (InterruptedException e) {
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/server/ConfigReloader.java
@@ -0,0 +1,82 @@
+package loadbalancer.server;
+
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import loadbalancer.config.BalancerConfig;
+import loadbalancer.config.FileChangeDetector;
+import loadbalancer.config.InvalidConfigException;
+
+/**
+ * Reads the configuration again while the balancer runs. Only the address of discovery changes at
+ * once; all else takes effect at the next start. {@link #reload} may run on any thread.
+ */
+final class ConfigReloader {
+    private static final long POLL_INTERVAL_MS = 500;
+
+    private final BalancerServer balancer;
+    private final BalancerConfig currentConfig;
+    private final Map<String, String> environment;
+    private final Consumer<String> log;
+
+    /** {@code currentConfig} is the one that the balancer was started with. */
+    ConfigReloader(
+            BalancerServer balancer,
+            BalancerConfig currentConfig,
+            Map<String, String> environment,
+            Consumer<String> log) {
+        this.balancer = balancer;
+        this.currentConfig = currentConfig;
+        this.environment = environment;
+        this.log = log;
+    }
+
+    /** Applies the configuration as it is now; an invalid one is logged and ignored. */
+    void reload() {
+        try {
+            BalancerConfig newConfig = BalancerConfig.readForReload(environment);
+            InetSocketAddress discoveryAddress = newConfig.discoveryAddress();
+            log.accept(
+                    "configuration reread: discovery at "
+                            + discoveryAddress.getAddress().getHostAddress()
+                            + ":"
+                            + discoveryAddress.getPort());
+            currentConfig
+                    .localSettings()
+                    .changedKeys(newConfig.localSettings())
+                    .forEach(
+                            key ->
+                                    log.accept(
+                                            "settings: "
+                                                    + key
+                                                    + " takes effect at the next start"));
+            balancer.reconnectDiscovery(discoveryAddress);
+        } catch (InvalidConfigException e) {
+            log.accept("keeping the old configuration: " + e.getMessage());
+        } catch (RuntimeException e) {
+            // Whatever else a malformed file causes must not end the balancer.
+            log.accept("keeping the old configuration: " + e);
+        }
+    }
+
+    /**
+     * Reloads at each change of the file, in place of SIGHUP: a balancer that missed a new address
+     * of discovery would go on sending to upstreams that drain.
+     */
+    void pollForChanges() {
+        FileChangeDetector configFile =
+                new FileChangeDetector(Path.of(environment.get("ROUTER_CONFIG")));
+        balancer.loop()
+                .scheduleWithFixedDelay(
+                        () -> {
+                            if (configFile.hasChanged()) {
+                                reload();
+                            }
+                        },
+                        POLL_INTERVAL_MS,
+                        POLL_INTERVAL_MS,
+                        TimeUnit.MILLISECONDS);
+    }
+}
--- a/balancer/src/main/java/loadbalancer/server/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/server/WarmUp.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
+import java.util.function.Supplier;
 import loadbalancer.admin.EventLog;
 import loadbalancer.admin.Metrics;
 import loadbalancer.config.BalancerConfig;
@@ -30,29 +31,27 @@
 import loadbalancer.upstream.UpstreamPool;
 
 /**
- * Takes requests of its own through the whole path, over this node's own address, before clients
- * come. Guards against a cold start: with nothing compiled yet a node took hundreds of milliseconds
- * for its first requests, fell behind at once under a full load, and answered some after their
- * deadlines. It has a module, a dispatcher and connections of its own, which end with it, so that
- * the real ones learn nothing from it.
+ * Sends requests of its own through the whole path of a request, at this balancer's own address,
+ * before clients come. Without it a cold start takes hundreds of milliseconds for each of the first
+ * requests, falls behind at once under full load, and answers some after their deadlines. It has a
+ * routing policy, a dispatcher and connections of its own, which end with it, so that those of
+ * clients' requests are not influenced. Belongs to the event loop.
  */
-public final class WarmUp implements WarmUpTraffic {
-    // Enough to have what a request needs compiled, where nobody waits: after 40 alone two
-    // balancers on half
-    // a core each were late with 8% of the first seconds' requests.
+final class WarmUp implements WarmUpTraffic {
+    // Enough for what a request needs to be compiled: after 40 alone two balancers on half a core
+    // each were late with 8% of the requests of the first seconds.
     private static final int REQUEST_COUNT = 300;
-    // Where clients are at work already, this balancer is missing: the first ones load and link.
+    // Where clients send requests already: the first ones load and link the classes.
     private static final int HURRIED_REQUEST_COUNT = 40;
     private static final int CONCURRENCY = 8;
-    // Real requests, where they come already, go between
     private static final int HURRIED_CONCURRENCY = 2;
-    // Every third is turned away in the last part
+    // Of the upstream requests after the first half of the hurried ones.
     private static final int REJECT_EVERY_NTH = 3;
     private static final int ENDPOINT_COUNT = 8;
-    // Where the machine is busy
     private static final long MAX_DURATION_MS = 4_000;
-    // µs for one request
     private static final long REQUEST_TIMEOUT_MICROS = 1_000_000;
+    private static final int BODY_BYTES = 200;
+    private static final String ID_PREFIX = "rehearsal-";
 
     private final EventLoop loop;
     private final BootSettings boot;
@@ -68,11 +67,12 @@
     private boolean finished;
 
     /**
-     * {@code onFinished} runs on the loop when it is over. Where {@code inProcessAddress} is not
-     * null the requests go through that address within this process: at the node's own another
-     * process may answer. {@code clientRequestCount} tells how many requests clients have brought:
-     * each stands for one of the rehearsal, which only keeps it waiting. {@code hurried}: whether
-     * this balancer is missing meanwhile.
+     * @param inProcessAddress where requests go within this process, or null where they go to the
+     *     balancer's own address
+     * @param clientRequestCount the number of clients' requests so far, each of which makes one of
+     *     the warm-up's unnecessary
+     * @param hurried whether the fleet serves clients already and lacks this balancer
+     * @param onFinished runs on the event loop when the warm-up is over
      */
     WarmUp(
             EventLoop loop,
@@ -93,26 +93,19 @@
         FileDescriptorBudget descriptorBudget =
                 new FileDescriptorBudget(config.maxSockets(), false);
         BodyRelay.BufferBudget bufferBudget = new BodyRelay.BufferBudget();
-        upstreamPool =
-                new UpstreamPool(
-                        loop,
-                        boot,
-                        descriptorBudget,
-                        dispatcher::nowMicros,
-                        silentEvents,
-                        metrics,
-                        bufferBudget,
-                        inProcessAddress);
-        clientPool =
-                new UpstreamPool(
-                        loop,
-                        boot,
-                        descriptorBudget,
-                        dispatcher::nowMicros,
-                        silentEvents,
-                        metrics,
-                        bufferBudget,
-                        inProcessAddress);
+        Supplier<UpstreamPool> newPool =
+                () ->
+                        new UpstreamPool(
+                                loop,
+                                boot,
+                                descriptorBudget,
+                                dispatcher::nowMicros,
+                                silentEvents,
+                                metrics,
+                                bufferBudget,
+                                inProcessAddress);
+        upstreamPool = newPool.get();
+        clientPool = newPool.get();
         dispatcher.attach(upstreamPool, null, null);
     }
 
@@ -121,12 +114,23 @@
         return dispatcher;
     }
 
+    /** Starts sending; {@code ownAddress} is where this balancer listens. */
     void start(InetSocketAddress ownAddress) {
+        EndpointList endpointList = endpointListAt(ownAddress);
+        clientPool.updateEndpoints(endpointList, dispatcher.nowMicros());
+        dispatcher.onEndpointListUpdate(EndpointListKind.CACHED, endpointList);
+        loop.schedule(this::finish, MAX_DURATION_MS, TimeUnit.MILLISECONDS);
+        for (int i = 0; i < CONCURRENCY; i++) {
+            sendNext();
+        }
+    }
+
+    private EndpointList endpointListAt(InetSocketAddress ownAddress) {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINT_COUNT; i++) {
             Endpoint endpoint =
                     new Endpoint(
-                            "rehearsal-" + i,
+                            ID_PREFIX + i,
                             EndpointStatus.UP,
                             0,
                             1,
@@ -135,16 +139,9 @@
                             boot.settings().zone());
             entries.add(new EndpointList.Entry(endpoint, ownAddress));
         }
-        EndpointList endpointList = new EndpointList(0, true, entries);
-        clientPool.updateEndpoints(endpointList, dispatcher.nowMicros());
-        dispatcher.onEndpointListUpdate(EndpointListKind.CACHED, endpointList);
-        loop.schedule(this::finish, MAX_DURATION_MS, TimeUnit.MILLISECONDS);
-        for (int i = 0; i < CONCURRENCY; i++) {
-            sendNext();
-        }
+        return new EndpointList(0, true, entries);
     }
 
-    /** As an upstream: whether the request that has come back is turned away. */
     @Override
     public boolean shouldReject() {
         upstreamRequests++;
@@ -154,53 +151,55 @@
 
     private void sendNext() {
         boolean hurriedNow = hurried.getAsBoolean();
-        if (finished
-                || startedRequests + clientRequestCount.getAsLong()
-                        >= (hurriedNow ? HURRIED_REQUEST_COUNT : REQUEST_COUNT)) {
+        int requestLimit = hurriedNow ? HURRIED_REQUEST_COUNT : REQUEST_COUNT;
+        if (finished || startedRequests + clientRequestCount.getAsLong() >= requestLimit) {
             if (completedRequests == startedRequests) {
                 finish();
             }
             return;
         }
-        if (startedRequests - completedRequests
-                >= (hurriedNow ? HURRIED_CONCURRENCY : CONCURRENCY)) {
+        int concurrencyLimit = hurriedNow ? HURRIED_CONCURRENCY : CONCURRENCY;
+        if (startedRequests - completedRequests >= concurrencyLimit) {
             return;
         }
-        int requestClass = startedRequests++ % boot.classNames().size();
+        int requestClass = startedRequests % boot.classNames().size();
+        startedRequests++;
+        clientPool.send(
+                ID_PREFIX + 0,
+                newRequest(requestClass),
+                REQUEST_TIMEOUT_MICROS,
+                (outcome, response, load) -> onRequestCompleted());
+    }
+
+    private ProxyRequest newRequest(int requestClass) {
         Idempotency idempotency = boot.settings().requestClasses().get(requestClass).idempotency();
+        boolean isIdempotent = idempotency == Idempotency.IDEMPOTENT;
         HttpHeaders headers =
                 new DefaultHttpHeaders()
-                        .set("Req-Id", "rehearsal-" + startedRequests)
+                        .set("Req-Id", ID_PREFIX + startedRequests)
                         .set("Req-Kind", boot.classNames().get(requestClass))
                         .set("Req-Cost", Integer.toString(startedRequests));
         if (idempotency == Idempotency.IDEMPOTENCY_KEY) {
-            headers.set("Idempotency-Key", "rehearsal-" + startedRequests);
+            headers.set("Idempotency-Key", ID_PREFIX + startedRequests);
         }
-        HttpMethod method =
-                idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
-        byte[] body = new byte[idempotency == Idempotency.IDEMPOTENT ? 0 : 200];
-        ProxyRequest proxyRequest =
-                new ProxyRequest(
-                        method,
-                        REQUEST_PATH,
-                        headers,
-                        body,
-                        requestClass,
-                        0,
-                        null,
-                        REQUEST_TIMEOUT_MICROS,
-                        -1,
-                        false);
-        clientPool.send(
-                "rehearsal-0",
-                proxyRequest,
+        return new ProxyRequest(
+                isIdempotent ? HttpMethod.GET : HttpMethod.POST,
+                REQUEST_PATH,
+                headers,
+                new byte[isIdempotent ? 0 : BODY_BYTES],
+                requestClass,
+                0,
+                null,
                 REQUEST_TIMEOUT_MICROS,
-                (outcome, response, load) -> {
-                    completedRequests++;
-                    if (!finished) {
-                        loop.execute(this::sendNext);
-                    }
-                });
+                -1,
+                false);
+    }
+
+    private void onRequestCompleted() {
+        completedRequests++;
+        if (!finished) {
+            loop.execute(this::sendNext);
+        }
     }
 
     private void finish() {
