--- a/balancer/src/test/java/loadbalancer/server/AttemptRaceTest.java
+++ b/balancer/src/test/java/loadbalancer/server/AttemptRaceTest.java
@@ -28,9 +28,7 @@
         }
     }
 
-    /**
-     * A connection that is chosen while its end, or something that nobody asked for, is arriving.
-     */
+    /** An idle connection is chosen while its close, or unsolicited data, is arriving. */
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
@@ -68,7 +68,7 @@
 
     /** Starts one under a limit on descriptors; it listens once this returns. */
     private RunningBalancer startBalancer(Map<String, Object> extraConfig) throws IOException {
-        Map<String, Object> settings = BalancerServerTest.settings();
+        Map<String, Object> settings = BalancerServerFixtures.settings();
         settings.put("MembershipMode", "push");
         settings.put("Balancers", 2);
         settings.put(
@@ -201,14 +201,14 @@
                         "w" + i,
                         new HttpTestClient(address)
                                 .send(
-                                        BalancerServerTest.IDEMPOTENT_REQUEST.replace(
+                                        BalancerServerFixtures.IDEMPOTENT_REQUEST.replace(
                                                 "Req-Id: r1", "Req-Id: w" + i)));
             }
             idleClients.addAll(activeClients.values());
             TimeUnit.SECONDS.sleep(2);
             List<FakeHttpServer.ReceivedRequest> inFlight = new ArrayList<>();
             while (!upstream.isEmpty()) {
-                // The module may have refused some
+                // The routing policy may have rejected some.
                 inFlight.add(upstream.nextRequest());
             }
             assertTrue(inFlight.size() >= 30, inFlight.size() + " under way");
@@ -245,7 +245,7 @@
             long reachableAtNanos = System.nanoTime();
             FakeHttpServer.ReceivedRequest watch = discoveryServer.nextRequest();
             watch.sendRaw(CHUNKED_HEAD + chunk(listJson(42, "s2", otherUpstream.address()) + "\n"));
-            nextClient.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            nextClient.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             otherUpstream.nextRequest().respond(200, "", "ok");
             assertEquals(200, nextClient.readStatus());
             assertTrue(System.nanoTime() - reachableAtNanos < 6_000_000_000L);
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerTestSupport.java
@@ -2,13 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.config.BalancerConfig;
 import loadbalancer.routing.api.AttemptOutcome;
 import loadbalancer.routing.api.LoadReport;
 import loadbalancer.routing.api.RoutingActions;
@@ -23,8 +21,8 @@
 @Timeout(60)
 abstract class BalancerServerTestSupport {
     /**
-     * A module that may leave attempts of those who left alone, say no to a late write, or try once
-     * more.
+     * A routing policy that can leave attempts of disconnected clients alone, forbid the start of
+     * an attempt, or retry after a rejection.
      */
     static final class ConfigurablePolicy extends ScriptedPolicy {
         volatile boolean cancelsOnDisconnect = true;
@@ -94,7 +92,7 @@
     }
 
     final void start(String endpointAddress) throws IOException, InterruptedException {
-        Map<String, Object> rawSettings = BalancerServerTest.settings();
+        Map<String, Object> rawSettings = BalancerServerFixtures.settings();
         rawSettings.put(
                 "Limits",
                 Map.of(
@@ -111,35 +109,23 @@
                         "IdleClose",
                         30_000_000));
         balancer =
-                new BalancerServer(
-                        BalancerConfig.parse(
-                                Map.of(),
-                                Map.of(
-                                        "name",
-                                        "n1",
-                                        "listen",
-                                        "127.0.0.1:0",
-                                        "discovery",
-                                        "127.0.0.1:9",
-                                        "seed",
-                                        "1",
-                                        "settings",
-                                        rawSettings,
-                                        "known",
-                                        JSON.std.mapFrom(
-                                                "{\"rev\":1,\"all\":true,\"targets\":["
-                                                        + "{\"uid\":\"s1\",\"endpoint\":\""
-                                                        + endpointAddress
-                                                        + "\",\"state\":\"in_service\",\"boot_ms\":0}]}"))),
-                        (settings, seed) -> policy,
-                        false,
+                BalancerServerFixtures.newBalancer(
+                        Map.of(
+                                "seed",
+                                "1",
+                                "settings",
+                                rawSettings,
+                                "known",
+                                BalancerServerFixtures.knownList(endpointAddress)),
+                        policy,
                         line -> {});
         address = balancer.start();
         assertEquals("CACHED [s1=UP]", policy.nextEvent());
     }
 
     static final String requestWithId(String requestId) {
-        return BalancerServerTest.IDEMPOTENT_REQUEST.replace("Req-Id: r1", "Req-Id: " + requestId);
+        return BalancerServerFixtures.IDEMPOTENT_REQUEST.replace(
+                "Req-Id: r1", "Req-Id: " + requestId);
     }
 
     final void awaitRequest() throws InterruptedException {
@@ -147,7 +133,7 @@
     }
 
     /**
-     * The next that reaches the upstream is {@code requestId}; its client gets that as its answer.
+     * Expects {@code requestId} as the next request at the upstream, and answers it with its id.
      */
     final FakeHttpServer.ReceivedRequest serveNext(HttpTestClient client, String requestId)
             throws IOException, InterruptedException {
--- a/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
@@ -12,6 +12,7 @@
 import java.io.OutputStream;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
+import java.util.Locale;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
@@ -22,7 +23,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies and answers that are passed on as they come: past 64 KiB, up to 32 MB. */
+/** Streamed request and response bodies: over 64 KiB, up to 32 MB. */
 @Timeout(60)
 class BodyStreamingTest {
     private static final String POST_HEAD =
@@ -40,7 +41,7 @@
         upstream = new FakeHttpServer();
         balancer =
                 BalancerServerFixtures.readyBalancer(
-                        upstream, policy, BalancerServerTest.settings(), 1024, line -> {});
+                        upstream, policy, BalancerServerFixtures.settings(), 1024, line -> {});
         address = balancer.start();
         assertEquals("CACHED [s1=UP]", policy.nextEvent());
     }
@@ -73,15 +74,18 @@
         return output.toByteArray();
     }
 
-    /** The body of the next answer, framed in either way; fails where it is not whole. */
+    /** The body of the next response, framed in either way; fails if it is incomplete. */
     private static byte[] readBody(HttpTestClient client) throws IOException {
         String head = FakeHttpServer.readHead(client.input);
         assertTrue(head.startsWith(OK_STATUS_LINE), head);
-        if (head.toLowerCase().contains("transfer-encoding: chunked")) {
+        if (head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked")) {
             return FakeHttpServer.readChunked(client.input);
         }
         int length =
-                Integer.parseInt(head.toLowerCase().split("content-length: ")[1].split("\r\n")[0]);
+                Integer.parseInt(
+                        head.toLowerCase(Locale.ROOT)
+                                .split("content-length: ")[1]
+                                .split("\r\n")[0]);
         byte[] body = client.input.readNBytes(length);
         if (body.length < length) {
             throw new IOException("cut off");
@@ -127,7 +131,7 @@
         byte[] payload = randomBytes(length);
         try (HttpTestClient client = new HttpTestClient(address)) {
             for (int i = 0; i < 2; i++) {
-                client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+                client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
                 FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
                 if (framing.equals("chunked")) {
                     receivedRequest.sendRaw(OK_STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n");
@@ -150,14 +154,14 @@
         }
     }
 
-    /** The first bytes count: they must not wait for the rest. */
+    /** The first bytes are forwarded before the others have arrived. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 100000", "Transfer-Encoding: chunked"})
     void responseIsStreamedBeforeItsEnd(String framing) throws Exception {
         byte[] payload = randomBytes(100_000);
         boolean useChunks = framing.startsWith("T");
         try (HttpTestClient client = new HttpTestClient(address)) {
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             receivedRequest.sendRaw(OK_STATUS_LINE + framing + "\r\n\r\n");
             ByteArrayOutputStream firstChunk = new ByteArrayOutputStream();
@@ -184,7 +188,7 @@
     })
     void abortedResponseIsVisibleAndReported(String framing, boolean reset) throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             receivedRequest.sendRaw(OK_STATUS_LINE + framing + "\r\n\r\n");
             if (framing.startsWith("T")) {
@@ -209,7 +213,7 @@
     @Test
     void disconnectDuringResponseIsNotBlamed() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             receivedRequest.sendRaw(OK_STATUS_LINE + "Content-Length: 30000000\r\n\r\n");
             receivedRequest.sendRaw(randomBytes(100_000));
@@ -221,7 +225,7 @@
     }
 
     /**
-     * Upstream and client stay connected: the module's answer comes while the client is still
+     * Upstream and client stay connected: the policy's response comes while the client is still
      * sending.
      */
     @Test
@@ -236,7 +240,7 @@
             upstream.closeAllConnections();
             assertEquals("CONNECT_FAILED", policy.nextEvent());
             assertEquals(502, client.readStatus());
-            // Nobody minds
+            // Expected: the balancer may close first.
             client.socket.getOutputStream().write(randomBytes(100_000));
             assertNull(client.readResponse());
         }
@@ -270,7 +274,7 @@
         assertTrue(upstream.isEmpty());
     }
 
-    /** More than the limit for a request to be whole, and more than its deadline. */
+    /** Takes longer than the request timeout, and longer than the deadline. */
     @Test
     void slowUploadSucceedsAndStalledOneEnds() throws Exception {
         byte[] payload = randomBytes(300_000);
@@ -292,12 +296,12 @@
         }
     }
 
-    /** Neither side's 32 MB sit in memory: what is not taken in stays with the upstream. */
+    /** Neither side's 32 MB are buffered: what the client does not read stays at the upstream. */
     @Test
     void slowReaderAppliesBackpressure() throws Exception {
         byte[] block = randomBytes(1_000_000);
         try (HttpTestClient client = new HttpTestClient(address)) {
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             receivedRequest.sendRaw(OK_STATUS_LINE + "Content-Length: 32000000\r\n\r\n");
             Thread writer =
--- a/balancer/src/test/java/loadbalancer/server/ClientDisconnectTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ClientDisconnectTest.java
@@ -9,6 +9,7 @@
 import java.io.OutputStream;
 import java.net.Socket;
 import java.net.SocketException;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -16,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that leave, wherever their requests are just then. */
+/** Clients that disconnect, at each stage of their requests. */
 class ClientDisconnectTest extends BalancerServerTestSupport {
     @ParameterizedTest
     @CsvSource({
@@ -77,15 +78,15 @@
     }
 
     /**
-     * The loop stands still as they leave, and comes to their attempts before it comes to their
-     * ends.
+     * The event loop is stalled as they disconnect, and runs their attempts before it reads their
+     * closes.
      */
     @ParameterizedTest
     @CsvSource({"1,false", "1,true", "300,false", "300,true"})
     void attemptAfterUnreadDisconnectIsNotSent(int clientCount, boolean reset) throws Exception {
         start();
         try (HttpTestClient firstClient = new HttpTestClient(address).send(requestWithId("r0"))) {
-            // A connection rests: nothing is waited for
+            // Leaves an idle connection, so that attempts need not connect.
             serveNext(firstClient, "r0");
             awaitRequest();
             assertEquals("OK closed", policy.nextEvent());
@@ -123,7 +124,8 @@
     }
 
     /**
-     * It is turned away, and leaves; the loop reads the answer first and has another attempt made.
+     * The attempt is rejected, and the client disconnects; the loop reads the rejection first, and
+     * the policy retries.
      */
     @Test
     void noRetryAfterDisconnectBetweenAttempts() throws Exception {
@@ -134,7 +136,7 @@
         FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
         EventLoopStall stall = new EventLoopStall(balancer.loop());
         receivedRequest.respond(503, "Srv-Declined: 1\r\n", "");
-        // The answer is the first that the loop finds
+        // The rejection is the first that the loop reads.
         spinBriefly();
         disconnectedClient.close();
         spinBriefly();
@@ -147,7 +149,7 @@
         }
     }
 
-    /** The connection comes up and the client leaves while the loop stands still, in this order. */
+    /** The connection is established, then the client disconnects, while the loop is stalled. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void disconnectDuringConnectEventSendsNothing(boolean cancelsOnDisconnect) throws Exception {
@@ -177,7 +179,7 @@
         }
     }
 
-    // More than an attempt may begin after its client has left.
+    // Longer than an attempt may start after its client's disconnect.
     private static void spinBriefly() {
         long deadlineNanos = System.nanoTime() + 150_000_000;
         while (System.nanoTime() < deadlineNanos) {
@@ -295,11 +297,14 @@
                                     output.write(
                                             chunked
                                                     ? (Integer.toHexString(length) + "\r\n")
-                                                            .getBytes()
+                                                            .getBytes(StandardCharsets.US_ASCII)
                                                     : new byte[0]);
                                     output.write(new byte[length]);
                                     output.write(
-                                            chunked ? "\r\n0\r\n\r\n".getBytes() : new byte[0]);
+                                            chunked
+                                                    ? "\r\n0\r\n\r\n"
+                                                            .getBytes(StandardCharsets.US_ASCII)
+                                                    : new byte[0]);
                                     disconnectedClient.close();
                                 } catch (IOException e) {
                                     Thread.currentThread().interrupt();
@@ -307,7 +312,7 @@
                             });
             sender.start();
             assertEquals("uploading", policy.nextEvent());
-            // The system has taken in what it takes in
+            // The socket buffers are full.
             sender.join(2_000);
             spinBriefly();
             spinBriefly();
@@ -335,8 +340,8 @@
     }
 
     /**
-     * Much at once and gone: a line without end, requests ahead of answers, a body that never is
-     * whole.
+     * Clients that send a lot and disconnect: an endless line, pipelined requests, an incomplete
+     * body.
      */
     @ParameterizedTest
     @ValueSource(strings = {"line", "requests", "body"})
@@ -351,14 +356,14 @@
                                     + "Req-Deadline-Ms: 20000\r\nContent-Length: 30000000\r\n\r\n"
                                     + "x".repeat(1 << 20);
                 };
-        // What is taken of them is held
+        // What has been read of them is buffered.
         policy.endpointId = null;
         for (int i = 0; i < 12; i++) {
             HttpTestClient disconnectedClient = new HttpTestClient(address);
             try {
                 disconnectedClient.send(flood);
             } catch (IOException e) {
-                // Turned away before all of it was sent
+                // Rejected before all of it was sent.
                 assertEquals("line", floodKind);
             }
             disconnectedClient.close();
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/server/DiscoveryBackedTestSupport.java
@@ -0,0 +1,94 @@
+package loadbalancer.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.jr.ob.JSON;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import loadbalancer.config.BalancerConfig;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+
+/**
+ * A balancer over loopback sockets with an upstream s1, a discovery server and a scripted routing
+ * policy, for tests of what a client, an upstream or discovery sees.
+ */
+abstract class DiscoveryBackedTestSupport {
+    final ScriptedPolicy policy = new ScriptedPolicy();
+    final List<String> logLines = new ArrayList<>();
+    boolean warmUpEnabled;
+    // Where s1 is; null for the upstream's own address.
+    String endpointAddress;
+    FakeHttpServer upstream;
+    FakeHttpServer discoveryServer;
+    BalancerServer balancer;
+    InetSocketAddress address;
+
+    @BeforeEach
+    void open() throws IOException {
+        upstream = new FakeHttpServer();
+        discoveryServer = new FakeHttpServer();
+    }
+
+    @AfterEach
+    void close() throws IOException {
+        if (balancer != null) {
+            balancer.stop();
+        }
+        upstream.close();
+        discoveryServer.close();
+    }
+
+    final BalancerConfig config(int maxSockets, Map<String, Object> rawSettings, int port)
+            throws IOException {
+        return BalancerServerFixtures.config(
+                Map.of(
+                        "listen",
+                        "127.0.0.1:" + port,
+                        "discovery",
+                        discoveryServer.address(),
+                        "limits",
+                        Map.of("sockets", maxSockets),
+                        "settings",
+                        rawSettings,
+                        "known",
+                        JSON.std.mapFrom(listJson(41, true, "in_service"))));
+    }
+
+    final void start() throws IOException, InterruptedException {
+        start(Map.of(), 1024);
+    }
+
+    final void start(Map<String, Object> limits, int maxSockets)
+            throws IOException, InterruptedException {
+        Map<String, Object> rawSettings = BalancerServerFixtures.settings();
+        @SuppressWarnings("unchecked")
+        Map<String, Object> rawLimits = (Map<String, Object>) rawSettings.get("Limits");
+        rawLimits.putAll(limits);
+        balancer =
+                new BalancerServer(
+                        config(maxSockets, rawSettings, 0),
+                        (settings, seed) -> policy,
+                        warmUpEnabled,
+                        line -> {
+                            synchronized (logLines) {
+                                logLines.add(line);
+                            }
+                        });
+        address = balancer.start();
+        assertEquals("CACHED [s1=UP]", policy.nextEvent());
+    }
+
+    final void runOnLoop(Runnable action) {
+        balancer.loop().execute(action);
+    }
+
+    /** A list of discovery's with s1 in the given state, ending with a line feed. */
+    final String listJson(int revision, boolean complete, String state) {
+        String s1Address = endpointAddress == null ? upstream.address() : endpointAddress;
+        return BalancerServerFixtures.listJson(revision, complete, s1Address, state);
+    }
+}
--- a/balancer/src/test/java/loadbalancer/server/DrainAndTakeoverTest.java
+++ b/balancer/src/test/java/loadbalancer/server/DrainAndTakeoverTest.java
@@ -12,6 +12,7 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -37,7 +38,7 @@
         upstream = new FakeHttpServer();
         balancer =
                 BalancerServerFixtures.readyBalancer(
-                        upstream, policy, BalancerServerTest.settings(), 1024, logLines::add);
+                        upstream, policy, BalancerServerFixtures.settings(), 1024, logLines::add);
     }
 
     @AfterEach
@@ -82,17 +83,17 @@
         awaitReady(balancer, true);
         awaitMetric("app.cluster_size:1|g");
         try (HttpTestClient client = new HttpTestClient(address)) {
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             awaitMetric("app.current:1|g");
             awaitMetric("app.sends:1|c");
             receivedRequest.respond(200, "", "x");
             assertEquals(200, client.readStatus());
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(500, "", "x");
             assertEquals(502, client.readStatus());
             policy.endpointId = null;
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             awaitMetric("app.current:1|g");
         }
         awaitMetric("app.current:0|g");
@@ -111,7 +112,7 @@
                 HttpTestClient busyClient = new HttpTestClient(address);
                 HttpTestClient silentClient = new HttpTestClient(address)) {
             assertEquals(200, idleClient.send(READY_REQUEST).readStatus());
-            busyClient.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            busyClient.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             assertTrue(call(balancer, "drain").startsWith("200 "));
             awaitReady(balancer, false);
@@ -122,10 +123,10 @@
             String head = busyClient.readResponse();
             assertTrue(
                     head.startsWith("HTTP/1.1 200")
-                            && head.toLowerCase().contains("connection: close"));
+                            && head.toLowerCase(Locale.ROOT).contains("connection: close"));
             assertNull(busyClient.readResponse());
             try (HttpTestClient lateClient = new HttpTestClient(address)) {
-                lateClient.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+                lateClient.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
                 upstream.nextRequest().respond(200, "", "y");
                 assertEquals(200, lateClient.readStatus());
                 assertNull(lateClient.readResponse());
@@ -140,7 +141,7 @@
         }
     }
 
-    /** Both hold the same listening socket; closed by one, it would be gone for both. */
+    /** Both share the listening socket; closed by one, it would be closed for both. */
     @Test
     void successorTakesOverListeningSocket() throws Exception {
         try (ServerSocketChannel sharedSocket = ServerSocketChannel.open()) {
@@ -154,13 +155,13 @@
                     BalancerServerFixtures.readyBalancer(
                             upstream,
                             secondPolicy,
-                            BalancerServerTest.settings(),
+                            BalancerServerFixtures.settings(),
                             1024,
                             logLines::add);
             try (HttpTestClient pendingClient = new HttpTestClient(address);
                     HttpTestClient idleClient = new HttpTestClient(address)) {
                 assertEquals(200, idleClient.send(READY_REQUEST).readStatus());
-                pendingClient.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+                pendingClient.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
                 FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
                 successor.start(sharedSocket);
                 awaitReady(successor, true);
@@ -176,7 +177,10 @@
                 assertTrue(sharedSocket.isOpen());
                 receivedRequest.respond(200, "", "x");
                 assertTrue(
-                        pendingClient.readResponse().toLowerCase().contains("connection: close"));
+                        pendingClient
+                                .readResponse()
+                                .toLowerCase(Locale.ROOT)
+                                .contains("connection: close"));
                 stopThread.join();
                 balancer = null;
             } finally {
@@ -191,7 +195,7 @@
             sharedSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
             BalancerServer unreadyBalancer =
                     BalancerServerFixtures.unreadyBalancer(
-                            BalancerServerTest.settings(), policy, logLines::add);
+                            BalancerServerFixtures.settings(), policy, logLines::add);
             address = (InetSocketAddress) sharedSocket.getLocalAddress();
             try (HttpTestClient waitingClient = new HttpTestClient(address)) {
                 unreadyBalancer.start(sharedSocket);
--- a/balancer/src/test/java/loadbalancer/server/EventLoopStall.java
+++ b/balancer/src/test/java/loadbalancer/server/EventLoopStall.java
@@ -4,14 +4,14 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Holds a balancer's loop, so that all that happens until it goes on meets in one turn of it. */
+/** Blocks an event loop, so that all that happens until it is released meets in one turn of it. */
 final class EventLoopStall {
     private final CountDownLatch stalled = new CountDownLatch(1);
     private final CountDownLatch released = new CountDownLatch(1);
     private final CountDownLatch resumed = new CountDownLatch(1);
 
     /**
-     * Returns once the loop stands still; {@code onResume} runs on it when it goes on, before it
+     * Returns once the loop is blocked; {@code onResume} runs on it when it is released, before it
      * reads again.
      */
     EventLoopStall(EventLoop eventLoop, Runnable onResume) throws InterruptedException {
@@ -19,7 +19,7 @@
                 () -> {
                     stalled.countDown();
                     try {
-                        // A test that fails meanwhile must end, too
+                        // A bound, so that a test that fails meanwhile ends.
                         released.await(30, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
@@ -34,7 +34,7 @@
         this(eventLoop, () -> {});
     }
 
-    /** Lets the loop go on; returns when {@code then} has run. */
+    /** Releases the loop; returns when {@code onResume} has run. */
     void release() throws InterruptedException {
         released.countDown();
         resumed.await();
--- a/balancer/src/test/java/loadbalancer/server/FakeHttpServer.java
+++ b/balancer/src/test/java/loadbalancer/server/FakeHttpServer.java
@@ -138,12 +138,12 @@
                             ? readChunked(input)
                             : input.readNBytes(length == null ? 0 : Integer.parseInt(length));
             if (length != null && body.length < Integer.parseInt(length)) {
-                // Not a whole request
+                // An incomplete request.
                 return;
             }
             receivedRequests.add(new ReceivedRequest(head, body, socket, connectionNumber));
             if (head.contains("watch=1")) {
-                // The test reads the rest, if anything
+                // The test reads what follows, if anything.
                 return;
             }
         }
--- a/balancer/src/test/java/loadbalancer/server/GracefulShutdownTest.java
+++ b/balancer/src/test/java/loadbalancer/server/GracefulShutdownTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What arrives, or has not left yet, as a balancer stops and closes its connections. */
+/** Requests and responses under way as a balancer stops and closes its connections. */
 class GracefulShutdownTest extends BalancerServerTestSupport {
     private Thread stopInBackground() {
         Thread stopThread = new Thread(balancer::stop);
@@ -24,7 +24,7 @@
         return stopThread;
     }
 
-    // Until the balancer says that it stops.
+    // Until the readiness check fails.
     private void awaitStopping() throws IOException {
         int readyStatus = 200;
         while (readyStatus == 200) {
@@ -37,7 +37,7 @@
         }
     }
 
-    // Until the balancer takes no more connections.
+    // Until the balancer accepts no more connections.
     private void awaitListenerClosed() throws IOException {
         while (true) {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
@@ -45,15 +45,14 @@
             } catch (ConnectException e) {
                 return;
             } catch (SocketException e) {
-                // It came in the very instant of the close
-                continue;
+                // Connected in the very instant of the close: the next attempt shows it.
             }
         }
     }
 
     /**
-     * A close over unread bytes would reset the connection; what comes behind the end is not sent
-     * on.
+     * A close with unread input would reset the connection; what follows the last request is not
+     * forwarded.
      */
     @Test
     void lateBytesDoNotResetTheLastResponse() throws Exception {
@@ -71,7 +70,7 @@
         client.send(requestWithId("late"));
         stall.release();
         assertEquals(503, client.readStatus());
-        // An end, no reset
+        // A close, no reset.
         assertNull(client.readResponse());
         client.close();
         stopThread.join();
@@ -92,7 +91,7 @@
         }
     }
 
-    /** They have been accepted by the machine, if not yet by the process. */
+    /** The operating system has accepted them, the process not yet. */
     @Test
     void backloggedConnectionsAreAnswered() throws Exception {
         start();
@@ -112,7 +111,7 @@
         }
     }
 
-    /** Nobody reads what it gets, so that its end is awaited for no longer than its bound. */
+    /** The client never closes, so the connection is closed after its bound. */
     @Test
     void stopDoesNotWaitForStuckClients() throws Exception {
         start();
@@ -127,7 +126,7 @@
         }
     }
 
-    /** More of it than the system takes at once: the rest waits in the process. */
+    /** More than the socket buffers take at once: the remainder waits in the process. */
     @Test
     void slowReaderGetsTheCompleteLastResponse() throws Exception {
         start();
@@ -150,7 +149,7 @@
         stopThread.join();
     }
 
-    /** Its upstream hangs; who comes just then is owed an answer in time all the same. */
+    /** The upstream hangs; a request that comes then is answered by its deadline all the same. */
     @Test
     void deadlinesHoldDuringDrain() throws Exception {
         start();
--- a/balancer/src/test/java/loadbalancer/server/HttpTestClient.java
+++ b/balancer/src/test/java/loadbalancer/server/HttpTestClient.java
@@ -7,8 +7,9 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.util.Locale;
 
-/** A client's connection. */
+/** A client's connection, with blocking reads of responses. */
 final class HttpTestClient implements Closeable {
     final Socket socket;
     final InputStream input;
@@ -26,17 +27,18 @@
         return this;
     }
 
-    /** The head of the next answer; its body is kept. Null at the end of the connection. */
+    /** The head of the next response, its body in {@link #body}; null where it was closed. */
     String readResponse() throws IOException {
         String head = FakeHttpServer.readHead(input);
         if (head != null) {
-            String length = head.toLowerCase().split("content-length: ")[1].split("\r\n")[0];
+            String length =
+                    head.toLowerCase(Locale.ROOT).split("content-length: ")[1].split("\r\n")[0];
             body = input.readNBytes(Integer.parseInt(length));
         }
         return head;
     }
 
-    /** As {@link #readResponse}, after the word to continue if that comes first. */
+    /** As {@link #readResponse}, after a 100 Continue if one comes first. */
     String readResponseAfterContinue() throws IOException {
         input.mark(64);
         byte[] start = input.readNBytes(12);
--- a/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Where a request ends: nothing that stood within another, or behind a broken one, is taken for
- * one.
+ * Where a request ends: nothing within another request, or after a malformed one, is handled as a
+ * request.
  */
 @Timeout(60)
 class RequestFramingTest {
     private static final String INNER_REQUEST =
-            BalancerServerTest.IDEMPOTENT_REQUEST.replace("Req-Id: r1", "Req-Id: inner");
+            BalancerServerFixtures.IDEMPOTENT_REQUEST.replace("Req-Id: r1", "Req-Id: inner");
     private static final String OUTER_HEAD =
             "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: outer\r\n"
                     + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n";
@@ -38,7 +38,7 @@
         upstream = new FakeHttpServer();
         balancer =
                 BalancerServerFixtures.readyBalancer(
-                        upstream, policy, BalancerServerTest.settings(), 1024, line -> {});
+                        upstream, policy, BalancerServerFixtures.settings(), 1024, line -> {});
         address = balancer.start();
         assertEquals("CACHED [s1=UP]", policy.nextEvent());
     }
@@ -94,7 +94,7 @@
         assertEquals(0, upstream.connectionCount());
     }
 
-    // What it left unread may end a connection with a reset, which is an end like any other.
+    // Input that the balancer left unread may cause a reset, which counts as a close.
     private static String responseOrNull(HttpTestClient client) {
         try {
             return client.readResponse();
@@ -173,8 +173,8 @@
                         + "3;x=y\r\nabc\r\n00002\r\nde\r\n0\r\nX: y\r\n\r\n";
         try (HttpTestClient client = new HttpTestClient(address)) {
             for (int i = 0; i < 2; i++) {
-                for (char character : request.toCharArray()) {
-                    client.send(String.valueOf(character));
+                for (int at = 0; at < request.length(); at++) {
+                    client.send(request.substring(at, at + 1));
                 }
                 FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
                 assertEquals("abcde", new String(receivedRequest.body(), StandardCharsets.UTF_8));
--- a/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What upstreams answer: only a whole, readable answer to this request is passed on. */
+/** Only a complete, well-formed response to the same request is forwarded. */
 @Timeout(60)
 class ResponseFramingTest {
     private static final String OK_STATUS_LINE = "HTTP/1.1 200 OK\r\n";
@@ -28,7 +28,7 @@
         upstream = new FakeHttpServer();
         balancer =
                 BalancerServerFixtures.readyBalancer(
-                        upstream, policy, BalancerServerTest.settings(), 1024, line -> {});
+                        upstream, policy, BalancerServerFixtures.settings(), 1024, line -> {});
         address = balancer.start();
         assertEquals("CACHED [s1=UP]", policy.nextEvent());
     }
@@ -76,13 +76,13 @@
             })
     void malformedResponseFailsTheAttempt(String response) throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             receivedRequest.sendRaw(response);
             assertEquals("RESET", policy.nextEvent());
             assertEquals(502, client.readStatus());
             assertTrue(receivedRequest.isClosedByPeer());
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(200, "", "its own");
             assertEquals(200, client.readStatus());
             assertEquals("its own", new String(client.body, StandardCharsets.UTF_8));
@@ -99,13 +99,13 @@
             })
     void unsolicitedBytesCloseTheConnection(String unsolicited) throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             receivedRequest.respond(200, "", "first");
             assertEquals(200, client.readStatus());
             receivedRequest.sendRaw(unsolicited);
             assertTrue(receivedRequest.isClosedByPeer());
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             receivedRequest = upstream.nextRequest();
             assertEquals(2, receivedRequest.connectionNumber());
             receivedRequest.respond(200, "", "second");
@@ -117,7 +117,7 @@
     @Test
     void firstOfTwoResponsesIsForwarded() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             receivedRequest.sendRaw(
                     OK_STATUS_LINE
@@ -148,14 +148,14 @@
             })
     void validResponsesAreForwardedInAnySplit(String response) throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             upstream.nextRequest().sendRaw(response);
             assertEquals(200, client.readStatus());
             assertEquals("hello", new String(client.body, StandardCharsets.UTF_8));
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
-            for (char character : response.toCharArray()) {
-                receivedRequest.sendRaw(String.valueOf(character));
+            for (int at = 0; at < response.length(); at++) {
+                receivedRequest.sendRaw(response.substring(at, at + 1));
             }
             assertEquals(200, client.readStatus());
             assertEquals("hello", new String(client.body, StandardCharsets.UTF_8));
--- a/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
+++ b/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
@@ -11,7 +11,7 @@
 import loadbalancer.routing.api.RoutingActions;
 import loadbalancer.routing.api.RoutingPolicy;
 
-/** A module that notes what it is told and sends each request where {@code onRequest} says. */
+/** A routing policy that records its events and sends each request to {@code endpointId}. */
 class ScriptedPolicy implements RoutingPolicy {
     final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     final BlockingQueue<String> acceptedRequests = new LinkedBlockingQueue<>();
--- a/balancer/src/test/java/loadbalancer/server/SettingsVariantsTest.java
+++ b/balancer/src/test/java/loadbalancer/server/SettingsVariantsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The whole balancer with settings that differ from those it was first made for. */
+/** A balancer with settings unlike those of the other tests. */
 @Timeout(60)
 class SettingsVariantsTest {
     private static Map<String, Object> requestClass(
@@ -155,7 +155,7 @@
         }
     }
 
-    /** The last of these has no time to be sent at all. */
+    /** The last of these has too little time to be sent at all. */
     @ParameterizedTest
     @CsvSource({"safe,150", "keyed,150", "unsafe,150", "unsafe,12"})
     void deadlineShorterThanConnectIsKept(String idempotency, long deadlineMs) throws Exception {
--- a/balancer/src/test/java/loadbalancer/server/SlowClientTest.java
+++ b/balancer/src/test/java/loadbalancer/server/SlowClientTest.java
@@ -16,9 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * Peers that connect and send nothing, or never end what they begin, lose their connections soon.
- */
+/** Clients that connect and send nothing, or never complete a request, are disconnected soon. */
 @Timeout(60)
 class SlowClientTest {
     private static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -39,7 +37,11 @@
     private void start(int maxSockets) throws IOException {
         balancer =
                 BalancerServerFixtures.readyBalancer(
-                        upstream, policy, BalancerServerTest.settings(), maxSockets, line -> {});
+                        upstream,
+                        policy,
+                        BalancerServerFixtures.settings(),
+                        maxSockets,
+                        line -> {});
         address = balancer.start();
     }
 
@@ -55,7 +57,7 @@
         try (HttpTestClient client = new HttpTestClient(address)) {
             assertEquals(200, client.send(READY_REQUEST).readStatus());
             for (int i = 0; i < 2; i++) {
-                // For longer than a newcomer may be silent
+                // Longer than a new connection may be silent.
                 try (HttpTestClient silentClient = new HttpTestClient(address)) {
                     assertNull(silentClient.readResponse());
                 }
@@ -80,7 +82,7 @@
         try (HttpTestClient firstClient = new HttpTestClient(address);
                 HttpTestClient secondClient = new HttpTestClient(address)) {
             firstClient.send(partialRequest);
-            // In one piece with a whole one
+            // In one piece with a complete request.
             assertEquals(200, secondClient.send(READY_REQUEST + partialRequest).readStatus());
             for (HttpTestClient client : List.of(firstClient, secondClient)) {
                 String head = client.readResponseAfterContinue();
@@ -109,7 +111,7 @@
         start(1024);
         try (HttpTestClient client = new HttpTestClient(address);
                 HttpTestClient silentClient = new HttpTestClient(address)) {
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             // Its time is over
             assertNull(silentClient.readResponse());
@@ -118,7 +120,7 @@
         }
     }
 
-    /** They have proved nothing, and those of proper clients who rest come next. */
+    /** Unproven connections are evicted first, then idle ones of proper clients. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void idleClientsDoNotBlockUpstreamConnections(boolean realRequests) throws Exception {
@@ -129,7 +131,7 @@
                 HttpTestClient idleClient = new HttpTestClient(address);
                 openClients.add(idleClient);
                 idleClient.send(
-                        realRequests ? BalancerServerTest.IDEMPOTENT_REQUEST : READY_REQUEST);
+                        realRequests ? BalancerServerFixtures.IDEMPOTENT_REQUEST : READY_REQUEST);
                 if (realRequests) {
                     FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
                     receivedRequest.respond(200, "Connection: close\r\n", "ok");
@@ -140,7 +142,8 @@
             for (int i = 0; i < 8; i++) {
                 // All at once, each with a connection to the upstream
                 openClients.add(
-                        new HttpTestClient(address).send(BalancerServerTest.IDEMPOTENT_REQUEST));
+                        new HttpTestClient(address)
+                                .send(BalancerServerFixtures.IDEMPOTENT_REQUEST));
                 clients.add(openClients.get(openClients.size() - 1));
             }
             for (int i = 0; i < clients.size(); i++) {
@@ -166,7 +169,7 @@
                 silentClients.add(new HttpTestClient(address));
             }
             try (HttpTestClient client = new HttpTestClient(address)) {
-                client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+                client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
                 upstream.nextRequest().respond(200, "", "ok");
                 assertEquals(200, client.readStatus());
             }
@@ -178,8 +181,8 @@
     }
 
     /**
-     * They have sent what they ask for; the loop stood still, and comes first to who wants their
-     * places.
+     * Their requests have arrived, but the stalled loop first accepts the connections that need
+     * room.
      */
     @Test
     void unreadNewConnectionsAreKept() throws Exception {
@@ -202,7 +205,7 @@
             for (HttpTestClient client : clients.subList(0, 12)) {
                 client.send(READY_REQUEST);
             }
-            // For longer than a newcomer may be silent
+            // Longer than a new connection may be silent.
             TimeUnit.MILLISECONDS.sleep(80);
             stall.release();
             for (HttpTestClient client : clients.subList(0, 12)) {
@@ -216,8 +219,8 @@
     }
 
     /**
-     * Its place goes to nobody who does less: neither to the silent nor to those that begin and
-     * stop.
+     * It is not evicted for others that make less progress: neither for silent ones nor for those
+     * that begin and stop.
      */
     @Test
     void slowClientOutlastsStalledOnes() throws Exception {
@@ -225,11 +228,14 @@
         List<HttpTestClient> stalledClients = new ArrayList<>();
         try (HttpTestClient slowClient = new HttpTestClient(address)) {
             int pieces = 20;
-            int length = BalancerServerTest.IDEMPOTENT_REQUEST.length() / pieces + 1;
+            int length = BalancerServerFixtures.IDEMPOTENT_REQUEST.length() / pieces + 1;
             for (int i = 0; i < pieces; i++) {
                 int end =
-                        Math.min(BalancerServerTest.IDEMPOTENT_REQUEST.length(), (i + 1) * length);
-                slowClient.send(BalancerServerTest.IDEMPOTENT_REQUEST.substring(i * length, end));
+                        Math.min(
+                                BalancerServerFixtures.IDEMPOTENT_REQUEST.length(),
+                                (i + 1) * length);
+                slowClient.send(
+                        BalancerServerFixtures.IDEMPOTENT_REQUEST.substring(i * length, end));
                 for (int j = 0; j < 3; j++) {
                     stalledClients.add(new HttpTestClient(address));
                     stalledClients
--- a/balancer/src/test/java/loadbalancer/server/WarmUpTest.java
+++ b/balancer/src/test/java/loadbalancer/server/WarmUpTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How a rehearsal makes room for clients that come before it is over. */
+/** How a warm-up gives way to clients that come before it is over. */
 @Timeout(30)
 class WarmUpTest {
-    /** Runs one towards a server that never answers, {@code realRequests} requests having come. */
+    /** Runs one against an upstream that never answers, after {@code realRequests} requests. */
     private static boolean endsAtOnce(long realRequests, boolean clientsWaiting)
             throws IOException, InterruptedException {
         NioEventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
@@ -63,14 +63,14 @@
 
     @Test
     void enoughRealRequestsEndWarmUp() throws IOException, InterruptedException {
-        // On half a core it took 2 to 4 s beside the requests of clients that had come already.
+        // On half a core it took 2 to 4 s beside clients' requests.
         assertTrue(endsAtOnce(40, true));
         assertFalse(endsAtOnce(39, true));
     }
 
     @Test
     void warmUpIsNotCutShortWithoutClients() throws IOException, InterruptedException {
-        // Forty were too few at a day's start: 8% of the first five seconds' requests were late.
+        // 40 were too few at a day's start: 8% of the requests of the first five seconds were late.
         assertFalse(endsAtOnce(299, false));
         assertTrue(endsAtOnce(300, false));
     }
