--- a/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
@@ -1,5 +1,7 @@
 package loadbalancer.server;
 
+import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
+import static loadbalancer.server.BalancerServerFixtures.chunk;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -34,7 +36,6 @@
 class BalancerProcessTest {
     private static final String CHUNKED_HEAD =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
     private static final int DESCRIPTOR_LIMIT = 256;
 
     private final List<Process> processes = Collections.synchronizedList(new ArrayList<>());
@@ -68,26 +69,10 @@
 
     /** Starts one under a limit on descriptors; it listens once this returns. */
     private RunningBalancer startBalancer(Map<String, Object> extraConfig) throws IOException {
-        Map<String, Object> settings = BalancerServerFixtures.settings();
+        Map<String, Object> settings =
+                BalancerServerFixtures.settings(Map.of("PeerMessages", true));
         settings.put("MembershipMode", "push");
         settings.put("Balancers", 2);
-        settings.put(
-                "Limits",
-                Map.of(
-                        "TryLimit",
-                        3,
-                        "MayDuplicate",
-                        true,
-                        "Cancel",
-                        true,
-                        "Probes",
-                        true,
-                        "DialTimeout",
-                        500_000,
-                        "IdleClose",
-                        30_000_000,
-                        "PeerMessages",
-                        true));
         Map<String, Object> config =
                 new HashMap<>(
                         Map.of(
@@ -263,14 +248,10 @@
         }
     }
 
-    private static String chunk(String text) {
-        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
-    }
-
     /**
-     * Ten that start at once, with a list from before, while discovery is silent. What counts is
-     * their own time, as on a machine that has a core for each: for how long they waited for one is
-     * taken off.
+     * Ten balancers start at once, with a known list, while discovery is silent. Counted is their
+     * own time, as on a machine with a core for each: the time spent waiting for a core is
+     * subtracted.
      */
     @Test
     void simultaneousStartsBecomeReadyInTime() throws Exception {
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerFixtures.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerFixtures.java
@@ -16,6 +16,8 @@
             "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
                     + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
 
+    static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+
     private BalancerServerFixtures() {}
 
     /** A balancer that is ready at once, knows one upstream, s1, and finds no discovery. */
@@ -86,6 +88,11 @@
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0}]}\n";
     }
 
+    /** One chunk of a body with chunked transfer encoding. */
+    static String chunk(String text) {
+        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
+    }
+
     /** A POST request of the given class; {@code extraHeaders} end with a line feed. */
     static String postRequest(String className, String extraHeaders, String body) {
         return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: "
@@ -116,6 +123,19 @@
 
     /** Settings with the classes read, pay and book: one of each idempotency. */
     public static Map<String, Object> settings() {
+        return settings(Map.of());
+    }
+
+    /** The same with other limits on top. */
+    static Map<String, Object> settings(Map<String, Object> otherLimits) {
+        Map<String, Object> limits = new HashMap<>();
+        limits.put("TryLimit", 3);
+        limits.put("MayDuplicate", true);
+        limits.put("Cancel", true);
+        limits.put("Probes", true);
+        limits.put("DialTimeout", 500_000);
+        limits.put("IdleClose", 30_000_000);
+        limits.putAll(otherLimits);
         Map<String, Object> settings = new HashMap<>();
         settings.put("Balancers", 1);
         settings.put(
@@ -124,22 +144,7 @@
                         requestClass("read", "safe"),
                         requestClass("pay", "keyed"),
                         requestClass("book", "unsafe")));
-        settings.put(
-                "Limits",
-                new HashMap<>(
-                        Map.of(
-                                "TryLimit",
-                                3,
-                                "MayDuplicate",
-                                true,
-                                "Cancel",
-                                true,
-                                "Probes",
-                                true,
-                                "DialTimeout",
-                                500_000,
-                                "IdleClose",
-                                30_000_000)));
+        settings.put("Limits", limits);
         settings.put("MembershipMode", "ask");
         settings.put(
                 "Rules",
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerTest.java
@@ -1,6 +1,7 @@
 package loadbalancer.server;
 
 import static loadbalancer.server.BalancerServerFixtures.IDEMPOTENT_REQUEST;
+import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -50,7 +51,7 @@
         InetSocketAddress listenAddress =
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         try (HttpTestClient client = connectWithRetry(listenAddress)) {
-            assertEquals(503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
+            assertEquals(503, client.send(READY_REQUEST).readStatus());
         }
     }
 
@@ -76,7 +77,7 @@
         try (HttpTestClient client = new HttpTestClient(address)) {
             int status = 503;
             while (status == 503) {
-                status = client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
+                status = client.send(READY_REQUEST).readStatus();
             }
             assertEquals(200, status);
             assertEquals(
@@ -97,7 +98,7 @@
     void gracefulStopAnswersPendingRequests() throws IOException, InterruptedException {
         start();
         HttpTestClient idleClient = new HttpTestClient(address);
-        assertEquals(200, idleClient.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
+        assertEquals(200, idleClient.send(READY_REQUEST).readStatus());
         HttpTestClient pendingClient = new HttpTestClient(address).send(IDEMPOTENT_REQUEST);
         FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
         Thread stopThread = new Thread(balancer::stop);
@@ -105,8 +106,7 @@
         int readyStatus = 200;
         while (readyStatus == 200) {
             try (HttpTestClient lateClient = new HttpTestClient(address)) {
-                readyStatus =
-                        lateClient.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
+                readyStatus = lateClient.send(READY_REQUEST).readStatus();
             }
         }
         assertEquals(503, readyStatus);
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerTestSupport.java
@@ -3,23 +3,18 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.routing.api.AttemptOutcome;
 import loadbalancer.routing.api.LoadReport;
 import loadbalancer.routing.api.RoutingActions;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Timeout;
 
 /**
  * A balancer over loopback sockets for tests of what is still owed, or arriving, in the very turn
  * in which something ends: see docs/design/endings.md.
  */
-@Timeout(60)
-abstract class BalancerServerTestSupport {
+abstract class BalancerServerTestSupport extends UpstreamBackedTestSupport {
     /**
      * A routing policy that can leave attempts of disconnected clients alone, forbid the start of
      * an attempt, or retry after a rejection.
@@ -70,44 +65,14 @@
     }
 
     final ConfigurablePolicy policy = new ConfigurablePolicy();
-    FakeHttpServer upstream;
-    BalancerServer balancer;
-    InetSocketAddress address;
-
-    @BeforeEach
-    void open() throws IOException {
-        upstream = new FakeHttpServer();
-    }
-
-    @AfterEach
-    void close() throws IOException {
-        if (balancer != null) {
-            balancer.stop();
-        }
-        upstream.close();
-    }
 
     final void start() throws IOException, InterruptedException {
         start(upstream.address());
     }
 
     final void start(String endpointAddress) throws IOException, InterruptedException {
-        Map<String, Object> rawSettings = BalancerServerFixtures.settings();
-        rawSettings.put(
-                "Limits",
-                Map.of(
-                        "TryLimit",
-                        3,
-                        "MayDuplicate",
-                        true,
-                        "Cancel",
-                        true,
-                        "Probes",
-                        true,
-                        "DialTimeout",
-                        30_000_000,
-                        "IdleClose",
-                        30_000_000));
+        Map<String, Object> rawSettings =
+                BalancerServerFixtures.settings(Map.of("DialTimeout", 30_000_000));
         balancer =
                 BalancerServerFixtures.newBalancer(
                         Map.of(
--- a/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
@@ -10,48 +10,31 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Streamed request and response bodies: over 64 KiB, up to 32 MB. */
-@Timeout(60)
-class BodyStreamingTest {
+class BodyStreamingTest extends UpstreamBackedTestSupport {
     private static final String POST_HEAD =
             "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: r1\r\nReq-Kind: book\r\n"
                     + "Req-Deadline-Ms: 20000\r\n";
     private static final String OK_STATUS_LINE = "HTTP/1.1 200 OK\r\n";
 
     private final ScriptedPolicy policy = new ScriptedPolicy();
-    private FakeHttpServer upstream;
-    private BalancerServer balancer;
-    private InetSocketAddress address;
 
     @BeforeEach
-    void open() throws IOException, InterruptedException {
-        upstream = new FakeHttpServer();
-        balancer =
-                BalancerServerFixtures.readyBalancer(
-                        upstream, policy, BalancerServerFixtures.settings(), 1024, line -> {});
-        address = balancer.start();
+    void start() throws IOException, InterruptedException {
+        startReady(policy, 1024, line -> {});
         assertEquals("CACHED [s1=UP]", policy.nextEvent());
     }
 
-    @AfterEach
-    void close() throws IOException {
-        balancer.stop();
-        upstream.close();
-    }
-
     private static byte[] randomBytes(int length) {
         byte[] bytes = new byte[length];
         new Random(length).nextBytes(bytes);
--- a/balancer/src/test/java/loadbalancer/server/ClientDisconnectTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ClientDisconnectTest.java
@@ -1,5 +1,6 @@
 package loadbalancer.server;
 
+import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -370,9 +371,7 @@
         }
         try (HttpTestClient properClient = new HttpTestClient(address)) {
             // Amid them
-            assertEquals(
-                    200,
-                    properClient.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
+            assertEquals(200, properClient.send(READY_REQUEST).readStatus());
         }
         String clientSummary = "";
         while (!clientSummary.startsWith("0 clients'")) {
--- a/balancer/src/test/java/loadbalancer/server/DiscoveryBackedTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/DiscoveryBackedTestSupport.java
@@ -4,7 +4,6 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -16,29 +15,25 @@
  * A balancer over loopback sockets with an upstream s1, a discovery server and a scripted routing
  * policy, for tests of what a client, an upstream or discovery sees.
  */
-abstract class DiscoveryBackedTestSupport {
+abstract class DiscoveryBackedTestSupport extends UpstreamBackedTestSupport {
     final ScriptedPolicy policy = new ScriptedPolicy();
     final List<String> logLines = new ArrayList<>();
     boolean warmUpEnabled;
     // Where s1 is; null for the upstream's own address.
     String endpointAddress;
-    FakeHttpServer upstream;
     FakeHttpServer discoveryServer;
-    BalancerServer balancer;
-    InetSocketAddress address;
 
+    @Override
     @BeforeEach
     void open() throws IOException {
-        upstream = new FakeHttpServer();
+        super.open();
         discoveryServer = new FakeHttpServer();
     }
 
+    @Override
     @AfterEach
     void close() throws IOException {
-        if (balancer != null) {
-            balancer.stop();
-        }
-        upstream.close();
+        super.close();
         discoveryServer.close();
     }
 
@@ -64,10 +59,7 @@
 
     final void start(Map<String, Object> limits, int maxSockets)
             throws IOException, InterruptedException {
-        Map<String, Object> rawSettings = BalancerServerFixtures.settings();
-        @SuppressWarnings("unchecked")
-        Map<String, Object> rawLimits = (Map<String, Object>) rawSettings.get("Limits");
-        rawLimits.putAll(limits);
+        Map<String, Object> rawSettings = BalancerServerFixtures.settings(limits);
         balancer =
                 new BalancerServer(
                         config(maxSockets, rawSettings, 0),
--- a/balancer/src/test/java/loadbalancer/server/DrainAndTakeoverTest.java
+++ b/balancer/src/test/java/loadbalancer/server/DrainAndTakeoverTest.java
@@ -14,41 +14,28 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
 
 /**
  * What operators do with a balancer that serves: read its figures, empty it, start its successor.
  */
-@Timeout(60)
-class DrainAndTakeoverTest {
+class DrainAndTakeoverTest extends UpstreamBackedTestSupport {
     private static final String READY_REQUEST =
             "GET /-/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n";
 
     private final ScriptedPolicy policy = new ScriptedPolicy();
     private final List<String> logLines = new CopyOnWriteArrayList<>();
-    private FakeHttpServer upstream;
-    private BalancerServer balancer;
-    private InetSocketAddress address;
 
+    @Override
     @BeforeEach
     void open() throws IOException {
-        upstream = new FakeHttpServer();
+        super.open();
         balancer =
                 BalancerServerFixtures.readyBalancer(
                         upstream, policy, BalancerServerFixtures.settings(), 1024, logLines::add);
     }
 
-    @AfterEach
-    void close() throws IOException {
-        if (balancer != null) {
-            balancer.stop();
-        }
-        upstream.close();
-    }
-
     private static String call(BalancerServer balancer, String line) throws IOException {
         try (Socket socket =
                 new Socket(
--- a/balancer/src/test/java/loadbalancer/server/EndpointConnectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/server/EndpointConnectionsTest.java
@@ -1,6 +1,8 @@
 package loadbalancer.server;
 
 import static loadbalancer.server.BalancerServerFixtures.IDEMPOTENT_REQUEST;
+import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
+import static loadbalancer.server.BalancerServerFixtures.chunk;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -205,14 +207,8 @@
             assertEquals(200, client.readStatus());
             try (HttpTestClient secondClient = new HttpTestClient(address)) {
                 assertTrue(isClosedSoon(receivedRequest));
-                assertEquals(
-                        200,
-                        secondClient.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
+                assertEquals(200, secondClient.send(READY_REQUEST).readStatus());
             }
         }
     }
-
-    private static String chunk(String text) {
-        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
-    }
 }
--- a/balancer/src/test/java/loadbalancer/server/GracefulShutdownTest.java
+++ b/balancer/src/test/java/loadbalancer/server/GracefulShutdownTest.java
@@ -1,5 +1,6 @@
 package loadbalancer.server;
 
+import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -29,10 +30,7 @@
         int readyStatus = 200;
         while (readyStatus == 200) {
             try (HttpTestClient readinessClient = new HttpTestClient(address)) {
-                readyStatus =
-                        readinessClient
-                                .send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                                .readStatus();
+                readyStatus = readinessClient.send(READY_REQUEST).readStatus();
             }
         }
     }
--- a/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
@@ -6,13 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -20,8 +17,7 @@
  * Where a request ends: nothing within another request, or after a malformed one, is handled as a
  * request.
  */
-@Timeout(60)
-class RequestFramingTest {
+class RequestFramingTest extends UpstreamBackedTestSupport {
     private static final String INNER_REQUEST =
             BalancerServerFixtures.IDEMPOTENT_REQUEST.replace("Req-Id: r1", "Req-Id: inner");
     private static final String OUTER_HEAD =
@@ -29,26 +25,13 @@
                     + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n";
 
     private final ScriptedPolicy policy = new ScriptedPolicy();
-    private FakeHttpServer upstream;
-    private BalancerServer balancer;
-    private InetSocketAddress address;
 
     @BeforeEach
-    void open() throws IOException, InterruptedException {
-        upstream = new FakeHttpServer();
-        balancer =
-                BalancerServerFixtures.readyBalancer(
-                        upstream, policy, BalancerServerFixtures.settings(), 1024, line -> {});
-        address = balancer.start();
+    void start() throws IOException, InterruptedException {
+        startReady(policy, 1024, line -> {});
         assertEquals("CACHED [s1=UP]", policy.nextEvent());
     }
 
-    @AfterEach
-    void close() throws IOException {
-        balancer.stop();
-        upstream.close();
-    }
-
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
@@ -4,41 +4,24 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Only a complete, well-formed response to the same request is forwarded. */
-@Timeout(60)
-class ResponseFramingTest {
+class ResponseFramingTest extends UpstreamBackedTestSupport {
     private static final String OK_STATUS_LINE = "HTTP/1.1 200 OK\r\n";
 
     private final ScriptedPolicy policy = new ScriptedPolicy();
-    private FakeHttpServer upstream;
-    private BalancerServer balancer;
-    private InetSocketAddress address;
 
     @BeforeEach
-    void open() throws IOException, InterruptedException {
-        upstream = new FakeHttpServer();
-        balancer =
-                BalancerServerFixtures.readyBalancer(
-                        upstream, policy, BalancerServerFixtures.settings(), 1024, line -> {});
-        address = balancer.start();
+    void start() throws IOException, InterruptedException {
+        startReady(policy, 1024, line -> {});
         assertEquals("CACHED [s1=UP]", policy.nextEvent());
     }
 
-    @AfterEach
-    void close() throws IOException {
-        balancer.stop();
-        upstream.close();
-    }
-
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/balancer/src/test/java/loadbalancer/server/SettingsVariantsTest.java
+++ b/balancer/src/test/java/loadbalancer/server/SettingsVariantsTest.java
@@ -40,7 +40,7 @@
                 windowMs * 1000);
     }
 
-    // No zones, kinds of machine, tenants, probes, copies, cancelling, peers or advice, and two
+    // No zones, models, tenants, health checks, hedging, cancelling, peers or load reports, and two
     // attempts.
     private static Map<String, Object> minimalSettings(List<Map<String, Object>> requestClasses) {
         Map<String, Object> settings = new HashMap<>();
@@ -83,15 +83,8 @@
 
     private static BalancerConfig config(Map<String, Object> settings, String endpointAddress)
             throws IOException {
-        return BalancerConfig.parse(
-                Map.of(),
+        return BalancerServerFixtures.config(
                 Map.of(
-                        "name",
-                        "n1",
-                        "listen",
-                        "127.0.0.1:0",
-                        "discovery",
-                        "127.0.0.1:9",
                         "seed",
                         "1",
                         "limits",
--- a/balancer/src/test/java/loadbalancer/server/SlowClientTest.java
+++ b/balancer/src/test/java/loadbalancer/server/SlowClientTest.java
@@ -1,54 +1,28 @@
 package loadbalancer.server;
 
+import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Clients that connect and send nothing, or never complete a request, are disconnected soon. */
-@Timeout(60)
-class SlowClientTest {
-    private static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+class SlowClientTest extends UpstreamBackedTestSupport {
     private static final String POST_HEAD =
             "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
                     + "Req-Deadline-Ms: 20000\r\n";
 
     private final ScriptedPolicy policy = new ScriptedPolicy();
-    private FakeHttpServer upstream;
-    private BalancerServer balancer;
-    private InetSocketAddress address;
-
-    @BeforeEach
-    void open() throws IOException {
-        upstream = new FakeHttpServer();
-    }
 
     private void start(int maxSockets) throws IOException {
-        balancer =
-                BalancerServerFixtures.readyBalancer(
-                        upstream,
-                        policy,
-                        BalancerServerFixtures.settings(),
-                        maxSockets,
-                        line -> {});
-        address = balancer.start();
-    }
-
-    @AfterEach
-    void close() throws IOException {
-        balancer.stop();
-        upstream.close();
+        startReady(policy, maxSockets, line -> {});
     }
 
     @Test
