--- a/balancer/src/main/java/loadbalancer/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -10,7 +10,7 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import loadbalancer.routing.RoutingEngine;
-import loadbalancer.server.BalancerServer;
+import loadbalancer.server.BalancerProcess;
 import loadbalancer.simulator.SimulatorAdapter;
 import loadbalancer.simulator.WireFormatException;
 
@@ -39,8 +39,8 @@
     public static void main(String[] args) {
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
-            case "serve" -> System.exit(BalancerServer.serve(System.getenv()));
-            case "prepare" -> System.exit(BalancerServer.runWarmUpOnly());
+            case "serve" -> System.exit(BalancerProcess.serve(System.getenv()));
+            case "prepare" -> System.exit(BalancerProcess.runWarmUpOnly());
             case "wirehost" -> exitUnlessOk(runSimulatorAdapter());
             default -> {
                 System.err.println(USAGE);
--- a/balancer/src/test/java/loadbalancer/server/DrainAndTakeoverTest.java
+++ b/balancer/src/test/java/loadbalancer/server/DrainAndTakeoverTest.java
@@ -12,40 +12,28 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
 
 /**
  * What operators do with a balancer that serves: read its figures, empty it, start its successor.
  */
-@Timeout(60)
-class DrainAndTakeoverTest {
+class DrainAndTakeoverTest extends UpstreamBackedTestSupport {
     private static final String READY_REQUEST =
             "GET /-/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n";
 
     private final ScriptedPolicy policy = new ScriptedPolicy();
     private final List<String> logLines = new CopyOnWriteArrayList<>();
-    private FakeHttpServer upstream;
-    private BalancerServer balancer;
-    private InetSocketAddress address;
 
+    @Override
     @BeforeEach
     void open() throws IOException {
-        upstream = new FakeHttpServer();
+        super.open();
         balancer =
                 BalancerServerFixtures.readyBalancer(
-                        upstream, policy, BalancerServerTest.settings(), 1024, logLines::add);
-    }
-
-    @AfterEach
-    void close() throws IOException {
-        if (balancer != null) {
-            balancer.stop();
-        }
-        upstream.close();
+                        upstream, policy, BalancerServerFixtures.settings(), 1024, logLines::add);
     }
 
     private static String call(BalancerServer balancer, String line) throws IOException {
@@ -82,17 +70,17 @@
         awaitReady(balancer, true);
         awaitMetric("app.cluster_size:1|g");
         try (HttpTestClient client = new HttpTestClient(address)) {
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             awaitMetric("app.current:1|g");
             awaitMetric("app.sends:1|c");
             receivedRequest.respond(200, "", "x");
             assertEquals(200, client.readStatus());
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(500, "", "x");
             assertEquals(502, client.readStatus());
             policy.endpointId = null;
-            client.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             awaitMetric("app.current:1|g");
         }
         awaitMetric("app.current:0|g");
@@ -111,7 +99,7 @@
                 HttpTestClient busyClient = new HttpTestClient(address);
                 HttpTestClient silentClient = new HttpTestClient(address)) {
             assertEquals(200, idleClient.send(READY_REQUEST).readStatus());
-            busyClient.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+            busyClient.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             assertTrue(call(balancer, "drain").startsWith("200 "));
             awaitReady(balancer, false);
@@ -122,10 +110,10 @@
             String head = busyClient.readResponse();
             assertTrue(
                     head.startsWith("HTTP/1.1 200")
-                            && head.toLowerCase().contains("connection: close"));
+                            && head.toLowerCase(Locale.ROOT).contains("connection: close"));
             assertNull(busyClient.readResponse());
             try (HttpTestClient lateClient = new HttpTestClient(address)) {
-                lateClient.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+                lateClient.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
                 upstream.nextRequest().respond(200, "", "y");
                 assertEquals(200, lateClient.readStatus());
                 assertNull(lateClient.readResponse());
@@ -140,7 +128,7 @@
         }
     }
 
-    /** Both hold the same listening socket; closed by one, it would be gone for both. */
+    /** Both share the listening socket; closed by one, it would be closed for both. */
     @Test
     void successorTakesOverListeningSocket() throws Exception {
         try (ServerSocketChannel sharedSocket = ServerSocketChannel.open()) {
@@ -154,13 +142,13 @@
                     BalancerServerFixtures.readyBalancer(
                             upstream,
                             secondPolicy,
-                            BalancerServerTest.settings(),
+                            BalancerServerFixtures.settings(),
                             1024,
                             logLines::add);
             try (HttpTestClient pendingClient = new HttpTestClient(address);
                     HttpTestClient idleClient = new HttpTestClient(address)) {
                 assertEquals(200, idleClient.send(READY_REQUEST).readStatus());
-                pendingClient.send(BalancerServerTest.IDEMPOTENT_REQUEST);
+                pendingClient.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
                 FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
                 successor.start(sharedSocket);
                 awaitReady(successor, true);
@@ -176,7 +164,10 @@
                 assertTrue(sharedSocket.isOpen());
                 receivedRequest.respond(200, "", "x");
                 assertTrue(
-                        pendingClient.readResponse().toLowerCase().contains("connection: close"));
+                        pendingClient
+                                .readResponse()
+                                .toLowerCase(Locale.ROOT)
+                                .contains("connection: close"));
                 stopThread.join();
                 balancer = null;
             } finally {
@@ -191,7 +182,7 @@
             sharedSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
             BalancerServer unreadyBalancer =
                     BalancerServerFixtures.unreadyBalancer(
-                            BalancerServerTest.settings(), policy, logLines::add);
+                            BalancerServerFixtures.settings(), policy, logLines::add);
             address = (InetSocketAddress) sharedSocket.getLocalAddress();
             try (HttpTestClient waitingClient = new HttpTestClient(address)) {
                 unreadyBalancer.start(sharedSocket);
