--- a/balancer/src/main/java/loadbalancer/routing/admission/LoadShedder.java
+++ b/balancer/src/main/java/loadbalancer/routing/admission/LoadShedder.java
@@ -7,184 +7,216 @@
 import loadbalancer.routing.endpoint.PendingRequest;
 
 /**
- * Overload: which part of the arrivals is turned away, cheapest first, steered by how long answers
- * take against their aims. Guards against queues in which all wait and all are late. Each balancer
- * turns away a share of what it sees: a limit on attempts in flight, which for most balancers is
- * about one, refused most of a calm day.
+ * Sheds load in an overload: rejects a part of the arrivals, those of the lowest value first, so
+ * that the rest is in time and not all is late.
+ *
+ * <p>Requests of equal value form a tier. The level is the number of tiers that are shed, the last
+ * one of them in part; an integral controller moves it by how far the overload ratio, a moving mean
+ * of latency over latency objective, is from the threshold of the tier at the level. {@link
+ * FleetCapacity} bounds it from both sides.
+ *
+ * <p>It sheds a fraction of the arrivals. A limit on attempts in flight, which is about one for
+ * most balancers of a large fleet, would reject most requests of a calm day. Confined to the thread
+ * of the routing policy.
  */
 public final class LoadShedder {
-    // Above it the cheapest requests are turned away
+    // Thresholds of the overload ratio
     private static final double LOWEST_TIER_OVERLOAD_THRESHOLD = 0.40;
-    // And above it the most valuable too
     private static final double HIGHEST_TIER_OVERLOAD_THRESHOLD = 0.60;
-    // One answer counts no more than this
+
     private static final double MAX_OVERLOAD_SAMPLE = 1.2;
-    // Share of arrivals, per second and unit of strain
+    // Fraction of arrivals by which the level moves, per second and unit of overload
     private static final double LEVEL_GAIN_PER_SECOND = 0.5;
-    // Times as fast calm lets requests in again
     private static final double READMISSION_GAIN_FACTOR = 3;
-    // Of arrivals that a tier is taken for at least
+    // Of the arrivals, what a tier counts as at least
     private static final double MIN_TIER_FRACTION = 0.1;
-    // Over-share worth: at a start turned away
+    // Of the highest value, below which over-quota requests are shed from the start
     private static final double LOW_VALUE_RATIO = 0.3;
-    // Answers that the strain is a mean of at least
+    // The highest tier is never shed whole
+    private static final double MIN_ADMITTED_TIERS = 0.05;
+    private static final double HEDGING_LEVEL_MARGIN = 0.05;
+
     private static final int MIN_SAMPLES = 8;
-    // µs, time constant of the strain
     private static final double SMOOTHING_MICROS = 2e6;
-    // µs without news after which strain is forgotten
     private static final double SAMPLE_EXPIRY_MICROS = 2e6;
 
     private final RoutingSettings settings;
-    // The distinct worths of requests, ascending
+    // Ascending and distinct
     private final double[] tierValues;
-    // Faded arrivals of each tier
-    private final double[] arrivalsByTier;
-    // Above it requests within their share are refused
+    private final double[] decayedArrivalsByTier;
     private final double maxHedgingLevel;
-    // What a start turns away
     private final double initialLevel;
-    // Tiers turned away, the last of them in part
     private double level;
-    // Moving mean of latency / aim
     private double overloadRatio;
     private int sampleCount;
     private long sampledAtMicros;
 
+    /** Starts at a level that sheds over-quota requests of low value only. */
     public LoadShedder(RoutingSettings settings) {
         this.settings = settings;
         this.tierValues =
                 settings.requestClasses().stream()
-                        .flatMapToDouble(
-                                requestClass ->
-                                        DoubleStream.of(
-                                                tierValue(requestClass, false),
-                                                tierValue(requestClass, true)))
+                        .flatMapToDouble(this::valuesOf)
                         .distinct()
                         .sorted()
                         .toArray();
-        this.arrivalsByTier = new double[tierValues.length];
+        this.decayedArrivalsByTier = new double[tierValues.length];
         double minWithinQuotaValue =
                 settings.requestClasses().stream()
-                        .mapToDouble(requestClass -> tierValue(requestClass, false))
+                        .mapToDouble(requestClass -> value(requestClass, false))
                         .min()
                         .getAsDouble();
-        while (tierValues[(int) level]
-                < Math.min(
-                        minWithinQuotaValue, LOW_VALUE_RATIO * tierValues[tierValues.length - 1])) {
-            level++;
+        this.initialLevel = countTiersBelow(Math.min(minWithinQuotaValue, maxLowValue()));
+        this.level = initialLevel;
+        this.maxHedgingLevel =
+                Arrays.binarySearch(tierValues, minWithinQuotaValue) + HEDGING_LEVEL_MARGIN;
+    }
+
+    private double maxLowValue() {
+        return LOW_VALUE_RATIO * tierValues[tierValues.length - 1];
+    }
+
+    private int countTiersBelow(double value) {
+        int count = 0;
+        while (tierValues[count] < value) {
+            count++;
         }
-        this.initialLevel = level;
-        this.maxHedgingLevel = Arrays.binarySearch(tierValues, minWithinQuotaValue) + 0.05;
+        return count;
     }
 
+    private DoubleStream valuesOf(RequestClass requestClass) {
+        return DoubleStream.of(value(requestClass, false), value(requestClass, true));
+    }
+
+    // Value per unit of work, since work is what an overloaded fleet is short of. Where weights are
+    // given by request, the valuable ones are mostly the heavy ones, so classes count alike: shed
+    // by value, a light class got nothing while the fleet served a fraction of what it could.
+    private double value(RequestClass requestClass, boolean isLowPriority) {
+        return (settings.weightPerWorkUnit() ? requestClass.priorityWeight() : 1)
+                * (isLowPriority ? settings.overQuotaWeightFactor() : 1);
+    }
+
+    // ---------------------------------------------------------------- queries
+
+    /** Number of tiers that are shed, the last one in part. */
     public double level() {
         return level;
     }
 
+    /** Moving mean of latency over latency objective. */
     public double overloadRatio() {
         return overloadRatio;
     }
 
-    /** Whether no request within its tenant's share is turned away. */
+    /** Whether no request within its tenant's quota is shed. */
     public boolean admitsAllWithinQuota() {
         return level < maxHedgingLevel;
     }
 
-    // What a unit of work is worth, which is what an overloaded fleet runs short of. Where worth
-    // goes by
-    // request, the dear ones are as a rule the heavy ones, and classes are turned away alike:
-    // turned away
-    // by worth, the light class starved while the fleet served a fraction of the requests it could.
-    private double tierValue(RequestClass requestClass, boolean overQuota) {
-        return (settings.weightPerWorkUnit() ? requestClass.priorityWeight() : 1)
-                * (overQuota ? settings.overQuotaWeightFactor() : 1);
-    }
-
     /**
-     * Whether to turn away this request: all of the tiers under the level, a part of the one it has
-     * reached.
+     * Counts a request that arrives; returns whether it is shed.
+     *
+     * @param randomFraction random, in [0, 1); decides within the tier that is shed in part
      */
     public boolean shouldShed(PendingRequest request, double randomFraction) {
-        int tier =
-                Arrays.binarySearch(
-                        tierValues, tierValue(request.requestClass, request.lowPriority));
-        arrivalsByTier[tier]++;
+        double value = value(request.requestClass(), request.isLowPriority());
+        int tier = Arrays.binarySearch(tierValues, value);
+        decayedArrivalsByTier[tier]++;
         return tier + randomFraction < level;
     }
 
-    public void decay(double retainedFraction) {
-        Arrays.setAll(arrivalsByTier, i -> arrivalsByTier[i] * retainedFraction);
+    // ---------------------------------------------------------------- samples
+
+    /**
+     * Adds a sample of the overload ratio: latency over latency objective of a success, or what
+     * another outcome counts as.
+     */
+    public void recordSample(double sample, long now) {
+        double elapsedWeight = 1 - Math.exp(-(now - sampledAtMicros) / SMOOTHING_MICROS);
+        double boundedWeight = Math.min(1.0 / MIN_SAMPLES, elapsedWeight);
+        sampleCount++;
+        double sampleWeight = Math.max(1.0 / sampleCount, boundedWeight);
+        overloadRatio += sampleWeight * (Math.min(MAX_OVERLOAD_SAMPLE, sample) - overloadRatio);
+        sampledAtMicros = now;
     }
 
-    /** Where nothing was heard for a while the strain is forgotten. */
+    /** Decays the overload ratio where there has been no sample for a while. */
     public void decayStaleOverload(long now, long elapsedMicros) {
         if (now - sampledAtMicros > SAMPLE_EXPIRY_MICROS) {
             overloadRatio *= Math.exp(-elapsedMicros / SAMPLE_EXPIRY_MICROS);
         }
     }
 
+    /** Decays the counts of arrivals. */
+    public void decay(double retainedFraction) {
+        for (int tier = 0; tier < decayedArrivalsByTier.length; tier++) {
+            decayedArrivalsByTier[tier] *= retainedFraction;
+        }
+    }
+
+    // ---------------------------------------------------------------- controller
+
     /**
-     * Moves the level by how far the strain is from what the tier on the edge may cause; {@code
-     * capacity}, null where no other balancer is heard, bounds it at {@code fleetRatePerSecond}
-     * requests a second of all balancers.
+     * Moves the level by the overload ratio, within the bounds of the capacity.
+     *
+     * @param elapsedSeconds since the last call
+     * @param capacity bounds the level; null where no other balancer is heard, so that the traffic
+     *     of all balancers is unknown
+     * @param fleetRatePerSecond arrival rate of all balancers
      */
     public void updateLevel(
             double elapsedSeconds, FleetCapacity capacity, double fleetRatePerSecond) {
+        double step = levelStep(elapsedSeconds);
+        if (sampleCount > 0) {
+            level = Math.max(0, Math.min(maxLevel(), level + step));
+        }
+        if (capacity != null) {
+            double upperBound =
+                    Math.max(
+                            initialLevel,
+                            levelForShedFraction(capacity.maxShedFraction(fleetRatePerSecond)));
+            double lowerBound = levelForShedFraction(capacity.excessFraction(fleetRatePerSecond));
+            level = Math.max(lowerBound, Math.min(level, upperBound));
+        }
+    }
+
+    private double levelStep(double elapsedSeconds) {
         int edgeTier = Math.min(tierValues.length - 1, (int) level);
         double relativeValue = tierValues[edgeTier] / tierValues[tierValues.length - 1];
         double threshold =
                 LOWEST_TIER_OVERLOAD_THRESHOLD
                         + (HIGHEST_TIER_OVERLOAD_THRESHOLD - LOWEST_TIER_OVERLOAD_THRESHOLD)
                                 * relativeValue;
-        double tierFraction =
-                arrivalsByTier[edgeTier] / Math.max(1, Arrays.stream(arrivalsByTier).sum());
+        double tierFraction = decayedArrivalsByTier[edgeTier] / Math.max(1, totalArrivals());
         double step =
                 LEVEL_GAIN_PER_SECOND
                         * elapsedSeconds
                         * (overloadRatio - threshold)
                         / Math.max(MIN_TIER_FRACTION, tierFraction);
-        // Over-share traffic returns slowly: what crowding costs outweighs a cheap request.
-        step =
-                step > 0
-                        ? step
-                        : step
-                                * (relativeValue < LOW_VALUE_RATIO
-                                        ? relativeValue
-                                        : READMISSION_GAIN_FACTOR);
-        level =
-                sampleCount == 0
-                        ? level
-                        : Math.max(0, Math.min(tierValues.length - 0.05, level + step));
-        if (capacity != null) {
-            double maxLevel =
-                    Math.max(
-                            initialLevel,
-                            levelForShedFraction(capacity.maxShedFraction(fleetRatePerSecond)));
-            level =
-                    Math.max(
-                            levelForShedFraction(capacity.excessFraction(fleetRatePerSecond)),
-                            Math.min(level, maxLevel));
-        }
+        return step > 0 ? step : step * readmissionFactor(relativeValue);
+    }
+
+    // Requests of low value are admitted again slowly: the crowding costs more than they earn.
+    private static double readmissionFactor(double relativeValue) {
+        return relativeValue < LOW_VALUE_RATIO ? relativeValue : READMISSION_GAIN_FACTOR;
     }
 
-    // The level at which that part of the arrivals is turned away.
     private double levelForShedFraction(double shedFraction) {
-        double remainingArrivals = shedFraction * Arrays.stream(arrivalsByTier).sum();
+        double remainingArrivals = shedFraction * totalArrivals();
         int tier = 0;
-        while (tier < tierValues.length - 1 && remainingArrivals > arrivalsByTier[tier]) {
-            remainingArrivals -= arrivalsByTier[tier++];
+        while (tier < tierValues.length - 1 && remainingArrivals > decayedArrivalsByTier[tier]) {
+            remainingArrivals -= decayedArrivalsByTier[tier];
+            tier++;
         }
-        return Math.min(
-                tierValues.length - 0.05,
-                tier + remainingArrivals / Math.max(1, arrivalsByTier[tier]));
+        double tierPart = remainingArrivals / Math.max(1, decayedArrivalsByTier[tier]);
+        return Math.min(maxLevel(), tier + tierPart);
     }
 
-    /** An answer took so many times its aim, or an attempt ended as badly. */
-    public void recordSample(double sample, long now) {
-        double timeWeight = 1 - Math.exp(-(now - sampledAtMicros) / SMOOTHING_MICROS);
-        double sampleWeight =
-                Math.max(1.0 / ++sampleCount, Math.min(1.0 / MIN_SAMPLES, timeWeight));
-        overloadRatio += sampleWeight * (Math.min(MAX_OVERLOAD_SAMPLE, sample) - overloadRatio);
-        sampledAtMicros = now;
+    private double maxLevel() {
+        return tierValues.length - MIN_ADMITTED_TIERS;
+    }
+
+    private double totalArrivals() {
+        return Arrays.stream(decayedArrivalsByTier).sum();
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/admission/TenantQuotas.java
+++ b/balancer/src/main/java/loadbalancer/routing/admission/TenantQuotas.java
@@ -6,68 +6,66 @@
 import loadbalancer.routing.api.Tenant;
 
 /**
- * Whether a request is within its tenant's share: each tenant has a bucket that is filled at this
- * balancer's part of its rate. That part is learnt in a second: those that stay when most balancers
- * are killed get the others' traffic at once, and with a part learnt over ten seconds refused most
- * of it as over its share.
+ * Tells the requests that exceed their tenant's quota: a token bucket for each tenant, filled at
+ * this balancer's share of the tenant's rate.
+ *
+ * <p>That share is learned from the traffic of the last second. When most balancers are lost, the
+ * others get their traffic at once; a share that is learned more slowly would mark most of it as
+ * over quota. Confined to the thread of the routing policy.
  */
 public final class TenantQuotas {
-    // µs, time constant of what each tenant brings
+    private static final double MICROS_PER_SECOND = 1e6;
     private static final double DEMAND_DECAY_MICROS = 1e6;
-    // First tries that say little of a tenant's rate
+    // Added to actual and to even demand, so that a few requests prove little
     private static final double DEMAND_PSEUDO_COUNT = 3;
-    // Requests of a small tenant that chance bunches
+    // Requests of a small tenant that come together by chance
     private static final double MIN_BURST_REQUESTS = 4;
-    // s of its rate that a tenant may bring at once
     private static final double BURST_SECONDS = 1;
 
+    // All arrays have an element for each tenant
     private final int balancerCount;
-    // Per second, of all balancers
-    private final double[] allowedPerSecond;
-    // Faded first tries of each tenant
+    private final double[] quotaPerSecond;
     private final double[] recentDemand;
-    // Requests each may still bring within its share
     private final double[] tokens;
     private final long[] tokensUpdatedAtMicros;
 
+    /**
+     * Starts with buckets that are filled at random: if all were full, the balancers together would
+     * admit too much at a start.
+     */
     public TenantQuotas(RoutingSettings settings, SplittableRandom random) {
         balancerCount = settings.balancerCount();
-        allowedPerSecond =
-                settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).toArray();
-        recentDemand = new double[allowedPerSecond.length];
-        // Not all full: all at once overran servers at a start.
-        tokens =
-                Arrays.stream(allowedPerSecond)
-                        .map(allowance -> MIN_BURST_REQUESTS * random.nextDouble())
-                        .toArray();
-        tokensUpdatedAtMicros = new long[allowedPerSecond.length];
+        quotaPerSecond = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).toArray();
+        recentDemand = new double[quotaPerSecond.length];
+        tokens = new double[quotaPerSecond.length];
+        Arrays.setAll(tokens, tenant -> MIN_BURST_REQUESTS * random.nextDouble());
+        tokensUpdatedAtMicros = new long[quotaPerSecond.length];
     }
 
+    /** Sets the time from which on the buckets fill up. */
     public void start(long now) {
         Arrays.fill(tokensUpdatedAtMicros, now);
     }
 
+    /** Decays the demand by the time that has passed. */
     public void decay(double elapsedMicros) {
         double retainedFraction = Math.exp(-elapsedMicros / DEMAND_DECAY_MICROS);
-        for (int i = 0; i < recentDemand.length; i++) {
-            recentDemand[i] *= retainedFraction;
+        for (int tenant = 0; tenant < recentDemand.length; tenant++) {
+            recentDemand[tenant] *= retainedFraction;
         }
     }
 
-    /** Whether this request, which has come in now, is over its tenant's share. */
+    /**
+     * Counts a request that arrives now; returns whether it exceeds its tenant's quota.
+     *
+     * @param resubmission whether the client sent it before; it takes a token, but is no demand
+     */
     public boolean isOverQuota(int tenant, boolean resubmission, long now) {
-        if (allowedPerSecond.length == 0) {
+        if (quotaPerSecond.length == 0) {
             return false;
         }
         recentDemand[tenant] += resubmission ? 0 : 1;
-        double localRatePerSecond = allowedPerSecond[tenant] * localFraction();
-        double maxTokens = Math.max(MIN_BURST_REQUESTS, localRatePerSecond * BURST_SECONDS);
-        tokens[tenant] =
-                Math.min(
-                        maxTokens,
-                        tokens[tenant]
-                                + localRatePerSecond * (now - tokensUpdatedAtMicros[tenant]) / 1e6);
-        tokensUpdatedAtMicros[tenant] = now;
+        refill(tenant, now);
         if (tokens[tenant] < 1) {
             return true;
         }
@@ -75,18 +73,32 @@
         return false;
     }
 
-    // This balancer's part of the traffic: even, or more where its middle tenant brings more.
-    // Traffic is not
-    // spread evenly over balancers; one tenant far over its share must not widen the shares of all.
+    private void refill(int tenant, long now) {
+        double localRatePerSecond = quotaPerSecond[tenant] * localFraction();
+        double maxTokens = Math.max(MIN_BURST_REQUESTS, localRatePerSecond * BURST_SECONDS);
+        long elapsedMicros = now - tokensUpdatedAtMicros[tenant];
+        double newTokens = localRatePerSecond * elapsedMicros / MICROS_PER_SECOND;
+        tokens[tenant] = Math.min(maxTokens, tokens[tenant] + newTokens);
+        tokensUpdatedAtMicros[tenant] = now;
+    }
+
+    // This balancer's share of the traffic: an even one, or more where the median tenant brings
+    // more, since traffic is not spread evenly. By the median one tenant far over its quota does
+    // not raise the rates of all.
     private double localFraction() {
         double[] demandRatios = new double[recentDemand.length];
-        for (int i = 0; i < demandRatios.length; i++) {
-            double evenDemand = allowedPerSecond[i] / balancerCount * DEMAND_DECAY_MICROS / 1e6;
-            demandRatios[i] =
-                    (recentDemand[i] + DEMAND_PSEUDO_COUNT) / (evenDemand + DEMAND_PSEUDO_COUNT);
+        for (int tenant = 0; tenant < demandRatios.length; tenant++) {
+            double evenDemand =
+                    quotaPerSecond[tenant]
+                            / balancerCount
+                            * DEMAND_DECAY_MICROS
+                            / MICROS_PER_SECOND;
+            demandRatios[tenant] =
+                    (recentDemand[tenant] + DEMAND_PSEUDO_COUNT)
+                            / (evenDemand + DEMAND_PSEUDO_COUNT);
         }
         Arrays.sort(demandRatios);
-        return Math.min(
-                1, Math.max(1, demandRatios[(demandRatios.length - 1) / 2]) / balancerCount);
+        double medianRatio = demandRatios[(demandRatios.length - 1) / 2];
+        return Math.min(1, Math.max(1, medianRatio) / balancerCount);
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/ActiveEndpoints.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ActiveEndpoints.java
@@ -5,45 +5,47 @@
 import java.util.function.Predicate;
 
 /**
- * The listed servers that may be out of the ordinary: cold, sent to of late, at rest, out of reach.
- * All others are warm, idle and without a fault, so that looks at all servers need these only. One
- * is added by what happens to it, before that can matter, and dropped when a look finds it ordinary
- * again.
+ * The listed endpoints that may be out of the ordinary: warming up, with recent attempts, ejected
+ * or unreachable. All others are warm, idle and healthy, so periodic looks at the fleet need only
+ * these. An endpoint is added by the event itself, before that can matter, and removed when a look
+ * finds it steady. Confined to the thread of the routing policy.
  */
 final class ActiveEndpoints {
-    // µs, after which answers count for nothing
+    // Older successes have decayed to nothing
     private static final long QUIET_PERIOD_MICROS = 12 * (long) TrafficCounters.DECAY_MICROS;
 
-    // In the order of the list
     private final List<EndpointState> endpoints = new ArrayList<>();
 
-    /** Those watched, in the order of the list; the caller leaves them as they are. */
+    /** The active endpoints in list order; not to be modified by the caller. */
     List<EndpointState> endpoints() {
         return endpoints;
     }
 
+    /** Adds an endpoint, if it is listed and not yet active. */
     void add(EndpointState endpoint) {
-        if (!endpoint.isActive && endpoint.countedDescriptor != null) {
-            endpoint.isActive = true;
-            endpoints.add(EndpointRegistry.insertionIndex(endpoints, endpoint), endpoint);
+        if (!endpoint.isActive() && endpoint.isListed()) {
+            endpoint.setActive(true);
+            endpoints.add(ListOrder.indexOf(endpoints, endpoint), endpoint);
         }
     }
 
+    /** Removes an endpoint that is no longer listed. */
     void remove(EndpointState endpoint) {
-        if (endpoint.isActive) {
-            endpoint.isActive = false;
-            endpoints.remove(EndpointRegistry.insertionIndex(endpoints, endpoint));
+        if (endpoint.isActive()) {
+            endpoint.setActive(false);
+            endpoints.remove(ListOrder.indexOf(endpoints, endpoint));
         }
     }
 
-    /** Drops those that are ordinary. */
+    /** Removes those that are steady and warm. */
     void removeSteady(Predicate<EndpointState> isWarm, long now) {
+        long quietSinceMicros = now - QUIET_PERIOD_MICROS;
         endpoints.removeIf(
                 endpoint -> {
-                    endpoint.isActive =
-                            !endpoint.isSteady(now - QUIET_PERIOD_MICROS, now)
-                                    || !isWarm.test(endpoint);
-                    return !endpoint.isActive;
+                    boolean staysActive =
+                            !endpoint.isSteady(quietSinceMicros, now) || !isWarm.test(endpoint);
+                    endpoint.setActive(staysActive);
+                    return !staysActive;
                 });
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/ClassEjection.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ClassEjection.java
@@ -5,52 +5,52 @@
 import java.util.function.LongConsumer;
 
 /**
- * Whether a server answers one class of requests. Guards against a server that fails one class and
- * serves the others: taken out as a whole its capacity was missing, and left in it went on failing
- * that class. By attempts, not by time: against seconds of good answers a busy server had to fail
- * dozens first.
+ * Outlier ejection of one request class of one endpoint, as a circuit breaker: closed, open while
+ * ejected, then half-open until enough attempts in a row succeed.
+ *
+ * <p>An endpoint that fails one class may serve the others: ejecting it as a whole would lose its
+ * capacity for them. The failure ratio is a moving mean over attempts, not over time; over time a
+ * busy endpoint with a good past would have to fail dozens of attempts first.
+ *
+ * <p>Confined to the thread of the routing policy.
  */
 public final class ClassEjection {
-    // Weight of one attempt in the share that fails
+    // Weight of one attempt in the failure ratio
     private static final double FAILURE_RATIO_SMOOTHING = 0.1;
-    // At which it rests: two failures in some five
+    // Two failures within some five attempts exceed it
     private static final double MAX_FAILURE_RATIO = 0.15;
-    // µs; doubles each time
-    private static final long BASE_EJECTION_MICROS = 1_000_000;
-    // Up to 16 s
-    private static final int MAX_EJECTION_DOUBLINGS = 4;
-    // µs that one waits for who found it failing
     private static final long REMOTE_EJECTION_DELAY_MICROS = 1_000_000;
-    // Successes in a row that end a trial
-    private static final int SUCCESSES_TO_RECOVER = 3;
 
     private double failureRatio;
     private long ejectedUntilMicros;
-    // The same, where this balancer found it failing
     private long locallyEjectedUntilMicros;
     private int consecutiveEjections;
-    // Successes still wanted, 0 = not on trial
     private int halfOpenSuccessesLeft;
     private int inFlight;
 
+    /** Whether the class is ejected. */
     public boolean isEjected(long now) {
         return ejectedUntilMicros > now;
     }
 
-    /** While on trial it gets one attempt at a time. */
+    /** Whether an attempt may be sent now; while half-open, one at a time. */
     public boolean allowsAttempt(long now) {
         return !isEjected(now) && (halfOpenSuccessesLeft == 0 || inFlight == 0);
     }
 
-    public void onAttemptStarted() {
+    void onAttemptStarted() {
         inFlight++;
     }
 
-    public void onAttemptEnded() {
+    void onAttemptEnded() {
         inFlight--;
     }
 
-    /** {@code onRecovered} runs where this success ends a trial. */
+    /**
+     * Counts a successful attempt.
+     *
+     * @param onRecovered runs if this success ends the half-open state
+     */
     public void onSuccess(Runnable onRecovered) {
         failureRatio -= FAILURE_RATIO_SMOOTHING * failureRatio;
         if (halfOpenSuccessesLeft > 0 && --halfOpenSuccessesLeft == 0) {
@@ -60,45 +60,54 @@
         }
     }
 
-    /** Until when it rests for what this balancer has found itself. */
+    /** End of the last ejection that this balancer decided itself; 0 if there was none. */
     public long locallyEjectedUntilMicros() {
         return locallyEjectedUntilMicros;
     }
 
     /**
-     * Another balancer has it rest: so does this one, and then tries it first. A while later than
-     * the one that found it: that one's first trial tells all the others.
+     * Another balancer has ejected the class: this one ejects it too, for a little longer, so that
+     * the attempt with which the other one probes the endpoint decides for both.
      */
     public void onRemoteEjection(long remoteEjectedUntilMicros) {
         if (remoteEjectedUntilMicros > ejectedUntilMicros) {
             ejectedUntilMicros = remoteEjectedUntilMicros + REMOTE_EJECTION_DELAY_MICROS;
-            halfOpenSuccessesLeft = SUCCESSES_TO_RECOVER;
+            halfOpenSuccessesLeft = EjectionBackoff.SUCCESSES_TO_RECOVER;
         }
     }
 
-    /** {@code onEjected} is told the length, in µs, of a rest that begins with this failure. */
+    /**
+     * Counts a failed attempt and ejects the class if it fails too many.
+     *
+     * @param random source of the jitter of an ejection
+     * @param onEjected accepts the length of an ejection that begins now, in µs without jitter
+     */
     public void onFailure(long now, SplittableRandom random, LongConsumer onEjected) {
         failureRatio += FAILURE_RATIO_SMOOTHING * (1 - failureRatio);
-        if (isEjected(now) || halfOpenSuccessesLeft == 0 && failureRatio <= MAX_FAILURE_RATIO) {
+        boolean isTolerated = halfOpenSuccessesLeft == 0 && failureRatio <= MAX_FAILURE_RATIO;
+        if (isEjected(now) || isTolerated) {
             return;
         }
-        long ejectionMicros =
-                BASE_EJECTION_MICROS << Math.min(MAX_EJECTION_DOUBLINGS, consecutiveEjections++);
-        ejectedUntilMicros = now + ejectionMicros + random.nextLong(ejectionMicros / 4);
+        long ejectionMicros = EjectionBackoff.ejectionMicros(consecutiveEjections++);
+        ejectedUntilMicros = EjectionBackoff.ejectedUntilMicros(now, ejectionMicros, random);
         locallyEjectedUntilMicros = ejectedUntilMicros;
-        halfOpenSuccessesLeft = SUCCESSES_TO_RECOVER;
+        halfOpenSuccessesLeft = EjectionBackoff.SUCCESSES_TO_RECOVER;
         onEjected.accept(ejectionMicros);
     }
 
     /**
-     * Bounds the rests: where most of all servers fail a class the fault is likely in its requests.
+     * Whether most of the listed endpoints have ejected a class, so that the fault is more likely
+     * in its requests and the ejections are to be ignored.
+     *
+     * @param activeEndpoints of the listed endpoints those that may be ejected
+     * @param listedCount number of listed endpoints
      */
     public static boolean isMajorityEjected(
             List<EndpointState> activeEndpoints, int listedCount, int classIndex, long now) {
-        return 2
-                        * activeEndpoints.stream()
-                                .filter(endpoint -> endpoint.classHealth[classIndex].isEjected(now))
-                                .count()
-                > listedCount;
+        long ejectedCount =
+                activeEndpoints.stream()
+                        .filter(endpoint -> endpoint.classHealth(classIndex).isEjected(now))
+                        .count();
+        return 2 * ejectedCount > listedCount;
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/DiscoverySubscription.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/DiscoverySubscription.java
@@ -4,61 +4,66 @@
 import loadbalancer.routing.api.RoutingActions;
 
 /**
- * When to ask discovery for the list (again): nobody waits for an answer that may never come. A
- * change counts as told 6 s after discovery had it and could be reached, whatever became of calls
- * meanwhile. So what may come one after the other is bounded by that time together: a watch that
- * falls silent (3 s until that is seen, and 0.7 s for a call, in net/Discovery), a call that is
- * given up, one that is refused, and the pauses after each.
+ * Decides when discovery is asked for the endpoint list again: after a failure with exponential
+ * backoff and jitter, and when a subscription gets no response at all.
+ *
+ * <p>A change of the list has to reach the balancer within 6 s of reaching discovery, whatever
+ * became of the calls in between. So the delays that may follow one another have to fit into that
+ * time together: a watch that falls silent (3 s until that is noticed, and 0.7 s for a call, in
+ * {@code loadbalancer.discovery}), a call that is abandoned, one that is refused, and the backoff
+ * after each. Confined to the thread of the routing policy.
  */
 public final class DiscoverySubscription {
-    // µs after a failure, at most; doubles
     private static final long INITIAL_BACKOFF_MICROS = 200_000;
     private static final long MAX_BACKOFF_MICROS = 1_400_000;
     private static final int MAX_BACKOFF_DOUBLINGS = 3;
-    // Where nobody tells that a call has failed
+    // Bounds the wait where the loss of a call is not reported
     private static final long MAX_RESPONSE_WAIT_MICROS = 4_000_000;
+    private static final int RESPONSE_WAIT_JITTER_DIVISOR = 8;
 
-    // µs in which an answer must be had
     private final long responseDeadlineMicros;
     private final SplittableRandom random;
-    // When to ask
     private long nextPollAtMicros = Long.MAX_VALUE;
-    // In a row
     private int consecutiveFailures;
 
+    /**
+     * No subscription yet.
+     *
+     * @param responseDeadlineMicros time in which a response is needed
+     * @param random source of the jitter
+     */
     public DiscoverySubscription(long responseDeadlineMicros, SplittableRandom random) {
         this.responseDeadlineMicros = responseDeadlineMicros;
         this.random = random;
     }
 
+    /** Whether {@link #subscribe} is to be called. */
     public boolean isDue(long now) {
         return now >= nextPollAtMicros;
     }
 
-    /** Discovery failed; returns how often in a row. */
+    /** Schedules the next call after a failure; returns the number of failures in a row. */
     public int onFailure(long now) {
-        long maxBackoffMicros =
-                Math.min(
-                        MAX_BACKOFF_MICROS,
-                        INITIAL_BACKOFF_MICROS
-                                << Math.min(MAX_BACKOFF_DOUBLINGS, consecutiveFailures++));
+        int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, consecutiveFailures++);
+        long maxBackoffMicros = Math.min(MAX_BACKOFF_MICROS, INITIAL_BACKOFF_MICROS << doublings);
         long backoffMicros = Math.min(responseDeadlineMicros / 2, maxBackoffMicros);
-        nextPollAtMicros =
-                Math.min(
-                        nextPollAtMicros,
-                        now + backoffMicros / 2 + random.nextLong(Math.max(1, backoffMicros / 2)));
+        long halfBackoffMicros = backoffMicros / 2;
+        long jitterMicros = random.nextLong(Math.max(1, halfBackoffMicros));
+        nextPollAtMicros = Math.min(nextPollAtMicros, now + halfBackoffMicros + jitterMicros);
         return consecutiveFailures;
     }
 
+    /** Discovery has responded: nothing is due until a failure. */
     public void onResponse() {
         consecutiveFailures = 0;
         nextPollAtMicros = Long.MAX_VALUE;
     }
 
-    /** Subscribes; asks again if nothing answers. */
+    /** Subscribes to the list, and schedules a repetition in case that nothing responds. */
     public void subscribe(long now, RoutingActions actions) {
         long responseWaitMicros = Math.min(responseDeadlineMicros / 2, MAX_RESPONSE_WAIT_MICROS);
-        nextPollAtMicros = now + responseWaitMicros + random.nextLong(1 + responseWaitMicros / 8);
+        long jitterMicros = random.nextLong(1 + responseWaitMicros / RESPONSE_WAIT_JITTER_DIVISOR);
+        nextPollAtMicros = now + responseWaitMicros + jitterMicros;
         actions.watchEndpoints(true);
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointRegistry.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointRegistry.java
@@ -1,9 +1,6 @@
 package loadbalancer.routing.endpoint;
 
 import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.Collections;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -15,70 +12,67 @@
 import java.util.function.IntToLongFunction;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
-import java.util.stream.IntStream;
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointStatus;
-import loadbalancer.routing.api.PolicySnapshot;
+import loadbalancer.routing.api.PolicySnapshot.EndpointSnapshot;
 import loadbalancer.routing.api.RoutingSettings;
 
 /**
- * The servers that discovery has named, and what follows from the list alone: their ring, mean
- * weight and kinds. A change costs by what it changes: sums, ring and order are mended, not made
- * anew.
+ * The endpoints that discovery has named, and what follows from the list alone: the hash ring, the
+ * totals and the order. An update costs by what it changes, not by the length of the list: totals,
+ * ring and order are updated in place. Confined to the thread of the routing policy.
+ *
+ * <p>An endpoint is listed while its status is {@link EndpointStatus#UP}. One that is removed with
+ * attempts in flight stays known by its id until an update after they have ended.
  */
 public final class EndpointRegistry {
-    /** Servers that it holds at most: more would not fit beside the requests. */
+    /** Most endpoints that are held; the memory of the process is sized for them. */
     static final int MAX_ENDPOINTS = 20_000;
 
-    private static final Comparator<EndpointState> BY_LIST_POSITION =
-            Comparator.comparingLong(endpoint -> endpoint.listPosition);
-    // That come or go at once: then sorted
+    // With more endpoints added or removed at once, sorting is cheaper than inserting each
     private static final int MAX_INCREMENTAL_UPDATES = 64;
+    private static final double MIN_TOTAL_WEIGHT = 1e-9;
 
     private final SplittableRandom random;
     private final int classCount;
     private final Map<String, EndpointState> endpointsById = new HashMap<>();
-    // Gone with work: held until that has ended
     private final Set<EndpointState> removedWithInFlight = new LinkedHashSet<>();
-    // Of the listed servers, more points by weight
+    private final List<EndpointState> listedEndpoints = new ArrayList<>();
+    private final ActiveEndpoints activeEndpoints = new ActiveEndpoints();
+    private final EndpointTotals totals = new EndpointTotals();
     private final HashRing ring;
     private final RingPointAllocator ringPoints;
-    // Of the listed servers
-    private final EndpointTotals totals = new EndpointTotals();
-    private final ActiveEndpoints activeEndpoints = new ActiveEndpoints();
-    // Up, in the order in which they were first named
-    private final List<EndpointState> listedEndpoints = new ArrayList<>();
-    // Of listed servers
     private double meanWeight = 1;
     private int listGeneration;
-    // Servers, as far as the list has been read
+    // Endpoints that count towards the maximum, during an update those read so far
     private int endpointCount;
     private long nextListPosition;
 
+    /**
+     * An empty registry.
+     *
+     * @param random source of tie breakers and of the initial budgets of slow start
+     */
     public EndpointRegistry(RoutingSettings settings, SplittableRandom random) {
         this.random = random;
         this.classCount = settings.requestClasses().size();
-        this.ring =
-                new HashRing(
-                        (long)
-                                ((settings.rank() + 0.5) / settings.balancerCount() * 0x1p64
-                                        - 0x1p63));
+        this.ring = new HashRing(subsetStart(settings));
         this.ringPoints = new RingPointAllocator(ring);
     }
 
-    /** Where in the order of the list a server is, or would have to be. */
-    static int insertionIndex(List<EndpointState> ordered, EndpointState endpoint) {
-        int lastIndex = ordered.size() - 1;
-        if (lastIndex < 0 || ordered.get(lastIndex).listPosition < endpoint.listPosition) {
-            return lastIndex + 1;
-        }
-        int index = Collections.binarySearch(ordered, endpoint, BY_LIST_POSITION);
-        return index < 0 ? -index - 1 : index;
+    // Balancers stand at even distances on the ring, by their rank.
+    private static long subsetStart(RoutingSettings settings) {
+        double ringFraction = (settings.rank() + 0.5) / settings.balancerCount();
+        return (long) (ringFraction * 0x1p64 - 0x1p63);
     }
 
+    // ---------------------------------------------------------------- updates of the list
+
     /**
-     * Takes a list in: all of it, or changes ({@code isDelta}); {@code log} hears of a lack of
-     * room.
+     * Takes in an endpoint list.
+     *
+     * @param isDelta whether {@code endpoints} are changes only, and all others stay as they are
+     * @param log accepts a line if endpoints are left out because there are too many
      */
     public void update(List<Endpoint> endpoints, boolean isDelta, long now, Consumer<String> log) {
         listGeneration++;
@@ -89,15 +83,8 @@
             rejectedCount += upsert(endpoint, isDelta, now, changed) ? 0 : 1;
         }
         if (!isDelta) {
-            for (EndpointState endpoint : endpointsById.values()) {
-                if (endpoint.lastListGeneration != listGeneration
-                        && endpoint.descriptor.status() != EndpointStatus.REMOVED) {
-                    endpoint.descriptor = endpoint.descriptor.withStatus(EndpointStatus.REMOVED);
-                    changed.add(endpoint);
-                }
-            }
+            removeUnnamed(changed);
         }
-        // Into the list, or out of it
         List<EndpointState> addedOrRemoved = new ArrayList<>();
         for (EndpointState endpoint : changed) {
             updateAggregates(endpoint, addedOrRemoved);
@@ -106,80 +93,101 @@
         meanWeight = totals.meanWeight();
         ringPoints.updateMeanWeight(meanWeight);
         changed.forEach(ringPoints::updatePoints);
-        removedWithInFlight.removeIf(
-                endpoint ->
-                        endpoint.descriptor.status() != EndpointStatus.REMOVED
-                                || endpointsById.get(endpoint.descriptor.id()) != endpoint
-                                || endpoint.inFlight == 0
-                                        && endpointsById.remove(
-                                                endpoint.descriptor.id(), endpoint));
+        removedWithInFlight.removeIf(this::isReplacedOrForgotten);
         if (rejectedCount > 0) {
             log.accept(
-                    "list: "
+                    "endpoint list too long: unused="
                             + rejectedCount
-                            + " servers beyond the "
-                            + MAX_ENDPOINTS
-                            + " that it may hold are not used");
+                            + " max_endpoints="
+                            + MAX_ENDPOINTS);
         }
     }
 
-    // False where there is no room for it.
+    // False where the endpoint is left out because there are too many.
     private boolean upsert(
             Endpoint endpoint, boolean isDelta, long now, List<EndpointState> changed) {
-        EndpointState state = endpointsById.get(endpoint.id());
-        if (state == null || !isDelta && state.lastListGeneration != listGeneration) {
+        EndpointState known = endpointsById.get(endpoint.id());
+        boolean isCounted = known != null && (isDelta || known.isNamedByList(listGeneration));
+        if (!isCounted) {
             if (endpointCount >= MAX_ENDPOINTS) {
                 return false;
             }
             endpointCount++;
         }
-        if (state == null
-                || state.descriptor.startedAtMicros() != endpoint.startedAtMicros()
-                        && endpoint.startedAtMicros() > 0) {
-            EndpointState replaced = state;
-            state = new EndpointState(endpoint, random.nextInt(), classCount, activeEndpoints);
-            state.slowStartTokens = random.nextDouble();
-            state.slowStartTokensAtMicros = now;
-            state.lastSuccessAtMicros = now;
-            state.listPosition = replaced == null ? nextListPosition++ : replaced.listPosition;
-            endpointsById.put(endpoint.id(), state);
-            if (replaced != null) {
-                replaced.descriptor = replaced.descriptor.withStatus(EndpointStatus.REMOVED);
-                // First: they have one place in the order
-                changed.add(replaced);
-            }
-            changed.add(state);
-        } else if (!state.descriptor.equals(endpoint)) {
-            state.descriptor = endpoint;
-            changed.add(state);
+        EndpointState current = known;
+        if (known == null || isRestarted(known, endpoint)) {
+            current = add(endpoint, known, now, changed);
+        } else if (!known.descriptor().equals(endpoint)) {
+            known.updateDescriptor(endpoint);
+            changed.add(known);
         }
-        state.lastListGeneration = listGeneration;
+        current.setNamedByList(listGeneration);
         return true;
     }
 
-    // Has the sums count a server as it is now.
+    private static boolean isRestarted(EndpointState known, Endpoint endpoint) {
+        return known.descriptor().startedAtMicros() != endpoint.startedAtMicros()
+                && endpoint.startedAtMicros() > 0;
+    }
+
+    // Adds an endpoint, in the place of the one that it replaces (null: at the end).
+    private EndpointState add(
+            Endpoint endpoint, EndpointState replaced, long now, List<EndpointState> changed) {
+        int tieBreaker = random.nextInt();
+        double initialSlowStartTokens = random.nextDouble();
+        long listPosition = replaced == null ? nextListPosition++ : replaced.listPosition();
+        EndpointState added =
+                new EndpointState(endpoint, tieBreaker, classCount, activeEndpoints, listPosition);
+        added.start(initialSlowStartTokens, now);
+        endpointsById.put(endpoint.id(), added);
+        if (replaced != null) {
+            // Before the new one: both have the same place in the order
+            markRemoved(replaced, changed);
+        }
+        changed.add(added);
+        return added;
+    }
+
+    private void removeUnnamed(List<EndpointState> changed) {
+        for (EndpointState endpoint : endpointsById.values()) {
+            if (!endpoint.isNamedByList(listGeneration) && !isRemoved(endpoint)) {
+                markRemoved(endpoint, changed);
+            }
+        }
+    }
+
+    private static void markRemoved(EndpointState endpoint, List<EndpointState> changed) {
+        endpoint.updateDescriptor(endpoint.descriptor().withStatus(EndpointStatus.REMOVED));
+        changed.add(endpoint);
+    }
+
+    private static boolean isRemoved(EndpointState endpoint) {
+        return endpoint.descriptor().status() == EndpointStatus.REMOVED;
+    }
+
+    // Brings totals, ring and active endpoints up to date with the endpoint's descriptor.
     private void updateAggregates(EndpointState endpoint, List<EndpointState> addedOrRemoved) {
-        Endpoint current =
-                endpoint.descriptor.status() == EndpointStatus.UP ? endpoint.descriptor : null;
-        Endpoint previous = endpoint.countedDescriptor;
-        if (endpoint.descriptor.status() == EndpointStatus.REMOVED) {
+        Endpoint descriptor = endpoint.descriptor();
+        Endpoint current = descriptor.status() == EndpointStatus.UP ? descriptor : null;
+        Endpoint previous = endpoint.listedDescriptor();
+        if (isRemoved(endpoint)) {
             removedWithInFlight.add(endpoint);
         }
+        // By identity: a descriptor that was replaced by an equal one still counts as a change
         if (current == previous) {
             return;
         }
         if (previous != null) {
-            totals.update(previous, false);
+            totals.remove(previous);
             ringPoints.remove(endpoint, previous.weight());
         }
         if (current != null) {
-            totals.update(current, true);
+            totals.add(current);
             ringPoints.add(endpoint, current.weight());
-        }
-        if (current == null) {
+        } else {
             activeEndpoints.remove(endpoint);
         }
-        endpoint.countedDescriptor = current;
+        endpoint.setListedDescriptor(current);
         endpoint.markActive();
         if (current == null || previous == null) {
             addedOrRemoved.add(endpoint);
@@ -188,202 +196,153 @@
 
     private void updateListOrder(List<EndpointState> addedOrRemoved) {
         if (addedOrRemoved.size() > MAX_INCREMENTAL_UPDATES) {
-            listedEndpoints.removeIf(endpoint -> endpoint.countedDescriptor == null);
-            addedOrRemoved.stream()
-                    .filter(endpoint -> endpoint.countedDescriptor != null)
-                    .forEach(listedEndpoints::add);
-            listedEndpoints.sort(BY_LIST_POSITION);
+            listedEndpoints.removeIf(endpoint -> !endpoint.isListed());
+            addedOrRemoved.stream().filter(EndpointState::isListed).forEach(listedEndpoints::add);
+            listedEndpoints.sort(ListOrder.COMPARATOR);
             return;
         }
         for (EndpointState endpoint : addedOrRemoved) {
-            int index = insertionIndex(listedEndpoints, endpoint);
-            if (endpoint.countedDescriptor == null) {
-                listedEndpoints.remove(index);
-            } else {
+            int index = ListOrder.indexOf(listedEndpoints, endpoint);
+            if (endpoint.isListed()) {
                 listedEndpoints.add(index, endpoint);
+            } else {
+                listedEndpoints.remove(index);
             }
         }
     }
 
-    /** Those that are up; the caller leaves the list as it is. */
+    // Whether an endpoint need not be held as removed: it is listed again, it was replaced, or its
+    // last attempt has ended; then it is forgotten here.
+    private boolean isReplacedOrForgotten(EndpointState endpoint) {
+        String id = endpoint.descriptor().id();
+        if (!isRemoved(endpoint) || endpointsById.get(id) != endpoint) {
+            return true;
+        }
+        return endpoint.inFlight() == 0 && endpointsById.remove(id, endpoint);
+    }
+
+    // ---------------------------------------------------------------- endpoints
+
+    /** The endpoint of an id, or null if none is known. */
+    public EndpointState get(String id) {
+        return endpointsById.get(id);
+    }
+
+    /** The listed endpoints in list order; not to be modified by the caller. */
     public List<EndpointState> listedEndpoints() {
         return listedEndpoints;
     }
 
     /**
-     * Those of them that may be out of the ordinary, in the same order: cold, sent to, at rest, cut
-     * off.
+     * The listed endpoints that may be out of the ordinary (warming up, with recent attempts,
+     * ejected, unreachable), in list order; not to be modified by the caller.
      */
     public List<EndpointState> activeEndpoints() {
         return activeEndpoints.endpoints();
     }
 
-    /** Drops those watched that are ordinary again; returns those left. */
+    /** Removes the steady and warm ones of the active endpoints; returns those left. */
     public List<EndpointState> removeSteadyEndpoints(Predicate<EndpointState> isWarm, long now) {
         activeEndpoints.removeSteady(isWarm, now);
         return activeEndpoints.endpoints();
     }
 
-    /**
-     * Of each zone that servers name, what is known of them: {@code isUnresponsive} tells who seems
-     * gone, {@code evidenceSinceMicros} since when an answer counts.
-     */
-    public List<ZoneTally> zoneTallies(
-            Predicate<EndpointState> isUnresponsive, IntToLongFunction evidenceSinceMicros) {
-        int[][] countsByZone = new int[totals.zones()][2];
-        for (EndpointState endpoint : activeEndpoints.endpoints()) {
-            int zone = endpoint.descriptor.zone();
-            if (zone >= 0) {
-                boolean unresponsive = isUnresponsive.test(endpoint);
-                countsByZone[zone][0] += unresponsive ? 1 : 0;
-                countsByZone[zone][1] +=
-                        !unresponsive
-                                        && endpoint.decayedSuccesses > 0
-                                        && endpoint.lastSuccessAtMicros
-                                                >= evidenceSinceMicros.applyAsLong(zone)
-                                ? 1
-                                : 0;
-            }
-        }
-        return IntStream.range(0, countsByZone.length)
-                .mapToObj(
-                        zone ->
-                                new ZoneTally(
-                                        totals.endpointsInZone(zone),
-                                        countsByZone[zone][0],
-                                        countsByZone[zone][1]))
-                .toList();
-    }
-
-    /** µs until each class of an endpoint is tried again; 0 where it is used. */
-    private static List<Long> classCooldowns(EndpointState endpoint, long now) {
-        return Arrays.stream(endpoint.classHealth)
-                .map(ejection -> Math.max(0, ejection.locallyEjectedUntilMicros() - now))
-                .toList();
-    }
-
-    /**
-     * What is known of each listed server; counts as if one more counted for 1, and not for {@code
-     * scale}.
-     */
-    public List<PolicySnapshot.EndpointSnapshot> snapshot(double scale, long now) {
-        return listedEndpoints.stream()
-                .map(
-                        endpoint ->
-                                new PolicySnapshot.EndpointSnapshot(
-                                        endpoint.descriptor.id(),
-                                        endpoint.descriptor.startedAtMicros(),
-                                        endpoint.accomplishment / scale,
-                                        endpoint.decayedSuccesses / scale,
-                                        endpoint.decayedFailures / scale,
-                                        Math.max(0, endpoint.ejectedUntilMicros - now),
-                                        endpoint.consecutiveEjections,
-                                        endpoint.consecutiveConnectFailures,
-                                        classCooldowns(endpoint, now)))
-                .toList();
-    }
-
-    /**
-     * Takes over what was known {@code ageMicros} µs ago of servers that are listed and the same
-     * processes still: counts for {@code scale}, and of each rest what is left. A server is tried
-     * at its end, as ever.
-     */
-    public void restore(
-            List<PolicySnapshot.EndpointSnapshot> snapshots,
-            double scale,
-            long ageMicros,
-            long now) {
-        for (PolicySnapshot.EndpointSnapshot endpointSnapshot : snapshots) {
-            EndpointState endpoint = endpointsById.get(endpointSnapshot.id());
-            if (endpoint == null
-                    || endpoint.descriptor.startedAtMicros()
-                            != endpointSnapshot.startedAtMicros()) {
-                continue;
-            }
-            endpoint.markActive();
-            endpoint.accomplishment = endpointSnapshot.accomplishment() * scale;
-            endpoint.decayedSuccesses = endpointSnapshot.decayedSuccesses() * scale;
-            endpoint.decayedFailures = endpointSnapshot.decayedFailures() * scale;
-            if (endpointSnapshot.ejectedForMicros() > ageMicros) {
-                endpoint.ejectedUntilMicros = now + endpointSnapshot.ejectedForMicros() - ageMicros;
-                endpoint.consecutiveEjections = endpointSnapshot.consecutiveEjections();
-                endpoint.consecutiveConnectFailures = endpointSnapshot.consecutiveConnectFailures();
-                endpoint.halfOpenSuccessesLeft = EndpointState.SUCCESSES_TO_RECOVER;
-            }
-            for (int i = 0;
-                    i
-                            < Math.min(
-                                    endpoint.classHealth.length,
-                                    endpointSnapshot.classEjectedForMicros().size());
-                    i++) {
-                if (endpointSnapshot.classEjectedForMicros().get(i) > ageMicros) {
-                    endpoint.classHealth[i].onRemoteEjection(
-                            now + endpointSnapshot.classEjectedForMicros().get(i) - ageMicros);
-                }
-            }
-        }
-    }
-
-    /** Null where it is not known. */
-    public EndpointState get(String id) {
-        return endpointsById.get(id);
-    }
-
-    /** Brings faded counts back to scale. */
-    public void rescale(double scale) {
-        for (EndpointState endpoint : endpointsById.values()) {
-            endpoint.accomplishment /= scale;
-            endpoint.decayedSuccesses /= scale;
-            endpoint.decayedFailures /= scale;
-        }
-    }
-
+    /** The ring of the listed endpoints. */
     public HashRing ring() {
         return ring;
     }
 
+    // ---------------------------------------------------------------- sums over the fleet
+
+    /** Mean weight of the listed endpoints; 1 without any. */
     public double meanWeight() {
         return meanWeight;
     }
 
-    /** Of the listed servers that are so; those not watched are warm. */
+    /** The paper's p: share of endpoints that are of the fast machine types, from 0 to 1. */
+    public double fastFraction() {
+        return totals.fastFraction();
+    }
+
+    /** Total weight of the warm listed endpoints; those that are not active are warm. */
     public double warmWeight(Predicate<EndpointState> isWarm) {
         double weight = totals.weight();
         for (EndpointState endpoint : activeEndpoints.endpoints()) {
-            weight -= isWarm.test(endpoint) ? 0 : endpoint.descriptor.weight();
+            weight -= isWarm.test(endpoint) ? 0 : endpoint.descriptor().weight();
         }
         return weight;
     }
 
-    /**
-     * Faded answers of the listed servers that are so; those not watched have given none of late.
-     */
+    /** Decayed successes of the warm listed endpoints; those that are not active have had none. */
     public double warmSuccesses(Predicate<EndpointState> isWarm) {
         double successes = 0;
         for (EndpointState endpoint : activeEndpoints.endpoints()) {
-            successes += isWarm.test(endpoint) ? endpoint.decayedSuccesses : 0;
+            successes += isWarm.test(endpoint) ? endpoint.decayedSuccesses() : 0;
         }
         return successes;
     }
 
     /**
-     * The mean of what servers have of something, weighted as they are: those watched {@code
-     * activeValue}, all others what is ordinary in their zone.
+     * Mean of a value over the listed endpoints, by their weights.
+     *
+     * @param steadyValueOfZone value of the steady endpoints of a zone
+     * @param activeValue value of an active endpoint
      */
     public double weightedMean(
             IntToDoubleFunction steadyValueOfZone, ToDoubleFunction<EndpointState> activeValue) {
         double sum = totals.weightedSum(steadyValueOfZone);
         for (EndpointState endpoint : activeEndpoints.endpoints()) {
-            sum +=
-                    (activeValue.applyAsDouble(endpoint)
-                                    - steadyValueOfZone.applyAsDouble(endpoint.descriptor.zone()))
-                            * endpoint.descriptor.weight();
+            double steadyValue = steadyValueOfZone.applyAsDouble(endpoint.descriptor().zone());
+            double difference = activeValue.applyAsDouble(endpoint) - steadyValue;
+            sum += difference * endpoint.descriptor().weight();
         }
-        return sum / Math.max(1e-9, listedEndpoints.size() * meanWeight);
+        return sum / Math.max(MIN_TOTAL_WEIGHT, listedEndpoints.size() * meanWeight);
     }
 
-    /** The paper's p, from 0 to 1. */
-    public double fastFraction() {
-        return totals.fastFraction();
+    /**
+     * What is known of each zone that endpoints name, by its number.
+     *
+     * @param isUnresponsive whether nothing answers at an endpoint
+     * @param evidenceSinceMicros for a zone, since when a success shows that an endpoint responds
+     */
+    public List<ZoneTally> zoneTallies(
+            Predicate<EndpointState> isUnresponsive, IntToLongFunction evidenceSinceMicros) {
+        return ZoneTallies.of(
+                totals, activeEndpoints.endpoints(), isUnresponsive, evidenceSinceMicros);
+    }
+
+    /** Divides the decayed counts of all endpoints, when the weight of one event is reset. */
+    public void rescale(double scale) {
+        for (EndpointState endpoint : endpointsById.values()) {
+            endpoint.rescale(scale);
+        }
+    }
+
+    // ---------------------------------------------------------------- snapshots
+
+    /**
+     * What is known of each listed endpoint.
+     *
+     * @param scale weight of one event now; counts are stored as if it were 1
+     */
+    public List<EndpointSnapshot> snapshot(double scale, long now) {
+        return listedEndpoints.stream()
+                .map(endpoint -> EndpointSnapshots.capture(endpoint, scale, now))
+                .toList();
+    }
+
+    /**
+     * Restores what was known of endpoints that are known now and are still the same processes.
+     *
+     * @param scale weight by which the snapshots' counts now count
+     * @param ageMicros age of the snapshots
+     */
+    public void restore(List<EndpointSnapshot> snapshots, double scale, long ageMicros, long now) {
+        for (EndpointSnapshot snapshot : snapshots) {
+            EndpointState endpoint = endpointsById.get(snapshot.id());
+            if (endpoint != null && EndpointSnapshots.isOfSameProcess(endpoint, snapshot)) {
+                EndpointSnapshots.restore(endpoint, snapshot, scale, ageMicros, now);
+            }
+        }
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointTotals.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointTotals.java
@@ -7,109 +7,145 @@
 import loadbalancer.routing.api.Endpoint;
 
 /**
- * How many servers are listed and what weight they have, in all, by kind and by zone, kept as they
- * come and go. Sums are exact, in decimals as the list names weights: what comes and goes again
- * leaves no trace, none is ever taken anew, and kinds whose means are the same are not told apart
- * by how a sum was rounded.
+ * Number and weight of the listed endpoints: in total, by machine type and by zone, updated as they
+ * are added and removed.
+ *
+ * <p>Weights are summed exactly, as the decimals that the list gives. So an endpoint that is added
+ * and removed leaves no trace, no sum is ever computed anew, and machine types of equal mean weight
+ * do not differ by rounding. Confined to the thread of the routing policy.
  */
 final class EndpointTotals {
+    // The paper's p where there is one machine type only
+    private static final double DEFAULT_FAST_FRACTION = 0.5;
+
+    /** Number and weight of some of the endpoints. */
     private static final class Subtotal {
-        int endpointCount;
+        private int endpointCount;
         private BigDecimal exactWeight = BigDecimal.ZERO;
         private double weight;
-        // The weight, since it last changed
         private boolean isWeightCached = true;
 
-        void add(Endpoint endpoint, boolean isAdded) {
-            BigDecimal endpointWeight =
-                    Double.isFinite(endpoint.weight())
-                            ? BigDecimal.valueOf(endpoint.weight())
-                            : BigDecimal.ZERO;
-            exactWeight =
-                    isAdded
-                            ? exactWeight.add(endpointWeight)
-                            : exactWeight.subtract(endpointWeight);
-            endpointCount += isAdded ? 1 : -1;
+        void add(Endpoint endpoint) {
+            endpointCount++;
+            setExactWeight(exactWeight.add(exactWeightOf(endpoint)));
+        }
+
+        void remove(Endpoint endpoint) {
+            endpointCount--;
+            setExactWeight(exactWeight.subtract(exactWeightOf(endpoint)));
+        }
+
+        private void setExactWeight(BigDecimal newExactWeight) {
+            exactWeight = newExactWeight;
             isWeightCached = false;
         }
 
+        private static BigDecimal exactWeightOf(Endpoint endpoint) {
+            return Double.isFinite(endpoint.weight())
+                    ? BigDecimal.valueOf(endpoint.weight())
+                    : BigDecimal.ZERO;
+        }
+
         double weight() {
-            weight = isWeightCached ? weight : exactWeight.doubleValue();
-            isWeightCached = true;
+            if (!isWeightCached) {
+                weight = exactWeight.doubleValue();
+                isWeightCached = true;
+            }
             return weight;
         }
+
+        /** Whether the mean weight is at least that of {@code other}; compared without division. */
+        boolean hasMeanWeightOfAtLeast(Subtotal other) {
+            BigDecimal scaledWeight = exactWeight.multiply(BigDecimal.valueOf(other.endpointCount));
+            BigDecimal scaledOther = other.exactWeight.multiply(BigDecimal.valueOf(endpointCount));
+            return scaledWeight.compareTo(scaledOther) >= 0;
+        }
     }
 
     private final Subtotal total = new Subtotal();
-    private final Map<Integer, Subtotal> byKind = new TreeMap<>();
-    private final TreeMap<Integer, Subtotal> zones = new TreeMap<>();
-    private double fastFraction = 0.5;
-    // That share, since the last change
+    private final Map<Integer, Subtotal> byMachineType = new TreeMap<>();
+    private final TreeMap<Integer, Subtotal> byZone = new TreeMap<>();
+    private double fastFraction = DEFAULT_FAST_FRACTION;
     private boolean isFastFractionCached = true;
 
-    /** A server comes, or goes. */
-    void update(Endpoint endpoint, boolean isAdded) {
+    /** Counts an endpoint that is listed from here on. */
+    void add(Endpoint endpoint) {
         isFastFractionCached = false;
-        total.add(endpoint, isAdded);
-        update(byKind, endpoint.machineType(), endpoint, isAdded);
-        update(zones, endpoint.zone(), endpoint, isAdded);
+        total.add(endpoint);
+        subtotal(byMachineType, endpoint.machineType()).add(endpoint);
+        subtotal(byZone, endpoint.zone()).add(endpoint);
     }
 
-    private static void update(
-            Map<Integer, Subtotal> subtotals, int key, Endpoint endpoint, boolean isAdded) {
-        Subtotal subtotal = subtotals.computeIfAbsent(key, absentKey -> new Subtotal());
-        subtotal.add(endpoint, isAdded);
+    /** Takes back an endpoint that was added with the same values. */
+    void remove(Endpoint endpoint) {
+        isFastFractionCached = false;
+        total.remove(endpoint);
+        remove(byMachineType, endpoint.machineType(), endpoint);
+        remove(byZone, endpoint.zone(), endpoint);
+    }
+
+    private static Subtotal subtotal(Map<Integer, Subtotal> subtotals, int key) {
+        return subtotals.computeIfAbsent(key, unused -> new Subtotal());
+    }
+
+    private static void remove(Map<Integer, Subtotal> subtotals, int key, Endpoint endpoint) {
+        Subtotal subtotal = subtotal(subtotals, key);
+        subtotal.remove(endpoint);
         if (subtotal.endpointCount == 0) {
             subtotals.remove(key);
         }
     }
 
+    /** Weight of all endpoints. */
     double weight() {
         return total.weight();
     }
 
+    /** Mean weight of all endpoints; 1 without any. */
     double meanWeight() {
         return total.endpointCount == 0 ? 1 : total.weight() / total.endpointCount;
     }
 
-    /** Zones by number that servers name, the highest and those below. */
-    int zones() {
-        return zones.isEmpty() ? 0 : 1 + Math.max(-1, zones.lastKey());
+    /** Number of zones: all up to the highest number that an endpoint names. */
+    int zoneCount() {
+        return byZone.isEmpty() ? 0 : 1 + Math.max(-1, byZone.lastKey());
     }
 
-    /** Servers of a zone. */
+    /** Number of endpoints in a zone. */
     int endpointsInZone(int zone) {
-        return zones.containsKey(zone) ? zones.get(zone).endpointCount : 0;
+        Subtotal subtotal = byZone.get(zone);
+        return subtotal == null ? 0 : subtotal.endpointCount;
     }
 
-    /** The sum of what zones have of something, by their servers' weights. */
+    /** Sum of a value of each zone, weighted by its endpoints; in the order of zone numbers. */
     double weightedSum(IntToDoubleFunction valueOfZone) {
         double sum = 0;
-        for (Map.Entry<Integer, Subtotal> zone : zones.entrySet()) {
+        for (Map.Entry<Integer, Subtotal> zone : byZone.entrySet()) {
             sum += valueOfZone.applyAsDouble(zone.getKey()) * zone.getValue().weight();
         }
         return sum;
     }
 
     /**
-     * The paper's p: the share of servers of the kinds whose mean weight is above the mean of all.
+     * The paper's p: the share of endpoints whose machine type has a mean weight of at least the
+     * mean of all.
      */
     double fastFraction() {
         if (!isFastFractionCached) {
+            fastFraction = computeFastFraction();
             isFastFractionCached = true;
-            int fastCount = 0;
-            for (Subtotal subtotal : byKind.values()) {
-                BigDecimal scaledKindWeight =
-                        subtotal.exactWeight.multiply(BigDecimal.valueOf(total.endpointCount));
-                BigDecimal scaledTotalWeight =
-                        total.exactWeight.multiply(BigDecimal.valueOf(subtotal.endpointCount));
-                fastCount +=
-                        scaledKindWeight.compareTo(scaledTotalWeight) >= 0
-                                ? subtotal.endpointCount
-                                : 0;
-            }
-            fastFraction = byKind.size() < 2 ? 0.5 : (double) fastCount / total.endpointCount;
         }
         return fastFraction;
     }
+
+    private double computeFastFraction() {
+        if (byMachineType.size() < 2) {
+            return DEFAULT_FAST_FRACTION;
+        }
+        int fastCount = 0;
+        for (Subtotal subtotal : byMachineType.values()) {
+            fastCount += subtotal.hasMeanWeightOfAtLeast(total) ? subtotal.endpointCount : 0;
+        }
+        return (double) fastCount / total.endpointCount;
+    }
 }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/KeyQueue.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/KeyQueue.java
@@ -3,10 +3,37 @@
 import java.util.ArrayDeque;
 
 /**
- * Requests with one key of classes that are served in order: only the first of the line is sent.
+ * Open requests of one idempotency key whose class asks for order: only the head may be sent. After
+ * an attempt that may still be running at an endpoint, the next request waits for a cooldown.
+ * Confined to the thread of the routing policy.
  */
 public final class KeyQueue {
     public final ArrayDeque<PendingRequest> requests = new ArrayDeque<>();
-    // Attempts of the last one may still run until then
     public long cooldownUntilMicros;
+
+    /** Adds a request behind all others of its key. */
+    public void add(PendingRequest request) {
+        requests.add(request);
+    }
+
+    /** Removes a request that has ended. */
+    public void remove(PendingRequest request) {
+        requests.remove(request);
+    }
+
+    /** Whether a request may be sent: it is the head, and the cooldown is over or was not its. */
+    public boolean allowsAttempt(PendingRequest request, long now) {
+        return requests.peekFirst() == request
+                && (now >= cooldownUntilMicros || request.hasAttempts());
+    }
+
+    /** An attempt may still be running: no other request is sent before then. */
+    public void extendCooldown(long untilMicros) {
+        cooldownUntilMicros = Math.max(cooldownUntilMicros, untilMicros);
+    }
+
+    /** Whether nothing needs the queue any longer: no request, and no cooldown. */
+    public boolean isDisposable(long now) {
+        return requests.isEmpty() && now >= cooldownUntilMicros;
+    }
 }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/RingPointAllocator.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/RingPointAllocator.java
@@ -3,18 +3,18 @@
 import java.util.TreeMap;
 
 /**
- * How many points of the ring each server has: by its weight against the mean of all. Each change
- * of the list moves that mean a little, and few weights come to another number of points by it:
- * only these are found, and their servers moved.
+ * Decides how many points of the ring each listed endpoint has: in proportion to its weight against
+ * the mean weight. A change of the list moves the mean a little, by which few weights come to
+ * another number of points; only these are looked up and their endpoints updated. Confined to the
+ * thread of the routing policy.
  */
 final class RingPointAllocator {
-    // Of a server of mean weight
     private static final int POINTS_AT_MEAN_WEIGHT = 8;
     private static final int MAX_POINTS = 8 * POINTS_AT_MEAN_WEIGHT;
-    // For what rounding may do to a bound
+    // Widens the range of weights that are looked up, since their bounds are rounded
     private static final double ROUNDING_MARGIN = 1e-9;
 
-    /** Listed servers of one weight, chained. */
+    /** The listed endpoints of one weight, chained through themselves. */
     private static final class WeightGroup {
         EndpointState head;
         int pointCount;
@@ -29,75 +29,74 @@
     }
 
     private int pointsFor(double weight) {
-        return (int)
-                Math.max(
-                        1,
-                        Math.min(
-                                MAX_POINTS,
-                                Math.round(POINTS_AT_MEAN_WEIGHT * weight / meanWeight)));
+        long points = Math.round(POINTS_AT_MEAN_WEIGHT * weight / meanWeight);
+        return (int) Math.max(1, Math.min(MAX_POINTS, points));
     }
 
-    /**
-     * A listed server counts among those of its weight from here on; its points come with {@link
-     * #updatePoints}.
-     */
+    /** Adds a listed endpoint to those of its weight; {@link #updatePoints} gives it its points. */
     void add(EndpointState endpoint, double weight) {
-        WeightGroup group = groupsByWeight.computeIfAbsent(weight, w -> new WeightGroup());
-        endpoint.nextOfWeight = group.head;
-        if (group.head != null) {
-            group.head.previousOfWeight = endpoint;
-        }
+        WeightGroup group = groupsByWeight.computeIfAbsent(weight, unused -> new WeightGroup());
+        endpoint.linkBefore(group.head);
         group.head = endpoint;
     }
 
+    /** Removes an endpoint that was added with this weight; its points stay. */
     void remove(EndpointState endpoint, double weight) {
-        if (endpoint.nextOfWeight != null) {
-            endpoint.nextOfWeight.previousOfWeight = endpoint.previousOfWeight;
-        }
-        if (endpoint.previousOfWeight != null) {
-            endpoint.previousOfWeight.nextOfWeight = endpoint.nextOfWeight;
-        } else if (endpoint.nextOfWeight != null) {
-            groupsByWeight.get(weight).head = endpoint.nextOfWeight;
-        } else {
+        boolean isFirst = endpoint.isFirstOfSameWeight();
+        EndpointState next = endpoint.nextOfSameWeight();
+        endpoint.unlinkFromSameWeight();
+        if (isFirst && next != null) {
+            groupsByWeight.get(weight).head = next;
+        } else if (isFirst) {
             groupsByWeight.remove(weight);
         }
-        endpoint.previousOfWeight = null;
-        endpoint.nextOfWeight = null;
     }
 
-    /** Gives a server that has changed the points that it is due. */
+    /** Gives an endpoint that was changed the points that it is due: none if it is not listed. */
     void updatePoints(EndpointState endpoint) {
-        if (endpoint.countedDescriptor == null) {
+        if (!endpoint.isListed()) {
             ring.setPointCount(endpoint, 0);
-        } else {
-            groupsByWeight.get(endpoint.countedDescriptor.weight()).pointCount =
-                    pointsFor(endpoint.countedDescriptor.weight());
-            ring.setPointCount(endpoint, pointsFor(endpoint.countedDescriptor.weight()));
+            return;
         }
+        double weight = endpoint.listedDescriptor().weight();
+        int pointCount = pointsFor(weight);
+        groupsByWeight.get(weight).pointCount = pointCount;
+        ring.setPointCount(endpoint, pointCount);
     }
 
-    /** The mean has moved: between the two, bounds have passed over some weights. */
+    /** Sets the mean weight and updates the endpoints whose number of points changes by it. */
     void updateMeanWeight(double newMeanWeight) {
-        double lowerScale =
-                Math.min(meanWeight, newMeanWeight) * (1 - ROUNDING_MARGIN) / POINTS_AT_MEAN_WEIGHT;
-        double upperScale =
-                Math.max(meanWeight, newMeanWeight) * (1 + ROUNDING_MARGIN) / POINTS_AT_MEAN_WEIGHT;
-        boolean isUnchanged = meanWeight == newMeanWeight;
+        if (meanWeight == newMeanWeight) {
+            return;
+        }
+        double lowerMean = Math.min(meanWeight, newMeanWeight) * (1 - ROUNDING_MARGIN);
+        double upperMean = Math.max(meanWeight, newMeanWeight) * (1 + ROUNDING_MARGIN);
+        double lowerScale = lowerMean / POINTS_AT_MEAN_WEIGHT;
+        double upperScale = upperMean / POINTS_AT_MEAN_WEIGHT;
         meanWeight = newMeanWeight;
-        for (int pointCount = 1; pointCount < MAX_POINTS && !isUnchanged; pointCount++) {
-            Double weight = groupsByWeight.ceilingKey((pointCount + 0.5) * lowerScale);
-            while (weight != null && weight <= (pointCount + 0.5) * upperScale) {
-                updateGroup(weight, groupsByWeight.get(weight));
-                weight = groupsByWeight.higherKey(weight);
-            }
+        // From one number of points to the next it goes at a half
+        for (int pointCount = 1; pointCount < MAX_POINTS; pointCount++) {
+            updateGroups((pointCount + 0.5) * lowerScale, (pointCount + 0.5) * upperScale);
+        }
+    }
+
+    private void updateGroups(double minWeight, double maxWeight) {
+        // By key: an entry would be a copy made for each look-up
+        Double weight = groupsByWeight.ceilingKey(minWeight);
+        while (weight != null && weight <= maxWeight) {
+            updateGroup(weight, groupsByWeight.get(weight));
+            weight = groupsByWeight.higherKey(weight);
         }
     }
 
     private void updateGroup(double weight, WeightGroup group) {
         int pointCount = pointsFor(weight);
+        if (group.pointCount == pointCount) {
+            return;
+        }
         for (EndpointState endpoint = group.head;
-                endpoint != null && group.pointCount != pointCount;
-                endpoint = endpoint.nextOfWeight) {
+                endpoint != null;
+                endpoint = endpoint.nextOfSameWeight()) {
             ring.setPointCount(endpoint, pointCount);
         }
         group.pointCount = pointCount;
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/TrafficCounters.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/TrafficCounters.java
@@ -4,34 +4,35 @@
 import java.util.Map;
 
 /**
- * Faded counts of what this balancer sees. Counts of servers and keys don't fade themselves: what
- * one more counts for grows, so that a wake costs nothing for each of them.
+ * Exponentially decayed counts of this balancer's traffic.
+ *
+ * <p>Counts of endpoints and keys are not decayed one by one. Instead the weight of one event, the
+ * {@link #scale}, grows by the same factor, so that a timer event costs nothing for each of them;
+ * {@link #compact} brings all back to a scale of 1 before it grows too large. Confined to the
+ * thread of the routing policy.
  */
 public final class TrafficCounters {
-    /** µs, time constant of them all. */
+    /** Time constant of all counts. */
     public static final double DECAY_MICROS = 10e6;
 
-    // µs that a rate is taken over at least
+    private static final double MICROS_PER_SECOND = 1e6;
     private static final double MIN_RATE_WINDOW_MICROS = 2e6;
-    // Counts are brought back to scale above it
     private static final double MAX_SCALE = 1e60;
 
-    // Requests of each key
     private final Map<Long, Double> requestsByKey = new HashMap<>();
     private double arrivals;
-    // Attempts that no server took
     private double rejections;
-    // What one more counts for
     private double scale = 1;
     private long startedAtMicros;
     private long decayedAtMicros;
 
+    /** Sets the time from which on traffic is counted. */
     public void start(long now) {
         startedAtMicros = now;
         decayedAtMicros = now;
     }
 
-    /** Fades all; returns the part that is kept. */
+    /** Decays all counts; returns the fraction that is retained. */
     public double decay(long now) {
         double retainedFraction = Math.exp(-(now - decayedAtMicros) / DECAY_MICROS);
         scale /= Math.max(retainedFraction, 1 / MAX_SCALE);
@@ -41,15 +42,12 @@
         return retainedFraction;
     }
 
-    /** µs since they were faded. */
+    /** µs since the last {@link #decay}. */
     public long microsSinceDecay(long now) {
         return now - decayedAtMicros;
     }
 
-    /**
-     * Forgets keys that fell silent, and brings counts back to scale where that has grown too
-     * large.
-     */
+    /** Forgets keys without recent requests, and resets the scale where it has grown too large. */
     public void compact(EndpointRegistry registry) {
         requestsByKey.values().removeIf(count -> count < scale / 2);
         if (scale > MAX_SCALE) {
@@ -59,56 +57,55 @@
         }
     }
 
+    /** Counts requests, without resubmissions. */
     public void recordArrivals(int requests) {
         arrivals += requests;
     }
 
+    /** Counts a request for a key. */
     public void recordKey(long keyHash) {
         requestsByKey.merge(keyHash, scale, Double::sum);
     }
 
+    /** Counts attempts that no endpoint accepted. */
     public void rejections(int attempts) {
         rejections += attempts;
     }
 
-    /** What one more counts for, in counts of servers. */
+    /** Weight of one event now, in the counts of endpoints and keys. */
     public double scale() {
         return scale;
     }
 
-    /** Requests that this balancer gets a second, as a mean over its fade. */
+    /** Arrival rate of this balancer, over the time constant; too low until that has passed. */
     public double requestsPerSecond() {
-        return arrivals / DECAY_MICROS * 1e6;
+        return arrivals / DECAY_MICROS * MICROS_PER_SECOND;
     }
 
-    /** The part of the attempts, by requests, that no server took. */
+    /** Whether the attempts that no endpoint accepted exceed a fraction of the requests. */
     public boolean isRejectedFractionAbove(double fraction) {
         return rejections > fraction * arrivals;
     }
 
-    /** The part of this balancer's requests that concern the key, beyond the first. */
+    /** Fraction of this balancer's requests that are for the key, without the first of them. */
     public double keyTrafficFraction(long keyHash) {
-        return Math.max(0, requestsByKey.getOrDefault(keyHash, 0.0) / scale - 1)
-                / Math.max(1, arrivals);
+        double keyRequests = requestsByKey.getOrDefault(keyHash, 0.0) / scale;
+        return Math.max(0, keyRequests - 1) / Math.max(1, arrivals);
     }
 
-    /** The rate of arrivals, a second: one of a short life has not filled yet. */
+    /** Arrival rate of this balancer, corrected for a start less than the time constant ago. */
     public double biasCorrectedRequestsPerSecond(long now) {
         return arrivals * biasCorrectedRatePerCount(now);
     }
 
-    /** The rate that one of servers' counts stands for, a second. */
+    /** Rate that a decayed count of 1 at an endpoint stands for, corrected in the same way. */
     public double biasCorrectedSuccessesPerSecond(long now) {
         return biasCorrectedRatePerCount(now) / scale;
     }
 
     private double biasCorrectedRatePerCount(long now) {
-        return 1
-                / DECAY_MICROS
-                * 1e6
-                / (1
-                        - Math.exp(
-                                -Math.max(MIN_RATE_WINDOW_MICROS, now - startedAtMicros)
-                                        / DECAY_MICROS));
+        double elapsedMicros = Math.max(MIN_RATE_WINDOW_MICROS, (double) (now - startedAtMicros));
+        double countedFraction = 1 - Math.exp(-elapsedMicros / DECAY_MICROS);
+        return 1 / DECAY_MICROS * MICROS_PER_SECOND / countedFraction;
     }
 }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ZoneTallies.java
@@ -0,0 +1,58 @@
+package loadbalancer.routing.endpoint;
+
+import java.util.List;
+import java.util.function.IntToLongFunction;
+import java.util.function.Predicate;
+import java.util.stream.IntStream;
+
+/** Counts the unresponsive and the responding endpoints of each zone. */
+final class ZoneTallies {
+    private final int[] unresponsiveByZone;
+    private final int[] respondingByZone;
+
+    private ZoneTallies(int zoneCount) {
+        this.unresponsiveByZone = new int[zoneCount];
+        this.respondingByZone = new int[zoneCount];
+    }
+
+    /**
+     * A tally for each zone of the totals, by its number.
+     *
+     * @param activeEndpoints the only ones that can count as anything
+     * @param isUnresponsive whether nothing answers at an endpoint
+     * @param evidenceSinceMicros for a zone, since when a success shows that an endpoint responds
+     */
+    static List<ZoneTally> of(
+            EndpointTotals totals,
+            List<EndpointState> activeEndpoints,
+            Predicate<EndpointState> isUnresponsive,
+            IntToLongFunction evidenceSinceMicros) {
+        ZoneTallies tallies = new ZoneTallies(totals.zoneCount());
+        for (EndpointState endpoint : activeEndpoints) {
+            tallies.count(endpoint, isUnresponsive, evidenceSinceMicros);
+        }
+        return IntStream.range(0, totals.zoneCount())
+                .mapToObj(zone -> tallies.tally(zone, totals.endpointsInZone(zone)))
+                .toList();
+    }
+
+    private void count(
+            EndpointState endpoint,
+            Predicate<EndpointState> isUnresponsive,
+            IntToLongFunction evidenceSinceMicros) {
+        int zone = endpoint.descriptor().zone();
+        if (zone < 0) {
+            return;
+        }
+        if (isUnresponsive.test(endpoint)) {
+            unresponsiveByZone[zone]++;
+        } else if (endpoint.decayedSuccesses() > 0
+                && endpoint.lastSuccessAtMicros() >= evidenceSinceMicros.applyAsLong(zone)) {
+            respondingByZone[zone]++;
+        }
+    }
+
+    private ZoneTally tally(int zone, int endpointCount) {
+        return new ZoneTally(endpointCount, unresponsiveByZone[zone], respondingByZone[zone]);
+    }
+}
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/ZoneTally.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ZoneTally.java
@@ -1,10 +1,26 @@
 package loadbalancer.routing.endpoint;
 
-/** What is known of a zone's servers: how many there are, are out, have answered lately. */
+/**
+ * What is known of the listed endpoints of one zone.
+ *
+ * @param endpoints number that are listed
+ * @param unresponsive number that nothing answers at
+ * @param responding number that have answered lately; disjoint from {@code unresponsive}
+ */
 public record ZoneTally(int endpoints, int unresponsive, int responding) {
+    /**
+     * Checks the counts.
+     *
+     * @throws InvalidZoneTallyException if more endpoints are observed than listed
+     */
     public ZoneTally {
         if (unresponsive + responding > endpoints) {
-            throw new IllegalArgumentException("more than there are");
+            throw new InvalidZoneTallyException(endpoints, unresponsive, responding);
         }
     }
+
+    /** Endpoints of which anything is known. */
+    public int observed() {
+        return unresponsive + responding;
+    }
 }
--- a/balancer/src/main/java/loadbalancer/routing/health/SlowStart.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/SlowStart.java
@@ -4,70 +4,94 @@
 import loadbalancer.routing.api.RoutingSettings;
 import loadbalancer.routing.endpoint.EndpointState;
 
-/** Rule 4: a cold server gets its part of what warm ones of like weight take, from nothing on. */
+/**
+ * Slow start (the operators' rule 4): an endpoint that was started recently gets a part of what a
+ * warm one of the same weight gets, which grows linearly with its age.
+ *
+ * <p>Each endpoint that warms up has a token bucket here, which is filled at this balancer's part
+ * of the rate and from which each attempt takes a token; so the bound holds for the sum of all
+ * balancers. Confined to the thread of the routing policy.
+ */
 public final class SlowStart {
-    // Work sent to a cold server, as a share of what a warm one of like weight takes at the same
-    // coldness.
+    // Rate of a warming endpoint over its exact part of a warm one's
     private static final double RAMP_MARGIN = 1.6;
+    // Successes of a warm endpoint within the shortest latency objective, before any is measured
+    private static final double INITIAL_SUCCESSES_PER_OBJECTIVE = 2;
+    private static final double MICROS_PER_SECOND = 1e6;
+    // Part of the overload window in which a bucket fills up
+    private static final double FILL_WINDOW_DIVISOR = 3;
 
     private final RoutingSettings settings;
-    // Answers per second of a warm server, before any is known
-    private final double minWarmRate;
-    // Answers per second and weight of warm servers
-    private double warmRatePerWeight;
+    private final double minWarmRatePerSecond;
+    private double warmRatePerSecondAndWeight;
 
+    /** Starts without a measured rate of warm endpoints. */
     public SlowStart(RoutingSettings settings, long shortestLatencyObjectiveMicros) {
         this.settings = settings;
-        // A warm server gives two answers in the shortest aim, to all balancers.
-        this.minWarmRate = 2e6 / shortestLatencyObjectiveMicros / settings.balancerCount();
+        this.minWarmRatePerSecond =
+                INITIAL_SUCCESSES_PER_OBJECTIVE
+                        * MICROS_PER_SECOND
+                        / shortestLatencyObjectiveMicros
+                        / settings.balancerCount();
     }
 
-    /** The part of its full speed that a server has by now, 1: it is warm. */
+    /** Part of its full capacity that an endpoint has by its age, from 0 to 1; 1: it is warm. */
     public double rampFraction(EndpointState endpoint, long now) {
         RoutingBounds bounds = settings.bounds();
-        long ageMicros = now - endpoint.descriptor.startedAtMicros();
-        if (endpoint.descriptor.startedAtMicros() <= 0
+        long startedAtMicros = endpoint.descriptor().startedAtMicros();
+        long ageMicros = now - startedAtMicros;
+        boolean hasLongBeenStarted = startedAtMicros <= 0;
+        if (hasLongBeenStarted
                 || bounds.slowStartMicros() <= 0
                 || ageMicros >= bounds.slowStartMicros()) {
             return 1;
         }
-        return bounds.initialCapacityFraction()
-                + (1 - bounds.initialCapacityFraction())
-                        * Math.max(0, ageMicros)
-                        / bounds.slowStartMicros();
+        double initialFraction = bounds.initialCapacityFraction();
+        return initialFraction
+                + (1 - initialFraction) * Math.max(0, ageMicros) / bounds.slowStartMicros();
     }
 
-    /** The part of its full speed that may be asked of a server now. */
+    /** Part of its full capacity that may be asked of an endpoint now. */
     public double usableFraction(EndpointState endpoint, long now) {
         return Math.min(1, RAMP_MARGIN * rampFraction(endpoint, now));
     }
 
+    /** Refills the endpoint's bucket and returns whether it allows an attempt. */
     public boolean hasBudget(EndpointState endpoint, long now) {
         double rampFraction = rampFraction(endpoint, now);
         if (rampFraction >= 1) {
             return true;
         }
-        // Answers per second that a warm server of its weight gives this balancer.
-        double ratePerSecond =
-                rampFraction
-                        * RAMP_MARGIN
-                        * Math.max(minWarmRate, warmRatePerWeight * endpoint.descriptor.weight());
-        double maxTokens = ratePerSecond * settings.bounds().overloadWindowMicros() / 3e6;
+        double warmRatePerSecond =
+                Math.max(
+                        minWarmRatePerSecond,
+                        warmRatePerSecondAndWeight * endpoint.descriptor().weight());
+        double ratePerSecond = rampFraction * RAMP_MARGIN * warmRatePerSecond;
+        double maxTokens =
+                ratePerSecond
+                        * settings.bounds().overloadWindowMicros()
+                        / (FILL_WINDOW_DIVISOR * MICROS_PER_SECOND);
+        long elapsedMicros = now - endpoint.slowStartTokensAtMicros();
         double tokens =
-                endpoint.slowStartTokens
-                        + ratePerSecond * (now - endpoint.slowStartTokensAtMicros) / 1e6;
-        // Less than one at a time: one is kept for two thirds of the window, then lost. Guards
-        // against as
-        // many at once as there are balancers, each of which had saved one while there was little
-        // to do.
-        endpoint.slowStartTokens =
-                maxTokens >= 1 ? Math.min(maxTokens, tokens) : tokens % (1 + 2 * maxTokens);
-        endpoint.slowStartTokensAtMicros = now;
-        return endpoint.slowStartTokens >= 1;
+                endpoint.slowStartTokens() + ratePerSecond * elapsedMicros / MICROS_PER_SECOND;
+        endpoint.refillSlowStartTokens(boundTokens(tokens, maxTokens), now);
+        return endpoint.slowStartTokens() >= 1;
     }
 
-    /** Learns from warm servers: so many answers a second, by servers of so much weight. */
+    // A bucket that holds less than one token keeps one for two thirds of the overload window and
+    // then loses it. If all balancers kept one in a quiet time, a burst would bring the endpoint as
+    // many attempts at once as there are balancers.
+    private static double boundTokens(double tokens, double maxTokens) {
+        return maxTokens >= 1 ? Math.min(maxTokens, tokens) : tokens % (1 + 2 * maxTokens);
+    }
+
+    /**
+     * Sets the rate of warm endpoints.
+     *
+     * @param successesPerSecond of all warm endpoints at this balancer
+     * @param totalWeight of all warm endpoints
+     */
     public void updateWarmRate(double successesPerSecond, double totalWeight) {
-        warmRatePerWeight = totalWeight <= 0 ? 0 : successesPerSecond / totalWeight;
+        warmRatePerSecondAndWeight = totalWeight <= 0 ? 0 : successesPerSecond / totalWeight;
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/health/ZoneFailover.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/ZoneFailover.java
@@ -9,196 +9,233 @@
 import loadbalancer.routing.endpoint.ZoneTally;
 
 /**
- * Zones as wholes: left when the news of their servers says that they are lost, met again in steps.
- * Guards against a lost zone that is found server by server at the price of requests, and against
- * one that is back and is met by all at once. Each balancer judges for itself; never are all zones
- * left.
+ * Failover of whole zones: stops using a zone when most of its observed endpoints are unresponsive,
+ * and returns to it in steps. Endpoint by endpoint, a lost zone costs failed attempts for each of
+ * them, and a zone that is back would get all of its requests at once.
+ *
+ * <pre>{@code
+ * HEALTHY -> SUSPECT      more than half of the observed endpoints are unresponsive
+ * SUSPECT -> HEALTHY      no longer, or for so long that single endpoints are at fault
+ * SUSPECT -> FAILED_OVER  nearly all of them, for a while, and another zone serves
+ * FAILED_OVER -> RECOVERING  probes succeed after the backoff, or no other zone serves, or the
+ *                         capacity is short and a probe succeeded
+ * RECOVERING -> HEALTHY   a quarter, a half, then all of the requests were admitted and served
+ * RECOVERING -> FAILED_OVER  it fails again
+ * }</pre>
+ *
+ * <p>Each balancer decides for itself, and never fails over all zones. Confined to the thread of
+ * the routing policy.
  */
 public final class ZoneFailover {
-    // Of the servers there is news of, out: the zone is
+    // Of the observed endpoints, those that are unresponsive
     private static final double LOST_FRACTION = 0.8;
-    // In doubt from here on
     private static final double SUSPECT_FRACTION = 0.5;
-    // Of its servers, of which there must be news
+    // Of the listed endpoints, those that must be observed
     private static final double MIN_OBSERVED_FRACTION = 0.2;
-    // µs for which an answer shows that a server serves
+    private static final int MIN_OBSERVED_ENDPOINTS = 2;
+    // For how long a success shows that an endpoint responds
     private static final long EVIDENCE_TTL_MICROS = 1_000_000;
-    // µs of doubt before it is left
+
     private static final long MIN_SUSPECT_MICROS = 200_000;
-    // Then single servers are to blame, and it is whole
     private static final long MAX_SUSPECT_MICROS = 2_000_000;
-    // µs in which it is not doubted again after that
     private static final long SUSPECT_COOLDOWN_MICROS = 5_000_000;
-    // µs that it is left at least; doubles each time
+
     private static final long BASE_FAILOVER_MICROS = 500_000;
-    // Up to 16 s
+    // Bounds a failover at 16 s
     private static final int MAX_FAILOVER_DOUBLINGS = 5;
-    // µs whole, after which its past is forgotten
     private static final long HISTORY_EXPIRY_MICROS = 30_000_000;
-    // µs between requests that try a zone that is left
     private static final long PROBE_INTERVAL_MICROS = 100_000;
-    // Answers that show it is back
+
     private static final int SUCCESSES_TO_RECOVER = 2;
-    // Part of the requests that meet it first; doubles
     private static final double INITIAL_RECOVERY_FRACTION = 0.25;
-    // µs each part lasts at least
     private static final long RECOVERY_STEP_MICROS = 250_000;
 
-    // By number, as servers have named them
-    private final List<ZoneHealth> zones = new ArrayList<>();
+    // Zone -1, of endpoints that name none, has index 0; it is never updated and stays healthy
+    private final List<ZoneHealth> healthByIndex = new ArrayList<>();
 
-    /** A zone's; servers that name none (-1) are in one that is always whole. */
-    public ZoneHealth healthOf(int zoneIndex) {
-        while (zones.size() <= zoneIndex + 1) {
-            zones.add(new ZoneHealth());
+    /** State of a zone; {@code zone} -1 stands for endpoints that name none. */
+    public ZoneHealth healthOf(int zone) {
+        int index = zone + 1;
+        while (healthByIndex.size() <= index) {
+            healthByIndex.add(new ZoneHealth());
         }
-        return zones.get(zoneIndex + 1);
+        return healthByIndex.get(index);
     }
 
-    /** From when on an answer shows that a server there serves: not from before it was doubted. */
-    public long evidenceSinceMicros(int zoneIndex, long now) {
-        return Math.max(
-                healthOf(zoneIndex).status == ZoneStatus.SUSPECT
-                        ? healthOf(zoneIndex).statusSinceMicros
-                        : 0,
-                now - EVIDENCE_TTL_MICROS);
+    /** Since when a success shows that an endpoint of a zone responds; not before a suspicion. */
+    public long evidenceSinceMicros(int zone, long now) {
+        ZoneHealth health = healthOf(zone);
+        long suspectSinceMicros =
+                health.status() == ZoneStatus.SUSPECT ? health.periodStartMicros() : 0;
+        return Math.max(suspectSinceMicros, now - EVIDENCE_TTL_MICROS);
     }
 
+    // ---------------------------------------------------------------- requests
+
     /**
-     * Whether a request may go to a server's zone; {@code isIdempotent}: to one that is left too,
-     * now and then.
+     * Whether a request may be sent to an endpoint's zone.
+     *
+     * @param isIdempotent whether it may serve as a probe of a zone that is failed over
      */
     public boolean allowsAttempt(
             EndpointState endpoint, PendingRequest request, boolean isIdempotent, long now) {
-        ZoneHealth zone = healthOf(endpoint.descriptor.zone());
-        return switch (zone.status) {
+        int zone = endpoint.descriptor().zone();
+        ZoneHealth health = healthOf(zone);
+        return switch (health.status()) {
             case HEALTHY, SUSPECT -> true;
             case FAILED_OVER ->
-                    isIdempotent && now >= zone.lastProbedAtMicros + PROBE_INTERVAL_MICROS;
-            case RECOVERING ->
-                    request.zoneSample(endpoint.descriptor.zone()) < zone.admittedFraction;
+                    isIdempotent && now >= health.lastProbedAtMicros() + PROBE_INTERVAL_MICROS;
+            case RECOVERING -> request.zoneSample(zone) < health.admittedFraction();
         };
     }
 
-    /** A request goes to a server. */
+    /** An attempt was sent to an endpoint. */
     public void onAttemptStarted(EndpointState endpoint, long now) {
-        healthOf(endpoint.descriptor.zone()).lastProbedAtMicros = now;
+        healthOf(endpoint.descriptor().zone()).onAttemptStarted(now);
     }
 
-    /** An attempt has ended: served, or for want of a connection. */
+    /** An attempt succeeded, or found nothing to connect to; other outcomes do not count. */
     public void onAttemptEnded(EndpointState endpoint, boolean succeeded) {
-        healthOf(endpoint.descriptor.zone()).successes += succeeded ? 1 : 0;
-        healthOf(endpoint.descriptor.zone()).connectFailures += succeeded ? 0 : 1;
+        ZoneHealth health = healthOf(endpoint.descriptor().zone());
+        if (succeeded) {
+            health.onSuccess();
+        } else {
+            health.onConnectFailure();
+        }
     }
 
+    // ---------------------------------------------------------------- transitions
+
     /**
-     * Looks at all zones anew, a tally for each; {@code isCapacityShort}: what is in reach can't
-     * carry what comes; {@code log} hears of what changes.
+     * Decides on the status of each zone.
+     *
+     * @param tallies of each zone, by its number
+     * @param isCapacityShort whether the endpoints in use cannot carry the traffic
+     * @param log accepts a line for each change of a status
      */
     public void update(
             List<ZoneTally> tallies, boolean isCapacityShort, long now, Consumer<String> log) {
-        for (int zoneIndex = 0; zoneIndex < tallies.size(); zoneIndex++) {
-            ZoneHealth zone = healthOf(zoneIndex);
-            ZoneTally tally = tallies.get(zoneIndex);
+        for (int zone = 0; zone < tallies.size(); zone++) {
+            ZoneHealth health = healthOf(zone);
+            ZoneTally tally = tallies.get(zone);
+            boolean anotherZoneServes = isAnotherZoneServing(zone, tallies);
             ZoneStatus nextStatus =
-                    nextStatus(
-                            zone,
-                            tally,
-                            isCapacityShort,
-                            isAnotherZoneServing(zoneIndex, tallies),
-                            now);
-            if (nextStatus != zone.status) {
-                zone.status = nextStatus;
-                zone.restartPeriod(now);
-                log.accept(
-                        String.format(
-                                Locale.ROOT,
-                                "zone %d is %s: %d of %d servers out, %d answering",
-                                zoneIndex,
-                                nextStatus,
-                                tally.unresponsive(),
-                                tally.endpoints(),
-                                tally.responding()));
+                    nextStatus(health, tally, isCapacityShort, anotherZoneServes, now);
+            if (nextStatus != health.status()) {
+                health.transitionTo(nextStatus, now);
+                log.accept(logLine(zone, nextStatus, tally));
             }
         }
     }
 
+    private static String logLine(int zone, ZoneStatus status, ZoneTally tally) {
+        return String.format(
+                Locale.ROOT,
+                "zone %d is %s: %d of %d servers out, %d answering",
+                zone,
+                status,
+                tally.unresponsive(),
+                tally.endpoints(),
+                tally.responding());
+    }
+
     private static ZoneStatus nextStatus(
-            ZoneHealth zone,
+            ZoneHealth health,
             ZoneTally tally,
             boolean isCapacityShort,
-            boolean anotherZoneServing,
+            boolean anotherZoneServes,
             long now) {
-        int observed = tally.unresponsive() + tally.responding();
-        boolean isSuspicious =
-                tally.unresponsive() > SUSPECT_FRACTION * observed
-                        && observed
-                                >= Math.min(
-                                        tally.endpoints(),
-                                        Math.max(2, MIN_OBSERVED_FRACTION * tally.endpoints()));
-        long elapsedMicros = now - zone.statusSinceMicros;
-        switch (zone.status) {
-            case HEALTHY:
-                zone.recentFailovers =
-                        elapsedMicros > HISTORY_EXPIRY_MICROS ? 0 : zone.recentFailovers;
-                return isSuspicious && now >= zone.suspectCooldownUntilMicros
-                        ? ZoneStatus.SUSPECT
-                        : ZoneStatus.HEALTHY;
-            case SUSPECT:
-                if (tally.unresponsive() >= LOST_FRACTION * observed
-                        && isSuspicious
-                        && elapsedMicros >= MIN_SUSPECT_MICROS
-                        && anotherZoneServing) {
-                    return failOver(zone);
-                }
-                zone.suspectCooldownUntilMicros =
-                        isSuspicious ? now + SUSPECT_COOLDOWN_MICROS : now;
-                return isSuspicious && elapsedMicros < MAX_SUSPECT_MICROS
-                        ? ZoneStatus.SUSPECT
-                        : ZoneStatus.HEALTHY;
-            case FAILED_OVER:
-                // Where it is needed nothing is held back: cold servers' budgets bound what they
-                // get.
-                zone.admittedFraction = isCapacityShort ? 1 : INITIAL_RECOVERY_FRACTION;
-                return !anotherZoneServing
-                                || isCapacityShort && zone.successes > 0
-                                || zone.successes
-                                                >= Math.min(SUCCESSES_TO_RECOVER, tally.endpoints())
-                                        && elapsedMicros
-                                                >= BASE_FAILOVER_MICROS
-                                                        << Math.min(
-                                                                MAX_FAILOVER_DOUBLINGS,
-                                                                zone.recentFailovers - 1)
-                        ? ZoneStatus.RECOVERING
-                        : ZoneStatus.FAILED_OVER;
-            default:
-                if (anotherZoneServing && (zone.connectFailures > zone.successes || isSuspicious)) {
-                    return failOver(zone);
-                }
-                if ((elapsedMicros >= RECOVERY_STEP_MICROS || isCapacityShort)
-                        && (zone.successes > 0 || !anotherZoneServing)) {
-                    zone.admittedFraction = Math.min(1, 2 * zone.admittedFraction);
-                    zone.restartPeriod(now);
-                }
-                return zone.admittedFraction < 1 ? ZoneStatus.RECOVERING : ZoneStatus.HEALTHY;
+        return switch (health.status()) {
+            case HEALTHY -> nextOfHealthy(health, tally, now);
+            case SUSPECT -> nextOfSuspect(health, tally, anotherZoneServes, now);
+            case FAILED_OVER ->
+                    nextOfFailedOver(health, tally, isCapacityShort, anotherZoneServes, now);
+            case RECOVERING ->
+                    nextOfRecovering(health, tally, isCapacityShort, anotherZoneServes, now);
+        };
+    }
+
+    private static ZoneStatus nextOfHealthy(ZoneHealth health, ZoneTally tally, long now) {
+        if (now - health.periodStartMicros() > HISTORY_EXPIRY_MICROS) {
+            health.forgetFailovers();
+        }
+        boolean isCooldownOver = now >= health.suspectCooldownUntilMicros();
+        return isSuspicious(tally) && isCooldownOver ? ZoneStatus.SUSPECT : ZoneStatus.HEALTHY;
+    }
+
+    private static ZoneStatus nextOfSuspect(
+            ZoneHealth health, ZoneTally tally, boolean anotherZoneServes, long now) {
+        long elapsedMicros = now - health.periodStartMicros();
+        boolean isSuspicious = isSuspicious(tally);
+        boolean isLost = isSuspicious && tally.unresponsive() >= LOST_FRACTION * tally.observed();
+        if (isLost && elapsedMicros >= MIN_SUSPECT_MICROS && anotherZoneServes) {
+            health.onFailover();
+            return ZoneStatus.FAILED_OVER;
+        }
+        health.setSuspectCooldown(isSuspicious ? now + SUSPECT_COOLDOWN_MICROS : now);
+        return isSuspicious && elapsedMicros < MAX_SUSPECT_MICROS
+                ? ZoneStatus.SUSPECT
+                : ZoneStatus.HEALTHY;
+    }
+
+    private static ZoneStatus nextOfFailedOver(
+            ZoneHealth health,
+            ZoneTally tally,
+            boolean isCapacityShort,
+            boolean anotherZoneServes,
+            long now) {
+        // All at once where it is needed: the budgets of slow start bound what its endpoints get
+        health.setInitialRecoveryFraction(isCapacityShort ? 1 : INITIAL_RECOVERY_FRACTION);
+        boolean isNeeded = !anotherZoneServes || (isCapacityShort && health.successes() > 0);
+        int requiredSuccesses = Math.min(SUCCESSES_TO_RECOVER, tally.endpoints());
+        boolean hasRecovered =
+                health.successes() >= requiredSuccesses
+                        && now - health.periodStartMicros() >= minFailoverMicros(health);
+        return isNeeded || hasRecovered ? ZoneStatus.RECOVERING : ZoneStatus.FAILED_OVER;
+    }
+
+    private static long minFailoverMicros(ZoneHealth health) {
+        int doublings = Math.min(MAX_FAILOVER_DOUBLINGS, health.recentFailovers() - 1);
+        return BASE_FAILOVER_MICROS << doublings;
+    }
+
+    private static ZoneStatus nextOfRecovering(
+            ZoneHealth health,
+            ZoneTally tally,
+            boolean isCapacityShort,
+            boolean anotherZoneServes,
+            long now) {
+        boolean failsAgain = health.connectFailures() > health.successes() || isSuspicious(tally);
+        if (anotherZoneServes && failsAgain) {
+            health.onFailover();
+            return ZoneStatus.FAILED_OVER;
+        }
+        boolean isStepOver =
+                now - health.periodStartMicros() >= RECOVERY_STEP_MICROS || isCapacityShort;
+        if (isStepOver && (health.successes() > 0 || !anotherZoneServes)) {
+            health.advanceRecovery(now);
         }
+        return health.admittedFraction() < 1 ? ZoneStatus.RECOVERING : ZoneStatus.HEALTHY;
     }
 
-    private static ZoneStatus failOver(ZoneHealth zone) {
-        zone.recentFailovers++;
-        zone.admittedFraction = 0;
-        return ZoneStatus.FAILED_OVER;
+    private static boolean isSuspicious(ZoneTally tally) {
+        double minObserved =
+                Math.min(
+                        tally.endpoints(),
+                        Math.max(
+                                MIN_OBSERVED_ENDPOINTS, MIN_OBSERVED_FRACTION * tally.endpoints()));
+        return tally.unresponsive() > SUSPECT_FRACTION * tally.observed()
+                && tally.observed() >= minObserved;
     }
 
-    // Whether servers answer in a zone that is neither left nor in doubt; else this balancer may be
-    // the one
-    // cut off.
-    private boolean isAnotherZoneServing(int zoneIndex, List<ZoneTally> tallies) {
-        for (int otherIndex = 0; otherIndex < tallies.size(); otherIndex++) {
-            if (otherIndex != zoneIndex
-                    && healthOf(otherIndex).status == ZoneStatus.HEALTHY
-                    && tallies.get(otherIndex).responding()
-                            > tallies.get(otherIndex).unresponsive()) {
+    // Whether endpoints respond in another zone, which is healthy itself. Otherwise this balancer
+    // may be the one that is isolated.
+    private boolean isAnotherZoneServing(int zone, List<ZoneTally> tallies) {
+        for (int other = 0; other < tallies.size(); other++) {
+            ZoneTally tally = tallies.get(other);
+            if (other != zone
+                    && healthOf(other).status() == ZoneStatus.HEALTHY
+                    && tally.responding() > tally.unresponsive()) {
                 return true;
             }
         }
--- a/balancer/src/test/java/loadbalancer/routing/admission/RetryAfterTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/admission/RetryAfterTest.java
@@ -12,11 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** The Retry-After of rejected requests. */
 class RetryAfterTest {
-    /**
-     * As long as strain is remembered, no longer than clients heed it, and nothing where they get
-     * none.
-     */
+    /** It is the time for which an overload is remembered, up to the maximum of the settings. */
     @ParameterizedTest
     @CsvSource({"0, 0", "1, 1", "1999999, 1999999", "2000000, 2000000", "2500000, 2000000"})
     void rejectionCarriesBoundedRetryAfter(long maxRetryAfterMicros, long expectedMicros) {
@@ -50,7 +48,6 @@
                                 baseSettings.bounds(),
                                 baseSettings.clockTickMicros()),
                         3);
-        // No server to send to
         harness.updateEndpoints(EndpointListKind.CACHED, List.of());
         harness.request("r", 0);
         harness.advanceTime(RoutingEngineHarness.DEADLINE_MICROS);
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/EjectionBackoffTest.java
@@ -0,0 +1,30 @@
+package loadbalancer.routing.endpoint;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** {@link EjectionBackoff}: lengths of ejections and their jitter. */
+class EjectionBackoffTest {
+    @ParameterizedTest(name = "{0} ejections before: {1} µs")
+    @CsvSource({"0, 1000000", "1, 2000000", "3, 8000000", "4, 16000000", "5, 16000000"})
+    void lengthDoublesUpToItsBound(int priorEjections, long expectedMicros) {
+        assertEquals(expectedMicros, EjectionBackoff.ejectionMicros(priorEjections));
+    }
+
+    @Test
+    void jitterAddsLessThanAQuarter() {
+        SplittableRandom random = new SplittableRandom(1);
+        long now = 5_000_000;
+        for (int i = 0; i < 1_000; i++) {
+            long untilMicros = EjectionBackoff.ejectedUntilMicros(now, 2_000_000, random);
+            assertTrue(
+                    untilMicros >= now + 2_000_000 && untilMicros < now + 2_500_000,
+                    "ejected until " + untilMicros);
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/ZoneTallyTest.java
@@ -0,0 +1,24 @@
+package loadbalancer.routing.endpoint;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import org.junit.jupiter.api.Test;
+
+/** {@link ZoneTally}: its counts fit each other. */
+class ZoneTallyTest {
+    @Test
+    void observedEndpointsAreThoseWithEvidence() {
+        assertEquals(9, new ZoneTally(10, 6, 3).observed());
+    }
+
+    @Test
+    void moreObservedThanListedEndpointsAreRejected() {
+        InvalidZoneTallyException exception =
+                assertThrows(InvalidZoneTallyException.class, () -> new ZoneTally(10, 6, 5));
+        assertEquals(
+                "zone tally: 6 unresponsive and 5 responding endpoints exceed the 10 that are"
+                        + " listed",
+                exception.getMessage());
+    }
+}
