--- a/balancer/src/main/java/loadbalancer/cluster/ClusterCoordinator.java
+++ b/balancer/src/main/java/loadbalancer/cluster/ClusterCoordinator.java
@@ -5,7 +5,6 @@
 import java.util.function.Consumer;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.LocalSettings;
-import loadbalancer.lease.Lease;
 import loadbalancer.membership.MembershipView;
 import loadbalancer.recovery.RecoveryStore;
 
@@ -91,10 +90,12 @@
     }
 
     private void appendAuditRecord() {
-        Lease lease = leaseDriver.currentLease(ClusterAuditLog.LEASE_KEY);
-        if (lease != null) {
-            auditLog.appendAsync(lease, view, recoveryStore::executeOnDiskThread);
-        }
+        leaseDriver
+                .currentLease(ClusterAuditLog.LEASE_KEY)
+                .ifPresent(
+                        lease ->
+                                auditLog.appendAsync(
+                                        lease, view, recoveryStore::executeOnDiskThread));
     }
 
     /** A datagram from a peer; false where it is the module's. */
--- a/balancer/src/main/java/loadbalancer/cluster/LeaseDriver.java
+++ b/balancer/src/main/java/loadbalancer/cluster/LeaseDriver.java
@@ -2,6 +2,7 @@
 
 import io.netty.channel.EventLoop;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
@@ -52,9 +53,11 @@
         this.log = log;
         List<VoterPromise> promises =
                 recoveryStore == null
-                        ? null
+                        ? List.of()
                         : VoterPromise.decode(
-                                recoveryStore.recoveredPromises(), LeaseTiming.DEFAULT.slotCount());
+                                        recoveryStore.recoveredPromises(),
+                                        LeaseTiming.DEFAULT.slotCount())
+                                .orElse(List.of());
         leaseManager =
                 new LeaseManager(
                         self,
@@ -90,9 +93,9 @@
         if (!LeaseMessage.matchesFormat(data)) {
             return false;
         }
-        LeaseMessage message = LeaseMessage.decode(data);
-        if (message != null) {
-            execute(leaseManager.onPeerMessage(MembershipDriver.nowMicros(), from, message));
+        Optional<LeaseMessage> message = LeaseMessage.decode(data);
+        if (message.isPresent()) {
+            execute(leaseManager.onPeerMessage(MembershipDriver.nowMicros(), from, message.get()));
         } else if (!decodeFailureLogged) {
             decodeFailureLogged = true;
             log.accept("duties: passed over a message of balancer " + from + " that can't be read");
@@ -101,7 +104,7 @@
     }
 
     /** Leave to act for a key, now; null: not for this process. */
-    Lease currentLease(String key) {
+    Optional<Lease> currentLease(String key) {
         return leaseManager.currentLease(MembershipDriver.nowMicros(), key);
     }
 
--- a/balancer/src/main/java/loadbalancer/lease/FencingGuard.java
+++ b/balancer/src/main/java/loadbalancer/lease/FencingGuard.java
@@ -1,8 +1,9 @@
 package loadbalancer.lease;
 
 /**
- * The highest epoch of each slot that was heard of here. Who acts on a holder's word asks first:
- * one that was paused may still believe in an epoch that somebody else has ended.
+ * The highest epoch of each slot that this member has seen a holder act under. A receiver of a
+ * holder's messages checks each here: a holder that was paused may still send under an epoch that
+ * has been superseded.
  */
 public final class FencingGuard {
     private final long[] highestEpochs;
@@ -15,7 +16,7 @@
         highestEpochs = other.highestEpochs.clone();
     }
 
-    /** Whether a word under this epoch counts: not where a later one was heard of. */
+    /** Whether to accept a message under this epoch: not after one under a higher epoch. */
     public boolean accept(int slot, long epoch) {
         if (epoch < highestEpochs[slot]) {
             return false;
--- a/balancer/src/main/java/loadbalancer/lease/GrantTally.java
+++ b/balancer/src/main/java/loadbalancer/lease/GrantTally.java
@@ -3,23 +3,25 @@
 import java.util.Arrays;
 
 /**
- * What one member has been granted of a slot under one epoch, by its voters; or, while it only
- * sounds them ({@code binding} false), who would grant it.
+ * The voters' responses to one member's request for a slot under one epoch: grants, or, if the
+ * request is a pre-vote (not {@link #isBinding}), statements that they would grant it.
  */
 final class GrantTally {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    final long epoch;
-    final boolean binding;
-    // When each voter's newest grant was asked for
+    private final long epoch;
+    private final boolean binding;
+    private final int majoritySize;
+    // By index of the voter: when the newest request that it granted was sent.
     private final long[] grantRequestedMicros;
-    // The newest asking, whose refusals count
     private long lastRequestMicros;
+    // Of the newest request
     private int denials;
 
     GrantTally(long epoch, boolean binding, int voterCount) {
         this.epoch = epoch;
         this.binding = binding;
+        this.majoritySize = voterCount / 2 + 1;
         this.grantRequestedMicros = new long[voterCount];
         Arrays.fill(grantRequestedMicros, NEVER);
     }
@@ -27,13 +29,18 @@
     GrantTally(GrantTally other) {
         epoch = other.epoch;
         binding = other.binding;
+        majoritySize = other.majoritySize;
         grantRequestedMicros = other.grantRequestedMicros.clone();
         lastRequestMicros = other.lastRequestMicros;
         denials = other.denials;
     }
 
-    void recordGrant(int voter, long requestedAtMicros) {
-        grantRequestedMicros[voter] = Math.max(grantRequestedMicros[voter], requestedAtMicros);
+    long epoch() {
+        return epoch;
+    }
+
+    boolean isBinding() {
+        return binding;
     }
 
     void recordRequest(long sentAtMicros) {
@@ -41,31 +48,36 @@
         denials = 0;
     }
 
-    boolean isGrantedBy(int voter) {
-        return grantRequestedMicros[voter] != NEVER;
+    void recordGrant(int voterIndex, long requestedAtMicros) {
+        grantRequestedMicros[voterIndex] =
+                Math.max(grantRequestedMicros[voterIndex], requestedAtMicros);
     }
 
-    /** A refusal of what was asked then; whether a majority can't be had by that asking. */
-    boolean recordDenial(long requestedAtMicros) {
-        denials += requestedAtMicros == lastRequestMicros ? 1 : 0;
-        return denials > grantRequestedMicros.length - majoritySize();
+    boolean isGrantedBy(int voterIndex) {
+        return grantRequestedMicros[voterIndex] != NEVER;
     }
 
-    private int majoritySize() {
-        return grantRequestedMicros.length / 2 + 1;
+    /** Records a denial; returns whether the newest request can no longer get a majority. */
+    boolean recordDenial(long requestedAtMicros) {
+        if (requestedAtMicros == lastRequestMicros) {
+            denials++;
+        }
+        return denials > grantRequestedMicros.length - majoritySize;
     }
 
     /**
-     * Until when it may be relied on, by the clock of who asked: then one of the majority may be
-     * free again.
+     * Until when a majority of the grants binds its voters for certain, µs of the requester's
+     * clock; in the past if there is no majority.
      */
     long reliableUntilMicros(LeaseTiming timing) {
         long[] sortedRequestMicros = grantRequestedMicros.clone();
         Arrays.sort(sortedRequestMicros);
-        return sortedRequestMicros[sortedRequestMicros.length - majoritySize()]
-                + timing.usableMicros();
+        long oldestOfMajorityMicros =
+                sortedRequestMicros[sortedRequestMicros.length - majoritySize];
+        return oldestOfMajorityMicros + timing.usableMicros();
     }
 
+    /** State as a number, times relative to {@code nowMicros}. */
     long fingerprint(long nowMicros, LeaseTiming timing) {
         long hash = (epoch * 31 + denials) * 31 + lastRequestMicros - nowMicros + (binding ? 1 : 0);
         for (long requestedAtMicros : grantRequestedMicros) {
--- a/balancer/src/main/java/loadbalancer/lease/LeaseMessage.java
+++ b/balancer/src/main/java/loadbalancer/lease/LeaseMessage.java
@@ -3,74 +3,97 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * A datagram about duties: a head of {@value #HEADER_BYTES} bytes (format, kind, process, number)
- * and {@value #ENTRY_BYTES} bytes an entry.
+ * One datagram of the lease protocol: a header of {@value #HEADER_BYTES} bytes (format, kind,
+ * process id, sequence number) and {@value #ENTRY_BYTES} bytes for each entry.
  *
- * @param processId tells processes of one member apart, by chance: below {@value
- *     #PROCESS_ID_LIMIT}; an answer bears that of its question
- * @param sequenceNumber of the asking that it belongs to, likewise
+ * @param processId random number, below {@value #PROCESS_ID_LIMIT}, that distinguishes the
+ *     processes of one member; a response repeats that of its request
+ * @param sequenceNumber of the request; a response repeats it
+ * @param entries one for each slot, at most {@value #MAX_ENTRIES}
  */
 public record LeaseMessage(Kind kind, int processId, int sequenceNumber, List<Entry> entries) {
-    /** The first byte of all such messages; other formats begin otherwise. */
+    /** First byte of each such datagram; those of other protocols begin otherwise. */
     public static final byte FORMAT = 5;
 
-    /** Entries of a message at most. */
+    /** Most entries of a message. */
     public static final int MAX_ENTRIES = 35;
 
-    /** Epochs are shorter than 48 bits. */
+    /** Highest epoch: 48 bits. */
     public static final long MAX_EPOCH = (1L << 48) - 1;
 
-    /** So many processes of a member can be told apart. */
+    /** Process ids are below it. */
     public static final int PROCESS_ID_LIMIT = 1 << 15;
 
     private static final int HEADER_BYTES = 8;
     private static final int ENTRY_BYTES = 7;
+    private static final int MAX_SLOT = 255;
+    private static final Kind[] KINDS = Kind.values();
 
-    /** What is said. */
+    /** Kind of a message; the ordinal is on the wire. */
     public enum Kind {
-        /** Would you grant me these slots under these epochs? Binds nobody. */
+        /** Asks whether the receiver would grant these slots under these epochs; binds nobody. */
         PRE_VOTE,
-        /** I would, as things stand. */
+        /** The sender would grant them. */
         PRE_VOTE_GRANTED,
-        /** Grant me these slots under these epochs, or renew them. */
+        /** Requests or renews these slots under these epochs. */
         REQUEST,
-        /** Granted. */
+        /** The sender has granted them. */
         GRANTED,
-        /** Not granted, nor would they be; the epochs are the highest that this voter knows. */
+        /** Denies a request or a pre-vote; the epochs are the highest that the sender knows. */
         DENIED,
-        /** These were asked for in vain. */
+        /** The sender gives up requests for these slots. */
         RELEASE,
-        /** These were held until now: who is next may ask at once. */
+        /** The sender gives up these slots, or stays without them: the next holder may request. */
         TRANSFER
     }
 
-    /** One slot's part. */
+    /** One slot and an epoch of it. */
     public record Entry(int slot, long epoch) {}
 
+    /**
+     * Makes a message.
+     *
+     * @throws InvalidLeaseArgumentException if a value does not fit in a datagram
+     */
     public LeaseMessage {
         entries = List.copyOf(entries);
-        if (processId < 0
-                || processId >= PROCESS_ID_LIMIT
-                || entries.size() > MAX_ENTRIES
-                || entries.stream()
-                        .anyMatch(
-                                entry ->
-                                        entry.slot < 0
-                                                || entry.slot > 255
-                                                || entry.epoch < 0
-                                                || entry.epoch > MAX_EPOCH)) {
-            throw new IllegalArgumentException("does not fit in a datagram");
+        require(
+                processId >= 0 && processId < PROCESS_ID_LIMIT,
+                "processId",
+                processId,
+                "0 or more, below " + PROCESS_ID_LIMIT);
+        require(
+                entries.size() <= MAX_ENTRIES,
+                "number of entries",
+                entries.size(),
+                "at most " + MAX_ENTRIES);
+        for (Entry entry : entries) {
+            require(
+                    entry.slot >= 0 && entry.slot <= MAX_SLOT,
+                    "slot",
+                    entry.slot,
+                    "0 to " + MAX_SLOT);
+            require(
+                    entry.epoch >= 0 && entry.epoch <= MAX_EPOCH,
+                    "epoch",
+                    entry.epoch,
+                    "0 to " + MAX_EPOCH);
         }
     }
 
-    /** Whether bytes claim to be such a message, whole or not. */
+    private static void require(boolean valid, String field, long value, String range) {
+        InvalidLeaseArgumentException.require(valid, "lease message: " + field, value, range);
+    }
+
+    /** Whether the first byte is this format's; the rest may be invalid. */
     public static boolean matchesFormat(byte[] bytes) {
         return bytes.length > 0 && bytes[0] == FORMAT;
     }
 
-    /** As bytes, 253 at most. */
+    /** The datagram, 253 bytes at most. */
     public byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + ENTRY_BYTES * entries.size());
         out.put(FORMAT)
@@ -85,28 +108,34 @@
         return out.array();
     }
 
-    /** The message of these bytes; null where they are none of this format, or damaged. */
-    public static LeaseMessage decode(byte[] bytes) {
-        if (!matchesFormat(bytes)
-                || bytes.length < HEADER_BYTES
-                || (bytes.length - HEADER_BYTES) % ENTRY_BYTES != 0
-                || bytes.length > HEADER_BYTES + ENTRY_BYTES * MAX_ENTRIES
-                || bytes[1] < 0
-                || bytes[1] >= Kind.values().length) {
-            return null;
+    /** The message of a datagram; empty if it is of another format or invalid. */
+    public static Optional<LeaseMessage> decode(byte[] bytes) {
+        if (!matchesFormat(bytes) || !hasValidLength(bytes) || !hasValidKind(bytes)) {
+            return Optional.empty();
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 2, bytes.length - 2);
         int processId = in.getShort();
         if (processId < 0) {
-            return null;
+            return Optional.empty();
         }
         int sequenceNumber = in.getInt();
         List<Entry> entries = new ArrayList<>();
         while (in.hasRemaining()) {
             int slot = in.get() & 0xff;
-            entries.add(
-                    new Entry(slot, (in.getShort() & 0xffffL) << 32 | in.getInt() & 0xffffffffL));
+            long epochHigh = in.getShort() & 0xffffL;
+            long epochLow = in.getInt() & 0xffffffffL;
+            entries.add(new Entry(slot, (epochHigh << 32) | epochLow));
         }
-        return new LeaseMessage(Kind.values()[bytes[1]], processId, sequenceNumber, entries);
+        return Optional.of(new LeaseMessage(KINDS[bytes[1]], processId, sequenceNumber, entries));
+    }
+
+    private static boolean hasValidLength(byte[] bytes) {
+        return bytes.length >= HEADER_BYTES
+                && bytes.length <= HEADER_BYTES + ENTRY_BYTES * MAX_ENTRIES
+                && (bytes.length - HEADER_BYTES) % ENTRY_BYTES == 0;
+    }
+
+    private static boolean hasValidKind(byte[] bytes) {
+        return bytes[1] >= 0 && bytes[1] < KINDS.length;
     }
 }
--- a/balancer/src/main/java/loadbalancer/lease/Voter.java
+++ b/balancer/src/main/java/loadbalancer/lease/Voter.java
@@ -3,42 +3,55 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * One member as a voter. For each slot it promises one process at a time: nobody else is granted
- * the slot until the grant's lease is over by this member's clock, and no epoch below it ever. For
- * a lease after its start it grants nothing, since it does not know what it granted before: so no
- * grant is forgotten while it binds, whatever has become of the disk. What is kept there, synced
- * before an answer is given, is for epochs never to go back.
+ * One member as a voter of all slots.
+ *
+ * <p>A grant binds it for a lease: until then, by its own clock, no other process is granted the
+ * slot, and no lower epoch ever. It abstains for a lease after its start, because it does not know
+ * what an earlier process granted: no grant is forgotten while it binds, whatever has become of the
+ * disk. Promises are persisted before they are sent so that epochs never go back.
  */
 final class Voter {
-    // µs after a disk that failed
     private static final long PERSIST_RETRY_MICROS = 1_000_000;
 
     private final LeaseTiming timing;
     private final VoterPromise[] promises;
-    // The same as kept; only these are told
+    // What is known to be on disk; only grants under these promises are sent.
     private final VoterPromise[] persistedPromises;
     private final long[] grantedUntilMicros;
-    // Grants that are not kept yet, one a slot at most
+    // By slot: the grant that waits for its promise to be persisted, or null.
     private final PendingGrant[] pendingGrants;
     private final boolean durable;
-    // Under way to the disk, or null
+    // What is being written, or null.
     private VoterPromise[] writingPromises;
-    // Tables given to the disk
     private long lastWriteId;
-    // Since the last one
+    // Whether promises have changed since the last write began.
     private boolean dirty;
     private long persistNotBeforeMicros;
     private long abstainsUntilMicros;
 
-    /** A grant that may be told once the promise under it is kept. */
-    record PendingGrant(int from, int processId, int sequenceNumber, int slot, long epoch) {}
+    /** A grant to be sent once the promise for it is persisted. */
+    record PendingGrant(int to, int processId, int sequenceNumber, int slot, long epoch) {}
 
-    /** What an asking gets: at once, or ({@code later}) once it is kept. */
-    record VoteResult(List<LeaseMessage.Entry> granted, List<LeaseMessage.Entry> denied) {}
+    /** The entries to be granted and denied at once; those in neither wait for the disk. */
+    record VoteResult(List<LeaseMessage.Entry> granted, List<LeaseMessage.Entry> denied) {
+        VoteResult() {
+            this(new ArrayList<>(), new ArrayList<>());
+        }
+
+        private void deny(int slot, VoterPromise promise) {
+            denied.add(new LeaseMessage.Entry(slot, promise.epoch()));
+        }
+    }
 
-    /** {@code durable}: promises are kept before they are told. */
+    /**
+     * Makes a voter that abstains for a lease.
+     *
+     * @param promises of all slots
+     * @param durable whether promises are persisted before they are sent
+     */
     Voter(LeaseTiming timing, List<VoterPromise> promises, boolean durable, long nowMicros) {
         this.timing = timing;
         this.promises = promises.toArray(VoterPromise[]::new);
@@ -63,7 +76,7 @@
         abstainsUntilMicros = other.abstainsUntilMicros;
     }
 
-    /** From now on it can be asked: what an earlier process has granted was granted before. */
+    /** Abstains for a lease from now on: an earlier process may have granted until now. */
     void startAbstaining(long nowMicros) {
         abstainsUntilMicros = nowMicros + timing.leaseMicros();
     }
@@ -76,91 +89,95 @@
         return promises[slot].epoch();
     }
 
-    /** What these slots would get, now. */
+    /** Whether the slots of a pre-vote would be granted now; nothing is promised. */
     VoteResult preVote(long nowMicros, int from, LeaseMessage message) {
-        VoteResult result = new VoteResult(new ArrayList<>(), new ArrayList<>());
+        VoteResult result = new VoteResult();
         int granteeId = VoterPromise.granteeId(from, message.processId());
         for (LeaseMessage.Entry entry : message.entries()) {
             if (canGrant(nowMicros, granteeId, entry)) {
                 result.granted.add(entry);
             } else {
-                result.denied.add(
-                        new LeaseMessage.Entry(entry.slot(), promisedEpoch(entry.slot())));
+                result.deny(entry.slot(), promises[entry.slot()]);
             }
         }
         return result;
     }
 
-    private boolean canGrant(long nowMicros, int granteeId, LeaseMessage.Entry entry) {
-        VoterPromise promise = promises[entry.slot()];
-        boolean sameGrantee = promise.granteeId() == granteeId;
-        return nowMicros >= abstainsUntilMicros
-                && (sameGrantee || nowMicros >= grantedUntilMicros[entry.slot()])
-                && (entry.epoch() > promise.epoch()
-                        || sameGrantee && entry.epoch() == promise.epoch());
-    }
-
+    /** Grants what of a request can be granted. */
     VoteResult vote(long nowMicros, int from, LeaseMessage message) {
-        VoteResult result = new VoteResult(new ArrayList<>(), new ArrayList<>());
+        VoteResult result = new VoteResult();
         int granteeId = VoterPromise.granteeId(from, message.processId());
         for (LeaseMessage.Entry entry : message.entries()) {
-            VoterPromise promise = promises[entry.slot()];
+            int slot = entry.slot();
             if (!canGrant(nowMicros, granteeId, entry)) {
-                result.denied.add(new LeaseMessage.Entry(entry.slot(), promise.epoch()));
+                result.deny(slot, promises[slot]);
                 continue;
             }
-            boolean epochRises = entry.epoch() > promise.epoch();
-            grantedUntilMicros[entry.slot()] = nowMicros + timing.leaseMicros();
-            if (epochRises) {
-                promises[entry.slot()] = new VoterPromise(entry.epoch(), granteeId);
+            grantedUntilMicros[slot] = nowMicros + timing.leaseMicros();
+            if (entry.epoch() > promises[slot].epoch()) {
+                promises[slot] = new VoterPromise(entry.epoch(), granteeId);
                 dirty = true;
             }
-            if (durable && !persistedPromises[entry.slot()].equals(promises[entry.slot()])) {
-                pendingGrants[entry.slot()] =
+            if (!durable || isPersisted(slot)) {
+                result.granted.add(entry);
+            } else {
+                pendingGrants[slot] =
                         new PendingGrant(
                                 from,
                                 message.processId(),
                                 message.sequenceNumber(),
-                                entry.slot(),
+                                slot,
                                 entry.epoch());
-            } else {
-                result.granted.add(entry);
             }
         }
         return result;
     }
 
+    private boolean canGrant(long nowMicros, int granteeId, LeaseMessage.Entry entry) {
+        VoterPromise promise = promises[entry.slot()];
+        boolean sameGrantee = promise.granteeId() == granteeId;
+        boolean isFree = sameGrantee || nowMicros >= grantedUntilMicros[entry.slot()];
+        boolean isRenewal = sameGrantee && entry.epoch() == promise.epoch();
+        return nowMicros >= abstainsUntilMicros
+                && isFree
+                && (isRenewal || entry.epoch() > promise.epoch());
+    }
+
+    private boolean isPersisted(int slot) {
+        return persistedPromises[slot].equals(promises[slot]);
+    }
+
+    /** Frees the slots that the sender was granted under these epochs. */
     void release(long nowMicros, int from, LeaseMessage message) {
+        int granteeId = VoterPromise.granteeId(from, message.processId());
         for (LeaseMessage.Entry entry : message.entries()) {
-            if (promises[entry.slot()].equals(
-                    new VoterPromise(
-                            entry.epoch(), VoterPromise.granteeId(from, message.processId())))) {
+            if (promises[entry.slot()].equals(new VoterPromise(entry.epoch(), granteeId))) {
                 grantedUntilMicros[entry.slot()] = nowMicros;
                 pendingGrants[entry.slot()] = null;
             }
         }
     }
 
-    /** Promises to be kept now; null where there is nothing to keep, or the disk is at it still. */
-    LeaseManager.Persist takePersist(long nowMicros) {
-        if (!durable || !dirty || writingPromises != null || nowMicros < persistNotBeforeMicros) {
-            return null;
+    /** A write of all promises, if one is due; at most one is under way. */
+    Optional<LeaseManager.Persist> takePersist(long nowMicros) {
+        if (!canWrite() || nowMicros < persistNotBeforeMicros) {
+            return Optional.empty();
         }
         dirty = false;
         writingPromises = promises.clone();
-        return new LeaseManager.Persist(++lastWriteId, List.of(writingPromises));
+        return Optional.of(new LeaseManager.Persist(++lastWriteId, List.of(writingPromises)));
     }
 
+    /** When {@link #takePersist} has to be called next; {@link Long#MAX_VALUE}: not needed. */
     long nextPersistMicros() {
-        return durable && dirty && writingPromises == null
-                ? persistNotBeforeMicros
-                : Long.MAX_VALUE;
+        return canWrite() ? persistNotBeforeMicros : Long.MAX_VALUE;
     }
 
-    /**
-     * The promises of that number are safe, or will never be; returns the grants that may be told
-     * now.
-     */
+    private boolean canWrite() {
+        return durable && dirty && writingPromises == null;
+    }
+
+    /** The write has ended; returns the grants that may be sent now. */
     List<PendingGrant> onPersisted(long nowMicros, long writeId, boolean succeeded) {
         if (writingPromises == null || writeId != lastWriteId) {
             return List.of();
@@ -168,7 +185,7 @@
         List<PendingGrant> confirmed = new ArrayList<>();
         for (int slot = 0; succeeded && slot < promises.length; slot++) {
             persistedPromises[slot] = writingPromises[slot];
-            if (pendingGrants[slot] != null && persistedPromises[slot].equals(promises[slot])) {
+            if (pendingGrants[slot] != null && isPersisted(slot)) {
                 confirmed.add(pendingGrants[slot]);
                 pendingGrants[slot] = null;
             }
@@ -179,6 +196,7 @@
         return confirmed;
     }
 
+    /** State as a number, times relative to {@code nowMicros}. */
     long fingerprint(long nowMicros) {
         long hash =
                 (Arrays.hashCode(promises) * 31L + Arrays.hashCode(pendingGrants)) * 31
--- a/balancer/src/main/java/loadbalancer/lease/VoterPromise.java
+++ b/balancer/src/main/java/loadbalancer/lease/VoterPromise.java
@@ -3,49 +3,59 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * What a voter has promised of a slot: to grant nothing under a lower epoch, nor this one to
- * anybody else.
+ * A voter's promise for one slot: to grant nothing under a lower epoch, nor this epoch to another
+ * grantee.
  *
- * @param granteeId the member that the epoch was granted to, and which of its processes; -1: nobody
- *     yet
+ * @param epoch highest epoch that was granted
+ * @param granteeId the process of the member that it was granted to, see {@link #granteeId}; {@link
+ *     #NO_GRANTEE} before the first grant
  */
 public record VoterPromise(long epoch, int granteeId) {
-    /** Nothing under this epoch or a lower one was granted, as far as is known. */
+    /** Grantee of an epoch that was granted to nobody. */
+    static final int NO_GRANTEE = -1;
+
+    private static final int ENCODED_BYTES = Long.BYTES + Integer.BYTES;
+    private static final int PROCESS_ID_SHIFT = 16;
+
+    /** The promise before the first grant: nothing is granted at or below {@code epochFloor}. */
     static VoterPromise initial(long epochFloor) {
-        return new VoterPromise(epochFloor, -1);
+        return new VoterPromise(epochFloor, NO_GRANTEE);
     }
 
-    /** One process of one member. */
+    /** Identifies one process of one member. */
     static int granteeId(int member, int processId) {
-        return processId << 16 | member;
+        return (processId << PROCESS_ID_SHIFT) | member;
     }
 
-    private static final int ENCODED_BYTES = Long.BYTES + Integer.BYTES;
-
-    /** Of all slots in turn, as bytes to be kept. */
+    /** The promises of all slots, in order of slots, as stored bytes. */
     public static byte[] encode(List<VoterPromise> promises) {
         ByteBuffer out = ByteBuffer.allocate(ENCODED_BYTES * promises.size());
-        promises.forEach(p -> out.putLong(p.epoch).putInt(p.granteeId));
+        for (VoterPromise promise : promises) {
+            out.putLong(promise.epoch).putInt(promise.granteeId);
+        }
         return out.array();
     }
 
-    /** What {@link #encode} wrote; null where these are no promises of so many slots. */
-    public static List<VoterPromise> decode(byte[] bytes, int slotCount) {
+    /**
+     * The promises that {@link #encode} wrote; empty if {@code bytes} is null or is not the valid
+     * encoding of {@code slotCount} promises.
+     */
+    public static Optional<List<VoterPromise>> decode(byte[] bytes, int slotCount) {
         if (bytes == null || bytes.length != ENCODED_BYTES * slotCount) {
-            return null;
+            return Optional.empty();
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
         VoterPromise[] promises = new VoterPromise[slotCount];
-        Arrays.setAll(promises, i -> new VoterPromise(in.getLong(), in.getInt()));
-        return Arrays.stream(promises)
-                        .anyMatch(
-                                p ->
-                                        p.epoch < 0
-                                                || p.epoch > LeaseMessage.MAX_EPOCH
-                                                || p.granteeId < -1)
-                ? null
-                : List.of(promises);
+        Arrays.setAll(promises, slot -> new VoterPromise(in.getLong(), in.getInt()));
+        return Arrays.stream(promises).allMatch(VoterPromise::isValid)
+                ? Optional.of(List.of(promises))
+                : Optional.empty();
+    }
+
+    private boolean isValid() {
+        return epoch >= 0 && epoch <= LeaseMessage.MAX_EPOCH && granteeId >= NO_GRANTEE;
     }
 }
--- a/balancer/src/test/java/loadbalancer/lease/GoldenLeaseMessageTest.java
+++ b/balancer/src/test/java/loadbalancer/lease/GoldenLeaseMessageTest.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import loadbalancer.GoldenFiles;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -79,7 +80,9 @@
     @ParameterizedTest
     @MethodSource("names")
     void bytesGiveValues(String name) {
-        assertEquals(messages().get(name), LeaseMessage.decode(GoldenFiles.bytes("lease/" + name)));
+        assertEquals(
+                Optional.of(messages().get(name)),
+                LeaseMessage.decode(GoldenFiles.bytes("lease/" + name)));
     }
 
     @ParameterizedTest
--- a/balancer/src/test/java/loadbalancer/lease/GoldenVoterPromisesTest.java
+++ b/balancer/src/test/java/loadbalancer/lease/GoldenVoterPromisesTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
+import java.util.Optional;
 import loadbalancer.GoldenFiles;
 import org.junit.jupiter.api.Test;
 
@@ -11,20 +12,22 @@
     private static final String FILE = "lease/voter-promises.hex";
     private static final int GREATEST_MEMBER = (1 << 14) - 1;
     private static final int GREATEST_PROCESS = (1 << 15) - 1;
-    private static final int GREATEST_CLAIMANT = 0x7fff3fff;
+    private static final int GREATEST_GRANTEE_ID = 0x7fff3fff;
 
     static List<VoterPromise> promises() {
         return List.of(
                 new VoterPromise(0, -1),
                 new VoterPromise(0, 0),
                 new VoterPromise(1, 65_537),
-                new VoterPromise((1L << 48) - 1, GREATEST_CLAIMANT),
+                new VoterPromise((1L << 48) - 1, GREATEST_GRANTEE_ID),
                 new VoterPromise(1L << 32, 16_909_060));
     }
 
     @Test
     void bytesGiveValues() {
-        assertEquals(promises(), VoterPromise.decode(GoldenFiles.bytes(FILE), promises().size()));
+        assertEquals(
+                Optional.of(promises()),
+                VoterPromise.decode(GoldenFiles.bytes(FILE), promises().size()));
     }
 
     @Test
@@ -33,8 +36,9 @@
     }
 
     @Test
-    void claimantJoinsMemberAndProcess() {
-        assertEquals(GREATEST_CLAIMANT, VoterPromise.granteeId(GREATEST_MEMBER, GREATEST_PROCESS));
+    void granteeIdJoinsMemberAndProcess() {
+        assertEquals(
+                GREATEST_GRANTEE_ID, VoterPromise.granteeId(GREATEST_MEMBER, GREATEST_PROCESS));
         assertEquals(65_537, VoterPromise.granteeId(1, 1));
         assertEquals(new VoterPromise(9, -1), VoterPromise.initial(9));
     }
--- a/balancer/src/test/java/loadbalancer/lease/LeaseManagerTest.java
+++ b/balancer/src/test/java/loadbalancer/lease/LeaseManagerTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
@@ -30,7 +30,7 @@
             members = new LeaseManager[size];
             isolated = new boolean[size];
             for (int member = 0; member < size; member++) {
-                storedPromises.add(null);
+                storedPromises.add(List.of());
                 start(member, true);
             }
         }
@@ -69,12 +69,16 @@
                     perform(
                             send.to(),
                             members[send.to()].onPeerMessage(
-                                    now, member, LeaseMessage.decode(send.message().encode())));
+                                    now,
+                                    member,
+                                    LeaseMessage.decode(send.message().encode()).orElseThrow()));
                 } else if (action instanceof LeaseManager.Persist persist) {
                     storedPromises.set(
                             member,
                             VoterPromise.decode(
-                                    VoterPromise.encode(persist.promises()), TIMING.slotCount()));
+                                            VoterPromise.encode(persist.promises()),
+                                            TIMING.slotCount())
+                                    .orElseThrow());
                     perform(member, members[member].onPersisted(now, persist.writeId(), true));
                 }
             }
@@ -92,7 +96,7 @@
 
         int[] holders(int slot) {
             return IntStream.range(0, members.length)
-                    .filter(member -> members[member].currentLease(now, slot) != null)
+                    .filter(member -> members[member].currentLease(now, slot).isPresent())
                     .toArray();
         }
     }
@@ -121,7 +125,7 @@
         fleet.advance(3_000 * MICROS_PER_MS);
         int slot = 0;
         int previousHolder = fleet.holders(slot)[0];
-        Lease lease = fleet.members[previousHolder].currentLease(fleet.now, slot);
+        Lease lease = fleet.members[previousHolder].currentLease(fleet.now, slot).orElseThrow();
         // It runs on, and nobody hears it
         fleet.isolated[previousHolder] = true;
         fleet.updatePresence();
@@ -139,7 +143,9 @@
         assertEquals(
                 RendezvousPlacement.preferredHolder(slot, 5, member -> member != previousHolder),
                 nextHolder);
-        assertTrue(fleet.members[nextHolder].currentLease(fleet.now, slot).epoch() > lease.epoch());
+        assertTrue(
+                fleet.members[nextHolder].currentLease(fleet.now, slot).orElseThrow().epoch()
+                        > lease.epoch());
         assertFalse(fleet.members[nextHolder].fencingGuard().accept(slot, lease.epoch()));
     }
 
@@ -232,7 +238,7 @@
      */
     @Test
     void promisesAreStoredBeforeGrantsAreSent() {
-        LeaseManager voter = new LeaseManager(0, 3, TIMING, null, true, 5, 1, 0);
+        LeaseManager voter = new LeaseManager(0, 3, TIMING, List.of(), true, 5, 1, 0);
         long now = TIMING.leaseMicros();
         LeaseMessage request =
                 new LeaseMessage(
@@ -315,9 +321,9 @@
                         -7,
                         maxEntries);
         assertTrue(message.encode().length <= 256);
-        assertEquals(message, LeaseMessage.decode(message.encode()));
+        assertEquals(Optional.of(message), LeaseMessage.decode(message.encode()));
         assertThrows(
-                IllegalArgumentException.class,
+                InvalidLeaseArgumentException.class,
                 () ->
                         new LeaseMessage(
                                 LeaseMessage.Kind.REQUEST,
@@ -327,17 +333,17 @@
                                         .mapToObj(i -> new LeaseMessage.Entry(i, 0))
                                         .toList()));
         assertThrows(
-                IllegalArgumentException.class,
+                InvalidLeaseArgumentException.class,
                 () ->
                         new LeaseMessage(
                                 LeaseMessage.Kind.REQUEST,
                                 0,
                                 0,
                                 List.of(new LeaseMessage.Entry(0, LeaseMessage.MAX_EPOCH + 1))));
-        assertNull(LeaseMessage.decode(Arrays.copyOf(message.encode(), 20)));
-        assertNull(LeaseMessage.decode(new byte[0]));
+        assertEquals(Optional.empty(), LeaseMessage.decode(Arrays.copyOf(message.encode(), 20)));
+        assertEquals(Optional.empty(), LeaseMessage.decode(new byte[0]));
         SplittableRandom random = new SplittableRandom(1);
-        LeaseManager member = new LeaseManager(0, 3, TIMING, null, false, 5, 1, 0);
+        LeaseManager member = new LeaseManager(0, 3, TIMING, List.of(), false, 5, 1, 0);
         int decodedCount = 0;
         for (int i = 0; i < 200_000; i++) {
             byte[] randomBytes = new byte[random.nextInt(60)];
@@ -346,11 +352,13 @@
                 randomBytes[0] = LeaseMessage.FORMAT;
                 randomBytes[1] = (byte) random.nextInt(9);
             }
-            LeaseMessage decoded = LeaseMessage.decode(randomBytes);
-            if (decoded != null) {
+            Optional<LeaseMessage> decoded = LeaseMessage.decode(randomBytes);
+            if (decoded.isPresent()) {
                 decodedCount++;
-                assertArrayEquals(randomBytes, decoded.encode());
-                assertTrue(member.onPeerMessage(i * MICROS_PER_MS, 1 + i % 2, decoded).size() <= 8);
+                assertArrayEquals(randomBytes, decoded.get().encode());
+                assertTrue(
+                        member.onPeerMessage(i * MICROS_PER_MS, 1 + i % 2, decoded.get()).size()
+                                <= 8);
             }
         }
         assertTrue(decodedCount > 1_000, decodedCount + " read");
@@ -360,14 +368,14 @@
     void corruptPromisesAreRejected() {
         List<VoterPromise> promises = List.of(new VoterPromise(3, -1), new VoterPromise(9, 4));
         byte[] encoded = VoterPromise.encode(promises);
-        assertEquals(promises, VoterPromise.decode(encoded, 2));
-        assertNull(VoterPromise.decode(encoded, 3));
-        assertNull(VoterPromise.decode(null, 2));
+        assertEquals(Optional.of(promises), VoterPromise.decode(encoded, 2));
+        assertEquals(Optional.empty(), VoterPromise.decode(encoded, 3));
+        assertEquals(Optional.empty(), VoterPromise.decode(null, 2));
         encoded[0] = -1;
-        assertNull(VoterPromise.decode(encoded, 2));
-        assertNotNull(new LeaseManager(0, 1, TIMING, null, false, 0, 1, 0));
+        assertEquals(Optional.empty(), VoterPromise.decode(encoded, 2));
+        assertNotNull(new LeaseManager(0, 1, TIMING, List.of(), false, 0, 1, 0));
         assertThrows(
-                IllegalArgumentException.class,
+                InvalidLeaseArgumentException.class,
                 () -> new LeaseManager(0, 1, TIMING, promises, false, 0, 1, 0));
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/HollowBalancer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/HollowBalancer.java
@@ -83,7 +83,7 @@
                                 rank,
                                 fleetSize,
                                 LeaseTiming.DEFAULT,
-                                null,
+                                List.of(),
                                 false,
                                 incarnation,
                                 incarnation << 14 ^ seed ^ rank,
@@ -182,7 +182,9 @@
                     } else if (category == CostCategory.LEASES && leaseManager != null) {
                         applyLeaseActions(
                                 leaseManager.onPeerMessage(
-                                        host.now(), sender, LeaseMessage.decode(data)));
+                                        host.now(),
+                                        sender,
+                                        LeaseMessage.decode(data).orElseThrow()));
                     } else if (routingPolicy != null) {
                         routingPolicy.onPeerMessage(host.now(), sender, data, this);
                     }
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseModelChecker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseModelChecker.java
@@ -252,7 +252,7 @@
                         member,
                         memberCount,
                         timing,
-                        promises,
+                        promises == null ? List.of() : promises,
                         true,
                         wallClockMs,
                         wallClockMs * memberCount + member,
@@ -574,8 +574,10 @@
         if (injectedBug == InjectedBug.SKIP_EXPIRY_CHECK) {
             return state.believesHolder[member] ? state.highestEpoch : 0;
         }
-        Lease lease = state.managers[member].currentLease(memberClockMicros(member, state.now), 0);
-        return lease == null ? 0 : lease.epoch();
+        return state.managers[member]
+                .currentLease(memberClockMicros(member, state.now), 0)
+                .map(Lease::epoch)
+                .orElse(0L);
     }
 
     @Override
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/LeaseSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/LeaseSimulation.java
@@ -57,7 +57,7 @@
         wakeAtMicros = new long[count];
         Arrays.fill(freeSinceMicros, -1);
         Arrays.fill(holders, -1);
-        IntStream.range(0, count).forEach(member -> persistedPromises.add(null));
+        IntStream.range(0, count).forEach(member -> persistedPromises.add(List.of()));
         membership.setListener(this);
     }
 
@@ -120,7 +120,7 @@
                                         leaseManagers[recipient].onPeerMessage(
                                                 scheduler.nowMicros(),
                                                 member,
-                                                LeaseMessage.decode(payload))));
+                                                LeaseMessage.decode(payload).orElseThrow())));
             } else if (action instanceof LeaseManager.Persist persist) {
                 membership.scheduleWake(
                         member,
@@ -147,7 +147,7 @@
         for (int other = 0; other < leaseManagers.length; other++) {
             if (other != member
                     && membership.isRunning(other)
-                    && leaseManagers[other].currentLease(scheduler.nowMicros(), slot) != null
+                    && leaseManagers[other].currentLease(scheduler.nowMicros(), slot).isPresent()
                     && doubleHolders.size() < 100) {
                 doubleHolders.add(
                         String.format(
