--- a/balancer/src/main/java/loadbalancer/cluster/ClusterCoordinator.java
+++ b/balancer/src/main/java/loadbalancer/cluster/ClusterCoordinator.java
@@ -1,33 +1,35 @@
 package loadbalancer.cluster;
 
 import io.netty.channel.EventLoop;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.LocalSettings;
+import loadbalancer.lease.Lease;
 import loadbalancer.membership.MembershipView;
 import loadbalancer.recovery.RecoveryStore;
 
 /**
- * What this balancer shares with its peers beside the module's messages: who is present, and duties
- * that one of them holds. Event loop only. Off as a whole unless membership is asked for.
+ * Owner of membership, leases and the audit log of one balancer, and of what they tell each other.
+ * Event loop only.
  */
 public final class ClusterCoordinator {
     private static final long AUDIT_INTERVAL_MS = 1_000;
 
     private final EventLoop loop;
-    private final RecoveryStore recoveryStore;
     private final MembershipDriver membershipDriver;
-    // Null where duties are off
-    private final LeaseDriver leaseDriver;
-    // Null where nothing is kept
-    private final ClusterAuditLog auditLog;
+    // Empty if leases are switched off.
+    private final Optional<LeaseDriver> leaseDriver;
+    private final Optional<RecoveryStore> recoveryStore;
+    // Empty without leases, or without a state directory.
+    private final Optional<ClusterAuditLog> auditLog;
     private MembershipView view;
 
     private ClusterCoordinator(
             EventLoop loop,
             BalancerConfig config,
-            RecoveryStore recoveryStore,
+            Optional<RecoveryStore> recoveryStore,
             PeerSender sender,
             Consumer<String> log) {
         this.loop = loop;
@@ -35,38 +37,54 @@
         int self = config.boot().settings().rank();
         int memberCount = config.peers().addresses().size();
         long incarnation =
-                recoveryStore == null ? System.currentTimeMillis() : recoveryStore.incarnation();
+                recoveryStore.map(RecoveryStore::incarnation).orElseGet(System::currentTimeMillis);
         membershipDriver =
                 new MembershipDriver(
                         loop, self, memberCount, incarnation, sender, log, this::onViewChanged);
         view = membershipDriver.view();
         leaseDriver =
                 config.localSettings().isEnabled(LocalSettings.Setting.LEASES_ENABLED)
-                        ? new LeaseDriver(
-                                loop, self, memberCount, incarnation, recoveryStore, sender, log)
-                        : null;
+                        ? Optional.of(
+                                new LeaseDriver(
+                                        loop,
+                                        self,
+                                        memberCount,
+                                        incarnation,
+                                        recoveryStore,
+                                        sender,
+                                        log))
+                        : Optional.empty();
         auditLog =
-                leaseDriver == null || recoveryStore == null
-                        ? null
-                        : new ClusterAuditLog(recoveryStore.directory(), self, log);
+                leaseDriver
+                        .flatMap(driver -> recoveryStore)
+                        .map(store -> new ClusterAuditLog(store.directory(), self, log));
     }
 
-    /** Null where membership is off, or this balancer is none of the peers. */
+    /**
+     * Makes a coordinator that does nothing before {@link #start}.
+     *
+     * @param recoveryStore null if nothing is persisted
+     * @return null if membership is switched off, or if this balancer is not one of the peers
+     */
     public static ClusterCoordinator createIfEnabled(
             EventLoop loop,
             BalancerConfig config,
             RecoveryStore recoveryStore,
             PeerSender sender,
             Consumer<String> log) {
-        return config.localSettings().isEnabled(LocalSettings.Setting.MEMBERSHIP_ENABLED)
-                        && config.boot().settings().rank() < config.peers().addresses().size()
-                ? new ClusterCoordinator(loop, config, recoveryStore, sender, log)
+        boolean enabled =
+                config.localSettings().isEnabled(LocalSettings.Setting.MEMBERSHIP_ENABLED)
+                        && config.boot().settings().rank() < config.peers().addresses().size();
+        return enabled
+                ? new ClusterCoordinator(
+                        loop, config, Optional.ofNullable(recoveryStore), sender, log)
                 : null;
     }
 
+    /** Begins to probe peers and to write the audit log. */
     public void start() {
         membershipDriver.start();
-        if (auditLog != null) {
+        if (auditLog.isPresent()) {
             loop.scheduleWithFixedDelay(
                     this::appendAuditRecord,
                     AUDIT_INTERVAL_MS,
@@ -75,47 +93,41 @@
         }
     }
 
-    /** The address is this process's own from now on. */
+    /** This process has bound the address at which peers reach it. */
     public void onAddressBound() {
-        if (leaseDriver != null) {
-            leaseDriver.onAddressBound();
-        }
+        leaseDriver.ifPresent(LeaseDriver::onAddressBound);
     }
 
     private void onViewChanged(MembershipView newView) {
         view = newView;
-        if (leaseDriver != null) {
-            leaseDriver.onViewChanged(newView);
-        }
+        leaseDriver.ifPresent(driver -> driver.onViewChanged(newView));
     }
 
     private void appendAuditRecord() {
-        leaseDriver
-                .currentLease(ClusterAuditLog.LEASE_KEY)
-                .ifPresent(
-                        lease ->
-                                auditLog.appendAsync(
-                                        lease, view, recoveryStore::executeOnDiskThread));
+        Optional<Lease> lease =
+                leaseDriver.flatMap(driver -> driver.currentLease(ClusterAuditLog.LEASE_KEY));
+        if (lease.isPresent() && auditLog.isPresent() && recoveryStore.isPresent()) {
+            auditLog.get().appendAsync(lease.get(), view, recoveryStore.get()::executeOnDiskThread);
+        }
     }
 
-    /** A datagram from a peer; false where it is the module's. */
+    /** Handles a datagram from a peer; false if it is for the routing policy. */
     public boolean onPeerMessage(int from, byte[] data) {
         return membershipDriver.onPeerMessage(from, data)
-                || leaseDriver != null && leaseDriver.onPeerMessage(from, data);
+                || (leaseDriver.isPresent() && leaseDriver.get().onPeerMessage(from, data));
     }
 
-    /** Wants no duties, as operators drain this balancer, or wants them again. */
+    /** Operators drain this balancer, which then wants no lease, or no longer do. */
     public void setDraining(boolean draining) {
-        if (leaseDriver != null) {
-            leaseDriver.setDraining(draining);
-        }
+        leaseDriver.ifPresent(driver -> driver.setDraining(draining));
     }
 
-    /** Duties first, so that who is told that this one leaves finds them free. */
+    /**
+     * This balancer shuts down. Leases are released first, so that they are free when peers learn
+     * that it leaves.
+     */
     public void leave() {
-        if (leaseDriver != null) {
-            leaseDriver.leave();
-        }
+        leaseDriver.ifPresent(LeaseDriver::leave);
         membershipDriver.leave();
     }
 }
--- a/balancer/src/main/java/loadbalancer/cluster/LeaseDriver.java
+++ b/balancer/src/main/java/loadbalancer/cluster/LeaseDriver.java
@@ -2,9 +2,8 @@
 
 import io.netty.channel.EventLoop;
 import java.util.List;
+import java.util.Locale;
 import java.util.Optional;
-import java.util.concurrent.Future;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import loadbalancer.lease.Lease;
 import loadbalancer.lease.LeaseManager;
@@ -15,111 +14,114 @@
 import loadbalancer.recovery.RecoveryStore;
 
 /**
- * Drives {@link LeaseManager} on the event loop: gives it time, peers' words and views, sends what
- * it wants sent, has its promises kept before they are told, and says in the log what is taken and
- * given. Nothing of a request waits for it.
+ * Runs {@link LeaseManager} on the event loop: gives it time, peers' datagrams and views, sends its
+ * messages, has its promises persisted and logs which leases are acquired and released. Event loop
+ * only; no client request waits for it.
  */
 final class LeaseDriver {
-    // A second
-    private static final int MAX_LOG_LINES_PER_SECOND = 20;
+    private static final LeaseTiming TIMING = LeaseTiming.DEFAULT;
+    private static final int MICROS_PER_MS = 1000;
+    // Leaves room for the member's number in the seed.
+    private static final int SEED_INCARNATION_SHIFT = 14;
 
     private final EventLoop loop;
     private final PeerSender sender;
-    private final RecoveryStore recoveryStore;
+    private final Optional<RecoveryStore> recoveryStore;
     private final Consumer<String> log;
+    private final RateLimitedLog changeLog;
     private final LeaseManager leaseManager;
-    private Future<?> timer;
-    private long timerDueMicros;
-    private long logWindowSecond;
-    private int linesInWindow;
+    private final TickScheduler ticks;
     private boolean decodeFailureLogged;
-    private boolean departed;
 
     /**
-     * {@code self} of {@code memberCount} members; {@code incarnation} rises with each start;
-     * {@code state} is null where no promise outlives the process.
+     * Makes a driver whose voter abstains.
+     *
+     * @param self this balancer's number, of {@code memberCount} configured
+     * @param incarnation rises with each start
+     * @param recoveryStore persists promises; empty if none outlives the process
      */
     LeaseDriver(
             EventLoop loop,
             int self,
             int memberCount,
             long incarnation,
-            RecoveryStore recoveryStore,
+            Optional<RecoveryStore> recoveryStore,
             PeerSender sender,
             Consumer<String> log) {
         this.loop = loop;
         this.sender = sender;
         this.recoveryStore = recoveryStore;
         this.log = log;
-        List<VoterPromise> promises =
-                recoveryStore == null
-                        ? List.of()
-                        : VoterPromise.decode(
-                                        recoveryStore.recoveredPromises(),
-                                        LeaseTiming.DEFAULT.slotCount())
-                                .orElse(List.of());
-        leaseManager =
+        this.changeLog = new RateLimitedLog(log, MonotonicClock::nowMicros);
+        this.leaseManager =
                 new LeaseManager(
                         self,
                         memberCount,
-                        LeaseTiming.DEFAULT,
-                        promises,
-                        recoveryStore != null,
+                        TIMING,
+                        recoveryStore.flatMap(LeaseDriver::recoveredPromises).orElse(List.of()),
+                        recoveryStore.isPresent(),
                         incarnation,
-                        incarnation << 14 ^ System.nanoTime() ^ self,
-                        MembershipDriver.nowMicros());
+                        (incarnation << SEED_INCARNATION_SHIFT) ^ System.nanoTime() ^ self,
+                        MonotonicClock.nowMicros());
+        this.ticks =
+                new TickScheduler(
+                        loop,
+                        leaseManager::nextTickMicros,
+                        () -> execute(leaseManager.tick(MonotonicClock.nowMicros())));
+    }
+
+    private static Optional<List<VoterPromise>> recoveredPromises(RecoveryStore store) {
+        return VoterPromise.decode(store.recoveredPromises(), TIMING.slotCount());
     }
 
     /**
-     * Peers can reach this process from now on; an earlier one of the same name could until now.
+     * Peers can reach this process from now on; until now they could reach an earlier process of
+     * this balancer.
      */
     void onAddressBound() {
-        leaseManager.onReachable(MembershipDriver.nowMicros());
+        leaseManager.onReachable(MonotonicClock.nowMicros());
         log.accept(
-                "duties: granting nothing for "
-                        + LeaseTiming.DEFAULT.leaseMicros() / 1000
-                        + " ms, as grants from before this start may still bind"
-                        + (recoveryStore == null ? "; no promise is kept" : ""));
-        execute(leaseManager.tick(MembershipDriver.nowMicros()));
+                "lease voter abstaining: duration_ms="
+                        + TIMING.leaseMicros() / MICROS_PER_MS
+                        + " durable="
+                        + recoveryStore.isPresent());
+        execute(leaseManager.tick(MonotonicClock.nowMicros()));
     }
 
-    /** Who is present has changed. */
+    /** The view of which members are present has changed. */
     void onViewChanged(MembershipView view) {
-        execute(leaseManager.onMembershipChanged(MembershipDriver.nowMicros(), view::isPresent));
+        execute(leaseManager.onMembershipChanged(MonotonicClock.nowMicros(), view::isPresent));
     }
 
-    /** A datagram from a peer; false where it is none of duties'. */
+    /** Handles a datagram from a peer; false if it is of another protocol. */
     boolean onPeerMessage(int from, byte[] data) {
         if (!LeaseMessage.matchesFormat(data)) {
             return false;
         }
         Optional<LeaseMessage> message = LeaseMessage.decode(data);
         if (message.isPresent()) {
-            execute(leaseManager.onPeerMessage(MembershipDriver.nowMicros(), from, message.get()));
+            execute(leaseManager.onPeerMessage(MonotonicClock.nowMicros(), from, message.get()));
         } else if (!decodeFailureLogged) {
             decodeFailureLogged = true;
-            log.accept("duties: passed over a message of balancer " + from + " that can't be read");
+            log.accept("lease message ignored: from=" + from + " reason=undecodable");
         }
         return true;
     }
 
-    /** Leave to act for a key, now; null: not for this process. */
+    /** The lease that this process holds of a key's slot now. */
     Optional<Lease> currentLease(String key) {
-        return leaseManager.currentLease(MembershipDriver.nowMicros(), key);
+        return leaseManager.currentLease(MonotonicClock.nowMicros(), key);
     }
 
-    /** Passes on all that is held and wants none, as operators asked; or wants them again. */
+    /** Operators drain this balancer, which then wants no lease, or no longer do. */
     void setDraining(boolean draining) {
-        execute(leaseManager.setDraining(MembershipDriver.nowMicros(), draining));
+        execute(leaseManager.setDraining(MonotonicClock.nowMicros(), draining));
     }
 
-    /** Gives all that is held to others; says nothing after that. */
+    /** Transfers all leases held; takes part in nothing after that. */
     void leave() {
-        execute(leaseManager.leave(MembershipDriver.nowMicros()));
-        departed = true;
-        if (timer != null) {
-            timer.cancel(false);
-        }
+        execute(leaseManager.leave(MonotonicClock.nowMicros()));
+        ticks.stop();
     }
 
     private void execute(List<LeaseManager.Action> actions) {
@@ -127,62 +129,38 @@
             if (action instanceof LeaseManager.Send send) {
                 sender.send(send.to(), send.message().encode());
             } else if (action instanceof LeaseManager.Persist persist) {
-                persistPromises(persist);
+                recoveryStore.ifPresent(store -> persistPromises(store, persist));
             } else if (action instanceof LeaseManager.Acquired acquired) {
-                logLimited("takes slot " + acquired.slot() + ", epoch " + acquired.epoch());
+                changeLog.log(
+                        "lease acquired: slot=" + acquired.slot() + " epoch=" + acquired.epoch());
             } else if (action instanceof LeaseManager.Released released) {
-                logLimited(
-                        "gives slot "
-                                + released.slot()
-                                + ", epoch "
-                                + released.epoch()
-                                + ": "
-                                + released.reason());
+                changeLog.log(releaseLine(released));
             }
         }
-        scheduleTick();
+        ticks.schedule();
     }
 
-    private void persistPromises(LeaseManager.Persist persist) {
-        recoveryStore.persistPromises(
-                VoterPromise.encode(persist.promises()),
-                succeeded ->
-                        loop.execute(
-                                () ->
-                                        execute(
-                                                leaseManager.onPersisted(
-                                                        MembershipDriver.nowMicros(),
-                                                        persist.writeId(),
-                                                        succeeded))));
+    private static String releaseLine(LeaseManager.Released released) {
+        String reason = released.reason().name().toLowerCase(Locale.ROOT);
+        String line =
+                "lease released: slot="
+                        + released.slot()
+                        + " epoch="
+                        + released.epoch()
+                        + " reason="
+                        + reason;
+        return released.successor().isPresent()
+                ? line + " successor=" + released.successor().getAsInt()
+                : line;
     }
 
-    private void scheduleTick() {
-        long dueMicros = leaseManager.nextTickMicros();
-        if (departed
-                || dueMicros == Long.MAX_VALUE
-                || timer != null && !timer.isDone() && timerDueMicros <= dueMicros) {
-            return;
-        }
-        if (timer != null) {
-            timer.cancel(false);
-        }
-        timerDueMicros = dueMicros;
-        timer =
-                loop.schedule(
-                        () -> {
-                            timer = null;
-                            execute(leaseManager.tick(MembershipDriver.nowMicros()));
-                        },
-                        Math.max(0, dueMicros - MembershipDriver.nowMicros()),
-                        TimeUnit.MICROSECONDS);
+    private void persistPromises(RecoveryStore store, LeaseManager.Persist persist) {
+        store.persistPromises(
+                VoterPromise.encode(persist.promises()),
+                succeeded -> loop.execute(() -> onPersisted(persist.writeId(), succeeded)));
     }
 
-    private void logLimited(String event) {
-        long currentSecond = MembershipDriver.nowMicros() / 1_000_000;
-        linesInWindow = currentSecond == logWindowSecond ? linesInWindow + 1 : 1;
-        logWindowSecond = currentSecond;
-        if (linesInWindow <= MAX_LOG_LINES_PER_SECOND) {
-            log.accept("duties: " + event);
-        }
+    private void onPersisted(long writeId, boolean succeeded) {
+        execute(leaseManager.onPersisted(MonotonicClock.nowMicros(), writeId, succeeded));
     }
 }
--- a/balancer/src/main/java/loadbalancer/cluster/PeerSender.java
+++ b/balancer/src/main/java/loadbalancer/cluster/PeerSender.java
@@ -1,6 +1,7 @@
 package loadbalancer.cluster;
 
-/** Where a datagram goes, by the peer's number. */
+/** Sends datagrams to peers. */
 public interface PeerSender {
+    /** Sends to the peer of that number. The datagram may be lost. */
     void send(int peer, byte[] data);
 }
--- a/balancer/src/main/java/loadbalancer/cluster/PeerTransport.java
+++ b/balancer/src/main/java/loadbalancer/cluster/PeerTransport.java
@@ -22,86 +22,95 @@
 import loadbalancer.config.PeerAddresses;
 
 /**
- * Datagrams between this balancer and its peers. Each is sent once and may be lost; what does not
- * fit, comes from nobody known or can't be sent now is dropped and counted.
+ * Datagrams between this balancer and its peers, over UDP. Each is sent once and may be lost. One
+ * that is too long, or can't be sent now, is dropped; one received from an unknown sender is
+ * dropped and counted. Event loop only, but for the constructor and {@link #start}.
  */
 public final class PeerTransport {
+    /** In place of a peer's number: all peers. Any negative number means the same. */
+    public static final int ALL_PEERS = -1;
+
     static final int MAX_MESSAGE_BYTES = 256;
-    // While a process that leaves still holds the address
+    // An earlier process of this balancer may still have the address bound.
     private static final long BIND_RETRY_MS = 100;
 
-    /** Where a peer's message goes, with the peer's number. */
+    /** Receives datagrams, on the event loop. */
     public interface Listener {
+        /** A datagram of the peer of that number. */
         void onPeerMessage(int from, byte[] data);
 
-        /** The address is this process's own from now on. */
+        /** This process has bound the address. */
         default void onAddressBound() {}
     }
 
     private final EventLoop loop;
     private final PeerAddresses peers;
-    // Each datagram is looked up
     private final Map<InetSocketAddress, Integer> peerIndexByAddress = new HashMap<>();
     private final Listener listener;
     private final EventLog events;
-    // Null until bound, and where there is no peer
+    // Null unless the address is bound.
     private Channel channel;
-    // That it can't be bound
     private boolean bindFailureLogged;
     private boolean closed;
 
+    /** Makes a transport that sends and receives nothing before {@link #start}. */
     public PeerTransport(EventLoop loop, PeerAddresses peers, Listener listener, EventLog events) {
         this.loop = loop;
         this.peers = peers;
-        for (int i = peers.addresses().size() - 1; i >= 0; i--) {
-            peerIndexByAddress.put(peers.addresses().get(i), i);
+        for (int peer = peers.addresses().size() - 1; peer >= 0; peer--) {
+            peerIndexByAddress.put(peers.addresses().get(peer), peer);
         }
         this.listener = listener;
         this.events = events;
     }
 
     /**
-     * Binds; a failure is told once and tried again, as the process that this one takes over from
-     * may still hold the address. A balancer can do without messages.
+     * Binds the address; a failure is logged once and retried until {@link #close}. Without peers
+     * nothing is bound.
+     *
+     * @return completes with the first attempt
      */
     public Future<Void> start(Consumer<String> log) {
         if (peers.listenAddress() == null || peers.addresses().isEmpty()) {
             return loop.newSucceededFuture(null);
         }
+        // One byte more than a message may have shows that a datagram is too long.
+        FixedRecvByteBufAllocator receiveBuffers =
+                new FixedRecvByteBufAllocator(MAX_MESSAGE_BYTES + 1);
         return new Bootstrap()
                 .group(loop)
                 .channelFactory(() -> new NioDatagramChannel(InternetProtocolFamily.IPv4))
-                // One byte more than a message may have: a longer one is seen to be too long.
-                .option(
-                        ChannelOption.RCVBUF_ALLOCATOR,
-                        new FixedRecvByteBufAllocator(MAX_MESSAGE_BYTES + 1))
+                .option(ChannelOption.RCVBUF_ALLOCATOR, receiveBuffers)
                 .handler(new DatagramHandler())
                 .bind(peers.listenAddress())
                 .addListener(
                         bindFuture -> {
-                            if (bindFuture.isSuccess() || closed) {
-                                return;
-                            }
-                            if (!bindFailureLogged) {
-                                bindFailureLogged = true;
-                                log.accept(
-                                        "no messages between balancers yet: can't listen on "
-                                                + peers.listenAddress()
-                                                + ": "
-                                                + bindFuture.cause().getMessage());
+                            if (!bindFuture.isSuccess() && !closed) {
+                                onBindFailure(bindFuture.cause(), log);
                             }
-                            loop.schedule(
-                                    () -> {
-                                        if (!closed) {
-                                            start(log);
-                                        }
-                                    },
-                                    BIND_RETRY_MS,
-                                    TimeUnit.MILLISECONDS);
                         });
     }
 
-    /** Sends to the peer of that number, or to all where it is negative. */
+    private void onBindFailure(Throwable cause, Consumer<String> log) {
+        if (!bindFailureLogged) {
+            bindFailureLogged = true;
+            log.accept(
+                    "no messages between balancers yet: can't listen on "
+                            + peers.listenAddress()
+                            + ": "
+                            + cause.getMessage());
+        }
+        loop.schedule(
+                () -> {
+                    if (!closed) {
+                        start(log);
+                    }
+                },
+                BIND_RETRY_MS,
+                TimeUnit.MILLISECONDS);
+    }
+
+    /** Sends to the peer of that number, or to {@link #ALL_PEERS}. */
     public void send(int peer, byte[] data) {
         if (channel == null
                 || data.length > MAX_MESSAGE_BYTES
@@ -114,8 +123,8 @@
             writeDatagram(peers.broadcastAddress(), data);
         } else {
             peers.addresses().stream()
-                    .filter(p -> !p.equals(peers.listenAddress()))
-                    .forEach(p -> writeDatagram(p, data));
+                    .filter(address -> !address.equals(peers.listenAddress()))
+                    .forEach(address -> writeDatagram(address, data));
         }
     }
 
@@ -125,6 +134,7 @@
         }
     }
 
+    /** Closes the socket, and binds none after that. */
     public void close() {
         closed = true;
         if (channel != null) {
@@ -150,16 +160,15 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-            if (packet.sender().equals(peers.listenAddress())) {
-                // To everyone was to this one too
+            InetSocketAddress sender = packet.sender();
+            if (sender.equals(peers.listenAddress())) {
+                // A broadcast of this balancer's own.
                 return;
             }
-            Integer from = peerIndexByAddress.get(packet.sender());
-            if (from == null || packet.content().readableBytes() > MAX_MESSAGE_BYTES) {
-                events.record(
-                        EventLog.Kind.STRAY,
-                        null,
-                        () -> packet.content().readableBytes() + " bytes from " + packet.sender());
+            Integer from = peerIndexByAddress.get(sender);
+            int length = packet.content().readableBytes();
+            if (from == null || length > MAX_MESSAGE_BYTES) {
+                events.record(EventLog.Kind.STRAY, null, () -> length + " bytes from " + sender);
                 return;
             }
             listener.onPeerMessage(from, ByteBufUtil.getBytes(packet.content()));
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/cluster/RateLimitedLog.java
@@ -0,0 +1,32 @@
+package loadbalancer.cluster;
+
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+
+/** Writes a bounded number of lines in each second, and drops the rest. Event loop only. */
+final class RateLimitedLog {
+    /** Most lines of a second. */
+    static final int MAX_LINES_PER_SECOND = 20;
+
+    private static final long MICROS_PER_SECOND = 1_000_000;
+
+    private final Consumer<String> log;
+    private final LongSupplier nowMicros;
+    private long windowSecond;
+    private int linesInWindow;
+
+    RateLimitedLog(Consumer<String> log, LongSupplier nowMicros) {
+        this.log = log;
+        this.nowMicros = nowMicros;
+    }
+
+    /** Writes a line unless this second's bound is reached. */
+    void log(String line) {
+        long currentSecond = nowMicros.getAsLong() / MICROS_PER_SECOND;
+        linesInWindow = currentSecond == windowSecond ? linesInWindow + 1 : 1;
+        windowSecond = currentSecond;
+        if (linesInWindow <= MAX_LINES_PER_SECOND) {
+            log.accept(line);
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/cluster/RotatedFiles.java
@@ -0,0 +1,65 @@
+package loadbalancer.cluster;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
+import java.util.Comparator;
+import java.util.List;
+import java.util.stream.Stream;
+
+/** Files that text is appended to, numbered from 1; bounded in size and number. One thread. */
+final class RotatedFiles {
+    private static final long MAX_FILE_BYTES = 256 << 10;
+    private static final int MAX_FILES = 8;
+
+    private final Path directory;
+    private final String namePrefix;
+
+    RotatedFiles(Path directory, String namePrefix) {
+        this.directory = directory;
+        this.namePrefix = namePrefix;
+    }
+
+    /** Appends to the newest file, or to a new one if that is full; deletes the oldest then. */
+    void append(String text) throws IOException {
+        Files.writeString(
+                currentFile(), text, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+    }
+
+    private Path currentFile() throws IOException {
+        List<Path> files = filesByNumber();
+        if (files.isEmpty()) {
+            return file(1);
+        }
+        Path newest = files.get(files.size() - 1);
+        if (Files.size(newest) < MAX_FILE_BYTES) {
+            return newest;
+        }
+        int excess = Math.max(0, files.size() - MAX_FILES + 1);
+        for (Path oldFile : files.subList(0, excess)) {
+            Files.deleteIfExists(oldFile);
+        }
+        return file(numberOf(newest) + 1);
+    }
+
+    private List<Path> filesByNumber() throws IOException {
+        try (Stream<Path> paths = Files.list(directory)) {
+            return paths.filter(path -> numberOf(path) >= 0)
+                    .sorted(Comparator.comparingLong(this::numberOf))
+                    .toList();
+        }
+    }
+
+    private Path file(long number) {
+        return directory.resolve(namePrefix + number);
+    }
+
+    // -1: a file of another name
+    private long numberOf(Path file) {
+        String name = file.getFileName().toString();
+        return name.matches(namePrefix + "\\d{1,9}")
+                ? Long.parseLong(name.substring(namePrefix.length()))
+                : -1;
+    }
+}
--- a/balancer/src/main/java/loadbalancer/membership/MemberStatus.java
+++ b/balancer/src/main/java/loadbalancer/membership/MemberStatus.java
@@ -1,13 +1,21 @@
 package loadbalancer.membership;
 
-/** What is known of a member; of one incarnation, a later status beats an earlier one. */
+/**
+ * Status of a member. For one incarnation a later status overrides an earlier one; the ordinal is
+ * on the wire.
+ */
 public enum MemberStatus {
     /** Present. */
     ALIVE,
-    /** Somebody can't reach it, directly or through others; it may say otherwise. */
+    /** Somebody can't reach it, directly or through others; it can refute that. */
     SUSPECTED,
-    /** It did not say otherwise in time. */
+    /** It did not refute a suspicion in time. */
     DEAD,
-    /** It said that it leaves. */
-    LEFT
+    /** It has announced that it shuts down. */
+    LEFT;
+
+    /** Whether the member counts as present: a suspected one does until it is declared dead. */
+    public boolean isPresent() {
+        return this == ALIVE || this == SUSPECTED;
+    }
 }
--- a/balancer/src/main/java/loadbalancer/membership/MemberUpdate.java
+++ b/balancer/src/main/java/loadbalancer/membership/MemberUpdate.java
@@ -1,16 +1,20 @@
 package loadbalancer.membership;
 
 /**
- * One statement about a member.
+ * A statement about the status of a member.
  *
  * @param member its number in the configuration, from 0
- * @param incarnation raised by each start and by each denial of a suspicion; 0: none was heard of
- *     yet
+ * @param incarnation that the statement is about: raised by the member at each start and each
+ *     refutation of a suspicion; 0 if none is known
  */
 public record MemberUpdate(int member, MemberStatus status, long incarnation) {
-    /** Whether this takes the place of another statement about the same member. */
+    /** Whether this overrides another statement about the same member. */
     public boolean supersedes(MemberUpdate other) {
         return incarnation > other.incarnation
-                || incarnation == other.incarnation && status.ordinal() > other.status.ordinal();
+                || (incarnation == other.incarnation && status.ordinal() > other.status.ordinal());
+    }
+
+    MemberUpdate withStatus(MemberStatus newStatus) {
+        return new MemberUpdate(member, newStatus, incarnation);
     }
 }
--- a/balancer/src/main/java/loadbalancer/membership/MembershipMessage.java
+++ b/balancer/src/main/java/loadbalancer/membership/MembershipMessage.java
@@ -3,109 +3,140 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * One datagram of membership, as values.
+ * One datagram of the membership protocol.
  *
- * <p>Fourteen bytes: the format, the kind, the subject (two bytes), the number that an answer
- * repeats (four), the sender's incarnation (six). The rest is news, eight bytes each: status and
- * member in two, the incarnation in six.
+ * <p>The header of {@value #HEADER_BYTES} bytes holds the format (1), the kind (1), the subject
+ * (2), the sequence number (4) and the sender's incarnation (6). Each update takes {@value
+ * #UPDATE_BYTES} bytes: status and member (2) and incarnation (6).
  *
- * @param subject the member that the message is about: whom an ACK speaks for, whom an ASK asks for
- * @param sequenceNumber of the question that it puts or answers
- * @param incarnation of its sender
+ * @param subject the member that the message is about: the one that an ACK is about, or that a
+ *     PING_REQ asks to probe
+ * @param sequenceNumber of the probe; an ACK repeats it
+ * @param incarnation of the sender
+ * @param updates at most {@value #MAX_UPDATES}
  */
 public record MembershipMessage(
         Kind kind, int subject, int sequenceNumber, long incarnation, List<MemberUpdate> updates) {
-    /** Bytes of a datagram at most. */
+    /** Most bytes of a datagram. */
     public static final int MAX_BYTES = 256;
 
-    /** Members that a configuration may name. */
+    /** Most members of a configuration. */
     public static final int MAX_MEMBERS = 1 << 14;
 
-    /** News in one message at most. */
-    public static final int MAX_UPDATES = (MAX_BYTES - 14) / 8;
-
     private static final byte FORMAT = 4;
     private static final int HEADER_BYTES = 14;
     private static final int UPDATE_BYTES = 8;
+    private static final int MEMBER_BITS = 14;
     private static final long MAX_INCARNATION = (1L << 48) - 1;
+    private static final Kind[] KINDS = Kind.values();
+    private static final MemberStatus[] STATUSES = MemberStatus.values();
+
+    /** Most updates of one message. */
+    public static final int MAX_UPDATES = (MAX_BYTES - HEADER_BYTES) / UPDATE_BYTES;
 
-    /** What it is for. */
+    /** Kind of a message; the ordinal is on the wire. */
     public enum Kind {
-        /** Are you there? */
+        /** Probes the receiver. */
         PING,
-        /** {@code subject} is there. */
+        /** Confirms that {@code subject} is alive. */
         ACK,
-        /** Ask {@code subject} for me. */
+        /** Asks the receiver to probe {@code subject}. */
         PING_REQ,
-        /** Nothing but news. */
+        /** Carries updates only. */
         GOSSIP
     }
 
+    /**
+     * Makes a message.
+     *
+     * @throws InvalidMembershipArgumentException if a value does not fit in a datagram
+     */
     public MembershipMessage {
         updates = List.copyOf(updates);
-        if (updates.size() > MAX_UPDATES
-                || subject < 0
-                || subject >= MAX_MEMBERS
-                || incarnation < 0
-                || incarnation > MAX_INCARNATION) {
-            throw new IllegalArgumentException("does not fit in a datagram");
-        }
+        require(
+                updates.size() <= MAX_UPDATES,
+                "number of updates",
+                updates.size(),
+                "at most " + MAX_UPDATES);
+        require(
+                subject >= 0 && subject < MAX_MEMBERS,
+                "subject",
+                subject,
+                "0 or more, below " + MAX_MEMBERS);
+        require(
+                incarnation >= 0 && incarnation <= MAX_INCARNATION,
+                "incarnation",
+                incarnation,
+                "0 to " + MAX_INCARNATION);
     }
 
-    /** Whether bytes claim to be such a message, whole or not. */
+    private static void require(boolean valid, String field, long value, String range) {
+        InvalidMembershipArgumentException.require(
+                valid, "membership message: " + field, value, range);
+    }
+
+    /** Whether the first byte is this format's; the rest may be invalid. */
     public static boolean matchesFormat(byte[] bytes) {
         return bytes.length > 0 && bytes[0] == FORMAT;
     }
 
-    /** As bytes, {@link #MAX_BYTES} at most. */
+    /** The datagram, {@link #MAX_BYTES} at most. */
     public byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + UPDATE_BYTES * updates.size());
         out.put(FORMAT).put((byte) kind.ordinal()).putShort((short) subject).putInt(sequenceNumber);
-        putLong(out, incarnation);
+        putIncarnation(out, incarnation);
         for (MemberUpdate update : updates) {
-            out.putShort((short) (update.status().ordinal() << 14 | update.member()));
-            putLong(out, update.incarnation());
+            int statusAndMember = (update.status().ordinal() << MEMBER_BITS) | update.member();
+            out.putShort((short) statusAndMember);
+            putIncarnation(out, update.incarnation());
         }
         return out.array();
     }
 
-    private static void putLong(ByteBuffer out, long value) {
+    private static void putIncarnation(ByteBuffer out, long value) {
         out.putShort((short) (value >> 32)).putInt((int) value);
     }
 
-    private static long getLong(ByteBuffer in) {
-        return (in.getShort() & 0xffffL) << 32 | in.getInt() & 0xffffffffL;
-    }
-
-    /** The message of these bytes; null where they are none of this format, or damaged. */
-    public static MembershipMessage decode(byte[] bytes) {
-        if (!matchesFormat(bytes)
-                || bytes.length < HEADER_BYTES
-                || bytes.length > MAX_BYTES
-                || (bytes.length - HEADER_BYTES) % UPDATE_BYTES != 0
-                || bytes[1] < 0
-                || bytes[1] >= Kind.values().length) {
-            return null;
+    /** The message of a datagram; empty if it is of another format or invalid. */
+    public static Optional<MembershipMessage> decode(byte[] bytes) {
+        if (!matchesFormat(bytes) || !hasValidLength(bytes) || !hasValidKind(bytes)) {
+            return Optional.empty();
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 2, bytes.length - 2);
         int subject = in.getShort() & 0xffff;
         if (subject >= MAX_MEMBERS) {
-            return null;
+            return Optional.empty();
         }
         int sequenceNumber = in.getInt();
-        long incarnation = getLong(in);
+        long incarnation = getIncarnation(in);
         List<MemberUpdate> updates = new ArrayList<>();
         while (in.hasRemaining()) {
             int statusAndMember = in.getShort() & 0xffff;
-            updates.add(
-                    new MemberUpdate(
-                            statusAndMember & MAX_MEMBERS - 1,
-                            MemberStatus.values()[statusAndMember >> 14],
-                            getLong(in)));
+            int member = statusAndMember & (MAX_MEMBERS - 1);
+            MemberStatus status = STATUSES[statusAndMember >> MEMBER_BITS];
+            updates.add(new MemberUpdate(member, status, getIncarnation(in)));
         }
-        return new MembershipMessage(
-                Kind.values()[bytes[1]], subject, sequenceNumber, incarnation, updates);
+        return Optional.of(
+                new MembershipMessage(
+                        KINDS[bytes[1]], subject, sequenceNumber, incarnation, updates));
+    }
+
+    private static boolean hasValidLength(byte[] bytes) {
+        return bytes.length >= HEADER_BYTES
+                && bytes.length <= MAX_BYTES
+                && (bytes.length - HEADER_BYTES) % UPDATE_BYTES == 0;
+    }
+
+    private static boolean hasValidKind(byte[] bytes) {
+        return bytes[1] >= 0 && bytes[1] < KINDS.length;
+    }
+
+    private static long getIncarnation(ByteBuffer in) {
+        long high = in.getShort() & 0xffffL;
+        long low = in.getInt() & 0xffffffffL;
+        return (high << 32) | low;
     }
 }
--- a/balancer/src/main/java/loadbalancer/membership/MembershipTiming.java
+++ b/balancer/src/main/java/loadbalancer/membership/MembershipTiming.java
@@ -1,19 +1,20 @@
 package loadbalancer.membership;
 
 /**
- * The times of the protocol, all in µs, and its counts.
+ * Times and counts of the membership protocol; times in µs.
  *
- * @param probeIntervalMicros between two members asked
- * @param probeTimeoutMicros how long one is waited for, before others are asked to ask; an own
- *     suspicion is checked again as often
- * @param suspicionTimeoutMicros from a member's suspicion until it is held dead by who suspects it;
- *     others wait three times as long
- * @param gossipIntervalMicros between two messages of nothing but news, while there is any
- * @param syncIntervalMicros between two pages of the whole view
- * @param indirectProbes that are asked to ask
- * @param gossipFanout members that a message of news goes to
- * @param maxIncarnationLeadMicros how far ahead of its reader's clock an incarnation may be, µs;
- *     beyond it is forged
+ * @param probeIntervalMicros between two members probed; a probe without an answer by then starts a
+ *     suspicion
+ * @param probeTimeoutMicros before a probe is repeated through other members, and between two
+ *     probes of a member suspected here; less than half of {@code probeIntervalMicros}
+ * @param suspicionTimeoutMicros from the start of a suspicion until the member that began it
+ *     declares the suspect dead; others wait three times as long
+ * @param gossipIntervalMicros between two messages of updates only, while there are updates to send
+ * @param syncIntervalMicros between two messages that each carry a page of the whole view
+ * @param indirectProbes number of members asked to probe a silent one
+ * @param gossipFanout number of members that a message of updates goes to
+ * @param maxIncarnationLeadMicros how far an incarnation may be ahead of the reader's wall clock;
+ *     one beyond it is ignored
  */
 public record MembershipTiming(
         long probeIntervalMicros,
@@ -30,15 +31,30 @@
                     200_000, 60_000, 500_000, 50_000, 1_000_000, 3, 2, 86_400_000_000L);
 
     public MembershipTiming {
-        if (probeIntervalMicros <= 2 * probeTimeoutMicros
-                || probeTimeoutMicros <= 0
-                || suspicionTimeoutMicros <= 0
-                || gossipIntervalMicros <= 0
-                || syncIntervalMicros <= 0
-                || indirectProbes < 0
-                || gossipFanout < 1
-                || maxIncarnationLeadMicros < 0) {
-            throw new IllegalArgumentException("impossible times of membership");
-        }
+        requirePositive(probeTimeoutMicros, "probeTimeoutMicros");
+        require(
+                probeIntervalMicros > 2 * probeTimeoutMicros,
+                "probeIntervalMicros",
+                probeIntervalMicros,
+                "more than twice probeTimeoutMicros");
+        requirePositive(suspicionTimeoutMicros, "suspicionTimeoutMicros");
+        requirePositive(gossipIntervalMicros, "gossipIntervalMicros");
+        requirePositive(syncIntervalMicros, "syncIntervalMicros");
+        require(indirectProbes >= 0, "indirectProbes", indirectProbes, "0 or more");
+        requirePositive(gossipFanout, "gossipFanout");
+        require(
+                maxIncarnationLeadMicros >= 0,
+                "maxIncarnationLeadMicros",
+                maxIncarnationLeadMicros,
+                "0 or more");
+    }
+
+    private static void requirePositive(long value, String component) {
+        require(value > 0, component, value, "positive");
+    }
+
+    private static void require(boolean valid, String component, long value, String range) {
+        InvalidMembershipArgumentException.require(
+                valid, "membership timing: " + component, value, range);
     }
 }
--- a/balancer/src/main/java/loadbalancer/membership/MembershipView.java
+++ b/balancer/src/main/java/loadbalancer/membership/MembershipView.java
@@ -3,29 +3,31 @@
 import java.util.List;
 
 /**
- * Who is present, as one member knows it. Views of two members may differ for as long as news
- * travel, and for good while a path is cut.
+ * The status of all members, as one member knows it; immutable. The views of two members may differ
+ * while updates are on their way, and as long as the path between them is cut.
  *
- * @param version raised by each change, of this process only
- * @param members by their numbers, the owner of the view included
+ * @param version raised by each change, counted by this process only
+ * @param owner number of the member whose view it is
+ * @param members by their numbers, the owner included
  */
 public record MembershipView(long version, int owner, List<MemberUpdate> members) {
     public MembershipView {
         members = List.copyOf(members);
     }
 
-    /** Members that are alive or may well be; the owner counts. */
+    /** Number of members present, the owner included. */
     public int presentCount() {
-        return (int) members.stream().filter(m -> isPresent(m.member())).count();
+        return (int) members.stream().filter(update -> update.status().isPresent()).count();
     }
 
-    /** A suspected one is present until it is held dead. */
+    /** Whether a member is alive or only suspected. */
     public boolean isPresent(int member) {
-        return members.get(member).status().compareTo(MemberStatus.SUSPECTED) <= 0;
+        return members.get(member).status().isPresent();
     }
 
     /**
-     * Whether more than half of the configured members are present; else the owner may be cut off.
+     * Whether more than half of the configured members are present; if not, the owner may be
+     * partitioned from the others.
      */
     public boolean hasMajority() {
         return 2 * presentCount() > members.size();
--- a/balancer/src/test/java/loadbalancer/cluster/GoldenFleetRecordTest.java
+++ b/balancer/src/test/java/loadbalancer/cluster/GoldenFleetRecordTest.java
@@ -65,10 +65,12 @@
     void valuesGiveBytes() throws IOException {
         assertEquals(GoldenFiles.text(FILE), written(directory, log));
         assertTrue(
-                log.get(0).matches("duties: acts for fleet-record, epoch 281474976710655, at \\d+"),
+                log.get(0)
+                        .matches(
+                                "lease used: key=fleet-record epoch=281474976710655 at_micros=\\d+"),
                 log.toString());
         assertTrue(
-                log.get(1).matches("duties: acts for fleet-record, epoch 0, at \\d+"),
+                log.get(1).matches("lease used: key=fleet-record epoch=0 at_micros=\\d+"),
                 log.toString());
         assertEquals(2, log.size());
     }
--- a/balancer/src/test/java/loadbalancer/membership/GoldenMembershipMessageTest.java
+++ b/balancer/src/test/java/loadbalancer/membership/GoldenMembershipMessageTest.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import loadbalancer.GoldenFiles;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -72,7 +73,7 @@
     @MethodSource("names")
     void bytesGiveValues(String name) {
         assertEquals(
-                messages().get(name),
+                Optional.of(messages().get(name)),
                 MembershipMessage.decode(GoldenFiles.bytes("membership/" + name)));
     }
 
--- a/balancer/src/test/java/loadbalancer/membership/MembershipTest.java
+++ b/balancer/src/test/java/loadbalancer/membership/MembershipTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import loadbalancer.membership.Membership.Send;
 import loadbalancer.membership.MembershipMessage.Kind;
@@ -257,10 +257,10 @@
         MembershipMessage message =
                 new MembershipMessage(Kind.PING_REQ, 16_383, -5, 1_796_166_793_089L, updates);
         assertEquals(254, message.encode().length);
-        assertEquals(message, MembershipMessage.decode(message.encode()));
+        assertEquals(Optional.of(message), MembershipMessage.decode(message.encode()));
         updates.add(updates.get(0));
         assertThrows(
-                IllegalArgumentException.class,
+                InvalidMembershipArgumentException.class,
                 () -> new MembershipMessage(Kind.GOSSIP, 0, 0, 0, updates));
     }
 
@@ -271,7 +271,7 @@
         if (length > 0) {
             bytes[0] = 4;
         }
-        assertNull(MembershipMessage.decode(bytes));
+        assertEquals(Optional.empty(), MembershipMessage.decode(bytes));
     }
 
     /** Whatever comes from a peer's address: read or passed over, and never an error or a flood. */
@@ -294,11 +294,11 @@
             } else {
                 random.nextBytes(bytes);
             }
-            MembershipMessage message = MembershipMessage.decode(bytes);
-            if (message != null) {
+            Optional<MembershipMessage> message = MembershipMessage.decode(bytes);
+            if (message.isPresent()) {
                 decodedCount++;
                 sentMessages.clear();
-                collect(member.onPeerMessage(i, 1 + i % 4, message));
+                collect(member.onPeerMessage(i, 1 + i % 4, message.get()));
                 assertTrue(sentMessages.size() <= 2, "an answer, or a question passed on");
             }
         }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/HollowBalancer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/HollowBalancer.java
@@ -178,7 +178,9 @@
                     if (category == CostCategory.MEMBERSHIP && membership != null) {
                         applyMembershipActions(
                                 membership.onPeerMessage(
-                                        host.now(), sender, MembershipMessage.decode(data)));
+                                        host.now(),
+                                        sender,
+                                        MembershipMessage.decode(data).orElseThrow()));
                     } else if (category == CostCategory.LEASES && leaseManager != null) {
                         applyLeaseActions(
                                 leaseManager.onPeerMessage(
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/LeaseEpochOrderInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/LeaseEpochOrderInvariant.java
@@ -14,8 +14,11 @@
  * of them overlapped. A run in which nobody acted proves nothing, and fails.
  */
 public final class LeaseEpochOrderInvariant implements RunInvariant {
+    // Also as "duties: acts for KEY, epoch N, at N", which earlier versions log in a mixed fleet.
     private static final Pattern ACTION_PATTERN =
-            Pattern.compile("duties: acts for (\\S+), epoch (\\d+), at (\\d+)");
+            Pattern.compile(
+                    "(?:lease used: key=|duties: acts for )([^\\s,]+),?"
+                            + " epoch[= ](\\d+),? at(?:_micros=| )(\\d+)");
 
     private final double maxIdleSeconds;
     private final Map<String, List<LeaseAction>> actionsByKey = new TreeMap<>();
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/MembershipAgreementInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/MembershipAgreementInvariant.java
@@ -13,9 +13,12 @@
  * runs and whose paths are whole is held dead, and at the end all that run hold each other present.
  */
 public final class MembershipAgreementInvariant implements RunInvariant {
+    // Also as "members: balancer N is STATUS, incarnation N", which earlier versions log in a mixed
+    // fleet.
     private static final Pattern STATUS_PATTERN =
             Pattern.compile(
-                    "members: balancer (\\d+) is (ALIVE|SUSPECTED|DEAD|LEFT), incarnation (\\d+)");
+                    "(?:member status changed: member=|members: balancer )(\\d+)(?: status=| is )"
+                            + "(ALIVE|SUSPECTED|DEAD|LEFT),? incarnation[= ]\\d+");
 
     private final long detectionLimitMicros;
     private final boolean pathsFaultFree;
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/MembershipSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/MembershipSimulation.java
@@ -161,7 +161,7 @@
                                 members[recipient].onPeerMessage(
                                         scheduler.nowMicros(),
                                         sender,
-                                        MembershipMessage.decode(payload))));
+                                        MembershipMessage.decode(payload).orElseThrow())));
     }
 
     /** What {@code recipient} does with a datagram, if that comes. */
--- a/testbed/src/test/java/loadbalancer/testbed/invariant/RunInvariantsTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/invariant/RunInvariantsTest.java
@@ -35,7 +35,18 @@
     // ------------------------------------------------------------ acts in order
 
     private static String actionLine(int epoch, long atMicros) {
-        return "load-balancer: duties: acts for record, epoch " + epoch + ", at " + atMicros;
+        return "load-balancer: lease used: key=record epoch=" + epoch + " at_micros=" + atMicros;
+    }
+
+    @Test
+    void actionsLoggedByEarlierVersionsAreRead() {
+        LeaseEpochOrderInvariant leaseOrder = new LeaseEpochOrderInvariant(3);
+        leaseOrder.onLogLine(0, SECOND_MICROS, actionLine(6, SECOND_MICROS));
+        leaseOrder.onLogLine(
+                1, 2 * SECOND_MICROS, "duties: acts for record, epoch 5, at " + 2 * SECOND_MICROS);
+        assertEquals(
+                List.of("n1 acted for record under epoch 5 after n0 under 6"),
+                violationsOf(leaseOrder));
     }
 
     @Test
@@ -151,7 +162,11 @@
         membershipAgreement.onLogLine(
                 balancer,
                 atMicros,
-                "members: balancer " + member + " is " + status + ", incarnation 5; 2 of 3");
+                "member status changed: member="
+                        + member
+                        + " status="
+                        + status
+                        + " incarnation=5 present=2 members=3");
     }
 
     private enum Status {
@@ -182,6 +197,17 @@
                 violationsOf(membershipAgreement));
     }
 
+    @Test
+    void statusLoggedByEarlierVersionsIsRead() {
+        membershipAgreement.onProcessStopped(2, 5 * SECOND_MICROS, false);
+        logStatus(0, 6 * SECOND_MICROS, 2, Status.DEAD);
+        membershipAgreement.onLogLine(
+                1,
+                6 * SECOND_MICROS,
+                "members: balancer 2 is DEAD, incarnation 5; 2 of 3 present, view 7");
+        assertEquals(List.of(), violationsOf(membershipAgreement));
+    }
+
     @Test
     void missedDeathDetectionIsFound() {
         membershipAgreement.onProcessStopped(2, 5 * SECOND_MICROS, false);
