--- a/balancer/src/main/java/loadbalancer/lease/LeaseOutbox.java
+++ b/balancer/src/main/java/loadbalancer/lease/LeaseOutbox.java
@@ -127,7 +127,7 @@
     long appendFingerprint(long hash, long nowMicros) {
         for (Map.Entry<Integer, Long> round : sentAtMicrosByRound.entrySet()) {
             long remainingMicros = round.getValue() + timing.usableMicros() - nowMicros;
-            hash = hash * 31 + round.getKey() * 7 + Math.max(0, remainingMicros);
+            hash = hash * 31 + round.getKey() * 7L + Math.max(0, remainingMicros);
         }
         return hash;
     }
--- a/balancer/src/main/java/loadbalancer/membership/MemberTable.java
+++ b/balancer/src/main/java/loadbalancer/membership/MemberTable.java
@@ -84,8 +84,8 @@
     /**
      * Result of {@link #apply}.
      *
-     * @param disseminated whether others have to be told of the statement: not of the first contact
-     *     with a member that is alive, which each learns from that member itself
+     * @param disseminated whether the statement has to be sent to others: not that of the first
+     *     contact with a member that is alive, which each learns from that member itself
      * @param viewChanged whether the view has changed
      */
     record ApplyResult(boolean disseminated, boolean viewChanged) {
--- a/balancer/src/main/java/loadbalancer/membership/Membership.java
+++ b/balancer/src/main/java/loadbalancer/membership/Membership.java
@@ -161,7 +161,7 @@
     }
 
     // Messages may have arrived while this process was paused, and not been read: the time counts
-    // against nobody, and others are told that this member is alive.
+    // against nobody, and this member announces that it is alive.
     private void resumeAfterPause(long nowMicros) {
         failureDetector.onResumed(nowMicros);
         members.extendSuspicions(nowMicros - lastTickMicros);
