--- a/testbed/src/main/java/loadbalancer/testbed/capacity/HollowBalancer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/HollowBalancer.java
@@ -83,7 +83,7 @@
                                 rank,
                                 fleetSize,
                                 LeaseTiming.DEFAULT,
-                                null,
+                                List.of(),
                                 false,
                                 incarnation,
                                 incarnation << 14 ^ seed ^ rank,
@@ -178,11 +178,15 @@
                     if (category == CostCategory.MEMBERSHIP && membership != null) {
                         applyMembershipActions(
                                 membership.onPeerMessage(
-                                        host.now(), sender, MembershipMessage.decode(data)));
+                                        host.now(),
+                                        sender,
+                                        MembershipMessage.decode(data).orElseThrow()));
                     } else if (category == CostCategory.LEASES && leaseManager != null) {
                         applyLeaseActions(
                                 leaseManager.onPeerMessage(
-                                        host.now(), sender, LeaseMessage.decode(data)));
+                                        host.now(),
+                                        sender,
+                                        LeaseMessage.decode(data).orElseThrow()));
                     } else if (routingPolicy != null) {
                         routingPolicy.onPeerMessage(host.now(), sender, data, this);
                     }
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/MembershipAgreementInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/MembershipAgreementInvariant.java
@@ -14,9 +14,12 @@
  * balancers take each other to be present.
  */
 public final class MembershipAgreementInvariant implements RunInvariant {
+    // Also as "members: balancer N is STATUS, incarnation N", which earlier versions log in a mixed
+    // fleet.
     private static final Pattern STATUS_PATTERN =
             Pattern.compile(
-                    "members: balancer (\\d+) is (ALIVE|SUSPECTED|DEAD|LEFT), incarnation (\\d+)");
+                    "(?:member status changed: member=|members: balancer )(\\d+)(?: status=| is )"
+                            + "(ALIVE|SUSPECTED|DEAD|LEFT),? incarnation[= ]\\d+");
 
     private static final String RULE = "members agree";
 
