--- a/balancer/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/balancer/src/main/java/loadbalancer/admin/AdminServer.java
@@ -36,8 +36,9 @@
     /** Length of a command line. */
     static final int MAX_LINE_BYTES = 128;
 
-    // From accept until the client has read the response
-    private static final long CONNECTION_TIMEOUT_MS = 3_000;
+    /** From accept until the client has read the response. */
+    static final long CONNECTION_TIMEOUT_MS = 3_000;
+
     private static final int BACKLOG = 64;
 
     private final AdminOperations operations;
--- a/balancer/src/test/java/loadbalancer/DeployFileTest.java
+++ b/balancer/src/test/java/loadbalancer/DeployFileTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The sources that the deploy file names exist, so that what operators measure is what decides. */
+/** The deploy file names sources that exist, so that operators measure the code that runs. */
 class DeployFileTest {
     private static final Path ROOT = Path.of("..");
     private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
--- a/balancer/src/test/java/loadbalancer/KnownRedListTest.java
+++ b/balancer/src/test/java/loadbalancer/KnownRedListTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The list of tests that fail for a real fault: what CI passes over, and what it does not take. */
+/** {@code .ci/known-red}: which tests CI ignores the failure of, and which lists it rejects. */
 class KnownRedListTest {
     private static final String VALID_LINE =
             "KnownRedListTest#listedTestIsPrintedForSurefire | a trial | issue 26\n";
--- a/balancer/src/test/java/loadbalancer/MainTest.java
+++ b/balancer/src/test/java/loadbalancer/MainTest.java
@@ -67,10 +67,7 @@
                 result);
     }
 
-    /**
-     * What the build runs to write the classes of a start down; it needs neither discovery nor
-     * upstreams.
-     */
+    /** The build runs it to record the classes of a start; it needs no discovery or upstreams. */
     @Test
     void prepareStartsAndStopsABalancer() throws IOException, InterruptedException {
         ProgramResult result = runMain("", "prepare");
@@ -149,10 +146,7 @@
         Files.delete(configFile);
     }
 
-    /**
-     * From the first connection on it may have taken something: a signal just then is an orderly
-     * end too.
-     */
+    /** From its first connection on a balancer may have requests: a signal then drains it too. */
     @Test
     @Timeout(60)
     void repeatedSigtermAtStartStopsGracefully() throws IOException, InterruptedException {
@@ -222,7 +216,7 @@
         Files.delete(configFile);
     }
 
-    /** As under nohup: the signal can't be heard then, but what it tells of has to take effect. */
+    /** Under nohup SIGHUP is ignored, but a changed configuration still has to take effect. */
     @Test
     @Timeout(60)
     void changedFileIsReloadedWhenSighupIsIgnored() throws IOException, InterruptedException {
--- a/balancer/src/test/java/loadbalancer/admin/AdminServerTest.java
+++ b/balancer/src/test/java/loadbalancer/admin/AdminServerTest.java
@@ -149,4 +149,22 @@
         }
         assertEquals(List.of(), calls);
     }
+
+    @Test
+    void surplusConnectionClosesTheOldestAtOnce() throws IOException {
+        long startNanos = System.nanoTime();
+        List<Socket> sockets = new ArrayList<>();
+        try {
+            for (int i = 0; i <= AdminServer.MAX_CONNECTIONS; i++) {
+                sockets.add(connect());
+            }
+            assertEquals("", readToEnd(sockets.get(0)));
+            long elapsedMs = (System.nanoTime() - startNanos) / 1_000_000;
+            assertTrue(elapsedMs < AdminServer.CONNECTION_TIMEOUT_MS, elapsedMs + " ms");
+        } finally {
+            for (Socket socket : sockets) {
+                socket.close();
+            }
+        }
+    }
 }
--- a/balancer/src/test/java/loadbalancer/config/EndpointListCodecTest.java
+++ b/balancer/src/test/java/loadbalancer/config/EndpointListCodecTest.java
@@ -14,7 +14,10 @@
 import java.util.Random;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
+import loadbalancer.routing.api.EndpointStatus;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** {@link EndpointListCodec}: what it decodes, what it rejects, and what decoding allocates. */
 class EndpointListCodecTest {
@@ -163,6 +166,20 @@
         assertTrue(parsedCount > 1_000, parsedCount + " lists could be read");
     }
 
+    @ParameterizedTest
+    @CsvSource({"in_service, UP", "terminating, DRAINING", "terminated, REMOVED"})
+    void stateOfThePlatformBecomesAStatus(String state, EndpointStatus expected) {
+        String json = listJson(1).replace("in_service", state);
+        EndpointList list = EndpointListCodec.decode(json, BOOT_SETTINGS);
+        assertEquals(expected, list.endpoints().get(0).status());
+    }
+
+    @Test
+    void unknownStateIsRejected() {
+        assertEquals(
+                "unknown state: 'lost'", parseError(listJson(1).replace("in_service", "lost")));
+    }
+
     @Test
     void invalidListIsRejectedInOneLine() {
         assertEquals("no list of targets", parseError("[]"));
--- a/balancer/src/test/java/loadbalancer/simulator/GoldenSimulatorMessagesTest.java
+++ b/balancer/src/test/java/loadbalancer/simulator/GoldenSimulatorMessagesTest.java
@@ -35,8 +35,8 @@
 
 /**
  * Each message of the simulator's wire, byte for byte, with the extremes of its fields: a policy
- * that writes down what it is told gives the values of the input, and one wake-up makes it ask for
- * each action.
+ * that records its events gives the values of the input, and one timer event makes it ask for each
+ * action.
  */
 class GoldenSimulatorMessagesTest {
     private static final long NOW = 1_000_000;
@@ -82,18 +82,18 @@
             long now, String endpoint, AttemptOutcome outcome, long latency, LoadReport load)
             implements Call {}
 
-    private record Gossip(long now, int from, List<Byte> data) implements Call {}
+    private record PeerMessage(long now, int from, List<Byte> data) implements Call {}
 
-    private record WakeUp(long now) implements Call {}
+    private record TimerEvent(long now) implements Call {}
 
-    /** Writes calls down; on a wake-up it asks for each action. */
+    /** Records its events; on a timer event it asks for each action. */
     private static final class RecordingPolicy implements RoutingPolicy {
         private final List<Call> calls = new ArrayList<>();
 
         @Override
         public void onEndpointList(
-                long now, EndpointListKind kind, List<Endpoint> servers, RoutingActions actions) {
-            calls.add(new EndpointList(now, kind, servers));
+                long now, EndpointListKind kind, List<Endpoint> endpoints, RoutingActions actions) {
+            calls.add(new EndpointList(now, kind, endpoints));
         }
 
         @Override
@@ -152,12 +152,12 @@
             for (byte each : data) {
                 bytes.add(each);
             }
-            calls.add(new Gossip(now, from, bytes));
+            calls.add(new PeerMessage(now, from, bytes));
         }
 
         @Override
         public void onTimer(long now, RoutingActions actions) {
-            calls.add(new WakeUp(now));
+            calls.add(new TimerEvent(now));
             actions.send("request-1", ENDPOINT, 0);
             actions.send("request-1", ENDPOINT, Long.MAX_VALUE);
             actions.reject("request-1", 0);
@@ -335,11 +335,11 @@
 
     private static List<Call> gossipAndTime() {
         return List.of(
-                new Gossip(NOW, 0, List.of()),
-                new Gossip(
+                new PeerMessage(NOW, 0, List.of()),
+                new PeerMessage(
                         NOW, 2_147_483_646, List.of((byte) 0, (byte) -1, (byte) 127, (byte) -128)),
-                new WakeUp(NOW),
-                new WakeUp(Long.MAX_VALUE));
+                new TimerEvent(NOW),
+                new TimerEvent(Long.MAX_VALUE));
     }
 
     @Test
--- a/balancer/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
+++ b/balancer/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The wire: frames in, frames out, and plain complaints about what is malformed. */
+/** {@link SimulatorAdapter}: frames in, frames out, and the errors of malformed frames. */
 class SimulatorAdapterTest {
     private static final String ENLIST_SETTINGS =
             String.join(
@@ -282,6 +282,6 @@
                                 + "INBOUND\ta\t0\t-\tab\t600000\t-\t0\n"
                                 + "INBOUND\tb\t0\t-\tab\t600000\t-\t0\nGO\n");
         assertTrue(output.contains("DELIVER\ta\t10.0.0.7:80"), output);
-        assertTrue(!output.contains("DELIVER\tb"), "b waits for its turn: " + output);
+        assertTrue(!output.contains("DELIVER\tb"), "b is queued behind a: " + output);
     }
 }
