--- a/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
@@ -406,8 +406,8 @@
     private void decayCounters(long elapsedMicros, long now) {
         double retainedFraction = trafficCounters.decay(now);
         loadShedder.decay(retainedFraction);
-        tenantQuotas.decay(elapsedMicros);
-        fleetCapacity.decay(elapsedMicros);
+        tenantQuotas.decay((double) elapsedMicros);
+        fleetCapacity.decay((double) elapsedMicros);
     }
 
     private void updateSheddingLevel(long elapsedMicros, long now) {
