--- a/balancer/src/test/java/loadbalancer/routing/QueueLengthEstimatorTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/QueueLengthEstimatorTest.java
@@ -4,6 +4,8 @@
 import static loadbalancer.routing.RoutingEngineHarness.withEndpoints;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Comparator;
+import java.util.List;
 import loadbalancer.routing.RoutingEngineHarness.SentAttempt;
 import loadbalancer.routing.api.AttemptOutcome;
 import org.junit.jupiter.api.Test;
@@ -31,4 +33,28 @@
                     "a long reported queue is avoided: " + recentlySent);
         }
     }
+
+    /** Found by mutation: the test above passes where the other endpoints win all ties anyway. */
+    @Test
+    void favouriteEndpointLosesToItsReportedQueue() {
+        RoutingEngineHarness harness = withEndpoints(11, 4, IDEMPOTENT);
+        for (int i = 0; i < 100; i++) {
+            SentAttempt attempt = harness.request("before" + i, 0);
+            harness.now += 20_000;
+            harness.endAttempt(attempt, AttemptOutcome.OK);
+        }
+        String favourite =
+                List.of("s0", "s1", "s2", "s3").stream()
+                        .max(Comparator.comparingLong(id -> harness.countSentTo(id, 0)))
+                        .orElseThrow();
+        long reportedFrom = harness.now;
+        for (int i = 0; i < 100; i++) {
+            SentAttempt attempt = harness.request("after" + i, 0);
+            harness.now += 20_000;
+            harness.reportedInFlight = attempt.endpointId.equals(favourite) ? 50 : 2;
+            harness.endAttempt(attempt, AttemptOutcome.OK);
+        }
+        long sentToFavourite = harness.countSentTo(favourite, reportedFrom);
+        assertTrue(sentToFavourite <= 15, "sent to the longest queue: " + sentToFavourite);
+    }
 }
