--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointState.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointState.java
@@ -18,7 +18,7 @@
  * <p>Fields that are public are still read or written by other packages; inside this package and by
  * new code only the methods are used.
  */
-public final class EndpointState {
+public final class EndpointState extends EndpointListEntry {
     /** Upper bound of a plausible load report, in requests. */
     private static final double MAX_REPORTED_IN_FLIGHT = 1e6;
 
@@ -31,17 +31,9 @@
     public final long idHash;
     public final int tieBreaker;
 
-    // Place in the registry, the ring and their walks. The listed descriptor is the one that sums
-    // and ring were last updated with; null while the endpoint is not listed.
     private final ActiveEndpoints activeEndpoints;
-    private final long listPosition;
-    private Endpoint listedDescriptor;
-    private boolean isActive;
-    private int lastListGeneration;
     private EndpointState previousOfSameWeight;
     private EndpointState nextOfSameWeight;
-    private int ringPointCount;
-    private int subsetVisitGeneration;
     public int visitGeneration;
 
     // Load. Both queues stay null until they are first needed, which for most endpoints of a large
@@ -89,9 +81,9 @@
             int classCount,
             ActiveEndpoints activeEndpoints,
             long listPosition) {
+        super(listPosition);
         this.descriptor = descriptor;
         this.activeEndpoints = activeEndpoints;
-        this.listPosition = listPosition;
         this.classHealth =
                 Stream.generate(() -> new ClassHealth(this))
                         .limit(classCount)
@@ -108,6 +100,7 @@
     }
 
     /** Hash of the endpoint's id; the same on every balancer. */
+    @Override
     public long idHash() {
         return idHash;
     }
@@ -121,41 +114,7 @@
         descriptor = newDescriptor;
     }
 
-    // ---------------------------------------------------------------- registry, ring and walks
-
-    long listPosition() {
-        return listPosition;
-    }
-
-    boolean isListed() {
-        return listedDescriptor != null;
-    }
-
-    /** The descriptor that sums and ring were last updated with; null while not listed. */
-    Endpoint listedDescriptor() {
-        return listedDescriptor;
-    }
-
-    void setListedDescriptor(Endpoint newListedDescriptor) {
-        listedDescriptor = newListedDescriptor;
-    }
-
-    /** Whether the endpoint list of this generation named the endpoint. */
-    boolean isNamedByList(int listGeneration) {
-        return lastListGeneration == listGeneration;
-    }
-
-    void setNamedByList(int listGeneration) {
-        lastListGeneration = listGeneration;
-    }
-
-    boolean isActive() {
-        return isActive;
-    }
-
-    void setActive(boolean active) {
-        isActive = active;
-    }
+    // ---------------------------------------------------------------- looks and searches
 
     /**
      * Registers the endpoint as active: something is out of the ordinary, or is about to be, so
@@ -165,20 +124,6 @@
         activeEndpoints.add(this);
     }
 
-    int ringPointCount() {
-        return ringPointCount;
-    }
-
-    /** Adds the endpoint's next point of the hash ring; returns the point. */
-    long addRingPoint() {
-        return Hashing.mix(idHash + ringPointCount++);
-    }
-
-    /** Takes back the point that was added last; returns the point. */
-    long removeRingPoint() {
-        return Hashing.mix(idHash + --ringPointCount);
-    }
-
     /** Puts this endpoint in front of a chain of endpoints of its weight ({@code head} or null). */
     void linkBefore(EndpointState head) {
         nextOfSameWeight = head;
@@ -208,17 +153,6 @@
         return nextOfSameWeight;
     }
 
-    /** Marks the endpoint as met by a walk of the subset; false where that walk met it before. */
-    boolean markSubsetVisited(int generation) {
-        boolean isFirstVisit = subsetVisitGeneration != generation;
-        subsetVisitGeneration = generation;
-        return isFirstVisit;
-    }
-
-    int subsetVisitGeneration() {
-        return subsetVisitGeneration;
-    }
-
     /** Marks the endpoint as met by a search for candidates; false where it was met before. */
     public boolean markVisited(int generation) {
         boolean isFirstVisit = visitGeneration != generation;
