--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseMembers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseMembers.java
@@ -79,7 +79,9 @@
             return state.believesHolder()[member] ? state.highestEpoch() : 0;
         }
         long clockMicros = clockMicros(member, state.now());
-        Lease lease = state.managers()[member].currentLease(clockMicros, SLOT);
-        return lease == null ? 0 : lease.epoch();
+        return state.managers()[member]
+                .currentLease(clockMicros, SLOT)
+                .map(Lease::epoch)
+                .orElse(0L);
     }
 }
