--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/AggregationModelChecker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/AggregationModelChecker.java
@@ -7,42 +7,42 @@
 import loadbalancer.routing.gossip.FleetLoadAggregator;
 
 /**
- * Looks at what may happen to a few balancers of {@link FleetLoadAggregator}: datagrams late by up
- * to a step of time, in any order, lost and repeated, balancers that crash and start anew, halves
- * cut apart and joined. Each state once, by its fingerprint. In each state every record tells of
- * its block as it was at the time it names, or later, but for the time on the way, which an age
- * does not count; and from a part of the states, once faults end, all live balancers must come to
- * know the sum of the live ones.
+ * Checks a few balancers of {@link FleetLoadAggregator} under datagrams late by up to a step of
+ * time, in any order, lost and duplicated, balancers that crash and start again, and a partition
+ * into halves. In each state every record reports a total that its block had at the record's time
+ * or later, apart from the time in transit, which a record's age leaves out; from a part of the
+ * states, once faults end, all live balancers must come to know the total of the live ones.
  */
 public final class AggregationModelChecker
         implements StateSpaceSearch.Model<AggregationModelChecker.ClusterState> {
-    // µs that time moves on by
+    // By how much time advances in one step
     private static final long STEP_MICROS = 250_000;
     private static final long START_MICROS = 1_000_000_000L;
-    // Datagrams under way; the oldest beyond it are lost.
+    // Beyond it the oldest datagrams are lost.
     private static final int MAX_IN_FLIGHT = 5;
-    // µs after the last fault in which sums must be true.
+    // How long after the last fault totals must be right
     private static final long CONVERGENCE_MICROS = 2 * FleetLoadAggregator.EXPIRY_MICROS;
 
     private final BlockPartition blocks;
     private final InjectedBug injectedBug;
 
-    /** A mistake built in, to see that it is found. */
+    /** A bug built into the model, to show that the check finds it. */
     public enum InjectedBug {
         NONE,
-        /** Records lose age on their way. */
+        /** A record's age decreases in transit. */
         REDUCE_AGE_IN_TRANSIT,
-        /** Only a block's first balancer tells. */
+        /** Only the first balancer of a block reports. */
         ONLY_FIRST_REPORTS,
-        /** Blocks that are not known to be there are never tried. */
+        /** No datagrams go to blocks of which no current record is known. */
         NEVER_PROBE_UNKNOWN_BLOCKS
     }
 
     /**
-     * A state of the world, and how it was come to.
+     * A state of all balancers and datagrams. Arrays are shared between states and never modified.
      *
-     * @param rateHistory of each block the sums of its live balancers, newest last, each with when
-     *     it began to hold
+     * @param rateHistory by block: the totals of its live balancers, newest last
+     * @param from the state before; null at the start
+     * @param step what led here
      */
     record ClusterState(
             FleetLoadAggregator[] members,
@@ -56,22 +56,24 @@
             String step)
             implements StateSpaceSearch.State<ClusterState> {}
 
+    /** A block's total and since when it holds. */
     record RateSince(long sinceMicros, int rateBits) {}
 
     record InFlightMessage(long sentAtMicros, int from, int to, byte[] payload) {}
 
-    /** {@code partition}: few, of few. */
+    /** Creates a checker of a partition into few blocks of few balancers. */
     public AggregationModelChecker(BlockPartition partition, InjectedBug injectedBug) {
         this.blocks = partition;
         this.injectedBug = injectedBug;
     }
 
     /**
-     * Long walks until so many states were seen.
+     * Explores by long random walks until that many distinct states were visited.
      *
-     * @param maxFaults crashes, starts, cuts, losses and repeats on one path at most
-     * @param convergenceCheckInterval from one state in so many it is tried whether sums come to be
-     *     true
+     * @param maxFaults upper bound of crashes, starts, partitions, losses and duplicates on one
+     *     path
+     * @param convergenceCheckInterval from one state in that many it is checked whether totals come
+     *     to be right
      */
     public CheckResult randomWalk(
             long maxStates,
@@ -88,7 +90,7 @@
                         seed);
     }
 
-    /** The same from the newest states and from any in turn. */
+    /** Explores from the newest state and from a random one in turn; see {@link #randomWalk}. */
     public CheckResult explore(
             long maxStates, int maxFaults, int convergenceCheckInterval, long seed) {
         return new StateSpaceSearch<>(this)
@@ -117,7 +119,7 @@
                 "all start");
     }
 
-    // Each balancer's rate is a bit of its own, so that a sum says who is in it.
+    // Each balancer's rate is a bit of its own, so that a total shows whose rates it contains.
     private int rateBits(int block, boolean[] down) {
         int bits = 0;
         for (int memberIndex = blocks.firstBalancer(block);
@@ -146,17 +148,15 @@
                                     ? 1
                                     : state.members[memberIndex].fingerprint(state.now));
         }
-        // A set: their order does not matter
-        long messagesHash = 0;
-        for (InFlightMessage message : state.inFlight) {
-            long messageHash =
-                    (message.from * 31L + message.to) * 31 + Arrays.hashCode(message.payload);
-            messagesHash += (messageHash ^ messageHash >>> 17) * 0x9e3779b97f4a7c15L;
-        }
-        return (hash ^ messagesHash) * 0xbf58476d1ce4e5b9L;
+        return Fingerprints.of(
+                hash,
+                state.inFlight,
+                message ->
+                        Fingerprints.messageHash(
+                                message.from, message.to, Arrays.hashCode(message.payload)));
     }
 
-    // ------------------------------------------------------------ what may happen next
+    // ------------------------------------------------------------ transitions
 
     @Override
     public List<ClusterState> successors(ClusterState state) {
@@ -349,7 +349,7 @@
                 "n" + memberIndex + (down[memberIndex] ? " crashes" : " starts"));
     }
 
-    // ------------------------------------------------------------ what must hold
+    // ------------------------------------------------------------ checks
 
     @Override
     public String findViolation(ClusterState before, ClusterState state) {
@@ -357,9 +357,9 @@
             for (int block = 0; !state.down[memberIndex] && block < blocks.blockCount(); block++) {
                 FleetLoadAggregator.LoadTotal knownTotal =
                         state.members[memberIndex].blockTotal(state.now, block);
-                // Half of its way at the most it was under way: it is told on a step after it came
-                // at the
-                // soonest.
+                // A record is passed on a step after it arrived at the soonest, so that at most
+                // half
+                // of the time since it was made is transit, which its age leaves out.
                 if (knownTotal != null
                         && !hadRateSince(
                                 state,
@@ -381,9 +381,8 @@
         return "";
     }
 
-    // Whether a block's sum was this one at that time or later. What a balancer says of its own
-    // block may be
-    // as old as its last look.
+    // Whether a block had that total at that time or later. What a balancer reports of its own
+    // block may be as old as its latest tick.
     private static boolean hadRateSince(
             ClusterState state, int block, long sinceMicros, int expectedBits) {
         List<RateSince> blockHistory = state.rateHistory.get(block);
@@ -399,7 +398,7 @@
         return false;
     }
 
-    // No more faults: all goes on, the halves are joined, whoever is down stays down.
+    // The halves are joined; balancers that are down stay down.
     @Override
     public String findConvergenceViolation(ClusterState state) {
         FleetLoadAggregator[] members =
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/CheckResult.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/CheckResult.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What an explorer found.
+ * The result of a model check.
  *
- * @param statesExplored distinct ones that were seen
- * @param convergenceChecks of them, from which it was tried what becomes once faults end
- * @param violation the first thing that must not be; empty where nothing is wrong
- * @param trace the steps that led to it
+ * @param statesExplored number of distinct states visited
+ * @param convergenceChecks number of states from which convergence was checked
+ * @param violation the first violation found; empty if there is none
+ * @param trace the steps that led to the violation, oldest first; empty if there is none
  */
 public record CheckResult(
         long statesExplored, long convergenceChecks, String violation, List<String> trace) {}
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseTransitions.java
@@ -0,0 +1,186 @@
+package loadbalancer.testbed.modelcheck;
+
+import java.util.ArrayList;
+import java.util.List;
+import loadbalancer.lease.VoterPromise;
+
+/**
+ * The transitions of the lease model: from a state to each state that one event leads to. The order
+ * of successors is part of the search's result for a seed.
+ */
+final class LeaseTransitions {
+    /** By how much time advances in one step, in µs. */
+    static final long STEP_MICROS = 10_000;
+
+    private final LeaseMembers members;
+
+    LeaseTransitions(LeaseMembers members) {
+        this.members = members;
+    }
+
+    /** All states that one event leads to. */
+    List<LeaseClusterState> successors(LeaseClusterState state) {
+        List<LeaseClusterState> successors = new ArrayList<>();
+        for (LeaseInFlight message : state.inFlight()) {
+            addMessageEvents(state, message, successors);
+        }
+        successors.add(advanceTime(state));
+        for (int member = 0; member < members.count(); member++) {
+            if (state.down()[member]) {
+                addRestarts(state, member, successors);
+            } else {
+                addProcessEvents(state, member, successors);
+            }
+        }
+        return successors;
+    }
+
+    private LeaseClusterBuilder change(LeaseClusterState state) {
+        return new LeaseClusterBuilder(members, state);
+    }
+
+    private LeaseClusterBuilder changeByFault(LeaseClusterState state) {
+        return change(state).consumeFault();
+    }
+
+    // ------------------------------------------------------------ messages
+
+    private void addMessageEvents(
+            LeaseClusterState state, LeaseInFlight message, List<LeaseClusterState> successors) {
+        boolean recipientRuns = !state.paused()[message.to()];
+        if (recipientRuns) {
+            LeaseClusterBuilder builder = change(state);
+            builder.remove(message);
+            successors.add(deliver(state, builder, message, " arrives"));
+        }
+        if (state.remainingFaults() == 0) {
+            return;
+        }
+        LeaseClusterBuilder lost = changeByFault(state);
+        lost.remove(message);
+        successors.add(lost.build(message + " is lost"));
+        if (recipientRuns) {
+            successors.add(
+                    deliver(state, changeByFault(state), message, " arrives, and will once more"));
+        }
+    }
+
+    private LeaseClusterState deliver(
+            LeaseClusterState state,
+            LeaseClusterBuilder builder,
+            LeaseInFlight message,
+            String outcome) {
+        if (state.down()[message.to()]) {
+            return builder.build(message + " finds nobody");
+        }
+        if (message instanceof LeaseInFlight.ProtocolMessage protocolMessage) {
+            builder.deliver(protocolMessage);
+        } else if (message instanceof LeaseInFlight.FencedAction action) {
+            builder.deliver(action);
+        }
+        return builder.build(message + outcome);
+    }
+
+    // ------------------------------------------------------------ time and processes
+
+    private LeaseClusterState advanceTime(LeaseClusterState state) {
+        LeaseClusterBuilder builder = change(state);
+        builder.advanceTime(STEP_MICROS);
+        for (int member = 0; member < members.count(); member++) {
+            if (!state.down()[member] && !state.paused()[member]) {
+                builder.tickIfDue(member);
+            }
+        }
+        return builder.build("time passes");
+    }
+
+    private void addRestarts(
+            LeaseClusterState state, int member, List<LeaseClusterState> successors) {
+        if (state.remainingFaults() == 0) {
+            return;
+        }
+        List<VoterPromise> promises = state.persisted().get(member);
+        List<VoterPromise> olderPromises = state.previouslyPersisted().get(member);
+        successors.add(restart(state, member, promises, "starts again"));
+        successors.add(restart(state, member, null, "starts with its disk emptied"));
+        successors.add(
+                restart(state, member, olderPromises, "starts with an older copy of its disk"));
+    }
+
+    private LeaseClusterState restart(
+            LeaseClusterState state, int member, List<VoterPromise> promises, String description) {
+        LeaseClusterBuilder builder = changeByFault(state);
+        builder.restart(member, promises);
+        return builder.build("n" + member + " " + description);
+    }
+
+    private void addProcessEvents(
+            LeaseClusterState state, int member, List<LeaseClusterState> successors) {
+        boolean faultsRemain = state.remainingFaults() > 0;
+        if (state.pendingWrites()[member] != null) {
+            successors.add(completeWrite(state, member, true));
+            if (faultsRemain) {
+                successors.add(completeWrite(state, member, false));
+            }
+        }
+        if (!state.paused()[member] && members.actingEpoch(state, member) > 0) {
+            addAction(state, member, successors);
+        }
+        if (faultsRemain) {
+            addProcessFaults(state, member, successors);
+        }
+    }
+
+    private LeaseClusterState completeWrite(
+            LeaseClusterState state, int member, boolean succeeded) {
+        LeaseClusterBuilder builder = succeeded ? change(state) : changeByFault(state);
+        builder.completeWrite(member, succeeded);
+        String outcome = succeeded ? " has kept its promises" : " could not keep its promises";
+        return builder.build("n" + member + outcome);
+    }
+
+    // Few actions at a time: more would displace the messages by which leases are granted.
+    private void addAction(
+            LeaseClusterState state, int member, List<LeaseClusterState> successors) {
+        long actionsInFlight =
+                state.inFlight().stream()
+                        .filter(LeaseInFlight.FencedAction.class::isInstance)
+                        .count();
+        if (actionsInFlight < members.count()) {
+            LeaseClusterBuilder builder = change(state);
+            builder.act(member, members.actingEpoch(state, member));
+            successors.add(builder.build("n" + member + " acts"));
+        }
+    }
+
+    private void addProcessFaults(
+            LeaseClusterState state, int member, List<LeaseClusterState> successors) {
+        boolean paused = state.paused()[member];
+        LeaseClusterBuilder crash = changeByFault(state);
+        crash.crash(member);
+        successors.add(crash.build("n" + member + " crashes"));
+        LeaseClusterBuilder pause = changeByFault(state);
+        pause.togglePaused(member);
+        successors.add(pause.build("n" + member + (paused ? " goes on" : " stands still")));
+        if (paused) {
+            return;
+        }
+        LeaseClusterBuilder standby = changeByFault(state);
+        standby.toggleStandby(member);
+        successors.add(
+                standby.build(
+                        "n"
+                                + member
+                                + (state.standby()[member]
+                                        ? " wants leases again"
+                                        : " is on standby")));
+        for (int other = 0; other < members.count(); other++) {
+            if (other != member) {
+                LeaseClusterBuilder view = changeByFault(state);
+                view.toggleView(member, other);
+                String change = state.views()[member][other] ? " absent" : " present";
+                successors.add(view.build("n" + member + " takes n" + other + " to be" + change));
+            }
+        }
+    }
+}
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/MembershipModelChecker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/MembershipModelChecker.java
@@ -10,28 +10,26 @@
 import loadbalancer.membership.MembershipTiming;
 
 /**
- * Looks at what may happen to a few members of {@link Membership}: messages delivered in any order,
- * lost and repeated, members that stand still, crash and start anew. Each state once, by its
- * fingerprint, from the newest found and from any in turn. In each state no incarnation has gone
- * back; and from a part of the states, once faults end, all live members must come to hold each
- * other present and the others not.
+ * Checks a few members of {@link Membership} under messages delivered in any order, lost and
+ * duplicated, and members that pause, crash and start again. In each state no incarnation that a
+ * member knows has decreased; from a part of the states, once faults end, all live members must
+ * come to agree that each other is present and that the rest is not.
  */
 public final class MembershipModelChecker
         implements StateSpaceSearch.Model<MembershipModelChecker.ClusterState> {
-    // µs that time moves on by
+    // By how much time advances in one step
     private static final long STEP_MICROS = 20_000;
-    // ms
     private static final long WALL_CLOCK_EPOCH_MS = 1_000_000;
-    // messages under way; the oldest beyond it are lost
+    // Beyond it the oldest messages are lost.
     private static final int MAX_IN_FLIGHT = 6;
-    // µs after the last fault in which views must agree
+    // How long after the last fault views must agree
     private static final long CONVERGENCE_MICROS = 6_000_000;
 
     private final int memberCount;
     private final MembershipTiming timing;
     private final InjectedBug injectedBug;
 
-    /** A mistake built in, to see that it is found. */
+    /** A bug built into the model, to show that the check finds it. */
     public enum InjectedBug {
         NONE,
         LOSE_STATE,
@@ -39,7 +37,10 @@
         NEVER_REVIVE
     }
 
-    /** A state of the world, and how it was come to. */
+    /**
+     * A state of all members and messages; {@code from} and {@code step} say how it was reached.
+     * Arrays are shared between states and never modified.
+     */
     record ClusterState(
             Membership[] members,
             boolean[] down,
@@ -53,7 +54,7 @@
 
     record InFlightMessage(int from, int to, MembershipMessage payload) {}
 
-    /** {@code timing}: small times make more happen within few steps. */
+    /** Creates a checker; short times in {@code timing} make more happen within few steps. */
     public MembershipModelChecker(
             int memberCount, MembershipTiming timing, InjectedBug injectedBug) {
         this.memberCount = memberCount;
@@ -62,11 +63,11 @@
     }
 
     /**
-     * Explores until so many states were seen.
+     * Explores until that many distinct states were visited.
      *
-     * @param maxFaults crashes, pauses, losses and repeats on one path at most
-     * @param convergenceCheckInterval from one state in so many it is tried whether views come to
-     *     agree
+     * @param maxFaults upper bound of crashes, pauses, losses and duplicates on one path
+     * @param convergenceCheckInterval from one state in that many it is checked whether views come
+     *     to agree
      */
     public CheckResult explore(
             long maxStates, int maxFaults, int convergenceCheckInterval, long seed) {
@@ -104,24 +105,24 @@
     public long fingerprint(ClusterState state) {
         long hash = state.remainingFaults;
         for (int member = 0; member < memberCount; member++) {
-            hash =
-                    hash * 1_000_003
-                            + (state.down[member]
-                                    ? 1
-                                    : state.paused[member]
-                                            ? 2 + state.members[member].fingerprint(state.now)
-                                            : state.members[member].fingerprint(state.now));
+            hash = hash * 1_000_003 + processHash(state, member);
         }
-        // A set: their order does not matter
-        long messagesHash = 0;
-        for (InFlightMessage message : state.inFlight) {
-            long messageHash = (message.from * 31L + message.to) * 31 + message.payload.hashCode();
-            messagesHash += (messageHash ^ messageHash >>> 17) * 0x9e3779b97f4a7c15L;
+        return Fingerprints.of(
+                hash,
+                state.inFlight,
+                message ->
+                        Fingerprints.messageHash(
+                                message.from, message.to, message.payload.hashCode()));
+    }
+
+    private static long processHash(ClusterState state, int member) {
+        if (state.down[member]) {
+            return 1;
         }
-        return (hash ^ messagesHash) * 0xbf58476d1ce4e5b9L;
+        return (state.paused[member] ? 2 : 0) + state.members[member].fingerprint(state.now);
     }
 
-    // ------------------------------------------------------------ what may happen next
+    // ------------------------------------------------------------ transitions
 
     @Override
     public List<ClusterState> successors(ClusterState state) {
@@ -204,7 +205,7 @@
                 describe(message) + " " + outcome);
     }
 
-    // Here a planted fault does its harm: on what a member hears.
+    // Injected bugs act on the messages that a member receives.
     private List<Membership.Action> receive(
             Membership member, long nowMicros, InFlightMessage message) {
         MembershipMessage payload = message.payload;
@@ -337,7 +338,7 @@
                 "n" + member + (paused[member] ? " stands still" : " goes on"));
     }
 
-    // ------------------------------------------------------------ what must hold
+    // ------------------------------------------------------------ checks
 
     private String findIncarnationRegression(ClusterState before, ClusterState after) {
         for (int member = 0; member < memberCount; member++) {
@@ -364,7 +365,7 @@
         return "";
     }
 
-    // No more faults: all goes on, whoever is down stays down, and messages take one step.
+    // Members that are down stay down, pauses end, and messages take one step.
     @Override
     public String findConvergenceViolation(ClusterState state) {
         Membership[] members =
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/StateSpaceSearch.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/StateSpaceSearch.java
@@ -9,46 +9,48 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Looks at the states that a model of some processes can come to, each once by its fingerprint.
- * {@link #explore} goes on from the newest found as often as from any; {@link #randomWalk} goes
- * long ways from the start, with a fault now and then, for what takes somebody's death and a lease
- * or two to show.
+ * Visits the states that a model of some processes can reach, each once by its fingerprint. {@link
+ * #explore} continues from the newest state as often as from a random one; {@link #randomWalk}
+ * takes long paths from the start with an occasional fault, for violations that need a crash and
+ * several lease durations to appear. One search per instance; not thread-safe.
  *
- * @param <W> a state, which knows how it was come to
+ * @param <W> a state of the model
  */
 final class StateSpaceSearch<W extends StateSpaceSearch.State<W>> {
-    // Steps of a walk, as a mean
+    // On average
     private static final int STEPS_PER_FAULT = 8;
 
     private final Model<W> model;
     private final Set<Long> visited = new HashSet<>();
     private long convergenceChecks;
 
-    /** A state of all processes and of what is under way between them. */
+    /** A state of all processes and of the messages between them. */
     interface State<W> {
-        /** The state before; null at the start. */
+        /** The state before, or null at the start. */
         W from();
 
-        /** µs since the start. */
+        /** Time of the model in µs since the start. */
         long now();
 
-        /** What has led here. */
+        /** The event that led here, for the trace. */
         String step();
     }
 
-    /** What may happen, and what must hold. */
+    /** The transitions of the processes and the properties that must hold. */
     interface Model<W> {
+        /** The states that one event leads to; their order decides what a seed visits. */
         List<W> successors(W state);
 
+        /** Identifies a state; two states with one fingerprint count as the same. */
         long fingerprint(W state);
 
-        /** Whether a fault has led from that state to this one. */
+        /** Whether a fault led from one state to the other. */
         boolean isFaultTransition(W before, W state);
 
-        /** What is wrong with a state that came of that one; empty: nothing. */
+        /** Describes the invariant that a state breaks after the one before; empty: none. */
         String findViolation(W before, W state);
 
-        /** What is wrong some time after the last fault; empty: nothing. */
+        /** Describes what has not converged if no fault follows the state; empty: all has. */
         String findConvergenceViolation(W state);
     }
 
@@ -57,8 +59,8 @@
     }
 
     /**
-     * Goes on from a state until so many were seen; from one of them in {@code
-     * convergenceCheckInterval} faults end.
+     * Explores from a state until that many were visited or none is left; convergence is checked
+     * from one of them in {@code convergenceCheckInterval}.
      */
     CheckResult explore(W start, long maxStates, int convergenceCheckInterval, long seed) {
         UniformRandomProvider random = RandomStreams.stream(seed, "explorer");
@@ -81,7 +83,7 @@
         return new CheckResult(visited.size(), convergenceChecks, "", List.of());
     }
 
-    /** Walks of so many steps from the start; all states beside the way are looked at too. */
+    /** Explores by random walks from the start; the states beside a walk are checked too. */
     CheckResult randomWalk(
             W start, long maxStates, int stepsPerWalk, int convergenceCheckInterval, long seed) {
         UniformRandomProvider random = RandomStreams.stream(seed, "walker");
@@ -111,8 +113,8 @@
         return new CheckResult(visited.size(), convergenceChecks, "", List.of());
     }
 
-    private CheckResult check(W predecessor, W state, int convergenceCheckInterval) {
-        String violation = model.findViolation(predecessor, state);
+    private CheckResult check(W before, W state, int convergenceCheckInterval) {
+        String violation = model.findViolation(before, state);
         if (violation.isEmpty() && visited.size() % convergenceCheckInterval == 0) {
             convergenceChecks++;
             violation = model.findConvergenceViolation(state);
