--- a/testbed/src/main/java/loadbalancer/testbed/emulation/ClientEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/ClientEmulator.java
@@ -21,6 +21,8 @@
 import java.util.Deque;
 import java.util.HexFormat;
 import java.util.List;
+import loadbalancer.testbed.client.ClientRequestLifecycle;
+import loadbalancer.testbed.client.FrontendRotation;
 import loadbalancer.testbed.invariant.ClientAttempt;
 import loadbalancer.testbed.invariant.ClientRequest;
 import loadbalancer.testbed.invariant.RequestInvariants;
@@ -36,10 +38,6 @@
  * front chooses.
  */
 public final class ClientEmulator {
-    // µs a further try must have
-    private static final long MIN_RETRY_TIME_MICROS = 20_000;
-    // µs past its time that an answer still counts
-    private static final long LATE_RESPONSE_SLACK_MICROS = 70_000;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     // Of a balancer's descriptors that clients hold
     private static final int CLIENT_DESCRIPTOR_DIVISOR = 3;
@@ -47,6 +45,7 @@
 
     private final Emulation emulation;
     private final FrontendEmulator frontend;
+    private final ClientRequestLifecycle lifecycle;
     private final List<ConnectionPool> pools = new ArrayList<>();
     private final UniformRandomProvider random;
     private final Histogram lateness = new Histogram(3);
@@ -57,6 +56,9 @@
     ClientEmulator(Emulation emulation, FrontendEmulator frontend) {
         this.emulation = emulation;
         this.frontend = frontend;
+        this.lifecycle =
+                new ClientRequestLifecycle(
+                        emulation.scenario(), emulation, this::attempt, this::onRequestEnded);
         this.random = RandomStreams.stream(emulation.plan().seed(), "clients");
         for (int balancer = 0; balancer < emulation.scenario().fleet().balancers(); balancer++) {
             pools.add(new ConnectionPool(balancer));
@@ -85,57 +87,24 @@
         }
     }
 
-    private void endRequest(ClientRequest clientRequest, ClientRequest.Outcome outcome) {
-        if (clientRequest.outcome() != null) {
-            return;
-        }
-        clientRequest.outcome(outcome, emulation.nowMicros());
-        emulation.windows().record(clientRequest);
+    private void onRequestEnded(ClientRequest request) {
+        emulation.windows().record(request);
         openRequests--;
         if (openRequests == 0 && nextArrival == emulation.plan().arrivals().size()) {
             onComplete.run();
         }
     }
 
-    private long timeLeftMicros(ClientRequest clientRequest) {
-        Scenario.RequestClass requestClass =
-                emulation.scenario().classes().get(clientRequest.arrival().requestClass());
-        long totalMicros =
-                Math.round(requestClass.deadlineMs() * 1e3)
-                        / (clientRequest.arrival().impatient() ? 2 : 1);
-        return clientRequest.arrival().atMicros() + totalMicros - emulation.nowMicros();
-    }
-
-    private void attempt(ClientRequest clientRequest) {
-        clientRequest.countAttempt();
-        byte[] id = new byte[8];
+    private void attempt(ClientRequest request) {
+        byte[] id = new byte[Long.BYTES];
         random.nextBytes(id);
-        long deadlineMicros = timeLeftMicros(clientRequest);
-        ClientAttempt clientAttempt =
-                new ClientAttempt(HexFormat.of().formatHex(id), clientRequest, deadlineMicros);
-        int balancer = frontend.chooseBalancer(clientRequest.arrival().zone());
-        if (balancer < 0) {
-            retryOrEnd(clientAttempt, ClientRequest.Outcome.FAILED, 0);
+        ClientAttempt attempt = lifecycle.newAttempt(request, HexFormat.of().formatHex(id));
+        int balancer = frontend.rotation().chooseBalancer(request.arrival().zone());
+        if (balancer == FrontendRotation.NO_BALANCER) {
+            lifecycle.retryOrEnd(attempt, ClientRequest.Outcome.FAILED, 0);
             return;
         }
-        pools.get(balancer).send(clientAttempt, false);
-    }
-
-    /** The try came to nothing, harmlessly: comes again, or ends so. */
-    private void retryOrEnd(
-            ClientAttempt clientAttempt, ClientRequest.Outcome outcome, long retryAfterMicros) {
-        ClientRequest clientRequest = clientAttempt.request();
-        long backoffMicros =
-                Math.max(
-                        retryAfterMicros,
-                        Math.round(emulation.scenario().load().retryBackoffMs() * 1e3));
-        if (clientRequest.outcome() == null
-                && clientRequest.attempts() <= emulation.scenario().load().maxRetries()
-                && timeLeftMicros(clientRequest) - backoffMicros > MIN_RETRY_TIME_MICROS) {
-            emulation.schedule(emulation.nowMicros() + backoffMicros, () -> attempt(clientRequest));
-        } else {
-            endRequest(clientRequest, outcome);
-        }
+        pools.get(balancer).send(attempt, false);
     }
 
     /** How late requests were sent, in µs. */
@@ -174,7 +143,8 @@
                                 + clientAttempt.timeoutMicros(),
                         () -> {
                             if (pendingCalls.remove(clientAttempt)) {
-                                endRequest(clientAttempt.request(), ClientRequest.Outcome.FAILED);
+                                lifecycle.end(
+                                        clientAttempt.request(), ClientRequest.Outcome.FAILED);
                             }
                         });
             }
@@ -218,7 +188,7 @@
                             connection.writeRequest(clientAttempt);
                         } else {
                             frontend.onUnreachable(balancer);
-                            retryOrEnd(clientAttempt, ClientRequest.Outcome.FAILED, 0);
+                            lifecycle.retryOrEnd(clientAttempt, ClientRequest.Outcome.FAILED, 0);
                         }
                     });
         }
@@ -294,10 +264,11 @@
             channel.writeAndFlush(Unpooled.copiedBuffer(header, StandardCharsets.US_ASCII));
             long deadlineMicros = emulation.nowMicros() + newCall.timeoutMicros();
             deadlineTimer =
-                    emulation.schedule(
+                    emulation.scheduleTimer(
                             arrival.impatient()
                                     ? deadlineMicros
-                                    : deadlineMicros + LATE_RESPONSE_SLACK_MICROS,
+                                    : deadlineMicros
+                                            + ClientRequestLifecycle.LATE_RESPONSE_SLACK_MICROS,
                             this::onDeadline);
         }
 
@@ -307,15 +278,15 @@
                 call = null;
                 emulation.invariants().clientDisconnected(abandoned, emulation.nowMicros());
                 channel.close();
-                endRequest(abandoned.request(), ClientRequest.Outcome.FAILED);
+                lifecycle.end(abandoned.request(), ClientRequest.Outcome.FAILED);
                 return;
             }
-            endRequest(call.request(), ClientRequest.Outcome.FAILED);
+            lifecycle.end(call.request(), ClientRequest.Outcome.FAILED);
             deadlineTimer =
-                    emulation.schedule(
+                    emulation.scheduleTimer(
                             emulation.nowMicros()
                                     + RequestInvariants.LOST_AFTER_MICROS
-                                    - LATE_RESPONSE_SLACK_MICROS,
+                                    - ClientRequestLifecycle.LATE_RESPONSE_SLACK_MICROS,
                             () -> {
                                 ClientAttempt unanswered = call;
                                 call = null;
@@ -361,12 +332,12 @@
                 channel.close();
             }
             if (status == 200) {
-                endRequest(answered.request(), ClientRequest.Outcome.SERVED);
+                lifecycle.end(answered.request(), ClientRequest.Outcome.SERVED);
             } else if (status == 429 || status == 503) {
-                retryOrEnd(
+                lifecycle.retryOrEnd(
                         answered, ClientRequest.Outcome.REJECTED, parseRetryAfterMicros(response));
             } else {
-                endRequest(answered.request(), ClientRequest.Outcome.FAILED);
+                lifecycle.end(answered.request(), ClientRequest.Outcome.FAILED);
             }
         }
 
@@ -389,7 +360,7 @@
             if (!firstRequest
                     && !responseStarted
                     && interrupted.request().outcome() == null
-                    && !frontend.isUnreachable(pool.balancer)) {
+                    && !frontend.rotation().isUnreachable(pool.balancer)) {
                 interrupted.addTraceEvent(
                         emulation.nowMicros(), "client", "closed under it, sent once more");
                 pool.send(interrupted, true);
@@ -398,7 +369,7 @@
             emulation
                     .invariants()
                     .closedIncomplete(interrupted, responseStarted, emulation.nowMicros());
-            retryOrEnd(interrupted, ClientRequest.Outcome.FAILED, 0);
+            lifecycle.retryOrEnd(interrupted, ClientRequest.Outcome.FAILED, 0);
         }
 
         @Override
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/ControllableListener.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/ControllableListener.java
@@ -139,10 +139,10 @@
             emulation
                     .invariants()
                     .recordViolation(
-                            "lab",
+                            "testbed",
                             emulation.nowMicros(),
                             null,
-                            "a socket of the lab can't be closed: " + e);
+                            "a socket of the testbed can't be closed: " + e);
         }
         backlogFillers.clear();
         silentSocket = null;
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEmulator.java
@@ -25,6 +25,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
+import loadbalancer.testbed.fault.FaultableDiscoveryAgent;
+import loadbalancer.testbed.workload.RandomStreams;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
@@ -32,7 +34,7 @@
  * news don't come. What it has been told comes late, by the scenario; what it has, it answers at
  * once.
  */
-public final class DiscoveryEmulator {
+public final class DiscoveryEmulator implements FaultableDiscoveryAgent {
     // µs between empty lines of a watch
     private static final long HEARTBEAT_INTERVAL_MICROS = 2_000_000;
     private static final int MAX_REQUEST_BYTES = 4 << 10;
@@ -49,8 +51,8 @@
     private ControllableListener listener;
     private long lastUpdateMicros;
     private long extraDelayMicros;
-    private int silent;
-    private int stale;
+    private int silentCount;
+    private int staleCount;
     private int denyCount;
     private long requestCount;
 
@@ -88,20 +90,17 @@
 
     /** Something has changed: the agent hears of it after the delay of news. */
     void onChange(DiscoveryEntry entry) {
-        List<Double> delayRangeMs = emulation.scenario().network().discoveryDelayMs();
-        long delayMicros =
-                Math.round(
-                        1e3
-                                * (delayRangeMs.get(0)
-                                        + random.nextDouble()
-                                                * (delayRangeMs.get(1) - delayRangeMs.get(0))));
+        double delayMs =
+                RandomStreams.drawUniform(
+                        random, emulation.scenario().network().discoveryDelayMs());
+        long delayMicros = Math.round(1e3 * delayMs);
         lastUpdateMicros =
                 Math.max(lastUpdateMicros, emulation.nowMicros() + delayMicros + extraDelayMicros);
         emulation.schedule(lastUpdateMicros, () -> applyChange(entry));
     }
 
     private void applyChange(DiscoveryEntry entry) {
-        if (stale > 0) {
+        if (staleCount > 0) {
             withheld.add(entry);
             return;
         }
@@ -114,26 +113,30 @@
         connections.forEach(DiscoveryConnection::sendPending);
     }
 
-    void extraDelayMicros(long deltaMicros) {
+    @Override
+    public void addExtraDelayMicros(long deltaMicros) {
         extraDelayMicros += deltaMicros;
     }
 
-    void silent(boolean newSilent) {
-        silent += newSilent ? 1 : -1;
+    @Override
+    public void setSilent(boolean active) {
+        silentCount += active ? 1 : -1;
         connections.forEach(DiscoveryConnection::sendPending);
     }
 
-    void stale(boolean newStale) {
-        stale += newStale ? 1 : -1;
-        if (stale == 0) {
+    @Override
+    public void setStale(boolean active) {
+        staleCount += active ? 1 : -1;
+        if (staleCount == 0) {
             List<DiscoveryEntry> released = new ArrayList<>(withheld);
             withheld.clear();
             released.forEach(this::applyChange);
         }
     }
 
-    void setDenied(boolean newDenied) {
-        denyCount += newDenied ? 1 : -1;
+    @Override
+    public void setDenied(boolean active) {
+        denyCount += active ? 1 : -1;
         listener.setState(
                 denyCount > 0
                         ? ControllableListener.State.REFUSING
@@ -229,7 +232,7 @@
         }
 
         void sendPending() {
-            if (silent > 0) {
+            if (silentCount > 0) {
                 return;
             }
             if (pendingUri != null) {
@@ -301,7 +304,7 @@
         }
 
         void sendHeartbeat() {
-            if (sentRevision >= 0 && silent == 0) {
+            if (sentRevision >= 0 && silentCount == 0) {
                 write("\n");
             }
         }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEntry.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEntry.java
@@ -1,5 +1,7 @@
 package loadbalancer.testbed.emulation;
 
+import loadbalancer.routing.api.EndpointStatus;
+
 /**
  * A server as discovery lists it: {@code status} in discovery's word, {@code startedAtMs} in Unix
  * time or 0.
@@ -12,4 +14,16 @@
     boolean isUp() {
         return status.equals(UP);
     }
+
+    /**
+     * The entry of an upstream whose status changes now, with the present time as that of its start
+     * if it comes up.
+     */
+    static DiscoveryEntry of(int upstreamNumber, EndpointStatus status) {
+        return switch (status) {
+            case UP -> new DiscoveryEntry(upstreamNumber, UP, System.currentTimeMillis());
+            case DRAINING -> new DiscoveryEntry(upstreamNumber, DRAINING, 0);
+            default -> new DiscoveryEntry(upstreamNumber, REMOVED, 0);
+        };
+    }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/EmulatedEnvironment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/EmulatedEnvironment.java
@@ -6,6 +6,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Consumer;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.testbed.fault.FaultInjector;
+import loadbalancer.testbed.fault.FaultableEnvironment;
+import loadbalancer.testbed.network.NetworkLink;
 import loadbalancer.testbed.scenario.Scenario;
 import loadbalancer.testbed.workload.RandomStreams;
 import loadbalancer.testbed.workload.WorkloadPlan;
@@ -15,7 +20,8 @@
  * All that balancers talk to, and what lies between: built before the run, then changed on the
  * world's loop.
  */
-public final class EmulatedEnvironment implements AutoCloseable {
+public final class EmulatedEnvironment
+        implements FaultableEnvironment<UpstreamEmulator>, AutoCloseable {
     private final Emulation emulation;
     private final LoopbackAddresses addresses = new LoopbackAddresses();
     private final InetSocketAddress[] balancerAddresses;
@@ -86,10 +92,7 @@
 
     private static long drawZoneDelayMicros(
             Scenario scenario, int upstreamZone, int balancerZone, UniformRandomProvider random) {
-        List<Double> delayRangeMs = scenario.network().zoneDelayMs();
-        double delayMs =
-                delayRangeMs.get(0)
-                        + random.nextDouble() * (delayRangeMs.get(1) - delayRangeMs.get(0));
+        double delayMs = RandomStreams.drawUniform(random, scenario.network().zoneDelayMs());
         return upstreamZone == balancerZone ? 0 : Math.round(1e3 * delayMs);
     }
 
@@ -154,31 +157,89 @@
      */
     public void start(Runnable onComplete) {
         emulation.schedule(0, () -> clients.start(onComplete));
-        new FaultInjector(emulation, this).scheduleFaults();
+        new FaultInjector<>(emulation.plan(), this).scheduleFaults(emulation);
     }
 
     /** Whether the front sends clients to that balancer; on the loop. */
     public boolean isInRotation(int balancer) {
-        return frontend.isInRotation(balancer);
+        return frontend.rotation().isInRotation(balancer);
     }
 
     NetworkPath path(int balancer, int server) {
         return pathsByUpstream.get(server).get(balancer);
     }
 
-    UpstreamEmulator upstream(int number) {
+    @Override
+    public UpstreamEmulator upstream(int number) {
         return upstreams.get(number);
     }
 
-    DiscoveryEmulator discoveryAgent(int balancer) {
+    @Override
+    public DiscoveryEmulator discoveryAgent(int balancer) {
         return discoveryAgents.get(balancer);
     }
 
-    /** Every agent hears of it, each in its time. */
-    void publish(DiscoveryEntry entry) {
-        discoveryAgents.forEach(discoveryAgent -> discoveryAgent.onChange(entry));
+    @Override
+    public void crash(UpstreamEmulator upstream) {
+        upstream.crash();
+    }
+
+    @Override
+    public void publish(UpstreamEmulator upstream, EndpointStatus status) {
+        DiscoveryEntry entry = DiscoveryEntry.of(upstream.spec().number(), status);
+        discoveryAgents.forEach(agent -> agent.onChange(entry));
+    }
+
+    @Override
+    public void applyLinkFault(WorkloadPlan.Fault fault, boolean active) {
+        NetworkLink.LinkFault linkFault = NetworkLink.LinkFault.of(fault);
+        int balancerCount = emulation.scenario().fleet().balancers();
+        for (int balancer = 0; balancer < balancerCount; balancer++) {
+            for (int peer = 0; peer < balancerCount; peer++) {
+                if (fault.affectsPeers(balancer, peer)) {
+                    peerNetwork.link(balancer, peer).setFault(linkFault, active);
+                }
+            }
+            for (UpstreamEmulator upstream : upstreams) {
+                int position = upstream.spec().position();
+                boolean forward = fault.affectsForwardPath(balancer, position);
+                boolean reverse = fault.affectsReversePath(balancer, position);
+                if (forward || reverse) {
+                    path(balancer, upstream.spec().number())
+                            .applyLinkFault(linkFault, forward, reverse, active);
+                }
+            }
+        }
     }
 
+    @Override
+    public void setRefusing(WorkloadPlan.Fault fault, boolean active) {
+        forEachPath(fault, path -> path.setRefusing(active));
+    }
+
+    @Override
+    public void resetConnections(WorkloadPlan.Fault fault) {
+        forEachPath(fault, NetworkPath::resetConnections);
+    }
+
+    private void forEachPath(WorkloadPlan.Fault fault, Consumer<NetworkPath> change) {
+        for (int balancer : fault.balancers()) {
+            for (UpstreamEmulator upstream : upstreams) {
+                if (fault.toUpstreams().contains(upstream.spec().position())) {
+                    change.accept(path(balancer, upstream.spec().number()));
+                }
+            }
+        }
+    }
+
+    /** No effect: the processes belong to the fleet that runs them. */
+    @Override
+    public void setProcessesDown(WorkloadPlan.Fault fault, boolean active) {}
+
+    /** No effect: the processes belong to the fleet that runs them. */
+    @Override
+    public void setProcessesPaused(WorkloadPlan.Fault fault, boolean active) {}
+
     public List<UpstreamEmulator> upstreams() {
         return upstreams;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/Emulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/Emulation.java
@@ -2,10 +2,12 @@
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
+import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.testbed.invariant.RequestInvariants;
 import loadbalancer.testbed.scenario.Scenario;
 import loadbalancer.testbed.statistics.ServiceWindows;
+import loadbalancer.testbed.workload.RunClock;
 import loadbalancer.testbed.workload.WorkloadPlan;
 import org.HdrHistogram.Histogram;
 
@@ -13,7 +15,7 @@
  * The loop on which all stand-ins live, its clock, and whether it kept up with it. Everything that
  * a run changes is changed on this loop, so that no order of events depends on locks.
  */
-public final class Emulation implements AutoCloseable {
+public final class Emulation implements RunClock, AutoCloseable {
     // µs between two looks at how late the loop is
     private static final long LAG_SAMPLE_INTERVAL_MICROS = 5_000;
 
@@ -55,7 +57,8 @@
         return windows;
     }
 
-    /** µs of the run; negative before it begins. */
+    /** Time of the run in µs; negative before it begins. */
+    @Override
     public long nowMicros() {
         return toRunMicros(System.nanoTime());
     }
@@ -81,8 +84,13 @@
         }
     }
 
-    /** Runs something on the loop at that time of the run, or at once where that is over. */
-    public io.netty.util.concurrent.ScheduledFuture<?> schedule(long timeMicros, Runnable task) {
+    @Override
+    public void schedule(long timeMicros, Runnable task) {
+        scheduleTimer(timeMicros, task);
+    }
+
+    /** Like {@link #schedule}, with a future by which the task can be cancelled. */
+    ScheduledFuture<?> scheduleTimer(long timeMicros, Runnable task) {
         return eventLoop.schedule(
                 task, Math.max(0, timeMicros - nowMicros()), TimeUnit.MICROSECONDS);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/FrontendEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/FrontendEmulator.java
@@ -11,11 +11,12 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpResponseDecoder;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.timeout.ReadTimeoutHandler;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import java.util.Arrays;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.testbed.client.FrontendRotation;
 
 /**
  * Spreads clients over the balancers of their zone. It takes one in once that says that it is
@@ -29,19 +30,17 @@
 
     private final Emulation emulation;
     private final InetSocketAddress[] addresses;
-    private final boolean[] inRotation;
+    private final FrontendRotation rotation;
     private final boolean[] pollInFlight;
-    private final long[] refusedSinceMs;
-    private int lastChosen;
     private int pollRound;
 
     FrontendEmulator(Emulation emulation, InetSocketAddress[] addresses) {
         this.emulation = emulation;
         this.addresses = addresses;
-        inRotation = new boolean[addresses.length];
+        rotation =
+                new FrontendRotation(
+                        emulation.scenario(), false, FrontendRotation.FallbackPosition.ADVANCES);
         pollInFlight = new boolean[addresses.length];
-        refusedSinceMs = new long[addresses.length];
-        Arrays.fill(refusedSinceMs, -1);
     }
 
     void start() {
@@ -53,11 +52,11 @@
 
     private void pollReadiness() {
         pollRound++;
-        for (int balancer = 0; balancer < inRotation.length; balancer++) {
-            if (!pollInFlight[balancer]
-                    && (!inRotation[balancer]
-                            || refusedSinceMs[balancer] >= 0
-                            || pollRound % READY_POLL_DIVISOR == balancer % READY_POLL_DIVISOR)) {
+        for (int balancer = 0; balancer < addresses.length; balancer++) {
+            boolean steady = rotation.isInRotation(balancer) && !rotation.isUnreachable(balancer);
+            boolean due =
+                    !steady || pollRound % READY_POLL_DIVISOR == balancer % READY_POLL_DIVISOR;
+            if (!pollInFlight[balancer] && due) {
                 pollInFlight[balancer] = true;
                 pollReadiness(balancer);
             }
@@ -93,8 +92,9 @@
                                         .channel()
                                         .writeAndFlush(
                                                 Unpooled.copiedBuffer(
-                                                        "GET /-/ready HTTP/1.1\r\nHost: "
-                                                                + "front\r\nConnection: close\r\n\r\n",
+                                                        "GET /-/ready HTTP/1.1\r\n"
+                                                                + "Host: front\r\n"
+                                                                + "Connection: close\r\n\r\n",
                                                         StandardCharsets.US_ASCII));
                             } else {
                                 pollInFlight[balancer] = false;
@@ -112,8 +112,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            inRotation[balancer] = response.status().code() == 200;
-            refusedSinceMs[balancer] = -1;
+            rotation.onReadiness(balancer, response.status().equals(HttpResponseStatus.OK));
             context.close();
         }
 
@@ -124,38 +123,14 @@
         }
     }
 
-    /** A connection to it was refused. */
+    /** A connection to the balancer was refused. */
     void onUnreachable(int balancer) {
-        long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-        refusedSinceMs[balancer] = refusedSinceMs[balancer] < 0 ? nowMs : refusedSinceMs[balancer];
-        if (nowMs - refusedSinceMs[balancer] >= emulation.scenario().load().frontendDetectionMs()) {
-            inRotation[balancer] = false;
-        }
-    }
-
-    /** Whether it refused connections lately. */
-    boolean isUnreachable(int balancer) {
-        return refusedSinceMs[balancer] >= 0;
+        rotation.onUnreachable(balancer, TimeUnit.NANOSECONDS.toMicros(System.nanoTime()));
     }
 
-    /** Whether clients are sent there. */
-    boolean isInRotation(int balancer) {
-        return inRotation[balancer];
-    }
-
-    /** The balancer for a client of that zone, one of another where it has none, or -1. */
-    int chooseBalancer(int zone) {
-        int fallback = -1;
-        for (int i = 0; i < inRotation.length; i++) {
-            int balancer = Math.floorMod(lastChosen + 1 + i, inRotation.length);
-            if (inRotation[balancer] && emulation.scenario().zoneOfBalancer(balancer) == zone) {
-                lastChosen = balancer;
-                return balancer;
-            }
-            fallback = inRotation[balancer] && fallback < 0 ? balancer : fallback;
-        }
-        lastChosen = fallback < 0 ? lastChosen : fallback;
-        return fallback;
+    /** Which balancers clients are sent to. */
+    FrontendRotation rotation() {
+        return rotation;
     }
 
     InetSocketAddress address(int balancer) {
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPath.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPath.java
@@ -7,10 +7,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What lies between one balancer and one party that it connects to: a way there, a way back, and
- * the connections on it. The lab holds the far end of each connection, so that delaying, holding
- * back and resetting happen there: a relay of its own would cost a second socket pair a connection
- * and change nothing seen.
+ * The network between one balancer and one party that it connects to: a link in each direction and
+ * the connections over them. The testbed owns the far end of each connection and delays and resets
+ * it there: a relay would cost a second socket pair per connection and change nothing that the
+ * balancer observes. Confined to the emulation's event loop.
  */
 public final class NetworkPath {
     private final NetworkLink forwardLink;
@@ -19,7 +19,7 @@
     private final Runnable onChange;
     private int refusalCount;
 
-    /** {@code onChange} is called when connections can no longer, or can again, come up. */
+    /** Creates a path; {@code onChange} runs when connections can no longer, or can again, open. */
     public NetworkPath(UniformRandomProvider random, long delayMicros, Runnable onChange) {
         this.forwardLink = new NetworkLink(random, delayMicros);
         this.reverseLink = new NetworkLink(random, delayMicros);
@@ -38,7 +38,7 @@
         return connections;
     }
 
-    /** A connection needs both ways to come up. */
+    /** Whether connections do not open: they need both directions. */
     boolean isSilent() {
         return forwardLink.isCut() || reverseLink.isCut();
     }
@@ -47,7 +47,7 @@
         return refusalCount > 0;
     }
 
-    /** Begins or ends a trouble of one way or both. */
+    /** Adds a fault to one link or both, or removes it. */
     void applyLinkFault(
             NetworkLink.LinkFault linkFault,
             boolean affectsForward,
@@ -63,12 +63,13 @@
         onChange.run();
     }
 
+    /** A fault begins, or one ends, in which connections are refused. */
     void setRefusing(boolean refusing) {
         refusalCount += refusing ? 1 : -1;
         onChange.run();
     }
 
-    /** Ends all connections with a reset. */
+    /** Resets all connections. */
     void resetConnections() {
         new ArrayList<>(connections).forEach(NetworkPathHandler::resetConnection);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/PeerNetworkEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/PeerNetworkEmulator.java
@@ -18,13 +18,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The datagram paths between balancers. Balancer i knows balancer j by a socket of the lab, and j
- * knows i by another: what comes in at the one goes out from the other, late, twice, or not at all,
- * as each of the two directions is now.
+ * The network of datagrams between balancers. Balancer i knows balancer j by the address of a
+ * socket of the testbed, and j knows i by another: what arrives at the one is sent from the other,
+ * delayed, duplicated or dropped by the link of that direction. Confined to the emulation's event
+ * loop.
  */
 public final class PeerNetworkEmulator {
     private static final int MAX_DATAGRAM_BYTES = 256;
-    // µs that a thin path holds datagrams back
+    // Beyond it a link with limited bandwidth drops datagrams.
     private static final long MAX_QUEUE_DELAY_MICROS = 500_000;
 
     private final Emulation emulation;
@@ -53,22 +54,10 @@
         datagramsSent = new long[balancerCount];
         bytesSent = new long[balancerCount];
         datagramsDelivered = new long[balancerCount][balancerCount];
-        List<Double> delayRangeMs = emulation.scenario().network().peerDelayMs();
-        double lossProbability = emulation.scenario().network().peerLoss();
         for (int sender = 0; sender < balancerCount; sender++) {
             for (int recipient = 0; recipient < balancerCount; recipient++) {
                 links[sender][recipient] =
-                        new NetworkLink(random, Math.round(delayRangeMs.get(0) * 1e3));
-                links[sender][recipient].setFault(
-                        new NetworkLink.LinkFault(
-                                false,
-                                lossProbability,
-                                0,
-                                Math.round((delayRangeMs.get(1) - delayRangeMs.get(0)) * 1e3),
-                                0,
-                                0,
-                                0),
-                        true);
+                        NetworkLink.betweenPeers(random, emulation.scenario().network());
             }
         }
     }
@@ -166,7 +155,7 @@
         return balancerAddresses[balancer];
     }
 
-    /** All balancers as one of them is told of them, its own address included. */
+    /** The addresses of all balancers as one of them is configured, its own included. */
     List<String> peerAddresses(int balancer) {
         List<String> peers = new ArrayList<>();
         for (int peer = 0; peer < balancerCount; peer++) {
@@ -189,12 +178,12 @@
         return datagramsSent[balancer];
     }
 
-    /** Their bytes. */
+    /** Bytes of the datagrams that a balancer sent. */
     public long bytesSent(int balancer) {
         return bytesSent[balancer];
     }
 
-    /** Datagrams that went from one to another, repeats included. */
+    /** Datagrams delivered from one balancer to another, duplicates included. */
     public long datagramsDelivered(int from, int to) {
         return datagramsDelivered[from][to];
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/PlatformSettings.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/PlatformSettings.java
@@ -1,6 +1,5 @@
 package loadbalancer.testbed.emulation;
 
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -8,39 +7,16 @@
 import loadbalancer.config.SettingsReader;
 import loadbalancer.testbed.scenario.Scenario;
 
-/** What a balancer is told at its start, in the platform's words. */
+/** The settings that a balancer gets at its start, with the platform's keys and units. */
 public final class PlatformSettings {
-    // Points of the goal, as the site has them
+    // Points of the objective, as the site has them
     private static final double CROSS_ZONE_PRICE = 0.015;
     private static final double PEER_MESSAGE_PRICE = 0.03;
 
     private PlatformSettings() {}
 
-    /** The settings, nested as in a configuration. */
+    /** The settings of one balancer, nested as in its configuration. */
     static Map<String, Object> settings(Scenario scenario, int balancer) {
-        List<Map<String, Object>> classes = new ArrayList<>();
-        for (Scenario.RequestClass requestClass : scenario.classes()) {
-            classes.add(
-                    Map.of(
-                            "Name",
-                            requestClass.name(),
-                            "Idempotency",
-                            requestClass.idempotency(),
-                            "DedupScope",
-                            requestClass.idempotencyScope(),
-                            "KeyTtl",
-                            toMicros(requestClass.idempotencyWindowMs()),
-                            "GoalTime",
-                            toMicros(requestClass.latencyObjectiveMs()),
-                            "GiveUp",
-                            toMicros(requestClass.deadlineMs()),
-                            "Gain",
-                            requestClass.priorityWeight(),
-                            "LateShare",
-                            requestClass.lateValueFraction(),
-                            "Stream",
-                            false));
-        }
         Map<String, Object> settings = new LinkedHashMap<>();
         settings.put("Areas", scenario.fleet().zones());
         settings.put("Balancers", scenario.fleet().balancers());
@@ -51,7 +27,9 @@
                 scenario.upstreams().machineKinds().stream()
                         .map(Scenario.MachineKind::name)
                         .toList());
-        settings.put("Classes", classes);
+        settings.put(
+                "Classes",
+                scenario.classes().stream().map(PlatformSettings::classSettings).toList());
         settings.put("MembershipMode", "push");
         settings.put("Quantum", 5000);
         settings.put("OverShareWorth", 0.2);
@@ -65,61 +43,87 @@
                         scenario.fleet().zones().size() > 1 ? CROSS_ZONE_PRICE : 0,
                         "Peer",
                         PEER_MESSAGE_PRICE));
-        settings.put(
-                "Limits",
-                Map.of(
-                        "TryLimit",
-                        4,
-                        "MayDuplicate",
-                        true,
-                        "Cancel",
-                        true,
-                        "Probes",
-                        true,
-                        "PeerMessages",
-                        true,
-                        "DialTimeout",
-                        150_000,
-                        "IdleClose",
-                        5_000_000,
-                        "RetryAfter",
-                        true,
-                        "MaxRetryAfter",
-                        2_500_000));
-        settings.put(
-                "Rules",
-                Map.of(
-                        "AnswerSlack",
-                        20_000,
-                        "DrainGrace",
-                        2_500_000,
-                        "ColdFrom",
-                        scenario.upstreams().slowStartInitialFraction(),
-                        "RampTime",
-                        toMicros(1e3 * scenario.upstreams().slowStartWindowS()),
-                        "OverloadFactor",
-                        scenario.upstreams().overloadFactor(),
-                        "Fall",
-                        toMicros(1e3 * scenario.upstreams().overloadWindowS())));
+        settings.put("Limits", limits());
+        settings.put("Rules", rules(scenario.upstreams()));
         if (!scenario.tenants().isEmpty()) {
             settings.put(
                     "Realms",
-                    scenario.tenants().stream()
-                            .map(
-                                    tenant ->
-                                            Map.of(
-                                                    "Name",
-                                                    tenant.name(),
-                                                    "AllowancePerS",
-                                                    tenant.quotaPerSecond(),
-                                                    "Portion",
-                                                    tenant.trafficWeight()))
-                            .toList());
+                    scenario.tenants().stream().map(PlatformSettings::tenantSettings).toList());
         }
         return settings;
     }
 
-    /** The same as the module takes them. */
+    private static Map<String, Object> classSettings(Scenario.RequestClass requestClass) {
+        return Map.of(
+                "Name",
+                requestClass.name(),
+                "Idempotency",
+                requestClass.idempotency(),
+                "DedupScope",
+                requestClass.idempotencyScope(),
+                "KeyTtl",
+                toMicros(requestClass.idempotencyWindowMs()),
+                "GoalTime",
+                toMicros(requestClass.latencyObjectiveMs()),
+                "GiveUp",
+                toMicros(requestClass.deadlineMs()),
+                "Gain",
+                requestClass.priorityWeight(),
+                "LateShare",
+                requestClass.lateValueFraction(),
+                "Stream",
+                false);
+    }
+
+    private static Map<String, Object> limits() {
+        return Map.of(
+                "TryLimit",
+                4,
+                "MayDuplicate",
+                true,
+                "Cancel",
+                true,
+                "Probes",
+                true,
+                "PeerMessages",
+                true,
+                "DialTimeout",
+                150_000,
+                "IdleClose",
+                5_000_000,
+                "RetryAfter",
+                true,
+                "MaxRetryAfter",
+                2_500_000);
+    }
+
+    private static Map<String, Object> rules(Scenario.Upstreams upstreams) {
+        return Map.of(
+                "AnswerSlack",
+                20_000,
+                "DrainGrace",
+                2_500_000,
+                "ColdFrom",
+                upstreams.slowStartInitialFraction(),
+                "RampTime",
+                toMicros(1e3 * upstreams.slowStartWindowS()),
+                "OverloadFactor",
+                upstreams.overloadFactor(),
+                "Fall",
+                toMicros(1e3 * upstreams.overloadWindowS()));
+    }
+
+    private static Map<String, Object> tenantSettings(Scenario.Tenant tenant) {
+        return Map.of(
+                "Name",
+                tenant.name(),
+                "AllowancePerS",
+                tenant.quotaPerSecond(),
+                "Portion",
+                tenant.trafficWeight());
+    }
+
+    /** The settings of one balancer as the program reads them from its configuration. */
     public static BootSettings bootSettings(Scenario scenario, int balancer) {
         Map<String, String> flatSettings = new LinkedHashMap<>();
         flatten("", settings(scenario, balancer), flatSettings);
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
@@ -23,21 +23,21 @@
 import java.util.Map;
 import java.util.Set;
 import loadbalancer.testbed.endpointmodel.EndpointModel;
+import loadbalancer.testbed.endpointmodel.InjectedFailures;
 import loadbalancer.testbed.endpointmodel.Job;
 import loadbalancer.testbed.endpointmodel.SlowStartBudget;
+import loadbalancer.testbed.fault.FaultableUpstream;
 import loadbalancer.testbed.invariant.ClientAttempt;
 import loadbalancer.testbed.network.NetworkLink;
-import loadbalancer.testbed.scenario.Scenario;
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
  * An upstream: {@link EndpointModel} behind sockets, one address for each balancer, and what is
  * wrong with it.
  */
-public final class UpstreamEmulator {
+public final class UpstreamEmulator implements FaultableUpstream {
     private static final int MAX_BODY_BYTES = 64 << 10;
-    private static final int NO_CLASS = -1;
-    private static final int ALL_CLASSES = -2;
+    private static final NetworkLink.LinkFault VANISHED = NetworkLink.LinkFault.cutOff();
 
     private final Emulation emulation;
     private final WorkloadPlan.UpstreamSpec spec;
@@ -51,7 +51,7 @@
     private boolean alive;
     private boolean draining;
     private int vanishCount;
-    private int failingClass = NO_CLASS;
+    private final InjectedFailures failures;
     private long startedAtMicros;
     private SlowStartBudget slowStartBudget;
     private double peakSlowStartUtilization;
@@ -63,14 +63,8 @@
         this.emulation = emulation;
         this.spec = spec;
         this.paths = paths;
-        Scenario.Upstreams upstreamSettings = emulation.scenario().upstreams();
-        this.model =
-                new EndpointModel(
-                        upstreamSettings.cores(),
-                        upstreamSettings.queueCapacity(),
-                        spec.speed(),
-                        upstreamSettings.slowStartInitialFraction(),
-                        Math.round(upstreamSettings.slowStartWindowS() * 1e6));
+        this.model = EndpointModel.of(emulation.scenario().upstreams(), spec.speed());
+        this.failures = new InjectedFailures(emulation.scenario().classes());
         this.alive = spec.replaces() < 0;
     }
 
@@ -93,6 +87,7 @@
         return listeners.get(balancer).address();
     }
 
+    @Override
     public WorkloadPlan.UpstreamSpec spec() {
         return spec;
     }
@@ -257,7 +252,7 @@
         }
 
         void completeJob(long nowMicros) {
-            boolean fails = failingClass == ALL_CLASSES || failingClass == job.requestClass();
+            boolean fails = failures.affects(job.requestClass());
             call.addTraceEvent(nowMicros, "s" + spec.number(), fails ? "fails it" : "answers");
             ClientAttempt completedCall = call;
             job = null;
@@ -300,7 +295,7 @@
         completionTimer =
                 completionMicros == Long.MAX_VALUE
                         ? null
-                        : emulation.schedule(completionMicros, this::completeJobs);
+                        : emulation.scheduleTimer(completionMicros, this::completeJobs);
     }
 
     private void completeJobs() {
@@ -329,28 +324,24 @@
                         });
     }
 
-    /** Its process starts: cold, empty and in order. */
-    void start() {
+    @Override
+    public void start() {
         long nowMicros = emulation.nowMicros();
-        Scenario.Upstreams upstreamSettings = emulation.scenario().upstreams();
         alive = true;
         draining = false;
         startedAtMicros = nowMicros;
-        slowStartBudget =
-                new SlowStartBudget(
-                        upstreamSettings.overloadFactor(),
-                        Math.round(upstreamSettings.overloadWindowS() * 1e6),
-                        emulation.scenario().meanWorkMicros());
+        slowStartBudget = SlowStartBudget.of(emulation.scenario());
         model.restart(nowMicros);
         updateListeners();
     }
 
-    /** Finishes what it has and turns away what comes. */
-    void startDraining() {
+    @Override
+    public void startDraining() {
         draining = true;
     }
 
-    void setVanished(boolean vanished) {
+    @Override
+    public void setVanished(boolean vanished) {
         vanishCount += vanished ? 1 : -1;
         for (NetworkPath path : paths) {
             path.applyLinkFault(VANISHED, true, true, vanished);
@@ -358,27 +349,20 @@
         updateListeners();
     }
 
-    private static final NetworkLink.LinkFault VANISHED = NetworkLink.LinkFault.cutOff();
-
-    void setSlowdownFactor(double factor) {
+    @Override
+    public void setSlowdownFactor(double factor) {
         model.slowdownFactor(factor);
     }
 
-    void setHanging(boolean hanging) {
+    @Override
+    public void setHanging(boolean hanging) {
         model.hanging(hanging);
         scheduleCompletion();
     }
 
-    /** {@code requestClass} null: all classes. */
-    void setFailing(String requestClass, boolean active) {
-        int classIndex = NO_CLASS;
-        for (int i = 0; active && i < emulation.scenario().classes().size(); i++) {
-            classIndex =
-                    emulation.scenario().classes().get(i).name().equals(requestClass)
-                            ? i
-                            : classIndex;
-        }
-        failingClass = active && requestClass == null ? ALL_CLASSES : classIndex;
+    @Override
+    public void setFailing(String requestClass, boolean active) {
+        failures.setFailing(requestClass, active);
     }
 
     /** The largest part of its cold budget that was ever used. */
--- a/testbed/src/main/java/loadbalancer/testbed/endpointmodel/EndpointModel.java
+++ b/testbed/src/main/java/loadbalancer/testbed/endpointmodel/EndpointModel.java
@@ -4,12 +4,13 @@
 import java.util.Comparator;
 import java.util.Deque;
 import java.util.PriorityQueue;
+import loadbalancer.testbed.scenario.Scenario;
 
 /**
- * What a server does with its requests, without sockets or clock of its own: cores that work on one
- * request each, a waiting room in order of arrival, and a capacity that grows after a start. A
- * request keeps the speed that the server has when work on it begins. Driven by real stand-ins and
- * by the simulated fleet alike. Times are µs of the caller's clock, which never goes back.
+ * The service model of an upstream: cores that work on one request each, a bounded queue in order
+ * of arrival, and slow start after a start. A request is served at the speed that the upstream has
+ * when its service begins. Used behind real sockets and by the simulation. Times are µs of the
+ * caller's clock, which must not go back. Not thread-safe.
  */
 public final class EndpointModel {
     private static final Comparator<Job> BY_COMPLETION =
@@ -27,11 +28,11 @@
     private boolean hanging;
 
     /**
-     * Makes a warm server.
+     * Creates a model that is not in slow start.
      *
-     * @param queueCapacity requests that wait at most
+     * @param queueCapacity upper bound of queued requests
      * @param slowStartInitialFraction part of its capacity right after a start
-     * @param slowStartWindowMicros µs until it has all of it
+     * @param slowStartWindowMicros time after a start until it has all of its capacity
      */
     public EndpointModel(
             int cores,
@@ -46,23 +47,34 @@
         this.slowStartWindowMicros = slowStartWindowMicros;
     }
 
-    /** Starts it anew: cold, and without any request. */
+    /** Creates a warm model with the scenario's settings and a speed beside 1. */
+    public static EndpointModel of(Scenario.Upstreams settings, double speed) {
+        return new EndpointModel(
+                settings.cores(),
+                settings.queueCapacity(),
+                speed,
+                settings.slowStartInitialFraction(),
+                Math.round(settings.slowStartWindowS() * 1e6));
+    }
+
+    /** Starts it again, in slow start and without requests. */
     public void restart(long nowMicros) {
         running.clear();
         queue.clear();
         startedAtMicros = nowMicros;
     }
 
+    /** Multiplies the time that requests take which start from now on; 1: normal. */
     public void slowdownFactor(double factor) {
         slowdownFactor = factor;
     }
 
-    /** From here on it takes requests and ends none, until told otherwise. */
-    public void hanging(boolean newValue) {
-        hanging = newValue;
+    /** Whether it accepts requests without completing any. */
+    public void hanging(boolean newHanging) {
+        hanging = newHanging;
     }
 
-    /** The part of its capacity that it has, 1 once warm. */
+    /** The part of its capacity that it has; 1 after slow start. */
     public double slowStartFraction(long nowMicros) {
         if (startedAtMicros == Long.MIN_VALUE
                 || nowMicros - startedAtMicros >= slowStartWindowMicros) {
@@ -74,12 +86,14 @@
                         / slowStartWindowMicros;
     }
 
-    /** Work that it can do now, in seconds of a core of speed 1 a second; what slows it counts. */
+    /**
+     * Its present capacity in seconds of work at speed 1 per second, with slow start and slowdown.
+     */
     public double capacity(long nowMicros) {
         return cores * speed * slowStartFraction(nowMicros) / slowdownFactor;
     }
 
-    /** Takes a request, or turns it away: false. */
+    /** Accepts a request, or returns false if all cores and the queue are full. */
     public boolean tryAccept(long nowMicros, Job job) {
         if (running.size() < cores) {
             start(nowMicros, job);
@@ -92,18 +106,13 @@
     }
 
     private void start(long nowMicros, Job job) {
-        job.endsAtMicros(
-                nowMicros
-                        + Math.max(
-                                1,
-                                Math.round(
-                                        job.workMicros()
-                                                * slowdownFactor
-                                                / (speed * slowStartFraction(nowMicros)))));
+        double currentSpeed = speed * slowStartFraction(nowMicros);
+        long serviceMicros = Math.round(job.workMicros() * slowdownFactor / currentSpeed);
+        job.endsAtMicros(nowMicros + Math.max(1, serviceMicros));
         running.add(job);
     }
 
-    /** Stops work on a request that nobody waits for any longer. */
+    /** Removes a request that is no longer waited for. */
     public void cancel(long nowMicros, Job job) {
         if (running.remove(job)) {
             startQueued(nowMicros);
@@ -112,12 +121,12 @@
         }
     }
 
-    /** When the next request ends; {@link Long#MAX_VALUE}: none will. */
+    /** When the next request completes; {@link Long#MAX_VALUE}: none does. */
     public long nextCompletionMicros() {
         return hanging || running.isEmpty() ? Long.MAX_VALUE : running.peek().endsAtMicros();
     }
 
-    /** Takes out a request that has ended by now, or returns null. */
+    /** Removes a request that has completed by now and returns it, or null if there is none. */
     public Job pollCompleted(long nowMicros) {
         if (nextCompletionMicros() > nowMicros) {
             return null;
@@ -136,7 +145,7 @@
         }
     }
 
-    /** Requests that it holds. */
+    /** Requests that are running or queued. */
     public int inFlight() {
         return running.size() + queue.size();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/endpointmodel/Job.java
+++ b/testbed/src/main/java/loadbalancer/testbed/endpointmodel/Job.java
@@ -1,6 +1,6 @@
 package loadbalancer.testbed.endpointmodel;
 
-/** One attempt at a server: identity counts, not content. */
+/** One request at an upstream, compared by identity. Not thread-safe. */
 public final class Job {
     private final int requestClass;
     private final long workMicros;
@@ -8,10 +8,11 @@
     private long endsAtMicros = -1;
 
     /**
-     * Makes a job.
+     * Creates a job.
      *
-     * @param workMicros µs that a core of speed 1 takes
-     * @param sequence orders jobs that end at one time
+     * @param requestClass position in the scenario's classes
+     * @param workMicros service time in µs at speed 1
+     * @param sequence orders jobs that complete at the same time
      */
     public Job(int requestClass, long workMicros, long sequence) {
         this.requestClass = requestClass;
@@ -19,10 +20,12 @@
         this.sequence = sequence;
     }
 
+    /** Position in the scenario's classes. */
     public int requestClass() {
         return requestClass;
     }
 
+    /** Service time in µs at speed 1. */
     public long workMicros() {
         return workMicros;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/endpointmodel/SlowStartBudget.java
+++ b/testbed/src/main/java/loadbalancer/testbed/endpointmodel/SlowStartBudget.java
@@ -2,22 +2,24 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
+import loadbalancer.testbed.scenario.Scenario;
 
 /**
- * The rule on cold servers, as the operators have it for many balancers: with N requests of mean
- * work as the budget of a window (a multiple of what the server can do at that moment), N + 3 √N +
- * 3 of them from all balancers together push it over. A breach counts only if two thirds of that
- * work came from balancers that had been told of its start. Times are µs.
+ * The platform's rule on the load of an upstream in slow start. The budget of a window is a
+ * multiple of the upstream's present capacity over it. Let N be the budget in requests of mean
+ * work: the rule is broken once the work that all balancers sent within the window exceeds N + 3 √N
+ * + 3 such requests, if two thirds of it came from balancers that had been notified of the start.
+ * Times are µs. Not thread-safe.
  */
 public final class SlowStartBudget {
-    // Roots of N for chance, and as many requests more
+    // Square roots of N, and requests beyond those
     private static final int SLACK_FACTOR = 3;
     private static final double MIN_NOTIFIED_FRACTION = 2.0 / 3;
 
     private final double overloadFactor;
     private final long windowMicros;
     private final double meanWorkMicros;
-    // Within the window; as long as the budget allows
+    // Within the window; bounded by the budget, as nothing is added once it is exceeded
     private final Deque<SentWork> sent = new ArrayDeque<>();
     private double totalWorkMicros;
     private double notifiedWorkMicros;
@@ -27,8 +29,11 @@
     private record SentWork(long sentAtMicros, long workMicros, boolean notified) {}
 
     /**
-     * {@code overloadFactor} times its capacity over {@code windowMicros} µs is allowed; a
-     * request's mean work is {@code meanWorkMicros}.
+     * Creates a budget.
+     *
+     * @param overloadFactor budget of a window as a multiple of the capacity over it
+     * @param windowMicros length of the window
+     * @param meanWorkMicros mean work of a request
      */
     public SlowStartBudget(double overloadFactor, long windowMicros, double meanWorkMicros) {
         this.overloadFactor = overloadFactor;
@@ -36,12 +41,20 @@
         this.meanWorkMicros = meanWorkMicros;
     }
 
+    /** Creates the budget of one start with the scenario's settings. */
+    public static SlowStartBudget of(Scenario scenario) {
+        return new SlowStartBudget(
+                scenario.upstreams().overloadFactor(),
+                Math.round(scenario.upstreams().overloadWindowS() * 1e6),
+                scenario.meanWorkMicros());
+    }
+
     /**
-     * Work has been sent to the server while it is cold.
+     * Records work that was sent to the upstream in slow start.
      *
-     * @param capacity what it can do now, in seconds of work a second
-     * @param notifiedOfStart whether the sender had been told of its start
-     * @return true where this breaks the rule, once
+     * @param capacity its present capacity in seconds of work per second
+     * @param notifiedOfStart whether the sender had been notified of its start
+     * @return whether this breaks the rule; true once
      */
     public boolean sent(long nowMicros, long workMicros, double capacity, boolean notifiedOfStart) {
         if (exceeded) {
@@ -58,17 +71,15 @@
         double budgetMicros = overloadFactor * capacity * windowMicros;
         peakUtilization = Math.max(peakUtilization, totalWorkMicros / budgetMicros);
         double allowedRequests = budgetMicros / meanWorkMicros;
+        double limitRequests =
+                allowedRequests + SLACK_FACTOR * Math.sqrt(allowedRequests) + SLACK_FACTOR;
         exceeded =
-                totalWorkMicros
-                                > meanWorkMicros
-                                        * (allowedRequests
-                                                + SLACK_FACTOR * Math.sqrt(allowedRequests)
-                                                + SLACK_FACTOR)
+                totalWorkMicros > meanWorkMicros * limitRequests
                         && notifiedWorkMicros >= MIN_NOTIFIED_FRACTION * totalWorkMicros;
         return exceeded;
     }
 
-    /** The largest part of the budget that was used, 1: all of it. */
+    /** The largest part of the budget that was used; 1: all of it. */
     public double peakUtilization() {
         return peakUtilization;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/network/NetworkLink.java
+++ b/testbed/src/main/java/loadbalancer/testbed/network/NetworkLink.java
@@ -7,22 +7,31 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * One direction between two parties, and what is wrong with it now. Faults add and take back their
- * parts, so that several may hold at one time. Times are µs.
+ * One direction of the network between two parties, with the faults that are present. Faults may
+ * overlap: their delays add up, their probabilities apply one after the other. Times are µs of the
+ * run. Confined to the thread that plays the run.
  */
 public final class NetworkLink {
-    // What loss costs a TCP connection
+    // Added to what a TCP connection carries, in place of a loss.
     private static final long RETRANSMISSION_DELAY_MICROS = 200_000;
 
     private final UniformRandomProvider random;
     private final long baseDelayMicros;
     private final List<LinkFault> faults = new ArrayList<>(2);
-    // When a thin way has passed on all it took
+    // When the bytes sent so far have passed at the present bandwidth.
     private long freeAtMicros;
 
     /**
-     * What a fault does to a way; 0 and false leave it as it is. {@code bytesPerSecond}: bytes a
-     * second.
+     * The effect of one fault on a link; 0 and false change nothing.
+     *
+     * @param cut whether nothing passes
+     * @param lossProbability of each datagram; TCP pays a retransmission instead
+     * @param delayMicros added delay in µs; of the copy or of the datagram that is overtaken, if
+     *     datagrams are duplicated or reordered
+     * @param jitterMicros upper bound of a random delay in µs
+     * @param duplicateProbability of each datagram
+     * @param reorderProbability of each datagram, to be overtaken by later ones
+     * @param bytesPerSecond bandwidth; 0: unlimited
      */
     public record LinkFault(
             boolean cut,
@@ -37,39 +46,68 @@
             return new LinkFault(true, 0, 0, 0, 0, 0, 0);
         }
 
-        /** What a fault of a path does to each direction that it is about. */
+        private static LinkFault lossAndJitter(double lossProbability, long jitterMicros) {
+            return new LinkFault(false, lossProbability, 0, jitterMicros, 0, 0, 0);
+        }
+
+        private static LinkFault delay(long delayMicros, long jitterMicros) {
+            return new LinkFault(false, 0, delayMicros, jitterMicros, 0, 0, 0);
+        }
+
+        private static LinkFault duplication(double probability, long copyDelayMicros) {
+            return new LinkFault(false, 0, copyDelayMicros, 0, probability, 0, 0);
+        }
+
+        private static LinkFault reordering(double probability, long delayMicros) {
+            return new LinkFault(false, 0, delayMicros, 0, 0, probability, 0);
+        }
+
+        private static LinkFault bandwidth(double bytesPerSecond) {
+            return new LinkFault(false, 0, 0, 0, 0, 0, bytesPerSecond);
+        }
+
+        /**
+         * The effect of a fault of the plan on each direction that it affects.
+         *
+         * @throws IllegalArgumentException if the fault's kind does not affect links
+         */
         public static LinkFault of(WorkloadPlan.Fault fault) {
             Scenario.FaultSpec spec = fault.spec();
             double amount = spec.amount() == null ? 0 : spec.amount();
-            long addedDelayMicros = Math.round(1e3 * spec.delayMs());
+            long delayMicros = Math.round(1e3 * spec.delayMs());
             return switch (fault.kind()) {
                 case CUT -> cutOff();
-                case LOSS -> new LinkFault(false, amount, 0, 0, 0, 0, 0);
-                case DELAY ->
-                        new LinkFault(
-                                false,
-                                0,
-                                addedDelayMicros,
-                                Math.round(1e3 * spec.jitterMs()),
-                                0,
-                                0,
-                                0);
-                case REPEAT -> new LinkFault(false, 0, addedDelayMicros, 0, amount, 0, 0);
-                case REORDER -> new LinkFault(false, 0, addedDelayMicros, 0, 0, amount, 0);
-                case THIN -> new LinkFault(false, 0, 0, 0, 0, 0, amount);
+                case LOSS -> lossAndJitter(amount, 0);
+                case DELAY -> delay(delayMicros, Math.round(1e3 * spec.jitterMs()));
+                case REPEAT -> duplication(amount, delayMicros);
+                case REORDER -> reordering(amount, delayMicros);
+                case THIN -> bandwidth(amount);
                 default ->
-                        throw new IllegalArgumentException("no trouble of a path: " + fault.kind());
+                        throw new IllegalArgumentException(
+                                fault.kind().keyword() + " does not affect links");
             };
         }
     }
 
-    /** {@code baseDelayMicros}: its delay when nothing is wrong. */
+    /** Creates a link without faults; {@code baseDelayMicros} is its delay in µs. */
     public NetworkLink(UniformRandomProvider random, long baseDelayMicros) {
         this.random = random;
         this.baseDelayMicros = baseDelayMicros;
     }
 
-    /** A trouble begins or ends. */
+    /**
+     * Creates the link from one balancer to another, with the scenario's delay, jitter and loss.
+     */
+    public static NetworkLink betweenPeers(
+            UniformRandomProvider random, Scenario.Network settings) {
+        List<Double> delayRangeMs = settings.peerDelayMs();
+        long jitterMicros = Math.round((delayRangeMs.get(1) - delayRangeMs.get(0)) * 1e3);
+        NetworkLink link = new NetworkLink(random, Math.round(delayRangeMs.get(0) * 1e3));
+        link.setFault(LinkFault.lossAndJitter(settings.peerLoss(), jitterMicros), true);
+        return link;
+    }
+
+    /** Adds a fault, or removes one that was added. */
     public void setFault(LinkFault fault, boolean active) {
         if (active) {
             faults.add(fault);
@@ -78,15 +116,14 @@
         }
     }
 
-    /** Whether nothing is wrong, and it takes no time. */
+    /** Whether bytes pass at once, without faults or delay. */
     public boolean isTransparent() {
         return faults.isEmpty() && baseDelayMicros == 0;
     }
 
-    /** Whether nothing passes. */
+    /** Whether nothing passes. Called for each attempt, so without streams. */
     public boolean isCut() {
         for (LinkFault fault : faults) {
-            // Asked for each attempt: no stream
             if (fault.cut) {
                 return true;
             }
@@ -98,10 +135,9 @@
         return probability > 0 && random.nextDouble() < probability;
     }
 
-    /** Whether a datagram is lost. */
+    /** Draws whether a datagram is lost. Called for each datagram, so without streams. */
     public boolean dropsDatagram() {
         for (LinkFault fault : faults) {
-            // Asked for each datagram: no stream
             if (fault.cut || occurs(fault.lossProbability)) {
                 return true;
             }
@@ -110,8 +146,8 @@
     }
 
     /**
-     * The delays of a datagram's copies; a copy that is to be passed by later ones waits for
-     * longer.
+     * Draws the delays in µs of a datagram and of its duplicates; one that is to be overtaken is
+     * delayed further.
      */
     public List<Long> datagramDelaysMicros() {
         List<Long> delaysMicros = new ArrayList<>(2);
@@ -132,34 +168,38 @@
         long delayMicros = baseDelayMicros;
         for (LinkFault fault : faults) {
             boolean datagramsOnly = fault.duplicateProbability > 0 || fault.reorderProbability > 0;
-            delayMicros +=
-                    (datagramsOnly ? 0 : fault.delayMicros)
-                            + (fault.jitterMicros > 0
-                                    ? (long) (random.nextDouble() * fault.jitterMicros)
-                                    : 0);
+            if (!datagramsOnly) {
+                delayMicros += fault.delayMicros;
+            }
+            if (fault.jitterMicros > 0) {
+                delayMicros += (long) (random.nextDouble() * fault.jitterMicros);
+            }
         }
         return delayMicros;
     }
 
-    /** The delay of so many bytes of a TCP connection. */
+    /** Draws the delay in µs of that many bytes of a TCP connection. */
     public long tcpDelayMicros(long nowMicros, int bytes) {
         long delayMicros = sampleDelayMicros() + transmissionDelayMicros(nowMicros, bytes);
         for (LinkFault fault : faults) {
-            delayMicros += occurs(fault.lossProbability) ? RETRANSMISSION_DELAY_MICROS : 0;
+            if (occurs(fault.lossProbability)) {
+                delayMicros += RETRANSMISSION_DELAY_MICROS;
+            }
         }
         return delayMicros;
     }
 
-    /** What a thin way keeps so many bytes waiting, behind what it has taken already. */
+    /**
+     * Returns the time in µs until that many bytes have passed at the smallest bandwidth of the
+     * present faults, behind the bytes that were sent before; 0 without such a fault.
+     */
     public long transmissionDelayMicros(long nowMicros, int bytes) {
         double bytesPerSecond = 0;
         for (LinkFault fault : faults) {
-            bytesPerSecond =
-                    fault.bytesPerSecond > 0
-                                    && (bytesPerSecond == 0
-                                            || fault.bytesPerSecond < bytesPerSecond)
-                            ? fault.bytesPerSecond
-                            : bytesPerSecond;
+            boolean narrower = bytesPerSecond == 0 || fault.bytesPerSecond < bytesPerSecond;
+            if (fault.bytesPerSecond > 0 && narrower) {
+                bytesPerSecond = fault.bytesPerSecond;
+            }
         }
         if (bytesPerSecond == 0) {
             return 0;
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/FaultKind.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/FaultKind.java
@@ -1,63 +1,67 @@
 package loadbalancer.testbed.scenario;
 
+import java.util.Arrays;
 import java.util.Locale;
+import java.util.Optional;
 
-/** What may go wrong, on whom, and whether it lasts. */
+/**
+ * The kinds of faults: whom each affects and whether it must say when it ends. Field names in code
+ * font are keys of a fault in a scenario file.
+ */
 public enum FaultKind {
     /**
-     * The processes of {@code on} die at once; with {@code until_s} they start again, {@code state}
-     * as said.
+     * Kills processes; with {@code until_s} they start again after {@code state} was applied to
+     * their state directories.
      */
     KILL(TargetKind.BALANCERS, false, false),
-    /** They get SIGTERM; with {@code until_s} they start again. */
+    /** Sends SIGTERM; with {@code until_s} the processes start again. */
     TERM(TargetKind.BALANCERS, false, false),
-    /** SIGSTOP, and SIGCONT at {@code until_s}. */
+    /** Sends SIGSTOP, and SIGCONT at {@code until_s}. */
     PAUSE(TargetKind.BALANCERS, false, true),
     /**
-     * What goes between {@code on} and {@code to} is held back; {@code one_way}: from {@code on}
-     * only.
+     * Nothing passes between {@code on} and {@code to}; {@code one_way}: from {@code on} to {@code
+     * to} only. TCP delivers what was sent once the fault ends.
      */
     CUT(TargetKind.ANY, true, true),
-    /** {@code amount} of datagrams is lost; of what TCP carries, that part comes 200 ms late. */
+    /** Loses {@code amount} of the datagrams; that part of what TCP carries is 200 ms late. */
     LOSS(TargetKind.ANY, true, true),
-    /** {@code delay_ms} is added, and up to {@code spread_ms} more. */
+    /** Adds {@code delay_ms} and a random delay of up to {@code spread_ms}. */
     DELAY(TargetKind.ANY, true, true),
-    /**
-     * {@code amount} of datagrams come twice, the second after {@code delay_ms}. Balancers only.
-     */
+    /** Duplicates {@code amount} of the datagrams, the copy {@code delay_ms} later. */
     REPEAT(TargetKind.BALANCERS, true, true),
-    /** {@code amount} of datagrams wait {@code delay_ms} while later ones pass. Balancers only. */
+    /** Delays {@code amount} of the datagrams by {@code delay_ms}, so that later ones overtake. */
     REORDER(TargetKind.BALANCERS, true, true),
-    /** No more than {@code amount} bytes a second, each way. */
+    /** Limits the bandwidth to {@code amount} bytes per second in each direction. */
     THIN(TargetKind.ANY, true, true),
-    /** Connections from {@code on} to {@code to} are refused. */
+    /** Refuses connections from {@code on} to {@code to}. */
     REFUSE(TargetKind.BALANCERS, true, true),
-    /** All connections between them end with a reset, once. */
+    /** Resets all connections from {@code on} to {@code to}, once. */
     RESET(TargetKind.BALANCERS, true, false),
-    /** The upstream's process dies; at {@code until_s} it is back, cold. */
+    /** Kills the upstream's process; at {@code until_s} it starts again, in slow start. */
     CRASH(TargetKind.UPSTREAMS, false, false),
-    /** The upstream's machine falls silent: connections neither come up nor end. */
+    /** The upstream's machine stops answering: connections neither open nor close. */
     VANISH(TargetKind.UPSTREAMS, false, true),
-    /** {@code amount} times slower. */
+    /** The upstream is {@code amount} times slower. */
     SLOW(TargetKind.UPSTREAMS, false, true),
-    /** Takes requests and answers none. */
+    /** The upstream accepts requests and completes none. */
     HANG(TargetKind.UPSTREAMS, false, true),
-    /** Answers 500 to requests of {@code class}, or to all. */
+    /** The upstream responds with 500 to requests of {@code class}, or to all. */
     FAIL(TargetKind.UPSTREAMS, false, true),
     /**
-     * Drains from {@code at_s}; its process ends, and a cold successor starts, at {@code until_s}.
+     * The upstream drains from {@code at_s}; at {@code until_s} its process ends and a successor
+     * starts, in slow start.
      */
     REPLACE(TargetKind.UPSTREAMS, false, true),
-    /** Discovery's news come {@code delay_ms} later at these balancers. */
+    /** Updates of discovery reach these balancers {@code delay_ms} later. */
     LATE(TargetKind.BALANCERS, false, true),
-    /** Discovery answers these balancers with what it knew when this began. */
+    /** Discovery serves these balancers the list as it was when the fault began. */
     STALE(TargetKind.BALANCERS, false, true),
-    /** Discovery says nothing to these balancers. */
+    /** Discovery accepts connections of these balancers and responds to nothing. */
     SILENT(TargetKind.BALANCERS, false, true),
-    /** Discovery refuses these balancers' connections, and ends those it has. */
+    /** Discovery refuses connections of these balancers and closes the open ones. */
     DENY(TargetKind.BALANCERS, false, true);
 
-    /** Who {@code on} may name. */
+    /** What {@code on} may select. */
     public enum TargetKind {
         BALANCERS,
         UPSTREAMS,
@@ -74,32 +78,28 @@
         this.requiresEnd = requiresEnd;
     }
 
+    /** What {@code on} may select. */
     public TargetKind targetKind() {
         return targetKind;
     }
 
-    /** Whether it is about what lies between {@code on} and {@code to}. */
+    /** Whether it affects what lies between {@code on} and {@code to}. */
     public boolean affectsPath() {
         return affectsPath;
     }
 
-    /** Whether it must say when it ends. */
+    /** Whether {@code until_s} is required. */
     public boolean requiresEnd() {
         return requiresEnd;
     }
 
-    /** Its word in a scenario. */
+    /** The value of {@code kind} in a scenario file. */
     public String keyword() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Null for an unknown word. */
-    public static FaultKind fromKeyword(String keyword) {
-        for (FaultKind kind : values()) {
-            if (kind.keyword().equals(keyword)) {
-                return kind;
-            }
-        }
-        return null;
+    /** The kind with that keyword; empty if there is none. */
+    public static Optional<FaultKind> fromKeyword(String keyword) {
+        return Arrays.stream(values()).filter(kind -> kind.keyword().equals(keyword)).findFirst();
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/Scenario.java
@@ -5,19 +5,21 @@
 import java.util.Map;
 
 /**
- * One experiment: a fleet, what it talks to, the load, and what goes wrong when. Read by {@link
- * ScenarioReader}, which checks it; what a scenario file leaves out has the default that stands
- * here. Times are seconds or milliseconds, as each name's end says.
+ * One experiment: a fleet, the upstreams it forwards to, the load and the faults. {@link
+ * ScenarioReader} reads and validates it; fields that a scenario file omits get the defaults of the
+ * constructors here. The key of a field in the file is its name in snake case unless {@link
+ * JsonProperty} names another. Names end in the unit: {@code S} seconds, {@code Ms} milliseconds.
+ * Immutable.
  */
 public record Scenario(
-        @JsonProperty("name") String name,
-        @JsonProperty("length_s") Double lengthS,
-        @JsonProperty("fleet") Fleet fleet,
-        @JsonProperty("upstreams") Upstreams upstreams,
-        @JsonProperty("load") Load load,
+        String name,
+        Double lengthS,
+        Fleet fleet,
+        Upstreams upstreams,
+        Load load,
         @JsonProperty("class") List<RequestClass> classes,
         @JsonProperty("tenant") List<Tenant> tenants,
-        @JsonProperty("network") Network network,
+        Network network,
         @JsonProperty("fault") List<FaultSpec> faults,
         @JsonProperty("expect") Expectations expectations) {
     public Scenario {
@@ -40,20 +42,24 @@
     }
 
     /**
-     * The balancers: dealt to the zones in turn. {@code startMode} is {@code together} or {@code
-     * in_step}, with {@code startStepMs} between two of them; {@code stateDir}: each has a
-     * directory that outlives its process; {@code environment}: variables that switch on parts of
-     * the program.
+     * The balancers, assigned to the zones round robin.
+     *
+     * @param memoryMb limit of each process
+     * @param sockets limit of each process's descriptors
+     * @param startMode {@code together}, or {@code in_step} with {@code startStepMs} between two
+     *     starts
+     * @param stateDir whether each balancer has a state directory that outlives its process
+     * @param environment variables that enable parts of the program
      */
     public record Fleet(
-            @JsonProperty("balancers") Integer balancers,
-            @JsonProperty("zones") List<String> zones,
-            @JsonProperty("memory_mb") Integer memoryMb,
-            @JsonProperty("sockets") Integer sockets,
+            Integer balancers,
+            List<String> zones,
+            Integer memoryMb,
+            Integer sockets,
             @JsonProperty("start") String startMode,
             @JsonProperty("step_ms") Integer startStepMs,
-            @JsonProperty("state_dir") Boolean stateDir,
-            @JsonProperty("environment") Map<String, String> environment) {
+            Boolean stateDir,
+            Map<String, String> environment) {
         public Fleet {
             balancers = orDefault(balancers, 2);
             zones = zones == null ? List.of("a") : List.copyOf(zones);
@@ -67,21 +73,27 @@
     }
 
     /**
-     * The servers, dealt to the zones in turn. {@code cores}: requests that one works on at a time;
-     * {@code queueCapacity}: its room beyond that; {@code maxConnections}: what it takes at most.
-     * One that starts has {@code slowStartInitialFraction} of its capacity and all of it after
-     * {@code slowStartWindowS}; {@code handshakeMs}: what a new connection costs it.
+     * The upstreams, assigned to the zones round robin.
+     *
+     * @param cores requests that one upstream works on at a time
+     * @param queueCapacity requests that it queues beyond that
+     * @param maxConnections connections that it accepts
+     * @param slowStartInitialFraction part of its capacity that it has right after a start
+     * @param slowStartWindowS time after a start until it has all of its capacity
+     * @param overloadFactor work that it withstands in slow start, as a multiple of its capacity
+     * @param overloadWindowS window over which that work is measured
+     * @param handshakeMs work that a new connection costs it
      */
     public record Upstreams(
-            @JsonProperty("count") Integer count,
-            @JsonProperty("cores") Integer cores,
+            Integer count,
+            Integer cores,
             @JsonProperty("waiting") Integer queueCapacity,
             @JsonProperty("connections") Integer maxConnections,
             @JsonProperty("cold_from") Double slowStartInitialFraction,
             @JsonProperty("ramp_s") Double slowStartWindowS,
-            @JsonProperty("overload_factor") Double overloadFactor,
+            Double overloadFactor,
             @JsonProperty("fall_s") Double overloadWindowS,
-            @JsonProperty("handshake_ms") Double handshakeMs,
+            Double handshakeMs,
             @JsonProperty("kinds") List<MachineKind> machineKinds) {
         public Upstreams {
             count = orDefault(count, 4);
@@ -100,11 +112,13 @@
         }
     }
 
-    /** A kind of machine: its part of the servers, and its speed beside 1. */
-    public record MachineKind(
-            @JsonProperty("name") String name,
-            @JsonProperty("share") Double weight,
-            @JsonProperty("speed") Double speed) {
+    /**
+     * A kind of machine.
+     *
+     * @param weight its part of the upstreams, relative to the other kinds
+     * @param speed beside 1
+     */
+    public record MachineKind(String name, @JsonProperty("share") Double weight, Double speed) {
         public MachineKind {
             name = orDefault(name, "plain");
             weight = orDefault(weight, 1.0);
@@ -113,11 +127,15 @@
     }
 
     /**
-     * Clients: {@code requestsPerSecond} first tries a second in all, by zone as {@code
-     * zoneWeights} say; after a refusal or an unreachable balancer they come again up to {@code
-     * maxRetries} times after {@code retryWaitMs}; {@code impatientFraction} of them give up at
-     * half of their time; the front notices a dead balancer after {@code frontendDetectionMs}; in
-     * the first {@code rampUpS} the rate rises evenly from a tenth.
+     * The clients.
+     *
+     * @param requestsPerSecond rate of requests over all zones, retries not included
+     * @param zoneWeights each zone's part of the rate; empty: equal parts
+     * @param maxRetries retries after a rejection or an unreachable balancer
+     * @param retryBackoffMs time before a retry
+     * @param impatientFraction part of the clients that give up at half of their deadline
+     * @param frontendDetectionMs time until the front end notices a dead balancer
+     * @param rampUpS time in which the rate rises linearly from a tenth
      */
     public record Load(
             @JsonProperty("rate") Double requestsPerSecond,
@@ -139,20 +157,27 @@
     }
 
     /**
-     * A class of requests: {@code idempotency} safe, keyed or unsafe; a keyed one may repeat within
-     * {@code idempotencyScope}.
+     * A class of requests.
+     *
+     * @param trafficWeight its part of the requests, relative to the other classes
+     * @param idempotency {@code safe}, {@code keyed} or {@code unsafe}
+     * @param idempotencyScope where a keyed request may be repeated: {@code all} or {@code zone}
+     * @param idempotencyWindowMs time in which a keyed request may be repeated
+     * @param lateValueFraction value of a response after the latency objective, relative to one in
+     *     time
+     * @param workMs range of the work of a request at speed 1
      */
     public record RequestClass(
-            @JsonProperty("name") String name,
+            String name,
             @JsonProperty("share") Double trafficWeight,
             @JsonProperty("effect") String idempotency,
             @JsonProperty("scope") String idempotencyScope,
             @JsonProperty("key_memory_ms") Double idempotencyWindowMs,
             @JsonProperty("aim_ms") Double latencyObjectiveMs,
-            @JsonProperty("deadline_ms") Double deadlineMs,
+            Double deadlineMs,
             @JsonProperty("worth") Double priorityWeight,
             @JsonProperty("late_share") Double lateValueFraction,
-            @JsonProperty("work_ms") List<Double> workMs) {
+            List<Double> workMs) {
         public RequestClass {
             name = orDefault(name, "plain");
             trafficWeight = orDefault(trafficWeight, 1.0);
@@ -167,9 +192,14 @@
         }
     }
 
-    /** A tenant: its part of the requests, and how many a second are within its share. */
+    /**
+     * A tenant.
+     *
+     * @param trafficWeight its part of the requests, relative to the other tenants
+     * @param quotaPerSecond requests per second within its quota
+     */
     public record Tenant(
-            @JsonProperty("name") String name,
+            String name,
             @JsonProperty("share") Double trafficWeight,
             @JsonProperty("allowance") Double quotaPerSecond) {
         public Tenant {
@@ -180,13 +210,17 @@
     }
 
     /**
-     * Delays one way: between zones, of peers' datagrams, and of discovery's news; {@code peerLoss}
-     * of 1.
+     * The network. Delays are one way, as ranges [lower, upper].
+     *
+     * @param zoneDelayMs between a balancer and an upstream of another zone
+     * @param peerDelayMs of a datagram between balancers
+     * @param peerLoss probability that such a datagram is lost
+     * @param discoveryDelayMs until an agent of discovery learns of a change
      */
     public record Network(
-            @JsonProperty("zone_delay_ms") List<Double> zoneDelayMs,
-            @JsonProperty("peer_delay_ms") List<Double> peerDelayMs,
-            @JsonProperty("peer_loss") Double peerLoss,
+            List<Double> zoneDelayMs,
+            List<Double> peerDelayMs,
+            Double peerLoss,
             @JsonProperty("news_delay_ms") List<Double> discoveryDelayMs) {
         public Network {
             zoneDelayMs = zoneDelayMs == null ? List.of(0.0, 0.0) : List.copyOf(zoneDelayMs);
@@ -200,19 +234,19 @@
     }
 
     /**
-     * One thing that goes wrong, from {@code atS} until {@code untilS}: {@link FaultKind} says what
-     * the other fields mean for each kind. {@code target} and {@code counterpart} are written as
-     * {@link TargetSelector} reads them.
+     * One fault, from {@code atS} until {@code untilS}. {@link FaultKind} says what the other
+     * fields mean for each kind; {@code target} and {@code counterpart} have the form that {@link
+     * TargetSelector} reads.
      */
     public record FaultSpec(
-            @JsonProperty("kind") String kind,
-            @JsonProperty("at_s") Double atS,
-            @JsonProperty("until_s") Double untilS,
+            String kind,
+            Double atS,
+            Double untilS,
             @JsonProperty("on") String target,
             @JsonProperty("to") String counterpart,
-            @JsonProperty("one_way") Boolean oneWay,
-            @JsonProperty("amount") Double amount,
-            @JsonProperty("delay_ms") Double delayMs,
+            Boolean oneWay,
+            Double amount,
+            Double delayMs,
             @JsonProperty("spread_ms") Double jitterMs,
             @JsonProperty("state") String stateChange,
             @JsonProperty("at") Integer byteOffset,
@@ -227,11 +261,15 @@
     }
 
     /**
-     * Properties over time that the run must show; null: not asked for. {@code
-     * membersNoticeWithinS}: where membership is on, the end of one is known to all others within
-     * that time, and all agree at the end. {@code zoneFailoverWithinS}: the zone of the first
-     * upstreams that crash or vanish is left so soon. {@code maxLeaseGapS}: duties are acted upon,
-     * in order, with no longer rest than that.
+     * Properties of the whole run that are checked; null: not checked.
+     *
+     * @param memberDetectionWithinS time in which all members learn of the end of one, if
+     *     membership is enabled; at the end of the run all must agree
+     * @param maxLeaseGapS longest time without an action of a lease's holders, whose epochs must
+     *     not decrease
+     * @param zoneFailoverWithinS time in which balancers leave the zone of the first upstreams that
+     *     crash or vanish
+     * @param singleHolders resources that at most one balancer may hold at a time
      */
     public record Expectations(
             @JsonProperty("back_within_s") Double recoveryWithinS,
@@ -245,9 +283,11 @@
     }
 
     /**
-     * What at most one balancer may have at a time: regular expressions of the log lines by which
-     * one says that it has it ({@code acquirePattern}, the first group says which of them) and has
-     * it no longer ({@code releasePattern}).
+     * A resource that at most one balancer may hold at a time.
+     *
+     * @param acquirePattern regular expression of the log line of an acquisition; its first group,
+     *     if any, is the resource's key
+     * @param releasePattern regular expression of the log line of a release
      */
     public record SingleHolder(
             @JsonProperty("what") String resource,
@@ -258,12 +298,12 @@
         return value == null ? defaultValue : value;
     }
 
-    /** The length in µs. */
+    /** The length of the run in µs. */
     public long lengthMicros() {
         return Math.round(lengthS * 1e6);
     }
 
-    /** The mean work of a request, in µs of a server of speed 1. */
+    /** The mean work of a request in µs at speed 1. */
     public double meanWorkMicros() {
         double totalWeight = classes.stream().mapToDouble(RequestClass::trafficWeight).sum();
         return classes.stream()
@@ -278,12 +318,12 @@
                 * 1e3;
     }
 
-    /** Balancer {@code balancer}'s zone, by its position in {@code fleet.zones}. */
+    /** The zone of a balancer, by its position in {@code fleet.zones}. */
     public int zoneOfBalancer(int balancer) {
         return balancer % fleet.zones().size();
     }
 
-    /** Upstream {@code upstream}'s zone, likewise; a successor has that of the one it replaces. */
+    /** The zone of an upstream; a successor's is that of the upstream it replaces. */
     public int zoneOfUpstream(int upstream) {
         return upstream % upstreams.count() % fleet.zones().size();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/ScenarioReader.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/ScenarioReader.java
@@ -16,9 +16,11 @@
 import java.util.stream.Collectors;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Reads and checks scenario files: what it returns can be played. */
+/**
+ * Reads and validates scenario files. What it returns can be played. Sizes are limited by what real
+ * processes on one machine, or the simulation, can carry.
+ */
 public final class ScenarioReader {
-    // Real processes
     private static final int MAX_BALANCERS = 40;
     private static final int MAX_UPSTREAMS = 200;
     private static final int MAX_SIMULATED_BALANCERS = 1_600;
@@ -35,11 +37,10 @@
     }
 
     /**
-     * Reads a scenario; {@code simulated}: it is to be played with the module alone, at larger
-     * sizes.
+     * Reads a scenario file.
      *
-     * @throws InvalidScenarioException with one line that names the file, the place and what is
-     *     wrong there
+     * @param simulated whether the scenario is for the simulation, which allows larger sizes
+     * @throws InvalidScenarioException if the file can't be read or is invalid
      */
     public static Scenario read(Path path, boolean simulated) {
         String text;
@@ -52,7 +53,12 @@
         return parse(path.toString(), text, simulated);
     }
 
-    /** The same of a text; {@code file} is what complaints call it. */
+    /**
+     * Parses the text of a scenario.
+     *
+     * @param file name for the messages of exceptions
+     * @throws InvalidScenarioException if the text is invalid
+     */
     public static Scenario parse(String file, String text, boolean simulated) {
         return new ScenarioReader(file, simulated).parse(text);
     }
@@ -123,52 +129,71 @@
 
     private void validate(Scenario scenario) {
         requireBetween("length_s", scenario.lengthS(), 1, 3600);
+        validateFleet(scenario.fleet());
+        validateUpstreams(scenario.upstreams());
+        validateLoad(scenario);
+        validateNetwork(scenario.network());
+        validateNames(scenario);
+        for (int i = 0; i < scenario.classes().size(); i++) {
+            validate(scenario.classes().get(i), "class[" + i + "].");
+        }
+        validateExpectations(scenario);
+        for (int i = 0; i < scenario.faults().size(); i++) {
+            validate(scenario, scenario.faults().get(i), "fault[" + i + "]");
+        }
+    }
+
+    private void validateFleet(Scenario.Fleet fleet) {
         requireBetween(
                 "fleet.balancers",
-                scenario.fleet().balancers(),
+                fleet.balancers(),
                 1,
                 simulated ? MAX_SIMULATED_BALANCERS : MAX_BALANCERS);
-        requireBetween("fleet.memory_mb", scenario.fleet().memoryMb(), 32, 4096);
-        requireBetween("fleet.sockets", scenario.fleet().sockets(), 256, 65_536);
-        requireBetween("fleet.step_ms", scenario.fleet().startStepMs(), 0, 60_000);
-        requireOneOf("fleet.start", scenario.fleet().startMode(), Set.of("together", "in_step"));
-        for (String variable : scenario.fleet().environment().keySet()) {
+        requireBetween("fleet.memory_mb", fleet.memoryMb(), 32, 4096);
+        requireBetween("fleet.sockets", fleet.sockets(), 256, 65_536);
+        requireBetween("fleet.step_ms", fleet.startStepMs(), 0, 60_000);
+        requireOneOf("fleet.start", fleet.startMode(), Set.of("together", "in_step"));
+        for (String variable : fleet.environment().keySet()) {
             if (!variable.startsWith("TANSYFERRY_")) {
                 throw invalid(
                         "fleet.environment." + variable,
                         "only variables that begin with TANSYFERRY_ may be set");
             }
         }
-        if (scenario.fleet().zones().isEmpty()
-                || scenario.fleet().zones().stream().anyMatch(zone -> !zone.matches("[\\w-]+"))) {
-            throw invalid("fleet.zones", "no list of names: " + scenario.fleet().zones());
+        if (fleet.zones().isEmpty()
+                || fleet.zones().stream().anyMatch(zone -> !zone.matches("[\\w-]+"))) {
+            throw invalid("fleet.zones", "no list of names: " + fleet.zones());
         }
+    }
+
+    private void validateUpstreams(Scenario.Upstreams upstreams) {
         requireBetween(
                 "upstreams.count",
-                scenario.upstreams().count(),
+                upstreams.count(),
                 1,
                 simulated ? MAX_SIMULATED_UPSTREAMS : MAX_UPSTREAMS);
-        requireBetween("upstreams.cores", scenario.upstreams().cores(), 1, 1000);
-        requireBetween("upstreams.waiting", scenario.upstreams().queueCapacity(), 0, 100_000);
-        requireBetween("upstreams.connections", scenario.upstreams().maxConnections(), 1, 100_000);
-        requireBetween(
-                "upstreams.cold_from", scenario.upstreams().slowStartInitialFraction(), 0.01, 1);
-        requireBetween("upstreams.ramp_s", scenario.upstreams().slowStartWindowS(), 0, 3600);
-        requireBetween(
-                "upstreams.overload_factor", scenario.upstreams().overloadFactor(), 0.1, 100);
-        requireBetween("upstreams.fall_s", scenario.upstreams().overloadWindowS(), 0.1, 60);
-        for (int i = 0; i < scenario.upstreams().machineKinds().size(); i++) {
+        requireBetween("upstreams.cores", upstreams.cores(), 1, 1000);
+        requireBetween("upstreams.waiting", upstreams.queueCapacity(), 0, 100_000);
+        requireBetween("upstreams.connections", upstreams.maxConnections(), 1, 100_000);
+        requireBetween("upstreams.cold_from", upstreams.slowStartInitialFraction(), 0.01, 1);
+        requireBetween("upstreams.ramp_s", upstreams.slowStartWindowS(), 0, 3600);
+        requireBetween("upstreams.overload_factor", upstreams.overloadFactor(), 0.1, 100);
+        requireBetween("upstreams.fall_s", upstreams.overloadWindowS(), 0.1, 60);
+        for (int i = 0; i < upstreams.machineKinds().size(); i++) {
             requireBetween(
                     "upstreams.kinds[" + i + "].speed",
-                    scenario.upstreams().machineKinds().get(i).speed(),
+                    upstreams.machineKinds().get(i).speed(),
                     0.01,
                     100);
             requireBetween(
                     "upstreams.kinds[" + i + "].share",
-                    scenario.upstreams().machineKinds().get(i).weight(),
+                    upstreams.machineKinds().get(i).weight(),
                     0,
                     1000);
         }
+    }
+
+    private void validateLoad(Scenario scenario) {
         requireBetween("load.rate", scenario.load().requestsPerSecond(), 0.1, 100_000);
         requireBetween("load.retries", scenario.load().maxRetries(), 0, 10);
         requireBetween("load.rise_s", scenario.load().rampUpS(), 0, scenario.lengthS());
@@ -179,10 +204,16 @@
                     "load.zone_shares",
                     "as many as zones are wanted: " + scenario.fleet().zones().size());
         }
-        requireRange("network.zone_delay_ms", scenario.network().zoneDelayMs());
-        requireRange("network.peer_delay_ms", scenario.network().peerDelayMs());
-        requireRange("network.news_delay_ms", scenario.network().discoveryDelayMs());
-        requireBetween("network.peer_loss", scenario.network().peerLoss(), 0, 1);
+    }
+
+    private void validateNetwork(Scenario.Network network) {
+        requireRange("network.zone_delay_ms", network.zoneDelayMs());
+        requireRange("network.peer_delay_ms", network.peerDelayMs());
+        requireRange("network.news_delay_ms", network.discoveryDelayMs());
+        requireBetween("network.peer_loss", network.peerLoss(), 0, 1);
+    }
+
+    private void validateNames(Scenario scenario) {
         if (scenario.classes().isEmpty()) {
             throw invalid("class", "no class of requests");
         }
@@ -195,24 +226,23 @@
                 scenario.upstreams().machineKinds().stream()
                         .map(Scenario.MachineKind::name)
                         .toList());
-        for (int i = 0; i < scenario.classes().size(); i++) {
-            Scenario.RequestClass requestClass = scenario.classes().get(i);
-            String location = "class[" + i + "].";
-            requireOneOf(
-                    location + "effect",
-                    requestClass.idempotency(),
-                    Set.of("safe", "keyed", "unsafe"));
-            requireOneOf(
-                    location + "scope", requestClass.idempotencyScope(), Set.of("all", "zone"));
-            requireBetween(location + "share", requestClass.trafficWeight(), 0, 1000);
-            requireBetween(location + "deadline_ms", requestClass.deadlineMs(), 10, 60_000);
-            requireBetween(
-                    location + "aim_ms",
-                    requestClass.latencyObjectiveMs(),
-                    1,
-                    requestClass.deadlineMs());
-            requireRange(location + "work_ms", requestClass.workMs());
-        }
+    }
+
+    private void validate(Scenario.RequestClass requestClass, String location) {
+        requireOneOf(
+                location + "effect", requestClass.idempotency(), Set.of("safe", "keyed", "unsafe"));
+        requireOneOf(location + "scope", requestClass.idempotencyScope(), Set.of("all", "zone"));
+        requireBetween(location + "share", requestClass.trafficWeight(), 0, 1000);
+        requireBetween(location + "deadline_ms", requestClass.deadlineMs(), 10, 60_000);
+        requireBetween(
+                location + "aim_ms",
+                requestClass.latencyObjectiveMs(),
+                1,
+                requestClass.deadlineMs());
+        requireRange(location + "work_ms", requestClass.workMs());
+    }
+
+    private void validateExpectations(Scenario scenario) {
         for (int i = 0; i < scenario.expectations().singleHolders().size(); i++) {
             Scenario.SingleHolder singleHolder = scenario.expectations().singleHolders().get(i);
             String location = "expect.never_two[" + i + "].";
@@ -225,12 +255,10 @@
                         .noneMatch(fault -> Set.of("crash", "vanish").contains(fault.kind()))) {
             throw invalid("expect.zone_left_within_s", "no upstreams crash or vanish");
         }
-        for (int i = 0; i < scenario.faults().size(); i++) {
-            validate(scenario, scenario.faults().get(i), "fault[" + i + "]");
-        }
     }
 
-    // Balancers read them from headers and lists: a space would make every request an unknown one.
+    // Names travel in headers and comma-separated settings, where a space or comma would split
+    // them.
     private void requireUniqueNames(String location, List<String> names) {
         for (int i = 0; i < names.size(); i++) {
             if (!names.get(i).matches("[\\w-]+")) {
@@ -257,10 +285,13 @@
     }
 
     private void validate(Scenario scenario, Scenario.FaultSpec fault, String location) {
-        FaultKind kind = FaultKind.fromKeyword(fault.kind());
-        if (kind == null) {
-            throw invalid(location + ".kind", "unknown kind of fault: '" + fault.kind() + "'");
-        }
+        FaultKind kind =
+                FaultKind.fromKeyword(fault.kind())
+                        .orElseThrow(
+                                () ->
+                                        invalid(
+                                                location + ".kind",
+                                                "unknown kind of fault: '" + fault.kind() + "'"));
         if (fault.atS() == null) {
             throw invalid(location + ".at_s", "missing: when it begins");
         }
@@ -318,7 +349,7 @@
         try {
             return TargetSelector.parse(
                     selector, scenario, RandomSource.XO_RO_SHI_RO_128_PP.create(1L));
-        } catch (IllegalArgumentException e) {
+        } catch (InvalidSelectorException e) {
             throw invalid(location, e.getMessage());
         }
     }
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/TargetSelector.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/TargetSelector.java
@@ -6,21 +6,26 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 import java.util.function.IntUnaryOperator;
+import java.util.stream.IntStream;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Whom a fault is about: terms joined by commas, each {@code balancers}, {@code upstreams} or
- * {@code zone:NAME} (both of that zone); after a colon the first two take numbers ({@code 0-6+9}),
- * {@code zone=NAME}, or {@code any=N}, a choice by the seed.
+ * The balancers and upstreams that a fault affects. Written as terms joined by commas: {@code
+ * balancers}, {@code upstreams} or {@code zone:NAME} (both of that zone). The first two may be
+ * followed by a colon and numbers ({@code 0-6+9}), {@code zone=NAME}, or {@code any=N} for N of
+ * them chosen by the seed.
  *
- * @param balancers numbers of the balancers meant
- * @param upstreams numbers of the upstreams meant
+ * @param balancers numbers of the selected balancers
+ * @param upstreams numbers of the selected upstreams
  */
 public record TargetSelector(SortedSet<Integer> balancers, SortedSet<Integer> upstreams) {
+    private static final String ZONE_FILTER = "zone=";
+    private static final String SAMPLE_FILTER = "any=";
+
     /**
-     * Reads a selector.
+     * Parses a selector; draws only for {@code any=N}.
      *
-     * @throws IllegalArgumentException with what is wrong, in a few words
+     * @throws InvalidSelectorException if the text is no selector for the scenario
      */
     public static TargetSelector parse(
             String text, Scenario scenario, UniformRandomProvider random) {
@@ -47,14 +52,14 @@
                                 selected.upstreams);
                 case "zone" -> {
                     addMatching(
-                            "zone=" + filter,
+                            ZONE_FILTER + filter,
                             scenario.fleet().balancers(),
                             scenario::zoneOfBalancer,
                             scenario,
                             random,
                             selected.balancers);
                     addMatching(
-                            "zone=" + filter,
+                            ZONE_FILTER + filter,
                             scenario.upstreams().count(),
                             scenario::zoneOfUpstream,
                             scenario,
@@ -62,7 +67,7 @@
                             selected.upstreams);
                 }
                 default ->
-                        throw new IllegalArgumentException(
+                        throw new InvalidSelectorException(
                                 "not balancers, upstreams or zone: '" + term + "'");
             }
         }
@@ -77,44 +82,52 @@
             UniformRandomProvider random,
             SortedSet<Integer> selected) {
         if (filter.isEmpty()) {
-            for (int i = 0; i < total; i++) {
-                selected.add(i);
-            }
-        } else if (filter.startsWith("zone=")) {
-            int zone = scenario.fleet().zones().indexOf(filter.substring(5));
-            if (zone < 0) {
-                throw new IllegalArgumentException("no zone '" + filter.substring(5) + "'");
-            }
-            for (int i = 0; i < total; i++) {
-                if (zoneOf.applyAsInt(i) == zone) {
-                    selected.add(i);
-                }
-            }
-        } else if (filter.startsWith("any=")) {
-            int sampleSize = parseNumber(filter.substring(4), total + 1);
-            List<Integer> remaining = new ArrayList<>();
-            for (int i = 0; i < total; i++) {
-                remaining.add(i);
-            }
-            for (int i = 0; i < sampleSize; i++) {
-                Collections.swap(remaining, i, i + random.nextInt(total - i));
-                selected.add(remaining.get(i));
-            }
+            IntStream.range(0, total).forEach(selected::add);
+        } else if (filter.startsWith(ZONE_FILTER)) {
+            int zone = zoneNumber(filter.substring(ZONE_FILTER.length()), scenario);
+            IntStream.range(0, total)
+                    .filter(number -> zoneOf.applyAsInt(number) == zone)
+                    .forEach(selected::add);
+        } else if (filter.startsWith(SAMPLE_FILTER)) {
+            int sampleSize = parseNumber(filter.substring(SAMPLE_FILTER.length()), total + 1);
+            addSample(sampleSize, total, random, selected);
         } else {
-            for (String range : filter.split("\\+", -1)) {
-                String[] ends = range.split("-", 2);
-                int first = parseNumber(ends[0], total);
-                int last = ends.length > 1 ? parseNumber(ends[1], total) : first;
-                for (int i = first; i <= last; i++) {
-                    selected.add(i);
-                }
-            }
+            addRanges(filter, total, selected);
+        }
+    }
+
+    private static int zoneNumber(String name, Scenario scenario) {
+        int zone = scenario.fleet().zones().indexOf(name);
+        if (zone < 0) {
+            throw new InvalidSelectorException("no zone '" + name + "'");
+        }
+        return zone;
+    }
+
+    private static void addSample(
+            int sampleSize, int total, UniformRandomProvider random, SortedSet<Integer> selected) {
+        List<Integer> remaining = new ArrayList<>();
+        for (int i = 0; i < total; i++) {
+            remaining.add(i);
+        }
+        for (int i = 0; i < sampleSize; i++) {
+            Collections.swap(remaining, i, i + random.nextInt(total - i));
+            selected.add(remaining.get(i));
+        }
+    }
+
+    private static void addRanges(String ranges, int total, SortedSet<Integer> selected) {
+        for (String range : ranges.split("\\+", -1)) {
+            String[] ends = range.split("-", 2);
+            int first = parseNumber(ends[0], total);
+            int last = ends.length > 1 ? parseNumber(ends[1], total) : first;
+            IntStream.rangeClosed(first, last).forEach(selected::add);
         }
     }
 
     private static int parseNumber(String text, int bound) {
         if (!text.matches("\\d{1,5}") || Integer.parseInt(text) >= bound) {
-            throw new IllegalArgumentException(
+            throw new InvalidSelectorException(
                     "not a number from 0 to " + (bound - 1) + ": '" + text + "'");
         }
         return Integer.parseInt(text);
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/BaselinePolicy.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/BaselinePolicy.java
@@ -1,6 +1,7 @@
 package loadbalancer.testbed.simulation;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -18,18 +19,19 @@
 import loadbalancer.routing.api.RoutingSettings;
 
 /**
- * What one compares with: a rule that chooses a server, and nothing else. It sends each request to
- * a listed server, again where nothing can have run, and fails it after that; it knows its own
- * requests in flight only.
+ * A baseline to compare the routing policy with: an algorithm that selects an upstream, and nothing
+ * else. It forwards each request to a listed upstream, retries if nothing can have been executed or
+ * the request is idempotent, and fails it otherwise. It knows its own requests in flight only.
+ * Single-threaded.
  */
 public final class BaselinePolicy implements RoutingPolicy {
     private static final int MAX_ATTEMPTS = 4;
-    // D of the paper
+    // d of the paper
     private static final int SAMPLE_SIZE = 4;
-    // A of the paper
+    // a of the paper
     private static final int ACCOMPLISHED_SAMPLE_SIZE = 2;
 
-    /** Which rule chooses. */
+    /** The selection algorithm. */
     public enum Algorithm {
         RANDOM,
         ROUND_ROBIN,
@@ -67,8 +69,10 @@
     }
 
     /**
-     * {@code accomplishedFraction}: the paper's p, the part of the servers that counts as
-     * accomplished.
+     * Creates a policy without upstreams.
+     *
+     * @param accomplishedFraction p of the paper: the part of the upstreams that counts as
+     *     accomplished
      */
     public BaselinePolicy(
             Algorithm algorithm, double accomplishedFraction, RoutingSettings settings, long seed) {
@@ -138,7 +142,8 @@
         };
     }
 
-    // Ranked by lifetime dispatches; ties of queues go to the more accomplished, who comes first.
+    // Ranked by dispatch count; between equal queues the more accomplished, which comes first,
+    // wins.
     private Candidate selectAccomplished() {
         List<Candidate> ranked = new ArrayList<>(available);
         ranked.sort(Comparator.comparingLong(candidate -> -candidate.dispatchCount));
@@ -166,7 +171,7 @@
         List<Candidate> remaining = new ArrayList<>(population);
         int sampleSize = Math.min(count, remaining.size());
         for (int i = 0; i < sampleSize; i++) {
-            java.util.Collections.swap(remaining, i, i + random.nextInt(remaining.size() - i));
+            Collections.swap(remaining, i, i + random.nextInt(remaining.size() - i));
         }
         return new ArrayList<>(remaining.subList(0, sampleSize));
     }
@@ -197,8 +202,8 @@
         if (closed) {
             pendingRequests.remove(request);
         } else if (outcome.neverRan()
-                || pendingRequest.idempotency == Idempotency.IDEMPOTENT
-                        && outcome != AttemptOutcome.TIMEOUT) {
+                || (pendingRequest.idempotency == Idempotency.IDEMPOTENT
+                        && outcome != AttemptOutcome.TIMEOUT)) {
             sendAttempt(request, pendingRequest, actions);
         } else {
             pendingRequests.remove(request);
@@ -208,7 +213,7 @@
 
     @Override
     public void onStreamStarted(long now, String request, int attempt, RoutingActions actions) {
-        // The lab has no streamed classes.
+        // Scenarios have no streaming classes.
     }
 
     @Override
@@ -228,11 +233,11 @@
             long latency,
             LoadReport load,
             RoutingActions actions) {
-        // It never asks.
+        // It requests no health checks.
     }
 
     @Override
     public void onTimer(long now, RoutingActions actions) {
-        // Nor does it ask for this.
+        // It schedules no timers.
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/EndpointListHistory.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/EndpointListHistory.java
@@ -8,15 +8,15 @@
 import loadbalancer.routing.api.EndpointStatus;
 
 /**
- * Discovery's list and all that has changed of it since the start, once for the whole fleet. Agents
- * hear changes in one order, so that what one of them has follows from how many it has heard.
+ * The endpoint list of discovery and all changes of it since the start, stored once for the fleet.
+ * Agents learn of changes in one order, so that an agent's list follows from the number of changes
+ * that it knows. Single-threaded.
  */
 final class EndpointListHistory {
     private final List<Endpoint> changes = new ArrayList<>();
     private final List<Endpoint> initial;
-    // The list last asked for
+    // The list returned last, and the number of changes in it
     private List<Endpoint> cachedList;
-    // Changes in it
     private int cachedChangeCount;
 
     EndpointListHistory(List<Endpoint> initial) {
@@ -28,12 +28,12 @@
         changes.add(change);
     }
 
-    /** The change of that number, from 0. */
+    /** The change of that index, from 0. */
     Endpoint change(int index) {
         return changes.get(index);
     }
 
-    /** The list after so many changes: one and the same for all who ask. */
+    /** The list after that many changes; the same instance for consecutive calls. */
     List<Endpoint> listAfter(int changeCount) {
         if (changeCount != cachedChangeCount) {
             Map<String, Endpoint> endpointsById = new LinkedHashMap<>();
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/EventQueue.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/EventQueue.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * What is to happen, least first by time and then by number: a heap of four children a node in
- * plain arrays, as a fleet of thousands has a million entries waiting.
+ * A priority queue of events by time and sequence number: a heap with four children per node in
+ * plain arrays, as a fleet of thousands has a million events queued. Single-threaded.
  */
 final class EventQueue {
     private static final int CHILDREN_PER_NODE = 4;
@@ -19,7 +19,7 @@
         return size == 0;
     }
 
-    /** When the first is due. */
+    /** The time of the first event in µs; undefined if the queue is empty. */
     long nextTimeMicros() {
         return timesMicros[0];
     }
@@ -38,7 +38,7 @@
         set(index, timeMicros, sequence, event);
     }
 
-    /** Takes out the first. */
+    /** Removes the first event and returns it. */
     Runnable poll() {
         Runnable first = events[0];
         size--;
@@ -75,7 +75,7 @@
 
     private boolean isBefore(long timeMicros, long sequence, int other) {
         return timeMicros < timesMicros[other]
-                || timeMicros == timesMicros[other] && sequence < sequences[other];
+                || (timeMicros == timesMicros[other] && sequence < sequences[other]);
     }
 
     private void move(int from, int to) {
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/FleetSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/FleetSimulation.java
@@ -13,9 +13,11 @@
 import loadbalancer.routing.api.RoutingPolicy;
 import loadbalancer.routing.api.RoutingSettings;
 import loadbalancer.testbed.emulation.PlatformSettings;
+import loadbalancer.testbed.fault.FaultInjector;
+import loadbalancer.testbed.fault.FaultableDiscoveryAgent;
+import loadbalancer.testbed.fault.FaultableEnvironment;
 import loadbalancer.testbed.invariant.ClientRequest;
 import loadbalancer.testbed.invariant.RequestInvariants;
-import loadbalancer.testbed.scenario.FaultKind;
 import loadbalancer.testbed.scenario.InvalidScenarioException;
 import loadbalancer.testbed.scenario.Scenario;
 import loadbalancer.testbed.statistics.RunResult;
@@ -25,16 +27,15 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * The same scenario in simulated time with the module alone: for fleets that no machine holds.
- * Plan, server model, paths' troubles and rules are those of the real runs; what sockets and
- * processors add is missing.
+ * Plays a scenario in virtual time with routing policies alone, for fleets larger than a machine
+ * can run. Plan, upstream model, links and invariants are those of runs with real processes; the
+ * cost of sockets and processors is missing. Single-threaded; one run per instance.
  */
 public final class FleetSimulation {
-    // µs
     private static final long CONNECT_TIMEOUT_MICROS = 150_000;
-    // µs from a process's start until it is ready
+    // From the start of a process until it is ready
     private static final long STARTUP_MICROS = 1_000_000;
-    // Past the last arrival, for what is open
+    // After the last deadline, for open requests
     private static final long DRAIN_MICROS = 5_000_000;
 
     private final WorkloadPlan plan;
@@ -48,31 +49,37 @@
     private final Map<String, SimulatedUpstream> upstreamsByUid = new HashMap<>();
     private final SimulatedNetwork network;
     private final SimulatedClients clients;
-    // By who sends, once it has; by who hears
+    // By sender (null until it sends) and recipient
     private final int[][] datagramsDelivered;
     private final EndpointListHistory endpointHistory;
     private final List<SimulatedDiscoveryAgent> discoveryAgents = new ArrayList<>();
     private final Map<SimulatedUpstream, List<CrashCallback>> crashCallbacks = new HashMap<>();
     private final int[] startCounts;
     private final Consumer<String> logListener;
-    // Null: cold servers fall
+    // Null: upstreams in slow start crash when overloaded
     private SlowStartListener slowStartListener;
 
     private record CrashCallback(Runnable action, BooleanSupplier isObsolete) {}
 
-    /** What a run is to be played with: the module or a baseline. */
+    /** Creates the routing policies of a run. */
     public interface PolicyFactory {
-        /** The decisions of one balancer. */
+        /** Creates the policy of one process of a balancer. */
         RoutingPolicy create(RoutingSettings settings, long seed);
     }
 
-    /** Hears of each attempt at a cold server. */
+    /** Is notified of each attempt at an upstream in slow start. */
     public interface SlowStartListener {
-        /** {@code capacity}: seconds of work a second that the server can do at that time. */
+        /**
+         * An attempt arrives.
+         *
+         * @param server number of the upstream
+         * @param now time of the run in µs
+         * @param capacity its present capacity in seconds of work per second
+         */
         void onAttempt(int server, long now, double capacity);
     }
 
-    /** {@code logListener} hears the modules' lines. */
+    /** Creates a simulation; {@code logListener} gets the log lines of the policies. */
     public FleetSimulation(
             WorkloadPlan plan, PolicyFactory policyFactory, Consumer<String> logListener) {
         this.plan = plan;
@@ -110,12 +117,12 @@
         clients = new SimulatedClients(scheduler, plan, invariants, windows, balancers);
     }
 
-    /** From here on all that cold servers get is told, and none of them falls. */
+    /** Reports attempts at upstreams in slow start from now on, none of which crashes any more. */
     public void observeSlowStart(SlowStartListener listener) {
         slowStartListener = listener;
     }
 
-    // ------------------------------------------------------------ what balancers see
+    // ------------------------------------------------------------ used by the balancers
 
     VirtualTimeScheduler scheduler() {
         return scheduler;
@@ -164,12 +171,12 @@
     void sendDatagram(int sender, int recipient, byte[] payload) {
         for (int peerNumber = 0; peerNumber < balancers.size(); peerNumber++) {
             if (peerNumber == sender
-                    || recipient >= 0 && recipient != peerNumber
-                    || network.peerLinks(sender, peerNumber).dropsDatagram()) {
+                    || (recipient >= 0 && recipient != peerNumber)
+                    || network.peerLink(sender, peerNumber).dropsDatagram()) {
                 continue;
             }
             SimulatedBalancer peer = balancers.get(peerNumber);
-            for (long delay : network.peerLinks(sender, peerNumber).datagramDelaysMicros()) {
+            for (long delay : network.peerLink(sender, peerNumber).datagramDelaysMicros()) {
                 scheduler.scheduleAfter(
                         delay,
                         () -> {
@@ -214,7 +221,7 @@
     /** Work comes to a server: where it is cold, and that is too much, it falls. */
     void checkSlowStartBudget(int balancer, SimulatedUpstream upstream, long workMicros) {
         if (slowStartListener != null) {
-            if (upstream.warmingUp()) {
+            if (upstream.isInSlowStart()) {
                 slowStartListener.onAttempt(
                         upstream.spec().number(), scheduler.nowMicros(), upstream.capacity());
             }
@@ -276,24 +283,14 @@
                 upstream.spec().zone());
     }
 
-    private void publish(SimulatedUpstream upstream, EndpointStatus status) {
-        endpointHistory.addChange(toEndpoint(upstream, status));
-        discoveryAgents.forEach(SimulatedDiscoveryAgent::onChange);
-    }
-
     // ------------------------------------------------------------ the run
 
-    /** Plays it; the same plan and modules give the same result to the byte. */
+    /** Plays the plan; the same plan and policies give the same result to the byte. */
     public RunResult run() {
         for (int balancer = 0; balancer < balancers.size(); balancer++) {
             startBalancer(balancer);
         }
-        for (WorkloadPlan.Fault fault : plan.faults()) {
-            scheduler.schedule(fault.startMicros(), () -> applyFault(fault, true));
-            if (fault.endMicros() >= 0) {
-                scheduler.schedule(fault.endMicros(), () -> applyFault(fault, false));
-            }
-        }
+        new FaultInjector<>(plan, new SimulatedFaults()).scheduleFaults(scheduler);
         List<WorkloadPlan.Arrival> arrivals = plan.arrivals();
         scheduler.scheduleSeries(
                 arrivals.size(),
@@ -322,76 +319,6 @@
                         cachedEndpoints);
     }
 
-    private void applyFault(WorkloadPlan.Fault fault, boolean active) {
-        Scenario.FaultSpec spec = fault.spec();
-        switch (fault.kind()) {
-            case KILL, TERM ->
-                    fault.balancers().forEach(balancer -> setProcessDown(balancer, active));
-            case PAUSE -> fault.balancers().forEach(balancer -> setPaused(balancer, active));
-            case CUT, LOSS, DELAY, REPEAT, REORDER, THIN -> network.applyLinkFault(fault, active);
-            case REFUSE -> network.setRefusing(fault, active);
-            case CRASH ->
-                    forEachUpstream(
-                            fault,
-                            upstream -> {
-                                if (active) {
-                                    crash(upstream);
-                                } else {
-                                    upstream.start();
-                                }
-                                publish(
-                                        upstream,
-                                        active ? EndpointStatus.REMOVED : EndpointStatus.UP);
-                            });
-            case VANISH -> forEachUpstream(fault, upstream -> upstream.setVanished(active));
-            case SLOW ->
-                    forEachUpstream(
-                            fault,
-                            upstream -> upstream.setSlowdownFactor(active ? spec.amount() : 1));
-            case HANG -> forEachUpstream(fault, upstream -> upstream.setHanging(active));
-            case FAIL ->
-                    forEachUpstream(
-                            fault, upstream -> upstream.setFailing(spec.requestClass(), active));
-            case REPLACE -> forEachUpstream(fault, upstream -> replaceUpstream(upstream, active));
-            case LATE ->
-                    fault.balancers()
-                            .forEach(
-                                    balancer ->
-                                            discoveryAgents
-                                                    .get(balancer)
-                                                    .extraDelayMicros(
-                                                            Math.round(
-                                                                    (active ? 1e3 : -1e3)
-                                                                            * spec.delayMs())));
-            case STALE, SILENT, DENY ->
-                    fault.balancers()
-                            .forEach(balancer -> discoveryAgents.get(balancer).mute(active));
-            case RESET ->
-                    throw new InvalidScenarioException(
-                            scenario.name(),
-                            FaultKind.RESET.keyword(),
-                            "can't be played in simulated time");
-        }
-    }
-
-    private void forEachUpstream(WorkloadPlan.Fault fault, Consumer<SimulatedUpstream> change) {
-        fault.upstreams().forEach(number -> change.accept(upstreams.get(number)));
-    }
-
-    private void replaceUpstream(SimulatedUpstream upstream, boolean active) {
-        if (active) {
-            upstream.startDraining();
-            publish(upstream, EndpointStatus.DRAINING);
-        } else {
-            crash(upstream);
-            publish(upstream, EndpointStatus.REMOVED);
-            SimulatedUpstream successor =
-                    upstreams.get(plan.successor(upstream.spec().number()).number());
-            successor.start();
-            publish(successor, EndpointStatus.UP);
-        }
-    }
-
     private void setProcessDown(int balancer, boolean down) {
         if (down) {
             invariants.outageStarted(balancer, scheduler.nowMicros());
@@ -416,6 +343,56 @@
         balancers.get(balancer).pause(paused);
     }
 
+    /** Applies the plan's faults to the parts of this simulation. */
+    private final class SimulatedFaults implements FaultableEnvironment<SimulatedUpstream> {
+        @Override
+        public SimulatedUpstream upstream(int number) {
+            return upstreams.get(number);
+        }
+
+        @Override
+        public FaultableDiscoveryAgent discoveryAgent(int balancer) {
+            return discoveryAgents.get(balancer);
+        }
+
+        @Override
+        public void crash(SimulatedUpstream upstream) {
+            FleetSimulation.this.crash(upstream);
+        }
+
+        @Override
+        public void publish(SimulatedUpstream upstream, EndpointStatus status) {
+            endpointHistory.addChange(toEndpoint(upstream, status));
+            discoveryAgents.forEach(SimulatedDiscoveryAgent::onChange);
+        }
+
+        @Override
+        public void applyLinkFault(WorkloadPlan.Fault fault, boolean active) {
+            network.applyLinkFault(fault, active);
+        }
+
+        @Override
+        public void setRefusing(WorkloadPlan.Fault fault, boolean active) {
+            network.setRefusing(fault, active);
+        }
+
+        @Override
+        public void resetConnections(WorkloadPlan.Fault fault) {
+            throw new InvalidScenarioException(
+                    scenario.name(), fault.kind().keyword(), "can't be played in simulated time");
+        }
+
+        @Override
+        public void setProcessesDown(WorkloadPlan.Fault fault, boolean active) {
+            fault.balancers().forEach(balancer -> setProcessDown(balancer, active));
+        }
+
+        @Override
+        public void setProcessesPaused(WorkloadPlan.Fault fault, boolean active) {
+            fault.balancers().forEach(balancer -> setPaused(balancer, active));
+        }
+    }
+
     private RunResult buildResult() {
         TreeMap<String, Double> metrics = new TreeMap<>();
         metrics.put(
@@ -445,17 +422,17 @@
         return RunResultBuilder.build(plan, windows, invariants, metrics, processes, "");
     }
 
-    /** Things that have happened: what a run costs goes by their number. */
+    /** The number of events so far, in proportion to which a run costs. */
     public long processedEvents() {
         return scheduler.processedEvents();
     }
 
-    /** Seconds of simulated time so far. */
+    /** Virtual time so far, in seconds. */
     public double simulatedSeconds() {
         return scheduler.nowMicros() / 1e6;
     }
 
-    /** Datagrams that one balancer had from another within the run's length. */
+    /** Datagrams that one balancer received from another within the run's length. */
     public long datagramsDelivered(int from, int to) {
         return datagramsDelivered[from] == null ? 0 : datagramsDelivered[from][to];
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/ResourceUsage.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/ResourceUsage.java
@@ -7,10 +7,9 @@
 import java.nio.file.Path;
 import java.util.Locale;
 
-/** What this process has used since a mark: for runs whose size the machine must bear. */
+/** Resources that this process has used since an instance was created, for the cost of a run. */
 public final class ResourceUsage {
     private static final Path PROC_STATUS = Path.of("/proc/self/status");
-    // kB that were resident at most
     private static final String PEAK_RESIDENT_FIELD = "VmHWM:";
 
     private final long startNanos = System.nanoTime();
@@ -31,7 +30,7 @@
                     .map(line -> Long.parseLong(line.replaceAll("\\D", "")) >> 10)
                     .orElse(0L);
         } catch (IOException e) {
-            // No such file outside Linux: unknown
+            // Unknown outside Linux
             return 0;
         }
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedBalancer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedBalancer.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
@@ -15,16 +16,16 @@
 import loadbalancer.testbed.invariant.ClientAttempt;
 
 /**
- * One balancer in simulated time: the module and, in place of its sockets, the same outcomes at the
- * times at which sockets would bring them. Connections are counted as far as outcomes depend on
- * them: a new one takes a round trip, and only an old one can be silent after its request is
- * written.
+ * One balancer in virtual time: its routing policy and, in place of sockets, the outcomes at the
+ * times at which sockets would bring them. Connections are modelled as far as outcomes depend on
+ * them: a new one costs a round trip, and only an established one can become silent after a request
+ * is written. Single-threaded; events of the policy are not re-entrant.
  */
 final class SimulatedBalancer implements RoutingActions {
-    // µs before a client's time is over, as in service
+    // Before a client's deadline, as in the real program
     private static final long DEADLINE_GUARD_MICROS = 6_000;
     private static final int MAX_ATTEMPTS = 4;
-    // The module's clock at the run's time 0
+    // The policy's clock at time 0 of the run
     private static final long POLICY_CLOCK_EPOCH_MICROS = 1_000_000_000;
 
     private final int number;
@@ -42,7 +43,7 @@
     private long bytesSent;
     private long connectionsOpened;
 
-    /** A request that it has taken. */
+    /** A request that it has accepted. */
     private static final class Exchange {
         private final ClientAttempt call;
         private final long deadlineMicros;
@@ -101,7 +102,7 @@
         return scheduler.nowMicros() + POLICY_CLOCK_EPOCH_MICROS;
     }
 
-    // ------------------------------------------------------------ its process
+    // ------------------------------------------------------------ process
 
     void start(RoutingPolicy newPolicy, List<Endpoint> cachedEndpoints) {
         policy = newPolicy;
@@ -114,7 +115,7 @@
                                 policyNowMicros(), EndpointListKind.CACHED, cachedEndpoints, this));
     }
 
-    /** Its process ends at once: whoever waits for an answer sees the connection end. */
+    /** Its process is killed: clients that wait for a response see the connection close. */
     void kill() {
         alive = false;
         incarnation++;
@@ -122,7 +123,7 @@
         List<Exchange> openExchanges =
                 exchanges.values().stream()
                         .filter(exchange -> !exchange.closed)
-                        .sorted(java.util.Comparator.comparing(exchange -> exchange.call.id()))
+                        .sorted(Comparator.comparing(exchange -> exchange.call.id()))
                         .toList();
         exchanges.values().forEach(exchange -> exchange.attempts.forEach(this::abandon));
         exchanges.values().forEach(exchange -> simulation.invariants().forget(exchange.call));
@@ -145,9 +146,9 @@
         }
     }
 
-    // ------------------------------------------------------------ what the module hears
+    // ------------------------------------------------------------ events of the policy
 
-    /** Later, in this life only. */
+    /** Runs an event later, unless the process has ended by then. */
     private void scheduleEvent(long delayMicros, Runnable event) {
         int scheduledIncarnation = incarnation;
         scheduler.scheduleAfter(
@@ -159,7 +160,7 @@
                 });
     }
 
-    // Not re-entrant, and nothing happens to one that is paused until it goes on.
+    // Not re-entrant; events of a paused process wait until it resumes.
     private void submitEvent(Runnable event) {
         pendingEvents.add(event);
         if (!drainingEvents && !paused) {
@@ -214,7 +215,7 @@
         }
     }
 
-    /** The client of that call has left. */
+    /** The client of an attempt has disconnected. */
     void onClientDisconnected(ClientAttempt clientAttempt) {
         submitEvent(
                 () -> {
@@ -265,7 +266,7 @@
         }
     }
 
-    // ------------------------------------------------------------ what the module asks for
+    // ------------------------------------------------------------ actions of the policy
 
     @Override
     public void send(String request, String server, long timeout) {
@@ -322,7 +323,7 @@
     private void arriveAtUpstream(Attempt attempt, boolean newConnection, long startedAtMicros) {
         SimulatedUpstream upstream = attempt.upstream;
         if (attempt.ended || simulation.isSilent(number, upstream)) {
-            // Its time-out tells
+            // The timeout ends it
             return;
         }
         long returnDelayMicros =
@@ -438,7 +439,7 @@
 
     @Override
     public void watchEndpoints(boolean on) {
-        // Lists are pushed here.
+        // Discovery pushes changes in the simulation.
     }
 
     @Override
@@ -475,7 +476,7 @@
         simulation.log(number, line);
     }
 
-    /** The module's clock at a time of the run. */
+    /** The policy's clock at a time of the run, in µs. */
     static long policyTimeMicros(long runMicros) {
         return runMicros + POLICY_CLOCK_EPOCH_MICROS;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedDiscoveryAgent.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedDiscoveryAgent.java
@@ -3,13 +3,15 @@
 import java.util.List;
 import java.util.function.Consumer;
 import loadbalancer.routing.api.Endpoint;
+import loadbalancer.testbed.fault.FaultableDiscoveryAgent;
+import loadbalancer.testbed.workload.RandomStreams;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Discovery's agent of one balancer in simulated time: how much of the list's changes it has heard,
- * and the ways in which news don't come.
+ * The discovery agent of one balancer in virtual time: how many of the list's changes it knows and
+ * has delivered. Stale, silent and denied all delay delivery until the fault ends. Single-threaded.
  */
-final class SimulatedDiscoveryAgent {
+final class SimulatedDiscoveryAgent implements FaultableDiscoveryAgent {
     private final VirtualTimeScheduler scheduler;
     private final UniformRandomProvider random;
     private final List<Double> delayRangeMs;
@@ -17,15 +19,17 @@
     private final Consumer<Endpoint> listener;
     private long lastArrivalMicros;
     private long extraDelayMicros;
-    private int mute;
-    // Changes that have come to the agent
+    private int muteCount;
+    // Changes that the agent knows
     private int receivedCount;
-    // Of those, what it has passed on
+    // Of those, changes that it delivered
     private int deliveredCount;
 
     /**
-     * {@code listener} hears each change when the balancer does; {@code delayRangeMs}: least and
-     * most.
+     * Creates an agent that knows the initial list.
+     *
+     * @param delayRangeMs range [lower, upper] of the delay of a change
+     * @param listener is notified of each change when it is delivered to the balancer
      */
     SimulatedDiscoveryAgent(
             VirtualTimeScheduler scheduler,
@@ -40,19 +44,14 @@
         this.listener = listener;
     }
 
-    /** The list as the agent has it. */
+    /** The list as the agent delivers it. */
     List<Endpoint> endpoints() {
         return history.listAfter(deliveredCount);
     }
 
-    /** Something has changed: the agent hears of it after its delay, and in order. */
+    /** The list has changed: the agent learns of it after its delay, in order. */
     void onChange() {
-        long delayMicros =
-                Math.round(
-                        1e3
-                                * (delayRangeMs.get(0)
-                                        + random.nextDouble()
-                                                * (delayRangeMs.get(1) - delayRangeMs.get(0))));
+        long delayMicros = Math.round(1e3 * RandomStreams.drawUniform(random, delayRangeMs));
         lastArrivalMicros =
                 Math.max(lastArrivalMicros, scheduler.nowMicros() + delayMicros + extraDelayMicros);
         scheduler.schedule(lastArrivalMicros, this::onReceived);
@@ -64,18 +63,33 @@
     }
 
     private void deliverPending() {
-        while (mute == 0 && deliveredCount < receivedCount) {
+        while (muteCount == 0 && deliveredCount < receivedCount) {
             listener.accept(history.change(deliveredCount++));
         }
     }
 
-    /** News take that much longer, or (negative) no longer. */
-    void extraDelayMicros(long deltaMicros) {
+    @Override
+    public void addExtraDelayMicros(long deltaMicros) {
         extraDelayMicros += deltaMicros;
     }
 
-    void mute(boolean muted) {
-        mute += muted ? 1 : -1;
+    @Override
+    public void setStale(boolean active) {
+        setMuted(active);
+    }
+
+    @Override
+    public void setSilent(boolean active) {
+        setMuted(active);
+    }
+
+    @Override
+    public void setDenied(boolean active) {
+        setMuted(active);
+    }
+
+    private void setMuted(boolean active) {
+        muteCount += active ? 1 : -1;
         deliverPending();
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedNetwork.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedNetwork.java
@@ -12,32 +12,33 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Every way between two parties in simulated time, and what is wrong with it now. Of each pair of
- * balancer and server only the delay is kept; a pair has ways of its own from when something goes
- * by it after a first fault of paths, and then they are as if all faults had found them there.
+ * The links between balancers, and between balancers and upstreams, in virtual time. For a pair
+ * without faults only its delay is stored. A pair gets links of its own when it is first used after
+ * a fault; the faults so far are applied to them then. Single-threaded.
  */
 final class SimulatedNetwork {
-    // Of a pair's key, for its second half
+    // Of a pair's key: width of its second half
     private static final int KEY_HALF_BITS = 32;
+    // One way, within a zone
+    private static final int BASE_DELAY_MICROS = 1;
 
     private final List<WorkloadPlan.UpstreamSpec> upstreams;
     private final UniformRandomProvider upstreamRandom;
     private final UniformRandomProvider peerRandom;
     private final Scenario.Network networkSettings;
-    // µs by balancer and server, all being well
+    // By balancer and upstream, without faults
     private final int[][] delaysMicros;
-    // Between any two balancers, likewise
+    // Between any two balancers, without faults
     private final NetworkLink healthyPeerLink;
     private final List<FaultChange> upstreamChanges = new ArrayList<>();
     private final List<FaultChange> peerChanges = new ArrayList<>();
-    // By balancer and server, as far as used
+    // By balancer and upstream, created on use
     private final Map<Long, LinkPair> upstreamLinks = new HashMap<>();
-    // By who sends and who hears, as far as used
+    // By sender and recipient, created on use
     private final Map<Long, NetworkLink> peerLinks = new HashMap<>();
-    // That last
     private final List<WorkloadPlan.Fault> activeRefusals = new ArrayList<>();
 
-    /** A fault of paths began or ended. */
+    /** The begin or the end of a fault of links. */
     private record FaultChange(
             WorkloadPlan.Fault fault, NetworkLink.LinkFault linkFault, boolean active) {}
 
@@ -54,38 +55,21 @@
         List<Double> zoneDelayRangeMs = networkSettings.zoneDelayMs();
         for (int balancer = 0; balancer < delaysMicros.length; balancer++) {
             for (int upstream = 0; upstream < upstreams.size(); upstream++) {
-                double zoneDelayMs =
-                        zoneDelayRangeMs.get(0)
-                                + upstreamRandom.nextDouble()
-                                        * (zoneDelayRangeMs.get(1) - zoneDelayRangeMs.get(0));
-                delaysMicros[balancer][upstream] =
-                        1
-                                + (upstreams.get(upstream).zone()
-                                                == scenario.zoneOfBalancer(balancer)
-                                        ? 0
-                                        : (int) Math.round(zoneDelayMs * 1e3));
+                double zoneDelayMs = RandomStreams.drawUniform(upstreamRandom, zoneDelayRangeMs);
+                boolean sameZone =
+                        upstreams.get(upstream).zone() == scenario.zoneOfBalancer(balancer);
+                int zoneDelayMicros = sameZone ? 0 : (int) Math.round(zoneDelayMs * 1e3);
+                delaysMicros[balancer][upstream] = BASE_DELAY_MICROS + zoneDelayMicros;
             }
         }
     }
 
     private NetworkLink newPeerLink() {
-        List<Double> delayRangeMs = networkSettings.peerDelayMs();
-        NetworkLink link = new NetworkLink(peerRandom, Math.round(delayRangeMs.get(0) * 1e3));
-        link.setFault(
-                new NetworkLink.LinkFault(
-                        false,
-                        networkSettings.peerLoss(),
-                        0,
-                        Math.round((delayRangeMs.get(1) - delayRangeMs.get(0)) * 1e3),
-                        0,
-                        0,
-                        0),
-                true);
-        return link;
+        return NetworkLink.betweenPeers(peerRandom, networkSettings);
     }
 
     private static long pairKey(int first, int second) {
-        return (long) first << KEY_HALF_BITS | second;
+        return ((long) first << KEY_HALF_BITS) | second;
     }
 
     private static void replay(
@@ -97,7 +81,7 @@
         }
     }
 
-    NetworkLink peerLinks(int from, int to) {
+    NetworkLink peerLink(int from, int to) {
         return peerChanges.isEmpty()
                 ? healthyPeerLink
                 : peerLinks.computeIfAbsent(
@@ -162,7 +146,7 @@
         return false;
     }
 
-    /** A fault of paths begins or ends. */
+    /** A fault of links begins or ends. */
     void applyLinkFault(WorkloadPlan.Fault fault, boolean active) {
         FaultChange change = new FaultChange(fault, NetworkLink.LinkFault.of(fault), active);
         if (!fault.balancers().isEmpty() && !fault.toBalancers().isEmpty()) {
@@ -176,8 +160,10 @@
                                                     (int) (key >> KEY_HALF_BITS), key.intValue()),
                                     link));
         }
-        if (!fault.balancers().isEmpty() && !fault.toUpstreams().isEmpty()
-                || !fault.upstreams().isEmpty() && !fault.toBalancers().isEmpty()) {
+        boolean affectsUpstreamLinks =
+                (!fault.balancers().isEmpty() && !fault.toUpstreams().isEmpty())
+                        || (!fault.upstreams().isEmpty() && !fault.toBalancers().isEmpty());
+        if (affectsUpstreamLinks) {
             upstreamChanges.add(change);
             upstreamLinks.forEach(
                     (key, pair) -> {
@@ -195,7 +181,7 @@
         }
     }
 
-    /** Connections from some balancers to some servers are refused, or no longer. */
+    /** A fault begins, or one ends, in which connections are refused. */
     void setRefusing(WorkloadPlan.Fault fault, boolean active) {
         if (active) {
             activeRefusals.add(fault);
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstream.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstream.java
@@ -3,16 +3,18 @@
 import java.util.IdentityHashMap;
 import java.util.Map;
 import loadbalancer.testbed.endpointmodel.EndpointModel;
+import loadbalancer.testbed.endpointmodel.InjectedFailures;
 import loadbalancer.testbed.endpointmodel.Job;
 import loadbalancer.testbed.endpointmodel.SlowStartBudget;
+import loadbalancer.testbed.fault.FaultableUpstream;
 import loadbalancer.testbed.scenario.Scenario;
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * A server in simulated time: the same model that stands behind the sockets, and what is wrong with
- * it.
+ * An upstream in virtual time: the same {@link EndpointModel} as behind sockets, with the faults
+ * that affect it. Single-threaded.
  */
-final class SimulatedUpstream {
+final class SimulatedUpstream implements FaultableUpstream {
     private final VirtualTimeScheduler scheduler;
     private final WorkloadPlan.UpstreamSpec spec;
     private final Scenario scenario;
@@ -23,10 +25,9 @@
     private boolean draining;
     private int vanishCount;
     private int incarnation;
-    private boolean failsAllClasses;
-    private String failingClass;
+    private final InjectedFailures failures;
     private long startedAtMicros;
-    private SlowStartBudget warmingUp;
+    private SlowStartBudget slowStartBudget;
     private double peakSlowStartUtilization;
     private long jobCount;
 
@@ -35,18 +36,13 @@
         this.scheduler = scheduler;
         this.spec = spec;
         this.scenario = scenario;
-        Scenario.Upstreams upstreamSettings = scenario.upstreams();
-        this.model =
-                new EndpointModel(
-                        upstreamSettings.cores(),
-                        upstreamSettings.queueCapacity(),
-                        spec.speed(),
-                        upstreamSettings.slowStartInitialFraction(),
-                        Math.round(upstreamSettings.slowStartWindowS() * 1e6));
+        this.model = EndpointModel.of(scenario.upstreams(), spec.speed());
+        this.failures = new InjectedFailures(scenario.classes());
         this.alive = spec.replaces() < 0;
     }
 
-    WorkloadPlan.UpstreamSpec spec() {
+    @Override
+    public WorkloadPlan.UpstreamSpec spec() {
         return spec;
     }
 
@@ -54,7 +50,7 @@
         return alive;
     }
 
-    /** Neither answers nor refuses. */
+    /** Whether it neither accepts nor refuses connections. */
     boolean isSilent() {
         return vanishCount > 0;
     }
@@ -67,12 +63,12 @@
         return peakSlowStartUtilization;
     }
 
-    /** Raised by each end of its process: what was under way in an earlier one is gone. */
+    /** Incremented at each crash; what was in flight in an earlier incarnation is lost. */
     int incarnation() {
         return incarnation;
     }
 
-    /** Takes an attempt and calls {@code onCompletion} when its work ends; null: turned away. */
+    /** Accepts an attempt and runs {@code onCompletion} when it completes; null: rejected. */
     Job tryAccept(int requestClass, long workMicros, Runnable onCompletion) {
         Job job = new Job(requestClass, workMicros, jobCount++);
         if (draining || !model.tryAccept(scheduler.nowMicros(), job)) {
@@ -83,28 +79,29 @@
         return job;
     }
 
-    /** Seconds of work a second that it can do now. */
+    /** Its present capacity in seconds of work per second. */
     double capacity() {
         return model.capacity(scheduler.nowMicros());
     }
 
-    boolean warmingUp() {
-        return warmingUp != null && model.slowStartFraction(scheduler.nowMicros()) < 1;
+    boolean isInSlowStart() {
+        return slowStartBudget != null && model.slowStartFraction(scheduler.nowMicros()) < 1;
     }
 
-    /** Work comes to it while it may be cold; true where that pushes it over. */
+    /** Records work that arrives; true if that exceeds the budget of its slow start. */
     boolean exceedsSlowStartBudget(long workMicros, boolean notified) {
         long nowMicros = scheduler.nowMicros();
-        if (warmingUp == null) {
+        if (slowStartBudget == null) {
             return false;
         }
         if (model.slowStartFraction(nowMicros) >= 1) {
-            warmingUp = null;
+            slowStartBudget = null;
             return false;
         }
         boolean exceeded =
-                warmingUp.sent(nowMicros, workMicros, model.capacity(nowMicros), notified);
-        peakSlowStartUtilization = Math.max(peakSlowStartUtilization, warmingUp.peakUtilization());
+                slowStartBudget.sent(nowMicros, workMicros, model.capacity(nowMicros), notified);
+        peakSlowStartUtilization =
+                Math.max(peakSlowStartUtilization, slowStartBudget.peakUtilization());
         return exceeded;
     }
 
@@ -116,9 +113,7 @@
     }
 
     boolean failsClass(int requestClass) {
-        return failsAllClasses
-                || failingClass != null
-                        && scenario.classes().get(requestClass).name().equals(failingClass);
+        return failures.affects(requestClass);
     }
 
     private void scheduleCompletion() {
@@ -133,7 +128,7 @@
 
     private void completeJobs(long plannedMicros) {
         if (plannedMicros != nextCompletionMicros) {
-            // What it was planned for was cancelled
+            // The job that it was scheduled for was cancelled
             return;
         }
         nextCompletionMicros = Long.MAX_VALUE;
@@ -156,37 +151,38 @@
         nextCompletionMicros = Long.MAX_VALUE;
     }
 
-    void start() {
+    @Override
+    public void start() {
         alive = true;
         draining = false;
         startedAtMicros = scheduler.nowMicros();
-        warmingUp =
-                new SlowStartBudget(
-                        scenario.upstreams().overloadFactor(),
-                        Math.round(scenario.upstreams().overloadWindowS() * 1e6),
-                        scenario.meanWorkMicros());
+        slowStartBudget = SlowStartBudget.of(scenario);
         model.restart(startedAtMicros);
     }
 
-    void startDraining() {
+    @Override
+    public void startDraining() {
         draining = true;
     }
 
-    void setVanished(boolean newVanished) {
+    @Override
+    public void setVanished(boolean newVanished) {
         vanishCount += newVanished ? 1 : -1;
     }
 
-    void setSlowdownFactor(double factor) {
+    @Override
+    public void setSlowdownFactor(double factor) {
         model.slowdownFactor(factor);
     }
 
-    void setHanging(boolean hanging) {
+    @Override
+    public void setHanging(boolean hanging) {
         model.hanging(hanging);
         scheduleCompletion();
     }
 
-    void setFailing(String requestClass, boolean active) {
-        failsAllClasses = active && requestClass == null;
-        failingClass = active ? requestClass : null;
+    @Override
+    public void setFailing(String requestClass, boolean active) {
+        failures.setFailing(requestClass, active);
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/VirtualTimeScheduler.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/VirtualTimeScheduler.java
@@ -2,39 +2,38 @@
 
 import java.util.function.IntConsumer;
 import java.util.function.IntToLongFunction;
+import loadbalancer.testbed.workload.RunClock;
 
 /**
- * Simulated time: things happen in order of time, and at one time in the order in which they were
- * asked for.
+ * The virtual time of a simulation. Events run in order of time, and events of one time in the
+ * order in which they were scheduled. Single-threaded.
  */
-public final class VirtualTimeScheduler {
+public final class VirtualTimeScheduler implements RunClock {
     private final EventQueue queue = new EventQueue();
     private long nowMicros;
     private long nextSequence;
     private long processedEvents;
 
-    /** µs. */
+    @Override
     public long nowMicros() {
         return nowMicros;
     }
 
-    /** Things that have happened. */
+    /** The number of events that have run. */
     public long processedEvents() {
         return processedEvents;
     }
 
-    /** At that time, or now where it has passed. */
+    @Override
     public void schedule(long timeMicros, Runnable event) {
         queue.add(Math.max(nowMicros, timeMicros), nextSequence++, event);
     }
 
-    public void scheduleAfter(long delayMicros, Runnable event) {
-        schedule(nowMicros + delayMicros, event);
-    }
-
     /**
-     * As if each of so many things, in order of time, had been asked for now; only the next one
-     * waits.
+     * Schedules a series of events, ordered as if all were scheduled now, while only the next one
+     * occupies the queue.
+     *
+     * @param timeOf time in µs by index, which must not decrease
      */
     void scheduleSeries(int count, IntToLongFunction timeOf, IntConsumer event) {
         long firstSequence = nextSequence;
@@ -55,7 +54,7 @@
         }
     }
 
-    /** Plays all that happens up to a time, that included. */
+    /** Runs all events up to a time in µs, inclusive. */
     public void runUntil(long endMicros) {
         while (!queue.isEmpty() && queue.nextTimeMicros() <= endMicros) {
             nowMicros = queue.nextTimeMicros();
--- a/testbed/src/main/java/loadbalancer/testbed/workload/RandomStreams.java
+++ b/testbed/src/main/java/loadbalancer/testbed/workload/RandomStreams.java
@@ -1,27 +1,33 @@
 package loadbalancer.testbed.workload;
 
+import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Streams of random numbers that depend on a seed and a purpose, not on what other purposes draw.
+ * Random number streams that depend on a seed and a purpose only, not on what other purposes draw.
+ * A stream belongs to one thread.
  */
 public final class RandomStreams {
-    // Odd, from the LXM generators' multipliers
+    // Multiplier of the LXM generators
     private static final long PURPOSE_MULTIPLIER = 0xD1342543DE82EF95L;
 
     private RandomStreams() {}
 
-    /** The stream of that purpose. */
+    /** Creates the stream of a purpose, from its beginning. */
     public static UniformRandomProvider stream(long seed, String purpose) {
-        // From one long the library makes the whole state by SplitMix; an array would be the state
-        // itself, and
-        // neighbouring seeds would begin with like numbers.
+        // The library derives the state from a single long by SplitMix. An array would be the state
+        // itself, and streams of neighbouring seeds would begin with similar numbers.
         return RandomSource.XO_RO_SHI_RO_128_PP.create(
                 Long.valueOf(seed ^ PURPOSE_MULTIPLIER * purpose.hashCode()));
     }
 
-    /** One number of a purpose, as a seed for somebody else. */
+    /** Draws one number evenly from a range of two numbers, [lower, upper]. */
+    public static double drawUniform(UniformRandomProvider random, List<Double> range) {
+        return range.get(0) + random.nextDouble() * (range.get(1) - range.get(0));
+    }
+
+    /** The first number of a purpose's stream, as the seed of another generator. */
     public static long seedFor(long seed, String purpose) {
         return stream(seed, purpose).nextLong();
     }
--- a/testbed/src/test/java/loadbalancer/testbed/emulation/FaultInjectorTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/emulation/FaultInjectorTest.java
@@ -20,6 +20,8 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.routing.api.EndpointStatus;
+import loadbalancer.testbed.fault.FaultInjector;
 import loadbalancer.testbed.invariant.ClientAttempt;
 import loadbalancer.testbed.invariant.ClientRequest;
 import loadbalancer.testbed.invariant.RequestInvariants;
@@ -39,7 +41,7 @@
 
     private Emulation emulation;
     private EmulatedEnvironment stage;
-    private FaultInjector faultInjector;
+    private FaultInjector<UpstreamEmulator> faultInjector;
     private WorkloadPlan plan;
     private final List<AutoCloseable> openSockets = new ArrayList<>();
     private int requestCount;
@@ -77,7 +79,7 @@
                 new RequestInvariants(plan.scenario(), violation -> {});
         emulation = new Emulation(plan, requestInvariants);
         stage = new EmulatedEnvironment(emulation);
-        faultInjector = new FaultInjector(emulation, stage);
+        faultInjector = new FaultInjector<>(plan, stage);
         emulation.startIn(0);
     }
 
@@ -347,8 +349,8 @@
                 .eventLoop()
                 .submit(
                         () -> {
-                            stage.upstream(2).crash();
-                            stage.publish(new DiscoveryEntry(2, DiscoveryEntry.REMOVED, 0));
+                            stage.crash(stage.upstream(2));
+                            stage.publish(stage.upstream(2), EndpointStatus.REMOVED);
                         })
                 .syncUninterruptibly();
     }
