--- a/testbed/src/main/java/loadbalancer/testbed/invariant/ClientAttempt.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/ClientAttempt.java
@@ -4,16 +4,20 @@
 import java.util.List;
 
 /**
- * One request as the lab's own parties saw it: a client's try, with every attempt at an upstream
- * that came of it. Kept by the loop that plays the world.
+ * One attempt of a client as the testbed observes it, with the executions at upstreams that it led
+ * to. Confined to the thread that plays the run.
  */
 public final class ClientAttempt {
     private static final int MAX_TRACE_EVENTS = 64;
 
-    /** An attempt that an upstream has taken, or is said to have. */
+    /**
+     * An upstream began to work on the attempt.
+     *
+     * @param server number of the upstream
+     */
     public record Execution(int server, int zone, long startedAtMicros) {}
 
-    /** What one party saw. */
+    /** Something that one party of the testbed observed of the attempt. */
     public record TraceEvent(long timeMicros, String observer, String description) {}
 
     private final String id;
@@ -26,48 +30,54 @@
     private int upstreamAttempts;
     private boolean ended;
 
-    /** {@code timeoutMicros}: µs from when it is sent until its client gives up. */
+    /** Creates an attempt whose client gives up {@code timeoutMicros} µs after it is sent. */
     public ClientAttempt(String id, ClientRequest request, long timeoutMicros) {
         this.id = id;
         this.request = request;
         this.timeoutMicros = timeoutMicros;
     }
 
+    /** Unique within the run; sent as the request's id. */
     public String id() {
         return id;
     }
 
+    /** The request that it is an attempt of. */
     public ClientRequest request() {
         return request;
     }
 
+    /** Time in µs from when it is sent until its client gives up. */
     public long timeoutMicros() {
         return timeoutMicros;
     }
 
+    /** The balancer that accepted it; -1: none yet. */
     public int balancer() {
         return balancer;
     }
 
-    /** µs of the run at which its last byte was written to a balancer; -1: not yet. */
+    /** Time of the run in µs at which it was written to the balancer; -1: not yet. */
     public long acceptedAtMicros() {
         return acceptedAtMicros;
     }
 
+    /** Whether its client has a final response, or waits for none any more. */
     public boolean ended() {
         return ended;
     }
 
+    /** The executions at upstreams, in order of time. */
     public List<Execution> executions() {
         return executions;
     }
 
-    /** In order of time. */
+    /** What was observed of it, in order of time. */
     public List<TraceEvent> traceEvents() {
         return traceEvents;
     }
 
-    /** Adds to its story; past a bound nothing is added. */
+    /** Adds an observation; dropped beyond a bound. */
     public void addTraceEvent(long timeMicros, String observer, String description) {
         if (traceEvents.size() < MAX_TRACE_EVENTS) {
             traceEvents.add(new TraceEvent(timeMicros, observer, description));
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/ClientRequest.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/ClientRequest.java
@@ -2,9 +2,9 @@
 
 import loadbalancer.testbed.workload.WorkloadPlan;
 
-/** What a client wants: one first try, and the tries that may follow it. It ends once. */
+/** A client's request over all its attempts. It ends once. Confined to the thread of the run. */
 public final class ClientRequest {
-    /** How it ended for the client. */
+    /** How a request ended for its client. */
     public enum Outcome {
         SERVED,
         REJECTED,
@@ -16,34 +16,37 @@
     private Outcome outcome;
     private long latencyMicros;
 
+    /** Creates an open request without attempts. */
     public ClientRequest(WorkloadPlan.Arrival arrival) {
         this.arrival = arrival;
     }
 
+    /** Its first attempt as the plan has it. */
     public WorkloadPlan.Arrival arrival() {
         return arrival;
     }
 
-    /** Counts a try, and returns how many there were before it. */
+    /** Counts an attempt and returns the number of attempts before it. */
     public int countAttempt() {
         return attempts++;
     }
 
+    /** The number of attempts so far. */
     public int attempts() {
         return attempts;
     }
 
-    /** Null while it is open. */
+    /** How it ended; null while it is open. */
     public Outcome outcome() {
         return outcome;
     }
 
-    /** µs from the first try to the end. */
+    /** Time in µs from the first attempt to the end. */
     public long latencyMicros() {
         return latencyMicros;
     }
 
-    /** Ends it at that time of the run; a second end is passed over. */
+    /** Ends it at a time of the run in µs; no effect if it has ended. */
     public void outcome(Outcome finalOutcome, long nowMicros) {
         if (outcome == null) {
             outcome = finalOutcome;
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/LeaseEpochOrderInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/LeaseEpochOrderInvariant.java
@@ -9,22 +9,30 @@
 import java.util.regex.Pattern;
 
 /**
- * The history of what holders of duties did, as their balancers log it with the machine's monotonic
- * clock: in order of time the epochs of a key never go back, and each is one balancer's. So no two
- * of them overlapped. A run in which nobody acted proves nothing, and fails.
+ * The actions of lease holders, which balancers log with the machine's monotonic clock: in order of
+ * time the epochs of a key never decrease, and each epoch belongs to one balancer, so that no two
+ * holders overlapped. A run without actions shows nothing and fails.
  */
 public final class LeaseEpochOrderInvariant implements RunInvariant {
     private static final Pattern ACTION_PATTERN =
             Pattern.compile("duties: acts for (\\S+), epoch (\\d+), at (\\d+)");
 
+    private static final String RULE = "duties in order";
+
     private final double maxIdleSeconds;
     private final Map<String, List<LeaseAction>> actionsByKey = new TreeMap<>();
 
-    private record LeaseAction(int balancer, long epoch, long timeMicros) {}
+    private record LeaseAction(int balancer, long epoch, long timeMicros) {
+        boolean mayFollow(LeaseAction previous) {
+            return epoch > previous.epoch
+                    || (epoch == previous.epoch && balancer == previous.balancer);
+        }
+    }
 
     /**
-     * {@code maxIdleSeconds}: s that a key may be without an act at most, between its first and its
-     * last.
+     * Creates the invariant.
+     *
+     * @param maxIdleSeconds longest time between two actions for a key
      */
     public LeaseEpochOrderInvariant(double maxIdleSeconds) {
         this.maxIdleSeconds = maxIdleSeconds;
@@ -57,22 +65,9 @@
             for (int i = 1; i < sorted.size(); i++) {
                 LeaseAction previous = sorted.get(i - 1);
                 LeaseAction action = sorted.get(i);
-                if (action.epoch < previous.epoch
-                        || action.epoch == previous.epoch && action.balancer != previous.balancer) {
+                if (!action.mayFollow(previous)) {
                     requestInvariants.recordViolation(
-                            "duties in order",
-                            timeMicros,
-                            null,
-                            "n"
-                                    + action.balancer
-                                    + " acted for "
-                                    + history.getKey()
-                                    + " under epoch "
-                                    + action.epoch
-                                    + " after n"
-                                    + previous.balancer
-                                    + " under "
-                                    + previous.epoch);
+                            RULE, timeMicros, null, describe(history.getKey(), previous, action));
                 }
                 handovers += action.balancer != previous.balancer ? 1 : 0;
                 longestIdleSeconds =
@@ -85,10 +80,10 @@
         metrics.put("duties_passed_on", (double) handovers);
         metrics.put("duties_longest_rest_s", longestIdleSeconds);
         if (actionCount == 0) {
-            requestInvariants.recordViolation("duties in order", timeMicros, null, "nobody acted");
+            requestInvariants.recordViolation(RULE, timeMicros, null, "nobody acted");
         } else if (longestIdleSeconds > maxIdleSeconds) {
             requestInvariants.recordViolation(
-                    "duties in order",
+                    RULE,
                     timeMicros,
                     null,
                     "nobody acted for "
@@ -98,4 +93,17 @@
                             + " are allowed");
         }
     }
+
+    private static String describe(String key, LeaseAction previous, LeaseAction action) {
+        return "n"
+                + action.balancer
+                + " acted for "
+                + key
+                + " under epoch "
+                + action.epoch
+                + " after n"
+                + previous.balancer
+                + " under "
+                + previous.epoch;
+    }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/MembershipAgreementInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/MembershipAgreementInvariant.java
@@ -9,14 +9,17 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Membership as balancers log it: who has ended is known by all others within a time, nobody who
- * runs and whose paths are whole is held dead, and at the end all that run hold each other present.
+ * Membership as balancers log it: the end of a process is detected by all others within a time, no
+ * running balancer with working paths is taken to be dead, and at the end of the run all running
+ * balancers take each other to be present.
  */
 public final class MembershipAgreementInvariant implements RunInvariant {
     private static final Pattern STATUS_PATTERN =
             Pattern.compile(
                     "members: balancer (\\d+) is (ALIVE|SUSPECTED|DEAD|LEFT), incarnation (\\d+)");
 
+    private static final String RULE = "members agree";
+
     private final long detectionLimitMicros;
     private final boolean pathsFaultFree;
     private final boolean[] running;
@@ -28,16 +31,21 @@
     private long lastStatusChangeMicros;
     private long lastProcessEventMicros;
 
-    /** An end, and who has noticed it. */
+    /**
+     * The end of a process.
+     *
+     * @param detectedBy by balancer: whether it logged that
+     * @param expectedObservers by balancer: whether it must
+     */
     private record Termination(
             int balancer, long timeMicros, boolean[] detectedBy, boolean[] expectedObservers) {}
 
     /**
-     * Makes the property.
+     * Creates the invariant.
      *
-     * @param detectionLimitMicros µs, in which an end must be known
-     * @param pathsFaultFree whether no fault of the run is about paths between balancers: then
-     *     every wrong death counts
+     * @param detectionLimitMicros time in which the end of a process must be detected
+     * @param pathsFaultFree whether no fault of the run affects paths between balancers; only then
+     *     is it a violation to take a running balancer to be dead
      */
     public MembershipAgreementInvariant(
             int balancerCount, long detectionLimitMicros, boolean pathsFaultFree) {
@@ -73,7 +81,7 @@
         running[balancer] = true;
         lastProcessEventMicros = timeMicros;
         statusesByObserver.get(balancer).clear();
-        // One that is back early need not have been missed.
+        // Nobody needs to detect the end of a process that is back early.
         terminations.stream()
                 .filter(
                         termination ->
@@ -110,25 +118,8 @@
             return;
         }
         for (Termination termination : terminations) {
-            if (termination.balancer == member
-                    && !termination.detectedBy[balancer]
-                    && termination.expectedObservers[balancer]) {
-                termination.detectedBy[balancer] = true;
-                detectionMicros.recordValue(Math.max(0, timeMicros - termination.timeMicros));
-                if (timeMicros - termination.timeMicros > detectionLimitMicros) {
-                    violations.add(
-                            new Violation(
-                                    "members agree",
-                                    timeMicros,
-                                    null,
-                                    "n"
-                                            + balancer
-                                            + " noticed the end of n"
-                                            + member
-                                            + " after "
-                                            + (timeMicros - termination.timeMicros) / 1000
-                                            + " ms only"));
-                }
+            if (termination.balancer == member) {
+                recordDetection(termination, balancer, timeMicros);
             }
         }
         if (pathsFaultFree
@@ -137,23 +128,56 @@
                 && timeMicros - lastProcessEventMicros > detectionLimitMicros) {
             violations.add(
                     new Violation(
-                            "members agree",
+                            RULE,
                             timeMicros,
                             null,
                             "n" + balancer + " holds n" + member + " " + status + ", which runs"));
         }
     }
 
+    private void recordDetection(Termination termination, int observer, long timeMicros) {
+        if (termination.detectedBy[observer] || !termination.expectedObservers[observer]) {
+            return;
+        }
+        long delayMicros = timeMicros - termination.timeMicros;
+        termination.detectedBy[observer] = true;
+        detectionMicros.recordValue(Math.max(0, delayMicros));
+        if (delayMicros > detectionLimitMicros) {
+            violations.add(
+                    new Violation(
+                            RULE,
+                            timeMicros,
+                            null,
+                            "n"
+                                    + observer
+                                    + " noticed the end of n"
+                                    + termination.balancer
+                                    + " after "
+                                    + delayMicros / 1000
+                                    + " ms only"));
+        }
+    }
+
     @Override
     public void onRunEnd(
             long timeMicros, RequestInvariants requestInvariants, Map<String, Double> metrics) {
-        violations.forEach(
-                observer ->
-                        requestInvariants.recordViolation(
-                                observer.rule(),
-                                observer.timeMicros(),
-                                null,
-                                observer.description()));
+        violations.forEach(requestInvariants::record);
+        long undetected = recordUndetected(timeMicros, requestInvariants);
+        checkFinalViews(timeMicros, requestInvariants);
+        metrics.put("members_unnoticed", (double) undetected);
+        // Otherwise faults of paths may have come after the last fault of a process.
+        if (pathsFaultFree) {
+            metrics.put(
+                    "members_settled_s",
+                    Math.max(0, lastStatusChangeMicros - lastProcessEventMicros) / 1e6);
+        }
+        if (detectionMicros.getTotalCount() > 0) {
+            metrics.put("members_noticed_p50_s", detectionMicros.getValueAtPercentile(50) / 1e6);
+            metrics.put("members_noticed_p99_s", detectionMicros.getValueAtPercentile(99) / 1e6);
+        }
+    }
+
+    private long recordUndetected(long timeMicros, RequestInvariants requestInvariants) {
         long undetected = 0;
         for (Termination termination : terminations) {
             for (int observer = 0; observer < running.length; observer++) {
@@ -162,20 +186,27 @@
                         && termination.timeMicros + detectionLimitMicros < timeMicros) {
                     undetected++;
                     requestInvariants.recordViolation(
-                            "members agree",
+                            RULE,
                             termination.timeMicros,
                             null,
                             "n" + observer + " did not notice the end of n" + termination.balancer);
                 }
             }
         }
+        return undetected;
+    }
+
+    private void checkFinalViews(long timeMicros, RequestInvariants requestInvariants) {
         for (int observer = 0; observer < running.length; observer++) {
+            if (!running[observer]) {
+                continue;
+            }
             for (Map.Entry<Integer, String> viewed : statusesByObserver.get(observer).entrySet()) {
                 boolean present =
                         viewed.getValue().equals("ALIVE") || viewed.getValue().equals("SUSPECTED");
-                if (running[observer] && present != running[viewed.getKey()]) {
+                if (present != running[viewed.getKey()]) {
                     requestInvariants.recordViolation(
-                            "members agree",
+                            RULE,
                             timeMicros,
                             null,
                             "at the end n"
@@ -187,16 +218,5 @@
                 }
             }
         }
-        metrics.put("members_unnoticed", (double) undetected);
-        // else the paths' faults came later than any process's
-        if (pathsFaultFree) {
-            metrics.put(
-                    "members_settled_s",
-                    Math.max(0, lastStatusChangeMicros - lastProcessEventMicros) / 1e6);
-        }
-        if (detectionMicros.getTotalCount() > 0) {
-            metrics.put("members_noticed_p50_s", detectionMicros.getValueAtPercentile(50) / 1e6);
-            metrics.put("members_noticed_p99_s", detectionMicros.getValueAtPercentile(99) / 1e6);
-        }
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/MutualExclusionInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/MutualExclusionInvariant.java
@@ -10,8 +10,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Something that at most one balancer may have at a time, as balancers log that they take it and
- * give it up. What a process had ends with it; one that stands still keeps what it has.
+ * A resource that at most one balancer may hold at a time, as balancers log that they acquire and
+ * release it. A killed process releases what it held; a paused one keeps it.
  */
 public final class MutualExclusionInvariant implements RunInvariant {
     private final String resource;
@@ -23,11 +23,10 @@
     private long acquisitions;
 
     /**
-     * Makes the property.
+     * Creates the invariant.
      *
-     * @param acquirePattern a line by which a balancer says that it has one from now on; its first
-     *     group, if any, is which
-     * @param releasePattern a line by which it says that it has not
+     * @param acquirePattern log line of an acquisition; its first group, if any, is the key
+     * @param releasePattern log line of a release, likewise
      */
     public MutualExclusionInvariant(
             String resource, Pattern acquirePattern, Pattern releasePattern) {
@@ -52,11 +51,6 @@
         holdersByKey.values().forEach(holders -> holders.remove(balancer));
     }
 
-    @Override
-    public void onPauseChanged(int balancer, long timeMicros, boolean paused) {
-        // It has what it had, and may say so when it wakes.
-    }
-
     @Override
     public void onLogLine(int balancer, long timeMicros, String line) {
         Matcher release = releasePattern.matcher(line);
@@ -87,14 +81,8 @@
     @Override
     public void onRunEnd(
             long timeMicros, RequestInvariants requestInvariants, Map<String, Double> metrics) {
-        violations.forEach(
-                violation ->
-                        requestInvariants.recordViolation(
-                                violation.rule(),
-                                violation.timeMicros(),
-                                null,
-                                violation.description()));
-        // 0 would prove nothing
+        violations.forEach(requestInvariants::record);
+        // A run without acquisitions shows nothing: the metric tells.
         metrics.put("taken_" + resource.replace(' ', '_'), (double) acquisitions);
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/RequestInvariants.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/RequestInvariants.java
@@ -8,46 +8,51 @@
 import loadbalancer.testbed.scenario.Scenario;
 
 /**
- * The platform's rules, checked on every request as it happens. Told by the stand-ins what they
- * saw, at the times (µs of the run) when they saw it; owns who was told what and when, and the
- * breaches. One thread.
+ * The platform's rules on requests, checked as they are played. Emulated or simulated parties
+ * report what they observe, at times in µs of the run. Owns the violations of a run and what
+ * discovery notified each balancer of. Confined to the thread that plays the run.
  */
 public final class RequestInvariants {
-    /** Beyond its time a request earns nothing; this much later it is lost. */
+    /** How long after its deadline a request without a response counts as lost, in µs. */
     public static final long LOST_AFTER_MICROS = 500_000;
 
     private static final long DRAIN_GRACE_MICROS = 2_500_000;
-    // On sockets, on every time limit
+    // Tolerance of every time limit, for what sockets add
     private static final long TIMING_SLACK_MICROS = 50_000;
     private static final int MAX_ATTEMPTS = 4;
-    // Of requests, that end with a closed connection
+    // Part of the requests that may end with a closed connection
     private static final double MAX_CLOSED_FRACTION = 1 / 200.0;
-    // Kept; all are counted
+    // All are counted
     private static final int MAX_RETAINED_VIOLATIONS = 100;
 
     private final Scenario scenario;
     private final List<Violation> violations = new ArrayList<>();
-    // With stories, of the whole run
+    // Of the whole run if tracing, else of the attempts that are open
     private final Map<String, ClientAttempt> attemptsById = new HashMap<>();
     private final boolean tracing;
-    // By balancer: server to time
+    // By balancer: time of the notification by number of the upstream
     private final List<Map<Integer, Long>> drainNotifiedMicros = new ArrayList<>();
     private final List<Map<Integer, Long>> upNotifiedMicros = new ArrayList<>();
-    // By balancer: not running, or paused, till then
+    // By balancer: end of its latest outage; Long.MAX_VALUE: it lasts
     private final long[] unavailableUntilMicros;
-    // By balancer: [from, to]
-    private final List<List<long[]>> outages = new ArrayList<>();
+    // By balancer, in order of time
+    private final List<List<Outage>> outages = new ArrayList<>();
     private final Consumer<Violation> listener;
     private long violationCount;
     private long accepted;
     private long closedIncomplete;
 
-    /** {@code listener} hears each breach at once. */
+    /** Creates invariants with tracing; {@code listener} is notified of each violation. */
     public RequestInvariants(Scenario scenario, Consumer<Violation> listener) {
         this(scenario, listener, true);
     }
 
-    /** {@code tracing}: keeps what became of each request; else only what the rules need. */
+    /**
+     * Creates the invariants of a run.
+     *
+     * @param listener is notified of each violation
+     * @param tracing whether to record what each party observed of each attempt
+     */
     public RequestInvariants(Scenario scenario, Consumer<Violation> listener, boolean tracing) {
         this.scenario = scenario;
         this.listener = listener;
@@ -60,7 +65,19 @@
         }
     }
 
-    /** Notes a breach that some other part found. */
+    /** An interval in which a balancer was killed or paused. */
+    private record Outage(long startMicros, long endMicros) {
+        boolean overlaps(long fromMicros, long toMicros) {
+            return startMicros <= toMicros && endMicros >= fromMicros;
+        }
+    }
+
+    /** Records a violation that another invariant found during the run. */
+    void record(Violation violation) {
+        recordViolation(violation.rule(), violation.timeMicros(), null, violation.description());
+    }
+
+    /** Records a violation; {@code requestId} is null if it concerns no single attempt. */
     public void recordViolation(
             String rule, long timeMicros, String requestId, String description) {
         violationCount++;
@@ -71,7 +88,7 @@
         listener.accept(violation);
     }
 
-    /** All of a request was written to a connection that this balancer's machine had accepted. */
+    /** A client has written an attempt to a connection that the balancer's machine accepted. */
     public void accepted(ClientAttempt clientAttempt, int balancer, long nowMicros) {
         attemptsById.put(clientAttempt.id(), clientAttempt);
         clientAttempt.markAccepted(balancer, nowMicros);
@@ -79,7 +96,7 @@
         accepted++;
     }
 
-    /** No attempt of it can come any more; one that has a story is kept for that. */
+    /** No upstream can receive anything of the attempt any more; kept if tracing. */
     public void forget(ClientAttempt clientAttempt) {
         if (!tracing) {
             attemptsById.remove(clientAttempt.id());
@@ -92,14 +109,16 @@
         }
     }
 
-    /** Null where no client sent it. */
+    /** The attempt of that id; null if no client sent it. */
     public ClientAttempt clientAttempt(String requestId) {
         return attemptsById.get(requestId);
     }
 
     /**
-     * A whole answer came; {@code upstreamMade}: a 200's body is what an upstream made for this
-     * request.
+     * A client has received a complete response.
+     *
+     * @param upstreamMade whether the body is what an upstream made for this attempt, if the status
+     *     is 200
      */
     public void responseReceived(
             ClientAttempt clientAttempt, int status, boolean upstreamMade, long nowMicros) {
@@ -120,19 +139,10 @@
                     clientAttempt.id(),
                     "served with what no upstream made for it");
         }
-        String idempotency =
-                scenario.classes()
-                        .get(clientAttempt.request().arrival().requestClass())
-                        .idempotency();
         boolean rejected = status == 429 || status == 503;
-        boolean retryable =
-                idempotency.equals("safe")
-                        || idempotency.equals("keyed")
-                                && scenario.classes()
-                                        .get(clientAttempt.request().arrival().requestClass())
-                                        .idempotencyScope()
-                                        .equals("all");
-        if (rejected && !retryable && !clientAttempt.executions().isEmpty()) {
+        if (rejected
+                && !isRepeatableAnywhere(clientAttempt)
+                && !clientAttempt.executions().isEmpty()) {
             recordViolation(
                     "no double effects",
                     nowMicros,
@@ -142,9 +152,21 @@
         }
     }
 
+    private Scenario.RequestClass classOf(ClientAttempt clientAttempt) {
+        return scenario.classes().get(clientAttempt.request().arrival().requestClass());
+    }
+
+    private boolean isRepeatableAnywhere(ClientAttempt clientAttempt) {
+        Scenario.RequestClass requestClass = classOf(clientAttempt);
+        return requestClass.idempotency().equals("safe")
+                || (requestClass.idempotency().equals("keyed")
+                        && requestClass.idempotencyScope().equals("all"));
+    }
+
     /**
-     * The balancer ended the connection without a whole answer; {@code responseBegun}: with a part
-     * of one.
+     * The balancer closed the connection without a complete response.
+     *
+     * @param responseBegun whether a part of a response had come
      */
     public void closedIncomplete(
             ClientAttempt clientAttempt, boolean responseBegun, long nowMicros) {
@@ -173,13 +195,13 @@
         }
     }
 
-    /** The client gave up and left: nothing more is owed. */
+    /** The client gave up and closed its connection: no response is required any more. */
     public void clientDisconnected(ClientAttempt clientAttempt, long nowMicros) {
         trace(() -> clientAttempt.addTraceEvent(nowMicros, "client", "left"));
         clientAttempt.markEnded();
     }
 
-    /** No answer, {@link #LOST_AFTER_MICROS} past the request's time. */
+    /** No response came until {@link #LOST_AFTER_MICROS} after the deadline. */
     public void responseOverdue(ClientAttempt clientAttempt, long nowMicros) {
         if (clientAttempt.ended()) {
             return;
@@ -202,34 +224,30 @@
 
     private boolean isExcused(ClientAttempt clientAttempt, long nowMicros) {
         return outages.get(clientAttempt.balancer()).stream()
-                .anyMatch(
-                        outage ->
-                                outage[0] <= nowMicros
-                                        && outage[1] >= clientAttempt.acceptedAtMicros());
+                .anyMatch(outage -> outage.overlaps(clientAttempt.acceptedAtMicros(), nowMicros));
     }
 
     /**
-     * From then on, until {@link #outageEnded}, the balancer can't be blamed: it is killed, or
-     * paused.
+     * The balancer is killed or paused: until {@link #outageEnded} missing responses are no
+     * violation.
      */
     public void outageStarted(int balancer, long nowMicros) {
-        outages.get(balancer).add(new long[] {nowMicros, Long.MAX_VALUE});
+        outages.get(balancer).add(new Outage(nowMicros, Long.MAX_VALUE));
         unavailableUntilMicros[balancer] = Long.MAX_VALUE;
     }
 
-    /** It runs again. */
+    /** The balancer runs again. */
     public void outageEnded(int balancer, long nowMicros) {
         unavailableUntilMicros[balancer] = nowMicros;
-        List<long[]> balancerOutages = outages.get(balancer);
+        List<Outage> balancerOutages = outages.get(balancer);
         if (!balancerOutages.isEmpty()) {
-            balancerOutages.get(balancerOutages.size() - 1)[1] = nowMicros;
+            int last = balancerOutages.size() - 1;
+            long startMicros = balancerOutages.get(last).startMicros;
+            balancerOutages.set(last, new Outage(startMicros, nowMicros));
         }
     }
 
-    /**
-     * Discovery has written to this balancer that the server takes requests, or ({@code up} false)
-     * no more.
-     */
+    /** Discovery has notified the balancer that the upstream is up, or no longer is. */
     public void endpointNotified(int balancer, int server, boolean up, long nowMicros) {
         if (up) {
             drainNotifiedMicros.get(balancer).remove(server);
@@ -239,20 +257,17 @@
         }
     }
 
-    /**
-     * Whether discovery told this balancer of a start of the server at or after {@code
-     * startedAtMicros}.
-     */
+    /** Whether discovery notified the balancer of the upstream's start at that time or later. */
     public boolean isStartNotified(int balancer, int server, long startedAtMicros) {
         return upNotifiedMicros.get(balancer).getOrDefault(server, Long.MIN_VALUE)
                 >= startedAtMicros;
     }
 
     /**
-     * A whole attempt has come to an upstream.
+     * An upstream has received a complete request.
      *
      * @param firstByteMicros when its first byte came
-     * @return null where no client sent such a request
+     * @return the attempt, or null if no client sent such a request
      */
     public ClientAttempt upstreamAttemptReceived(
             String requestId, int balancer, int server, long firstByteMicros, long nowMicros) {
@@ -296,11 +311,10 @@
         return clientAttempt;
     }
 
-    /** The upstream begins it: from here on the attempt may have run. */
+    /** The upstream begins to work on the attempt: from now on it may have had an effect. */
     public void executionStarted(
             ClientAttempt clientAttempt, int server, int zone, long nowMicros) {
-        Scenario.RequestClass requestClass =
-                scenario.classes().get(clientAttempt.request().arrival().requestClass());
+        Scenario.RequestClass requestClass = classOf(clientAttempt);
         if (!clientAttempt.executions().isEmpty() && !requestClass.idempotency().equals("safe")) {
             ClientAttempt.Execution firstExecution = clientAttempt.executions().get(0);
             boolean allowed =
@@ -329,7 +343,7 @@
         trace(() -> clientAttempt.addTraceEvent(nowMicros, "s" + server, "begins"));
     }
 
-    /** At the end of a run: rules on the whole of it. */
+    /** The run is over: checks the rules on all its requests together. */
     public void runEnded(long nowMicros) {
         if (accepted > 0 && closedIncomplete > Math.max(2, MAX_CLOSED_FRACTION * accepted)) {
             recordViolation(
@@ -343,17 +357,17 @@
         }
     }
 
-    /** The first hundred. */
+    /** The first {@value #MAX_RETAINED_VIOLATIONS} violations, in order of time. */
     public List<Violation> violations() {
         return List.copyOf(violations);
     }
 
-    /** How many rules were broken in all. */
+    /** The number of all violations. */
     public long violationCount() {
         return violationCount;
     }
 
-    /** Requests that balancers took. */
+    /** The number of attempts that balancers accepted. */
     public long accepted() {
         return accepted;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/Violation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/Violation.java
@@ -1,11 +1,20 @@
 package loadbalancer.testbed.invariant;
 
-/** A broken rule: which, when (µs of the run), by which request if by one, and what happened. */
+import java.util.Locale;
+
+/**
+ * A violated invariant.
+ *
+ * @param rule name of the invariant, as results and logs have it
+ * @param timeMicros time of the run in µs
+ * @param requestId id of the client's attempt; null if it concerns no single one
+ * @param description what happened
+ */
 public record Violation(String rule, long timeMicros, String requestId, String description) {
     @Override
     public String toString() {
         return String.format(
-                java.util.Locale.ROOT,
+                Locale.ROOT,
                 "%s broken at %.3f s%s: %s",
                 rule,
                 timeMicros / 1e6,
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/ZoneFailoverInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/ZoneFailoverInvariant.java
@@ -6,8 +6,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A lost zone as balancers log that they leave it: nine of ten do within a time, and none a zone
- * that was not lost.
+ * Failover from a lost zone as balancers log it: nine of ten leave the zone within a time, and none
+ * leaves a zone that was not lost.
  */
 public final class ZoneFailoverInvariant implements RunInvariant {
     private static final Pattern ZONE_LEFT_PATTERN =
@@ -21,8 +21,11 @@
     private String unexpectedFailover = "";
 
     /**
-     * The zone of that number is lost at {@code lostAtMicros} µs, and is to be left {@code
-     * limitMicros} µs.
+     * Creates the invariant.
+     *
+     * @param zone number of the zone that is lost
+     * @param lostAtMicros time of the run in µs at which it is lost
+     * @param limitMicros time after that in which balancers must leave it
      */
     public ZoneFailoverInvariant(int balancerCount, int zone, long lostAtMicros, long limitMicros) {
         this.zone = zone;
@@ -39,14 +42,10 @@
             return;
         }
         if (timeMicros < lostAtMicros || Integer.parseInt(matcher.group(1)) != zone) {
-            unexpectedFailover =
-                    unexpectedFailover.isEmpty()
-                            ? "n"
-                                    + balancer
-                                    + " left zone "
-                                    + matcher.group(1)
-                                    + ", which was not lost"
-                            : unexpectedFailover;
+            if (unexpectedFailover.isEmpty()) {
+                unexpectedFailover =
+                        "n" + balancer + " left zone " + matcher.group(1) + ", which was not lost";
+            }
         } else {
             failedOverAtMicros[balancer] = Math.min(failedOverAtMicros[balancer], timeMicros);
         }
