--- a/testbed/src/main/java/loadbalancer/testbed/process/BalancerProcess.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/BalancerProcess.java
@@ -15,11 +15,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * One balancer over all its processes: its present one, its log with the lab's times, and what it
- * used. The fleet's thread starts and ends it; a thread for each process reads its log.
+ * One balancer over all its processes: the present process, the log with the testbed's timestamps,
+ * and resource usage. The fleet's thread starts and ends processes; a thread per process reads its
+ * log. Thread-safe.
  */
 public final class BalancerProcess {
-    // Bytes kept of a run
+    // Stored per balancer and run; read and dropped beyond that
     private static final long MAX_LOG_BYTES = 32L << 20;
 
     private final int number;
--- a/testbed/src/main/java/loadbalancer/testbed/process/ProcessFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ProcessFleet.java
@@ -22,9 +22,9 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * The balancers' processes: starts, ends, pauses and restarts them as the plan says, and watches
- * that they stay within their limits. One thread does all of it; what concerns the rules is told on
- * the world's loop.
+ * The balancers' processes: starts, ends, pauses and restarts them as the plan says, and checks
+ * that they stay within their limits. All of it runs on the fleet's own thread; invariants are
+ * notified on the emulation's event loop. {@link #close} ends the thread and every process.
  */
 public final class ProcessFleet implements AutoCloseable {
     private static final long SAMPLE_INTERVAL_MS = 250;
@@ -51,7 +51,9 @@
     private final int[] startCounts;
     private boolean limitExceeded;
 
-    /** {@code properties} hear what processes go through and log. */
+    /**
+     * Creates a fleet without processes; {@code properties} are notified of events and log lines.
+     */
     public ProcessFleet(
             Emulation emulation,
             EmulatedEnvironment environment,
@@ -87,11 +89,12 @@
         startCounts = new int[balancers.size()];
     }
 
+    /** The balancers by number. */
     public List<BalancerProcess> balancers() {
         return balancers;
     }
 
-    /** Starts all, together or in step; returns once they are started, not once they are ready. */
+    /** Starts all, together or in step; returns once they run, before they are ready. */
     public void startAll() throws IOException, InterruptedException {
         for (BalancerProcess balancer : balancers) {
             start(balancer);
@@ -135,7 +138,19 @@
         Process process =
                 spawner.start(launchCommand.command(), scenario.fleet().sockets(), builder);
         balancer.onStarted(process);
-        process.onExit().thenAccept(ended -> ended(balancer, ended));
+        process.onExit().thenAccept(ended -> onEnded(balancer, ended));
+    }
+
+    // Later, on the event loop that the invariants belong to
+    private void recordViolation(String rule, String description) {
+        emulation
+                .eventLoop()
+                .execute(
+                        () ->
+                                emulation
+                                        .invariants()
+                                        .recordViolation(
+                                                rule, emulation.nowMicros(), null, description));
     }
 
     private <T> T callOnEventLoop(java.util.concurrent.Callable<T> work) throws IOException {
@@ -159,29 +174,18 @@
         return directory;
     }
 
-    private void ended(BalancerProcess balancer, Process process) {
+    private void onEnded(BalancerProcess balancer, Process process) {
         boolean expected = balancer.expectedToEnd();
         int exitCode = process.exitValue();
         balancer.onEnded(expected ? "ended as asked" : "crashed");
         if (!expected) {
-            emulation
-                    .eventLoop()
-                    .execute(
-                            () ->
-                                    emulation
-                                            .invariants()
-                                            .recordViolation(
-                                                    "no crash",
-                                                    emulation.nowMicros(),
-                                                    null,
-                                                    "n"
-                                                            + balancer.number()
-                                                            + " ended by itself with exit code "
-                                                            + exitCode));
+            recordViolation(
+                    "no crash",
+                    "n" + balancer.number() + " ended by itself with exit code " + exitCode);
         }
     }
 
-    /** Has every process fault of the plan begin and end at its time. */
+    /** Schedules the begin and the end of each fault of the plan that concerns processes. */
     public void scheduleFaults() {
         for (WorkloadPlan.Fault fault : emulation.plan().faults()) {
             if (fault.kind() != FaultKind.KILL
@@ -206,18 +210,7 @@
                     try {
                         action.run();
                     } catch (IOException | RuntimeException e) {
-                        emulation
-                                .eventLoop()
-                                .execute(
-                                        () ->
-                                                emulation
-                                                        .invariants()
-                                                        .recordViolation(
-                                                                "lab",
-                                                                emulation.nowMicros(),
-                                                                null,
-                                                                "a fault could not be played: "
-                                                                        + e));
+                        recordViolation("testbed", "a fault could not be played: " + e);
                     }
                 },
                 Math.max(0, atMicros - emulation.nowMicros()),
@@ -240,7 +233,7 @@
             processes.forEach(this::enforceShutdownTimeout);
             return;
         }
-        // Told before the signal: what happens after it is nobody's fault.
+        // Before the signal, since the balancer is excused from what happens after it.
         callOnEventLoop(
                 () -> {
                     targets.forEach(
@@ -282,7 +275,7 @@
                                                     balancer, emulation.nowMicros(), false)));
         } else {
             for (BalancerProcess balancer : targets) {
-                ended(balancer);
+                awaitEnd(balancer);
                 if (scenario.fleet().stateDir()) {
                     stateDirectories.applyStateChange(
                             balancer.number(),
@@ -310,8 +303,8 @@
                 });
     }
 
-    // A process that was killed is gone a little later, on a busy machine.
-    private static void ended(BalancerProcess balancer) throws IOException {
+    // On a busy machine a killed process ends some time after the signal.
+    private static void awaitEnd(BalancerProcess balancer) throws IOException {
         try {
             if (!balancer.process().waitFor(SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
                 throw new IOException(
@@ -337,19 +330,9 @@
                 () -> {
                     if (process.isAlive()) {
                         process.destroyForcibly();
-                        emulation
-                                .eventLoop()
-                                .execute(
-                                        () ->
-                                                emulation
-                                                        .invariants()
-                                                        .recordViolation(
-                                                                "an orderly end",
-                                                                emulation.nowMicros(),
-                                                                null,
-                                                                "a process still ran "
-                                                                        + SHUTDOWN_TIMEOUT_MS
-                                                                        + " ms after SIGTERM"));
+                        recordViolation(
+                                "an orderly end",
+                                "a process still ran " + SHUTDOWN_TIMEOUT_MS + " ms after SIGTERM");
                     }
                 },
                 SHUTDOWN_TIMEOUT_MS,
@@ -364,28 +347,22 @@
                     && (memoryMb > scenario.fleet().memoryMb()
                             || balancer.peakDescriptors() > scenario.fleet().sockets())) {
                 limitExceeded = true;
-                emulation
-                        .eventLoop()
-                        .execute(
-                                () ->
-                                        emulation
-                                                .invariants()
-                                                .recordViolation(
-                                                        "limits",
-                                                        emulation.nowMicros(),
-                                                        null,
-                                                        "n"
-                                                                + balancer.number()
-                                                                + " had "
-                                                                + memoryMb
-                                                                + " MB and "
-                                                                + balancer.peakDescriptors()
-                                                                + " descriptors"));
+                recordViolation(
+                        "limits",
+                        "n"
+                                + balancer.number()
+                                + " had "
+                                + memoryMb
+                                + " MB and "
+                                + balancer.peakDescriptors()
+                                + " descriptors");
             }
         }
     }
 
-    /** SIGTERM to all that run; returns when all have ended, by force if they don't. */
+    /**
+     * Sends SIGTERM to all that run; returns when all have ended, killed if they did not in time.
+     */
     public void stopAll() throws IOException, InterruptedException {
         List<BalancerProcess> running =
                 balancers.stream()
@@ -426,7 +403,7 @@
                                         + process.exitValue()
                                         + " after SIGTERM");
             }
-            // the system tells of it on a thread of its own, later
+            // The notification of the system comes later, on another thread.
             balancer.onEnded("ended as asked");
         }
     }
--- a/testbed/src/main/java/loadbalancer/testbed/process/ProcessSpawner.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ProcessSpawner.java
@@ -14,9 +14,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Starts processes and signals them. All are started by one thread that lives as long as the lab:
- * the system ends a process with the thread that started it, so that none outlives a lab that was
- * itself killed.
+ * Starts processes and sends signals to them. All are started by one thread that lives as long as
+ * the testbed: the system ends a process with the thread that started it, so that none outlives a
+ * testbed that was itself killed. Thread-safe.
  */
 public final class ProcessSpawner implements AutoCloseable {
     private static final Path SETPRIV = Path.of("/usr/bin/setpriv");
--- a/testbed/src/main/java/loadbalancer/testbed/process/ScenarioRunner.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ScenarioRunner.java
@@ -10,6 +10,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
@@ -39,7 +40,7 @@
     private static final long LEAD_TIME_MICROS = 300_000;
     // Past its length a run is ended by force
     private static final long MAX_OVERRUN_S = 90;
-    // µs, 99th percentile of the lab's own lateness
+    // 99th percentile of the testbed's own lateness
     private static final double MAX_LATENESS_MICROS = 25e3;
     private static final int MAX_TRACES = 3;
 
@@ -50,8 +51,10 @@
     private final List<Violation> reportedViolations = new ArrayList<>();
 
     /**
-     * {@code outputDirectory}: a folder for logs and the result; {@code progressListener} hears of
-     * progress.
+     * Creates a runner.
+     *
+     * @param outputDirectory for logs, state directories and the result; created if missing
+     * @param progressListener is notified of each line of progress
      */
     public ScenarioRunner(
             WorkloadPlan plan,
@@ -64,7 +67,12 @@
         this.progressListener = progressListener;
     }
 
-    /** Plays it; ends by itself, whatever happens, and leaves no process. */
+    /**
+     * Plays the plan and writes its result. Returns within a bounded time, without leaving a
+     * process.
+     *
+     * @throws IOException if a process or file of the run can't be handled
+     */
     public RunResult run() throws IOException, InterruptedException {
         Files.createDirectories(outputDirectory);
         RequestInvariants invariants = new RequestInvariants(plan.scenario(), this::onViolation);
@@ -78,28 +86,7 @@
                                 launchCommand,
                                 outputDirectory,
                                 properties)) {
-            long startNanos = System.nanoTime();
-            progressListener.accept(
-                    plan.scenario().name()
-                            + ": seed "
-                            + plan.seed()
-                            + ", plan "
-                            + plan.digest()
-                            + ", "
-                            + plan.arrivals().size()
-                            + " requests; starting "
-                            + fleet.balancers().size()
-                            + " balancers");
-            fleet.startAll();
-            environment.startReadinessPolling();
-            boolean ready = awaitReady(emulation, environment);
-            progressListener.accept(
-                    String.format(
-                            Locale.ROOT,
-                            "%s after %.1f s",
-                            ready ? "all ready" : "not all ready",
-                            (System.nanoTime() - startNanos) / 1e9));
-            if (ready) {
+            if (startFleet(emulation, environment, fleet)) {
                 CountDownLatch done = new CountDownLatch(1);
                 emulation.startIn(LEAD_TIME_MICROS);
                 environment.start(done::countDown);
@@ -114,22 +101,7 @@
                                 + READY_TIMEOUT_S
                                 + " s; nothing was played");
             }
-            emulation
-                    .eventLoop()
-                    .submit(() -> invariants.runEnded(emulation.nowMicros()))
-                    .syncUninterruptibly();
-            SortedMap<String, Double> metrics = new TreeMap<>();
-            emulation
-                    .eventLoop()
-                    .submit(
-                            () ->
-                                    properties.forEach(
-                                            property ->
-                                                    property.onRunEnd(
-                                                            emulation.nowMicros(),
-                                                            invariants,
-                                                            metrics)))
-                    .syncUninterruptibly();
+            SortedMap<String, Double> metrics = endInvariants(emulation, properties);
             fleet.stopAll();
             RunResult result =
                     emulation
@@ -139,11 +111,60 @@
             result.write(outputDirectory);
             printTraces(invariants, fleet);
             return result;
-        } catch (java.util.concurrent.ExecutionException e) {
+        } catch (ExecutionException e) {
             throw new IOException(e.getCause());
         }
     }
 
+    private boolean startFleet(
+            Emulation emulation, EmulatedEnvironment environment, ProcessFleet fleet)
+            throws IOException, InterruptedException {
+        long startNanos = System.nanoTime();
+        progressListener.accept(
+                plan.scenario().name()
+                        + ": seed "
+                        + plan.seed()
+                        + ", plan "
+                        + plan.digest()
+                        + ", "
+                        + plan.arrivals().size()
+                        + " requests; starting "
+                        + fleet.balancers().size()
+                        + " balancers");
+        fleet.startAll();
+        environment.startReadinessPolling();
+        boolean ready = awaitReady(emulation, environment);
+        progressListener.accept(
+                String.format(
+                        Locale.ROOT,
+                        "%s after %.1f s",
+                        ready ? "all ready" : "not all ready",
+                        (System.nanoTime() - startNanos) / 1e9));
+        return ready;
+    }
+
+    private static SortedMap<String, Double> endInvariants(
+            Emulation emulation, List<RunInvariant> properties) {
+        RequestInvariants invariants = emulation.invariants();
+        SortedMap<String, Double> metrics = new TreeMap<>();
+        emulation
+                .eventLoop()
+                .submit(() -> invariants.runEnded(emulation.nowMicros()))
+                .syncUninterruptibly();
+        emulation
+                .eventLoop()
+                .submit(
+                        () ->
+                                properties.forEach(
+                                        property ->
+                                                property.onRunEnd(
+                                                        emulation.nowMicros(),
+                                                        invariants,
+                                                        metrics)))
+                .syncUninterruptibly();
+        return metrics;
+    }
+
     private void onViolation(Violation violation) {
         synchronized (reportedViolations) {
             reportedViolations.add(violation);
@@ -168,7 +189,7 @@
                         .get()) {
                     return true;
                 }
-            } catch (java.util.concurrent.ExecutionException e) {
+            } catch (ExecutionException e) {
                 throw new IOException(e.getCause());
             }
         }
@@ -198,7 +219,10 @@
             emulation
                     .invariants()
                     .recordViolation(
-                            "lab", emulation.nowMicros(), null, "the run did not end by itself");
+                            "testbed",
+                            emulation.nowMicros(),
+                            null,
+                            "the run did not end by itself");
         }
     }
 
@@ -274,7 +298,7 @@
                         ? ""
                         : String.format(
                                 Locale.ROOT,
-                                "the lab itself was late by %.0f ms (99th percentile), %.0f are allowed",
+                                "the testbed itself was late by %.0f ms (99th percentile), %.0f are allowed",
                                 latenessMicros / 1e3,
                                 MAX_LATENESS_MICROS / 1e3);
         return RunResultBuilder.build(
@@ -283,13 +307,13 @@
                 emulation.invariants(),
                 metrics,
                 fleet.balancers().stream()
-                        .map(balancer -> toProcessResult(balancer, emulation, environment))
+                        .map(balancer -> toProcessResult(balancer, environment))
                         .toList(),
                 doubt);
     }
 
     private RunResult.BalancerUsage toProcessResult(
-            BalancerProcess balancer, Emulation emulation, EmulatedEnvironment environment) {
+            BalancerProcess balancer, EmulatedEnvironment environment) {
         int number = balancer.number();
         return new RunResult.BalancerUsage(
                 number,
@@ -312,8 +336,8 @@
                 environment.discoveryAgents().get(number).requestCount());
     }
 
-    // Of the first breaches that are about a request: all that its parties saw and all that
-    // balancers logged.
+    // For the first violations that concern a request: what its parties observed and what balancers
+    // logged.
     private void printTraces(RequestInvariants invariants, ProcessFleet fleet) throws IOException {
         List<String> requestIds =
                 invariants.violations().stream()
--- a/testbed/src/test/java/loadbalancer/testbed/process/ProcessLifetimeTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/process/ProcessLifetimeTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Balancers that end, grow or never come up are found, and none outlives the lab. */
+/** Balancers that end, grow or never come up are found, and none outlives the testbed. */
 class ProcessLifetimeTest {
     private static final String TWO_BALANCERS =
             """
@@ -91,8 +91,8 @@
     }
 
     /**
-     * As after Ctrl-C, and as after a crash of the lab that gives it no time for anything. Ctrl-C's
-     * own signal would not be heard where the tests themselves were started in a shell's
+     * As after Ctrl-C, and as after a crash of the testbed that gives it no time for anything.
+     * Ctrl-C's own signal would not be heard where the tests themselves were started in a shell's
      * background, which ignores it.
      */
     @ParameterizedTest
