--- a/testbed/src/main/java/loadbalancer/testbed/invariant/LeaseEpochOrderInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/LeaseEpochOrderInvariant.java
@@ -22,6 +22,8 @@
 
     private static final String RULE = "duties in order";
 
+    private static final String RULE = "duties in order";
+
     private final double maxIdleSeconds;
     private final Map<String, List<LeaseAction>> actionsByKey = new TreeMap<>();
 
