--- a/testbed/src/main/java/loadbalancer/testbed/invariant/LeaseEpochOrderInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/LeaseEpochOrderInvariant.java
@@ -22,8 +22,6 @@
 
     private static final String RULE = "duties in order";
 
-    private static final String RULE = "duties in order";
-
     private final double maxIdleSeconds;
     private final Map<String, List<LeaseAction>> actionsByKey = new TreeMap<>();
 
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/MembershipAgreementInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/MembershipAgreementInvariant.java
@@ -23,8 +23,6 @@
 
     private static final String RULE = "members agree";
 
-    private static final String RULE = "members agree";
-
     private final long detectionLimitMicros;
     private final boolean pathsFaultFree;
     private final boolean[] running;
