--- a/balancer/src/main/java/loadbalancer/config/LocalSettings.java
+++ b/balancer/src/main/java/loadbalancer/config/LocalSettings.java
@@ -135,7 +135,7 @@
 
         private static boolean isValidPath(String value) {
             try {
-                Path.of(value);
+                Path unused = Path.of(value);
                 return true;
             } catch (InvalidPathException e) {
                 return false;
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointRegistry.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointRegistry.java
@@ -166,6 +166,7 @@
     }
 
     // Brings totals, ring and active endpoints up to date with the endpoint's descriptor.
+    @SuppressWarnings("ReferenceEquality")
     private void updateAggregates(EndpointState endpoint, List<EndpointState> addedOrRemoved) {
         Endpoint descriptor = endpoint.descriptor();
         Endpoint current = descriptor.status() == EndpointStatus.UP ? descriptor : null;
--- a/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
@@ -228,9 +228,10 @@
                 discoveryServer.nextRequest();
             }
             long reachableAtNanos = System.nanoTime();
-            FakeHttpServer.ReceivedRequest watch = discoveryServer.nextRequest();
-            watch.sendRaw(CHUNKED_HEAD + chunk(listJson(42, "s2", otherUpstream.address()) + "\n"));
+            String list = CHUNKED_HEAD + chunk(listJson(42, "s2", otherUpstream.address()) + "\n");
+            discoveryServer.nextRequest().sendRaw(list);
             nextClient.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
+            answerWatchesUntilRequested(list, otherUpstream);
             otherUpstream.nextRequest().respond(200, "", "ok");
             assertEquals(200, nextClient.readStatus());
             assertTrue(System.nanoTime() - reachableAtNanos < 6_000_000_000L);
@@ -241,6 +242,26 @@
         }
     }
 
+    /**
+     * Discovery that can be reached answers each watch: one that was answered may have been given
+     * up by the balancer a moment before, and its next watch is due the same list.
+     */
+    private void answerWatchesUntilRequested(String list, FakeHttpServer upstreamServer)
+            throws Exception {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(6);
+        while (upstreamServer.isEmpty() && System.nanoTime() < deadlineNanos) {
+            if (discoveryServer.isEmpty()) {
+                TimeUnit.MILLISECONDS.sleep(5);
+                continue;
+            }
+            try {
+                discoveryServer.nextRequest().sendRaw(list);
+            } catch (IOException e) {
+                // Closed by the balancer meanwhile: its next watch is answered.
+            }
+        }
+    }
+
     private static int findFreePort() throws IOException {
         try (DatagramSocket unusedSocket =
                 new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
--- a/testbed/src/main/java/loadbalancer/testbed/LeaseCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/LeaseCommand.java
@@ -110,7 +110,7 @@
         long datagramsBefore = cluster.datagramsSent();
         long acquisitionsBefore = cluster.acquisitions();
         cluster.runFor(30_000_000);
-        measurements.add(keyPrefix + "held", cluster.heldSlots());
+        measurements.add(keyPrefix + "held", (double) cluster.heldSlots());
         measurements.add(
                 keyPrefix + "datagrams",
                 (cluster.datagramsSent() - datagramsBefore) / 30.0 / memberCount);
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
@@ -20,7 +20,6 @@
 import java.util.IdentityHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import loadbalancer.testbed.endpointmodel.EndpointModel;
 import loadbalancer.testbed.endpointmodel.InjectedFailures;
@@ -45,7 +44,7 @@
     private final List<NetworkPath> paths;
     private final List<ControllableListener> listeners = new ArrayList<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private final Map<Job, Connection> runningJobs = new IdentityHashMap<>();
+    private final IdentityHashMap<Job, Connection> runningJobs = new IdentityHashMap<>();
     private ScheduledFuture<?> completionTimer;
     private long nextCompletionMicros = Long.MAX_VALUE;
     private boolean alive;
@@ -99,7 +98,7 @@
             listeners
                     .get(balancer)
                     .setState(
-                            vanishCount > 0 || alive && path.isSilent()
+                            vanishCount > 0 || (alive && path.isSilent())
                                     ? ControllableListener.State.SILENT
                                     : !alive || path.refusesConnections()
                                             ? ControllableListener.State.REFUSING
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintBenchmark.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintBenchmark.java
@@ -137,7 +137,7 @@
             measureSingleChanges(keyPrefix, backend, process, load, idleCpuShare);
             measureListChanges(footprintCase, backend, process, load, idleCpuShare);
             if (load != null) {
-                measurements.add(keyPrefix + "failed", load.failedRequests());
+                measurements.add(keyPrefix + "failed", (double) load.failedRequests());
             }
         }
         if (!process.isRunning()) {
@@ -238,7 +238,7 @@
         measurements.add(keyPrefix + "resident_mb", process.residentMb());
         measurements.add(keyPrefix + "live_mb", process.liveHeapMb());
         if (process.snapshotBytes() >= 0) {
-            measurements.add(keyPrefix + "kept_bytes", process.snapshotBytes());
+            measurements.add(keyPrefix + "kept_bytes", (double) process.snapshotBytes());
         }
     }
 
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/TargetSelector.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/TargetSelector.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import java.util.SortedSet;
+import java.util.NavigableSet;
 import java.util.TreeSet;
 import java.util.function.IntUnaryOperator;
 import java.util.stream.IntStream;
@@ -18,7 +18,7 @@
  * @param balancers numbers of the selected balancers
  * @param upstreams numbers of the selected upstreams
  */
-public record TargetSelector(SortedSet<Integer> balancers, SortedSet<Integer> upstreams) {
+public record TargetSelector(NavigableSet<Integer> balancers, NavigableSet<Integer> upstreams) {
     private static final String ZONE_FILTER = "zone=";
     private static final String SAMPLE_FILTER = "any=";
 
@@ -80,7 +80,7 @@
             IntUnaryOperator zoneOf,
             Scenario scenario,
             UniformRandomProvider random,
-            SortedSet<Integer> selected) {
+            NavigableSet<Integer> selected) {
         if (filter.isEmpty()) {
             IntStream.range(0, total).forEach(selected::add);
         } else if (filter.startsWith(ZONE_FILTER)) {
@@ -105,7 +105,10 @@
     }
 
     private static void addSample(
-            int sampleSize, int total, UniformRandomProvider random, SortedSet<Integer> selected) {
+            int sampleSize,
+            int total,
+            UniformRandomProvider random,
+            NavigableSet<Integer> selected) {
         List<Integer> remaining = new ArrayList<>();
         for (int i = 0; i < total; i++) {
             remaining.add(i);
@@ -116,7 +119,7 @@
         }
     }
 
-    private static void addRanges(String ranges, int total, SortedSet<Integer> selected) {
+    private static void addRanges(String ranges, int total, NavigableSet<Integer> selected) {
         for (String range : ranges.split("\\+", -1)) {
             String[] ends = range.split("-", 2);
             int first = parseNumber(ends[0], total);
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstream.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstream.java
@@ -1,7 +1,6 @@
 package loadbalancer.testbed.simulation;
 
 import java.util.IdentityHashMap;
-import java.util.Map;
 import loadbalancer.testbed.endpointmodel.EndpointModel;
 import loadbalancer.testbed.endpointmodel.InjectedFailures;
 import loadbalancer.testbed.endpointmodel.Job;
@@ -19,7 +18,7 @@
     private final WorkloadPlan.UpstreamSpec spec;
     private final Scenario scenario;
     private final EndpointModel model;
-    private final Map<Job, Runnable> running = new IdentityHashMap<>();
+    private final IdentityHashMap<Job, Runnable> running = new IdentityHashMap<>();
     private long nextCompletionMicros = Long.MAX_VALUE;
     private boolean alive;
     private boolean draining;
--- a/testbed/src/test/java/loadbalancer/testbed/footprint/FootprintBenchmarkTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/footprint/FootprintBenchmarkTest.java
@@ -145,7 +145,7 @@
             }
             assertTrue(
                     senderIndexes.stream()
-                            .allMatch(index -> index >= 0 && index < 15 || index >= 285),
+                            .allMatch(index -> (index >= 0 && index < 15) || index >= 285),
                     senderIndexes.toString());
             channel.send(ByteBuffer.wrap(new byte[7]), peers.addresses().get(299));
             await().atMost(TIMEOUT)
--- a/testbed/src/test/java/loadbalancer/testbed/modelcheck/AggregationModelCheckerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/modelcheck/AggregationModelCheckerTest.java
@@ -19,7 +19,7 @@
                 new AggregationModelChecker(THREE_PAIRS, InjectedBug.NONE)
                         .explore(500_000, 5, 1_000, 1);
         assertEquals("", result.violation(), String.join("\n", result.trace()));
-        assertEquals(500_000, result.statesExplored(), 40);
+        assertEquals(500_000.0, (double) result.statesExplored(), 40);
         assertTrue(result.convergenceChecks() > 400);
     }
 
--- a/testbed/src/test/java/loadbalancer/testbed/modelcheck/MembershipModelCheckerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/modelcheck/MembershipModelCheckerTest.java
@@ -20,7 +20,7 @@
                 new MembershipModelChecker(3, SHORT_TIMING, InjectedBug.NONE)
                         .explore(1_000_000, 4, 2_000, 1);
         assertEquals("", result.violation(), String.join("\n", result.trace()));
-        assertEquals(1_000_000, result.statesExplored(), 20);
+        assertEquals(1_000_000.0, (double) result.statesExplored(), 20);
         assertTrue(result.convergenceChecks() > 400);
     }
 
--- a/testbed/src/test/java/loadbalancer/testbed/process/StateDirectoriesTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/process/StateDirectoriesTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.FileTime;
@@ -67,6 +68,8 @@
         Files.writeString(stateDirectory.resolve("newer"), "x");
         stateDirectories.applyStateChange(3, "older", 0);
         assertEquals(List.of("new", "old"), fileNames());
-        assertArrayEquals("efgh".getBytes(), Files.readAllBytes(stateDirectory.resolve("new")));
+        assertArrayEquals(
+                "efgh".getBytes(StandardCharsets.UTF_8),
+                Files.readAllBytes(stateDirectory.resolve("new")));
     }
 }
--- a/testbed/src/test/java/loadbalancer/testbed/scenario/ScenarioReaderTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/scenario/ScenarioReaderTest.java
@@ -6,6 +6,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
@@ -131,18 +132,18 @@
     }
 
     @TestFactory
-    Stream<DynamicTest> everyScenarioFileIsValid() throws IOException {
-        return Files.walk(Path.of("scenarios"))
-                .filter(Files::isRegularFile)
-                .sorted()
-                .map(
-                        file ->
-                                DynamicTest.dynamicTest(
-                                        file.toString(),
-                                        () ->
-                                                assertEquals(
-                                                        true,
-                                                        ScenarioReader.read(file, true).lengthS()
-                                                                > 0)));
+    List<DynamicTest> everyScenarioFileIsValid() throws IOException {
+        try (Stream<Path> files = Files.walk(Path.of("scenarios"))) {
+            return files.filter(Files::isRegularFile)
+                    .sorted()
+                    .map(ScenarioReaderTest::validityTest)
+                    .toList();
+        }
+    }
+
+    private static DynamicTest validityTest(Path file) {
+        return DynamicTest.dynamicTest(
+                file.toString(),
+                () -> assertEquals(true, ScenarioReader.read(file, true).lengthS() > 0));
     }
 }
