--- a/balancer/src/main/java/loadbalancer/routing/AttemptRecorder.java
+++ b/balancer/src/main/java/loadbalancer/routing/AttemptRecorder.java
@@ -87,8 +87,8 @@
         attempt.recordEnd(!outcome.neverRan());
         queueLengths.onAttemptEnded();
         trafficCounters.rejections(outcome.neverRan() ? 1 : 0);
-        attempt.endpoint.recordLoadReport(load, now);
-        recordReachability(attempt.endpoint, outcome);
+        attempt.endpoint().recordLoadReport(load, now);
+        recordReachability(attempt.endpoint(), outcome);
         recordHealth(attempt, outcome, latencyMicros, now, actions);
     }
 
@@ -97,9 +97,11 @@
             return;
         }
         boolean connectFailed = outcome == AttemptOutcome.CONNECT_FAILED;
-        endpoint.consecutiveConnectFailures =
-                connectFailed ? endpoint.consecutiveConnectFailures + 1 : 0;
-        endpoint.reportedUnreachable = false;
+        if (connectFailed) {
+            endpoint.onConnectFailed();
+        } else {
+            endpoint.onConnected();
+        }
         if (outcome == AttemptOutcome.OK || connectFailed) {
             zoneFailover.onAttemptEnded(endpoint, outcome == AttemptOutcome.OK);
         }
@@ -111,39 +113,40 @@
             long latencyMicros,
             long now,
             RoutingActions actions) {
-        double usualLatencyMicros = latencyTracker.usualMicros(attempt.request.classIndex);
+        double usualLatencyMicros = latencyTracker.usualMicros(attempt.request().classIndex());
         long penaltyMicros = (long) (PENALTY_LATENCIES * usualLatencyMicros);
         switch (outcome) {
             case OK -> recordSuccess(attempt, latencyMicros, now, actions);
             case CANCELLED -> recordCancelled(attempt, latencyMicros, penaltyMicros, now, actions);
             case NOT_SENT -> {}
-            case REJECTED -> recordRejected(attempt.endpoint, usualLatencyMicros, now, actions);
+            case REJECTED -> recordRejected(attempt.endpoint(), usualLatencyMicros, now, actions);
             case TIMEOUT -> recordTimeout(attempt, latencyMicros, penaltyMicros, now, actions);
             case ERROR -> recordError(attempt, penaltyMicros, now, actions);
             case CONNECT_FAILED, RESET ->
                     recordFailure(
-                            attempt.endpoint, FULL_FAILURE_WEIGHT, penaltyMicros, now, actions);
+                            attempt.endpoint(), FULL_FAILURE_WEIGHT, penaltyMicros, now, actions);
         }
     }
 
     private void recordSuccess(
             Attempt attempt, long latencyMicros, long now, RoutingActions actions) {
-        EndpointState endpoint = attempt.endpoint;
-        PendingRequest request = attempt.request;
+        EndpointState endpoint = attempt.endpoint();
+        PendingRequest request = attempt.request();
         double expectedLatencyMicros = expectedLatencyMicros(request);
-        endpoint.decayedSuccesses += trafficCounters.scale();
-        endpoint.lastSuccessAtMicros = now;
-        attempt.classEjection.onSuccess(
-                () -> {
-                    String endpointId = endpoint.descriptor.id();
-                    String message = "recovered " + endpointId + ", class " + request.classIndex;
-                    log.log(now, message, actions);
-                });
+        endpoint.recordSuccess(trafficCounters.scale(), now);
+        attempt.classEjection()
+                .onSuccess(
+                        () -> {
+                            String endpointId = endpoint.descriptor().id();
+                            String message =
+                                    "recovered " + endpointId + ", class " + request.classIndex();
+                            log.log(now, message, actions);
+                        });
         endpoint.recordLatencyRatio(latencyMicros / expectedLatencyMicros, now);
-        latencyTracker.recordLatency(request.classIndex, latencyMicros);
+        latencyTracker.recordLatency(request.classIndex(), latencyMicros);
         outlierEjection.onSuccess(
-                endpoint, () -> log.log(now, "recovered " + endpoint.descriptor.id(), actions));
-        double latencyObjectiveMicros = request.requestClass.latencyObjectiveMicros();
+                endpoint, () -> log.log(now, "recovered " + endpoint.descriptor().id(), actions));
+        double latencyObjectiveMicros = request.requestClass().latencyObjectiveMicros();
         loadShedder.recordSample(latencyMicros / latencyObjectiveMicros, now);
     }
 
@@ -155,8 +158,8 @@
             long penaltyMicros,
             long now,
             RoutingActions actions) {
-        EndpointState endpoint = attempt.endpoint;
-        double expectedLatencyMicros = expectedLatencyMicros(attempt.request);
+        EndpointState endpoint = attempt.endpoint();
+        double expectedLatencyMicros = expectedLatencyMicros(attempt.request());
         if (latencyMicros > SLOW_CANCELLED_LATENCIES * expectedLatencyMicros) {
             recordFailure(endpoint, NO_FAILURE_WEIGHT, penaltyMicros, now, actions);
             double latencyRatio =
@@ -168,7 +171,7 @@
     // A hung endpoint fills up, then only rejects: without successes that is no mere overload.
     private void recordRejected(
             EndpointState endpoint, double usualLatencyMicros, long now, RoutingActions actions) {
-        boolean isLikelyHung = now - endpoint.lastSuccessAtMicros > RECENT_SUCCESS_MICROS;
+        boolean isLikelyHung = now - endpoint.lastSuccessAtMicros() > RECENT_SUCCESS_MICROS;
         double failureWeight = isLikelyHung ? HALF_FAILURE_WEIGHT : NO_FAILURE_WEIGHT;
         recordFailure(endpoint, failureWeight, (long) usualLatencyMicros, now, actions);
         outlierEjection.onRejected(endpoint, usualLatencyMicros, now);
@@ -182,31 +185,32 @@
             long penaltyMicros,
             long now,
             RoutingActions actions) {
-        double latencyRatio = latencyMicros / expectedLatencyMicros(attempt.request);
-        attempt.endpoint.recordLatencyRatio(latencyRatio, now);
+        double latencyRatio = latencyMicros / expectedLatencyMicros(attempt.request());
+        attempt.endpoint().recordLatencyRatio(latencyRatio, now);
         loadShedder.recordSample(TIMEOUT_OVERLOAD_RATIO, now);
-        recordFailure(attempt.endpoint, HALF_FAILURE_WEIGHT, penaltyMicros, now, actions);
+        recordFailure(attempt.endpoint(), HALF_FAILURE_WEIGHT, penaltyMicros, now, actions);
     }
 
     // The endpoint runs and answers: an error counts against its class only.
     private void recordError(
             Attempt attempt, long penaltyMicros, long now, RoutingActions actions) {
-        EndpointState endpoint = attempt.endpoint;
-        int classIndex = attempt.request.classIndex;
+        EndpointState endpoint = attempt.endpoint();
+        int classIndex = attempt.request().classIndex();
         recordFailure(endpoint, NO_FAILURE_WEIGHT, penaltyMicros, now, actions);
-        attempt.classEjection.onFailure(
-                now,
-                random,
-                ejectionMicros ->
-                        log.log(
-                                now,
-                                "ejected "
-                                        + endpoint.descriptor.id()
-                                        + " for "
-                                        + ejectionMicros / 1000
-                                        + " ms after failures of class "
-                                        + classIndex,
-                                actions));
+        attempt.classEjection()
+                .onFailure(
+                        now,
+                        random,
+                        ejectionMicros ->
+                                log.log(
+                                        now,
+                                        "ejected "
+                                                + endpoint.descriptor().id()
+                                                + " for "
+                                                + ejectionMicros / 1000
+                                                + " ms after failures of class "
+                                                + classIndex,
+                                        actions));
     }
 
     /** An endpoint broke off an answer after its success had been recorded. */
@@ -231,6 +235,6 @@
     }
 
     private double expectedLatencyMicros(PendingRequest request) {
-        return latencyTracker.usualMicros(request.classIndex) * request.expectedLatencyRatio;
+        return latencyTracker.usualMicros(request.classIndex()) * request.expectedLatencyRatio();
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/CandidateFilter.java
+++ b/balancer/src/main/java/loadbalancer/routing/CandidateFilter.java
@@ -88,21 +88,22 @@
                 !usesKeySubset && settings.costs().crossZone() > settings.costs().newConnection();
         Iterator<EndpointState> endpoints =
                 usesKeySubset
-                        ? registry.ring().iteratorFrom(Hashing.mix(request.keyHash))
+                        ? registry.ring().iteratorFrom(Hashing.mix(request.keyHash()))
                         : registry.ring().subsetIterator();
         visitGeneration++;
         int counted = 0;
         int warmVisited = 0;
         while (counted < subsetSize && warmVisited < maxWarmVisited && endpoints.hasNext()) {
             EndpointState endpoint = endpoints.next();
-            if (isVisited(endpoint) || !isCandidate(endpoint, request, now)) {
+            // An endpoint has several points on the ring
+            if (!endpoint.markVisited(visitGeneration) || !isCandidate(endpoint, request, now)) {
                 continue;
             }
             (request.wasSentTo(endpoint) ? tried : untried).add(endpoint);
             if (slowStart.rampFraction(endpoint, now) >= 1) {
                 warmVisited++;
                 boolean isCounted =
-                        !countsOwnZoneOnly || endpoint.descriptor.zone() == settings.zone();
+                        !countsOwnZoneOnly || endpoint.descriptor().zone() == settings.zone();
                 counted += isCounted ? 1 : 0;
             }
         }
@@ -118,8 +119,8 @@
 
     /** Whether an endpoint is still the one that the list names, and takes requests. */
     boolean isStillListed(EndpointState endpoint) {
-        return endpoint.descriptor.status() == EndpointStatus.UP
-                && registry.get(endpoint.descriptor.id()) == endpoint;
+        return endpoint.descriptor().status() == EndpointStatus.UP
+                && registry.get(endpoint.descriptor().id()) == endpoint;
     }
 
     /**
@@ -137,7 +138,7 @@
     // go to a subset of the key's own.
     private boolean usesKeySubset(PendingRequest request) {
         return settings.keyAffinityEnabled()
-                && request.keyHash != 0
+                && request.keyHash() != 0
                 && trafficCounters.requestsPerSecond() * SUBSET_VISIT_INTERVAL_SECONDS
                         >= registry.listedEndpoints().size();
     }
@@ -145,7 +146,7 @@
     private int keySubsetSize(PendingRequest request) {
         double neededForTraffic =
                 HOT_KEY_SUBSET_FACTOR
-                        * trafficCounters.keyTrafficFraction(request.keyHash)
+                        * trafficCounters.keyTrafficFraction(request.keyHash())
                         * registry.listedEndpoints().size();
         return (int) Math.max(MIN_KEY_SUBSET_SIZE, neededForTraffic);
     }
@@ -159,30 +160,23 @@
         return (int) Math.max(MIN_SUBSET_SIZE, regularlyVisited);
     }
 
-    // An endpoint has several points on the ring; marks this visit.
-    private boolean isVisited(EndpointState endpoint) {
-        boolean visited = endpoint.visitGeneration == visitGeneration;
-        endpoint.visitGeneration = visitGeneration;
-        return visited;
-    }
-
     private boolean isCandidate(EndpointState endpoint, PendingRequest request, long now) {
-        return request.requestClass.allowsPlacementOn(endpoint.descriptor)
+        return request.requestClass().allowsPlacementOn(endpoint.descriptor())
                 && RetryPolicy.isWithinDeduplicationScope(request, endpoint)
                 && slowStart.hasBudget(endpoint, now)
-                && isClassHealthy(endpoint, request.classIndex, now)
+                && isClassHealthy(endpoint, request.classIndex(), now)
                 && outlierEjection.allowsAttempt(endpoint, request, anyIdempotentClass, now)
                 && isZoneAdmitted(endpoint, request, now);
     }
 
     private boolean isClassHealthy(EndpointState endpoint, int classIndex, long now) {
         return majorityEjectedByClass[classIndex]
-                || endpoint.classHealth[classIndex].allowsAttempt(now);
+                || endpoint.classHealth(classIndex).allowsAttempt(now);
     }
 
     // A zone that is failed over is probed with requests that may be repeated.
     private boolean isZoneAdmitted(EndpointState endpoint, PendingRequest request, long now) {
-        boolean mayProbe = request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT;
+        boolean mayProbe = request.requestClass().idempotency() != Idempotency.NON_IDEMPOTENT;
         return zoneFailover.allowsAttempt(endpoint, request, mayProbe, now);
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/JsqDasSelector.java
+++ b/balancer/src/main/java/loadbalancer/routing/JsqDasSelector.java
@@ -27,8 +27,8 @@
 
     private static final int NO_RANK = -1;
     private static final Comparator<EndpointState> MOST_ACCOMPLISHED_FIRST =
-            Comparator.<EndpointState>comparingDouble(endpoint -> -endpoint.accomplishment)
-                    .thenComparingInt(endpoint -> endpoint.tieBreaker);
+            Comparator.<EndpointState>comparingDouble(endpoint -> -endpoint.accomplishment())
+                    .thenComparingInt(endpoint -> endpoint.tieBreaker());
 
     private final EndpointRegistry registry;
     private final QueueLengthEstimator queueLengths;
--- a/balancer/src/main/java/loadbalancer/routing/KeyOrdering.java
+++ b/balancer/src/main/java/loadbalancer/routing/KeyOrdering.java
@@ -28,16 +28,13 @@
 
     /** Appends a request to the queue of its key, until {@link #remove}. */
     void add(PendingRequest request) {
-        request.keyQueue =
-                queuesByKeyHash.computeIfAbsent(request.keyHash, keyHash -> new KeyQueue());
-        request.keyQueue.requests.add(request);
+        request.joinKeyQueue(
+                queuesByKeyHash.computeIfAbsent(request.keyHash(), keyHash -> new KeyQueue()));
     }
 
     /** Removes a request that is over; the next one of its key becomes the first. */
     void remove(PendingRequest request) {
-        if (request.keyQueue != null) {
-            request.keyQueue.requests.remove(request);
-        }
+        request.leaveKeyQueue();
     }
 
     /**
@@ -45,27 +42,21 @@
      * its key and no attempt of an earlier one may still run. Its own attempts do not delay it.
      */
     static boolean isNext(PendingRequest request, long now) {
-        KeyQueue queue = request.keyQueue;
-        if (queue == null) {
-            return true;
-        }
-        return queue.requests.peekFirst() == request
-                && (now >= queue.cooldownUntilMicros || !request.attempts.isEmpty());
+        KeyQueue queue = request.keyQueue();
+        return queue == null || queue.allowsAttempt(request, now);
     }
 
     /** Starts the cooldown of a key where an attempt has ended without having been answered. */
     void onAttemptEnded(Attempt attempt, AttemptOutcome outcome, long now) {
-        KeyQueue queue = attempt.request.keyQueue;
+        KeyQueue queue = attempt.request().keyQueue();
         boolean answered = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR;
-        if (queue != null && attempt.mayHaveRun && !answered) {
-            queue.cooldownUntilMicros = Math.max(queue.cooldownUntilMicros, now + cooldownMicros);
+        if (queue != null && attempt.mayHaveRun() && !answered) {
+            queue.extendCooldown(now + cooldownMicros);
         }
     }
 
     /** Drops the queues of keys that have neither an open request nor a cooldown. */
     void removeIdleKeys(long now) {
-        queuesByKeyHash
-                .values()
-                .removeIf(queue -> queue.requests.isEmpty() && now >= queue.cooldownUntilMicros);
+        queuesByKeyHash.values().removeIf(queue -> queue.isDisposable(now));
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/QueueLengthEstimator.java
+++ b/balancer/src/main/java/loadbalancer/routing/QueueLengthEstimator.java
@@ -71,15 +71,15 @@
     /** The estimated number of requests at an endpoint, as for one of mean weight. */
     double estimate(EndpointState endpoint, long now) {
         double queueLength =
-                (endpoint.inFlight + endpoint.penaltySlots(now) + remoteInFlight(endpoint, now))
+                (endpoint.inFlight() + endpoint.penaltySlots(now) + remoteInFlight(endpoint, now))
                         * registry.meanWeight()
-                        / endpoint.descriptor.weight();
+                        / endpoint.descriptor().weight();
         return queueLength + crossZonePenalty(endpoint) * (1 + queueLength);
     }
 
     // Where crossing zones has a cost, a shorter queue in another zone must make up for it.
     private double crossZonePenalty(EndpointState endpoint) {
-        return endpoint.descriptor.zone() == settings.zone()
+        return endpoint.descriptor().zone() == settings.zone()
                 ? 0
                 : CROSS_ZONE_QUEUE_PER_COST * settings.costs().crossZone();
     }
@@ -90,7 +90,7 @@
      * this balancer's own mean, in proportion to weight and latency.
      */
     private double remoteInFlight(EndpointState endpoint, long now) {
-        double relativeWeight = endpoint.descriptor.weight() / registry.meanWeight();
+        double relativeWeight = endpoint.descriptor().weight() / registry.meanWeight();
         double inferredInFlight =
                 relativeWeight
                         * meanInFlight
@@ -99,16 +99,16 @@
         double latencyRatio = endpoint.latencyRatio(now);
         double gossipEstimate =
                 loadGossip.remoteInFlight(endpoint) + latencyRatio * inferredInFlight;
-        double reportEstimate = latencyRatio * endpoint.reportedInFlight;
+        double reportEstimate = latencyRatio * endpoint.reportedInFlight();
         return gossipEstimate + reportTrust(endpoint, now) * (reportEstimate - gossipEstimate);
     }
 
     // From 1 for a report of this moment down to 0.
     private double reportTrust(EndpointState endpoint, long now) {
-        if (endpoint.reportedAtMicros <= 0) {
+        if (endpoint.reportedAtMicros() <= 0) {
             return 0;
         }
-        double reportAgeMicros = now - endpoint.reportedAtMicros;
+        double reportAgeMicros = now - endpoint.reportedAtMicros();
         return Math.exp(
                 -reportAgeMicros / (REPORT_TRUST_LATENCIES * latencyTracker.shortestUsualMicros()));
     }
--- a/balancer/src/main/java/loadbalancer/routing/RequestLifecycle.java
+++ b/balancer/src/main/java/loadbalancer/routing/RequestLifecycle.java
@@ -76,7 +76,7 @@
 
     /** Opens a request. Until it is sent, queued or rejected it is owed an answer. */
     void open(PendingRequest request) {
-        openRequests.put(request.id, request);
+        openRequests.put(request.id(), request);
     }
 
     /** Sends an admitted request, or queues it. */
@@ -89,11 +89,11 @@
 
     /** Gives a request its final answer: rejected where a resubmission is harmless, else failed. */
     void rejectOrFail(PendingRequest request, RoutingActions actions) {
-        request.closed = true;
+        request.close();
         if (request.isSafeToResubmit()) {
-            actions.reject(request.id, retryPolicy.retryAfterMicros());
+            actions.reject(request.id(), retryPolicy.retryAfterMicros());
         } else {
-            actions.fail(request.id);
+            actions.fail(request.id());
         }
         removeIfFinished(request);
     }
@@ -101,11 +101,11 @@
     /** See {@link loadbalancer.routing.api.RoutingPolicy#canStartAttempt}. */
     boolean canStartAttempt(long now, String requestId, int attemptNumber) {
         PendingRequest request = openRequests.get(requestId);
-        if (request == null || request.closed) {
+        if (request == null || request.isClosed()) {
             return false;
         }
-        Attempt attempt = request.attempts.get(attemptNumber);
-        return candidateFilter.isStillListed(attempt.endpoint)
+        Attempt attempt = request.attempt(attemptNumber);
+        return candidateFilter.isStillListed(attempt.endpoint())
                 && (request.firstAttemptThatMayHaveRun() == attempt
                         || retryPolicy.isRepeatAllowed(request, now));
     }
@@ -124,18 +124,18 @@
             long now,
             RoutingActions actions) {
         PendingRequest request = openRequests.get(requestId);
-        if (request == null || attemptNumber >= request.attempts.size()) {
+        if (request == null || attemptNumber >= request.attemptCount()) {
             return;
         }
-        Attempt attempt = request.attempts.get(attemptNumber);
-        if (!attempt.inFlight) {
+        Attempt attempt = request.attempt(attemptNumber);
+        if (!attempt.isInFlight()) {
             return;
         }
         attemptRecorder.recordEnd(attempt, outcome, latencyMicros, load, now, actions);
         keyOrdering.onAttemptEnded(attempt, outcome, now);
         if (closed) {
             closeAndCancel(request, actions);
-        } else if (!request.closed && request.attemptsInFlight == 0) {
+        } else if (!request.isClosed() && request.attemptsInFlight() == 0) {
             retryOrFinish(request, outcome, now, actions);
         }
         removeIfFinished(request);
@@ -145,7 +145,7 @@
     /** The client of a request has left: its attempts are cancelled, no answer is owed. */
     void onClientDisconnected(String requestId, RoutingActions actions) {
         PendingRequest request = openRequests.get(requestId);
-        if (request != null && !request.closed) {
+        if (request != null && !request.isClosed()) {
             closeAndCancel(request, actions);
             pendingQueue.remove(request);
             removeIfFinished(request);
@@ -158,8 +158,8 @@
             Iterator<PendingRequest> iterator = queue.iterator();
             while (iterator.hasNext()) {
                 PendingRequest request = iterator.next();
-                if (request.closed || trySend(request, now, actions)) {
-                    request.queued = false;
+                if (request.isClosed() || trySend(request, now, actions)) {
+                    request.onDequeued();
                     iterator.remove();
                 } else if (isUnrestricted(request)) {
                     // Any endpoint would do for this one: none is free for the others either
@@ -171,9 +171,9 @@
 
     // Neither earlier attempts, nor order, nor placement keep it from an endpoint.
     private static boolean isUnrestricted(PendingRequest request) {
-        RequestClass requestClass = request.requestClass;
-        return request.attempts.isEmpty()
-                && request.keyQueue == null
+        RequestClass requestClass = request.requestClass();
+        return !request.hasAttempts()
+                && request.keyQueue() == null
                 && requestClass.allowedZones().isEmpty()
                 && requestClass.allowedMachineTypes().isEmpty();
     }
@@ -188,9 +188,9 @@
     }
 
     private void finishIfOverdue(PendingRequest request, long now, RoutingActions actions) {
-        long latestAnswerAtMicros = request.deadlineMicros - answerMarginMicros;
+        long latestAnswerAtMicros = request.deadlineMicros() - answerMarginMicros;
         long giveUpAtMicros =
-                request.attempts.isEmpty()
+                !request.hasAttempts()
                         ? Math.min(latestAnswerAtMicros, latestStartMicros(request))
                         : latestAnswerAtMicros;
         if (now >= giveUpAtMicros || !retryPolicy.isRepeatAllowed(request, now)) {
@@ -218,14 +218,14 @@
     // When a request must be sent to be answered within its objective; one whose objective has
     // passed does not wait.
     private long latestStartMicros(PendingRequest request) {
-        long objectiveMicros = request.latencyObjectiveAtMicros - request.arrivedAtMicros;
+        long objectiveMicros = request.latencyObjectiveAtMicros() - request.arrivedAtMicros();
         if (objectiveMicros <= 0) {
-            return request.arrivedAtMicros;
+            return request.arrivedAtMicros();
         }
-        double usualLatencyMicros = latencyTracker.usualMicros(request.classIndex);
+        double usualLatencyMicros = latencyTracker.usualMicros(request.classIndex());
         return Math.max(
-                request.arrivedAtMicros + objectiveMicros / MIN_WAIT_DIVISOR,
-                request.latencyObjectiveAtMicros
+                request.arrivedAtMicros() + objectiveMicros / MIN_WAIT_DIVISOR,
+                request.latencyObjectiveAtMicros()
                         - (long) (START_MARGIN_LATENCIES * usualLatencyMicros));
     }
 
@@ -243,7 +243,7 @@
         if (trySend(request, now, actions)) {
             return;
         }
-        if (now >= request.deadlineMicros - answerMarginMicros) {
+        if (now >= request.deadlineMicros() - answerMarginMicros) {
             rejectOrFail(request, actions);
         } else {
             pendingQueue.add(request);
@@ -266,24 +266,24 @@
             PendingRequest request, EndpointState endpoint, long now, RoutingActions actions) {
         attemptRecorder.recordStart(request, endpoint, now);
         long timeoutMicros = retryPolicy.attemptTimeoutMicros(request, now);
-        actions.send(request.id, endpoint.descriptor.id(), timeoutMicros);
+        actions.send(request.id(), endpoint.descriptor().id(), timeoutMicros);
     }
 
     private void closeAndCancel(PendingRequest request, RoutingActions actions) {
-        request.closed = true;
-        if (!limits.cancellationAllowed() || request.streaming) {
+        request.close();
+        if (!limits.cancellationAllowed() || request.isStreaming()) {
             return;
         }
-        for (int attemptNumber = 0; attemptNumber < request.attempts.size(); attemptNumber++) {
-            if (request.attempts.get(attemptNumber).inFlight) {
-                actions.cancel(request.id, attemptNumber);
+        for (int attemptNumber = 0; attemptNumber < request.attemptCount(); attemptNumber++) {
+            if (request.attempt(attemptNumber).isInFlight()) {
+                actions.cancel(request.id(), attemptNumber);
             }
         }
     }
 
     private void removeIfFinished(PendingRequest request) {
-        if (request.closed && request.attemptsInFlight == 0) {
-            openRequests.remove(request.id);
+        if (request.isFinished()) {
+            openRequests.remove(request.id());
             keyOrdering.remove(request);
         }
     }
--- a/balancer/src/main/java/loadbalancer/routing/RetryPolicy.java
+++ b/balancer/src/main/java/loadbalancer/routing/RetryPolicy.java
@@ -89,11 +89,11 @@
         if (firstAttempt == null) {
             return true;
         }
-        RequestClass requestClass = request.requestClass;
+        RequestClass requestClass = request.requestClass();
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> true;
             case IDEMPOTENCY_KEY ->
-                    now - firstAttempt.sentAtMicros
+                    now - firstAttempt.sentAtMicros()
                             < requestClass.idempotencyWindowMicros() - tickMicros;
             case NON_IDEMPOTENT -> false;
         };
@@ -104,7 +104,7 @@
      * in the zone or cell of the first attempt, as the class's scope asks.
      */
     static boolean isWithinDeduplicationScope(PendingRequest request, EndpointState endpoint) {
-        RequestClass requestClass = request.requestClass;
+        RequestClass requestClass = request.requestClass();
         if (requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
@@ -115,9 +115,11 @@
         return switch (requestClass.deduplicationScope()) {
             case ALL -> true;
             case ZONE ->
-                    isSameKnown(endpoint.descriptor.zone(), firstAttempt.descriptorAtSend.zone());
+                    isSameKnown(
+                            endpoint.descriptor().zone(), firstAttempt.descriptorAtSend().zone());
             case CELL ->
-                    isSameKnown(endpoint.descriptor.cell(), firstAttempt.descriptorAtSend.cell());
+                    isSameKnown(
+                            endpoint.descriptor().cell(), firstAttempt.descriptorAtSend().cell());
         };
     }
 
@@ -139,9 +141,9 @@
 
     // A late answer to a request that its client will not repeat earns little.
     private static long retryDeadlineMicros(PendingRequest request) {
-        return request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                ? request.deadlineMicros
-                : request.latencyObjectiveAtMicros;
+        return request.requestClass().idempotency() == Idempotency.IDEMPOTENT
+                ? request.deadlineMicros()
+                : request.latencyObjectiveAtMicros();
     }
 
     /** Takes a retry that {@link #allowsRetry} has allowed from the budget. */
@@ -157,27 +159,27 @@
      * endpoints slow down at once this costs at most the budget.
      */
     boolean shouldHedge(PendingRequest request, long now) {
-        if (request.attemptsInFlight != 1
-                || request.closed
-                || request.streaming
-                || request.requestClass.idempotency() != Idempotency.IDEMPOTENT
-                || now >= request.latencyObjectiveAtMicros
+        if (request.attemptsInFlight() != 1
+                || request.isClosed()
+                || request.isStreaming()
+                || request.requestClass().idempotency() != Idempotency.IDEMPOTENT
+                || now >= request.latencyObjectiveAtMicros()
                 || !hasAttemptsLeft(request)
                 || budget < MIN_BUDGET_FOR_HEDGING) {
             return false;
         }
-        Attempt lastAttempt = request.attempts.get(request.attempts.size() - 1);
-        return now - lastAttempt.sentAtMicros >= hedgeDelayMicros(request);
+        Attempt lastAttempt = request.lastAttempt();
+        return now - lastAttempt.sentAtMicros() >= hedgeDelayMicros(request);
     }
 
     // As late as leaves the copy time to be answered within the latency objective.
     private double hedgeDelayMicros(PendingRequest request) {
         double expectedLatencyMicros =
-                latencyTracker.usualMicros(request.classIndex) * request.expectedLatencyRatio;
+                latencyTracker.usualMicros(request.classIndex()) * request.expectedLatencyRatio();
         return Math.max(
                 expectedLatencyMicros,
-                request.latencyObjectiveAtMicros
-                        - request.arrivedAtMicros
+                request.latencyObjectiveAtMicros()
+                        - request.arrivedAtMicros()
                         - HEDGE_HEADROOM_LATENCIES * expectedLatencyMicros);
     }
 
@@ -187,7 +189,7 @@
     }
 
     private boolean hasAttemptsLeft(PendingRequest request) {
-        return request.attempts.size() < settings.limits().maxAttempts();
+        return request.attemptCount() < settings.limits().maxAttempts();
     }
 
     /**
@@ -199,21 +201,21 @@
      * is forbidden, to leave time for a retry. Streamed answers are not cut off.
      */
     long attemptTimeoutMicros(PendingRequest request, long now) {
-        RequestClass requestClass = request.requestClass;
+        RequestClass requestClass = request.requestClass();
         if (requestClass.streamed()) {
             return 0;
         }
         if (requestClass.idempotency() != Idempotency.IDEMPOTENT) {
             boolean isDroppedWhenLate =
                     requestClass.lateWeightFactor() < MIN_LATE_WEIGHT_FACTOR
-                            && request.latencyObjectiveAtMicros > now;
-            return isDroppedWhenLate ? request.latencyObjectiveAtMicros - now : 0;
+                            && request.latencyObjectiveAtMicros() > now;
+            return isDroppedWhenLate ? request.latencyObjectiveAtMicros() - now : 0;
         }
         if (settings.limits().hedgingAllowed() || !hasAttemptsLeft(request)) {
             return 0;
         }
-        long remainingMicros = request.deadlineMicros - now;
-        double usualLatencyMicros = latencyTracker.usualMicros(request.classIndex);
+        long remainingMicros = request.deadlineMicros() - now;
+        double usualLatencyMicros = latencyTracker.usualMicros(request.classIndex());
         long timeoutMicros =
                 Math.max(remainingMicros / 2, (long) (MIN_TIMEOUT_LATENCIES * usualLatencyMicros));
         return Math.max(1, Math.min(remainingMicros, timeoutMicros));
--- a/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
@@ -227,7 +227,7 @@
         requests.open(request);
         if (workHint > 0) {
             double relativeWork = latencyTracker.recordWorkHint(classIndex, workHint);
-            request.expectedLatencyRatio = 1 + WORK_HINT_WEIGHT * (relativeWork - 1);
+            request.expectLatencyRatio(1 + WORK_HINT_WEIGHT * (relativeWork - 1));
         }
         scheduleTimerWithin(now, tickMicros, actions);
         retryPolicy.onRequest();
@@ -280,7 +280,7 @@
     public void onUploadStarted(long now, String requestId) {
         PendingRequest request = requests.find(requestId);
         if (request != null) {
-            request.uploading = true;
+            request.onUploadStarted();
         }
     }
 
@@ -298,7 +298,7 @@
             long now, String requestId, int attemptNumber, RoutingActions actions) {
         PendingRequest request = requests.find(requestId);
         if (request != null) {
-            request.streaming = true;
+            request.onStreamStarted();
         }
     }
 
@@ -321,7 +321,7 @@
     public int ejectedEndpointCount(long now) {
         return (int)
                 registry.activeEndpoints().stream()
-                        .filter(endpoint -> endpoint.ejectedUntilMicros > now)
+                        .filter(endpoint -> endpoint.isEjected(now))
                         .count();
     }
 
@@ -435,7 +435,8 @@
                 now,
                 registry.listedEndpoints(),
                 endpoint ->
-                        outlierEjection.isUnreachable(endpoint) && !endpoint.reportedUnreachable,
+                        outlierEjection.isUnreachable(endpoint)
+                                && !endpoint.isReportedUnreachable(),
                 fleetCapacity.requestsPerSecond(),
                 trafficCounters.biasCorrectedRequestsPerSecond(now),
                 random,
@@ -457,7 +458,7 @@
         outlierEjection.update(activeEndpoints, listedCount, now);
         double usableFraction =
                 registry.weightedMean(
-                        zone -> zoneFailover.healthOf(zone).admittedFraction,
+                        zone -> zoneFailover.healthOf(zone).admittedFraction(),
                         endpoint -> usableFraction(endpoint, now));
         fleetCapacity.updateAvailability(listedCount, usableFraction);
         queueLengths.setSilentPeerCount(loadGossip.expireSilentPeers(now));
@@ -475,7 +476,7 @@
         if (outlierEjection.isUnavailable(endpoint, now)) {
             return 0;
         }
-        return zoneFailover.healthOf(endpoint.descriptor.zone()).admittedFraction
+        return zoneFailover.healthOf(endpoint.descriptor().zone()).admittedFraction()
                 * slowStart.usableFraction(endpoint, now);
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/Attempt.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/Attempt.java
@@ -8,13 +8,13 @@
  * the thread of the routing policy.
  */
 public final class Attempt {
-    public final EndpointState endpoint;
-    public final Endpoint descriptorAtSend;
-    public final PendingRequest request;
-    public long sentAtMicros;
-    public final ClassEjection classEjection;
-    public boolean inFlight = true;
-    public boolean mayHaveRun = true;
+    private final EndpointState endpoint;
+    private final Endpoint descriptorAtSend;
+    private final PendingRequest request;
+    private long sentAtMicros;
+    private final ClassEjection classEjection;
+    private boolean inFlight = true;
+    private boolean mayHaveRun = true;
 
     /** An attempt that is about to be sent at {@code sentAtMicros}. */
     public Attempt(EndpointState endpoint, PendingRequest request, long sentAtMicros) {
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointState.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointState.java
@@ -14,9 +14,6 @@
  * (see {@link TrafficCounters#scale()}), so that old counts lose weight without being touched.
  * Instants are µs of the clock that the routing policy is driven by. Confined to the thread of the
  * routing policy.
- *
- * <p>Fields that are public are still read or written by other packages; inside this package and by
- * new code only the methods are used.
  */
 public final class EndpointState extends EndpointListEntry {
     /** Upper bound of a plausible load report, in requests. */
@@ -27,36 +24,36 @@
     private static final double MAX_LATENCY_RATIO_SAMPLE = 4;
 
     // Identity
-    public Endpoint descriptor;
-    public final long idHash;
-    public final int tieBreaker;
+    private Endpoint descriptor;
+    private final long idHash;
+    private final int tieBreaker;
 
     private final ActiveEndpoints activeEndpoints;
     private EndpointState previousOfSameWeight;
     private EndpointState nextOfSameWeight;
-    public int visitGeneration;
+    private int visitGeneration;
 
     // Load. Both queues stay null until they are first needed, which for most endpoints of a large
     // fleet is never.
-    public int inFlight;
-    public double accomplishment;
+    private int inFlight;
+    private double accomplishment;
     private ArrayDeque<Attempt> dispatchedAttempts;
     private ArrayDeque<Long> penaltyExpiriesMicros;
-    public double reportedInFlight;
-    public long reportedAtMicros;
+    private double reportedInFlight;
+    private long reportedAtMicros;
     private double latencyRatio = 1;
     private long latencyRatioAtMicros;
 
     // Health
-    public final ClassHealth[] classHealth;
-    public double decayedSuccesses;
+    private final ClassHealth[] classHealth;
+    private double decayedSuccesses;
     private double decayedFailures;
-    public long lastSuccessAtMicros;
+    private long lastSuccessAtMicros;
     private int consecutiveRejections;
     private long rejectionBackoffUntilMicros;
-    public int consecutiveConnectFailures;
-    public boolean reportedUnreachable;
-    public long ejectedUntilMicros;
+    private int consecutiveConnectFailures;
+    private boolean reportedUnreachable;
+    private long ejectedUntilMicros;
     private int consecutiveEjections;
     private int halfOpenSuccessesLeft;
 
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/KeyQueue.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/KeyQueue.java
@@ -8,8 +8,8 @@
  * Confined to the thread of the routing policy.
  */
 public final class KeyQueue {
-    public final ArrayDeque<PendingRequest> requests = new ArrayDeque<>();
-    public long cooldownUntilMicros;
+    private final ArrayDeque<PendingRequest> requests = new ArrayDeque<>();
+    private long cooldownUntilMicros;
 
     /** Adds a request behind all others of its key. */
     public void add(PendingRequest request) {
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/PendingRequest.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/PendingRequest.java
@@ -15,23 +15,23 @@
  * attempt in flight. It is finished once it is closed and its last attempt has ended.
  */
 public final class PendingRequest {
-    public final String id;
-    public final int classIndex;
-    public final RequestClass requestClass;
-    public final long keyHash;
-    public long arrivedAtMicros;
-    public long deadlineMicros;
-    public long latencyObjectiveAtMicros;
-    public double expectedLatencyRatio = 1;
+    private final String id;
+    private final int classIndex;
+    private final RequestClass requestClass;
+    private final long keyHash;
+    private long arrivedAtMicros;
+    private long deadlineMicros;
+    private long latencyObjectiveAtMicros;
+    private double expectedLatencyRatio = 1;
     private final boolean lowPriority;
-    public final List<Attempt> attempts = new ArrayList<>(2);
-    public int attemptsInFlight;
-    public boolean uploading;
-    public boolean closed;
-    public boolean queued;
-    public boolean streaming;
+    private final List<Attempt> attempts = new ArrayList<>(2);
+    private int attemptsInFlight;
+    private boolean uploading;
+    private boolean closed;
+    private boolean queued;
+    private boolean streaming;
     // Null where the class asks for no order
-    public KeyQueue keyQueue;
+    private KeyQueue keyQueue;
 
     /**
      * @param classIndex number of {@code requestClass} in the settings
@@ -104,7 +104,7 @@
         return expectedLatencyRatio;
     }
 
-    /** Sets {@link #expectedLatencyRatio}; 1 until then. */
+    /** Sets {@link #expectedLatencyRatio()}; 1 until then. */
     public void expectLatencyRatio(double ratio) {
         expectedLatencyRatio = ratio;
     }
--- a/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossip.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossip.java
@@ -129,8 +129,8 @@
             long ejectedUntilMicros = now + ejection.remainingMicros();
             for (EndpointState endpoint : listedEndpoints) {
                 if (endpointCode(endpoint) == ejection.endpointCode()
-                        && classIndex < endpoint.classHealth.length) {
-                    endpoint.classHealth[classIndex].onRemoteEjection(ejectedUntilMicros);
+                        && classIndex < endpoint.classCount()) {
+                    endpoint.classHealth(classIndex).onRemoteEjection(ejectedUntilMicros);
                 }
             }
         }
@@ -173,6 +173,6 @@
     }
 
     private static int endpointCode(EndpointState endpoint) {
-        return LoadGossipMessage.endpointCode(endpoint.idHash);
+        return LoadGossipMessage.endpointCode(endpoint.idHash());
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/gossip/LoadReportBuilder.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/LoadReportBuilder.java
@@ -76,15 +76,15 @@
     private static List<InFlightEntry> inFlightEntries(
             List<EndpointState> endpoints, int maxEntries) {
         return endpoints.stream()
-                .filter(endpoint -> endpoint.inFlight > 0)
-                .sorted(Comparator.comparingInt(endpoint -> -endpoint.inFlight))
+                .filter(endpoint -> endpoint.inFlight() > 0)
+                .sorted(Comparator.comparingInt(endpoint -> -endpoint.inFlight()))
                 .limit(maxEntries)
-                .map(endpoint -> new InFlightEntry(endpointCode(endpoint), endpoint.inFlight))
+                .map(endpoint -> new InFlightEntry(endpointCode(endpoint), endpoint.inFlight()))
                 .toList();
     }
 
     private static Stream<EjectionEntry> ejectionEntries(EndpointState endpoint, long now) {
-        int classCount = Math.min(MAX_REPORTED_CLASSES, endpoint.classHealth.length);
+        int classCount = Math.min(MAX_REPORTED_CLASSES, endpoint.classCount());
         return IntStream.range(0, classCount)
                 .filter(classIndex -> ejectedUntilMicros(endpoint, classIndex) > now)
                 .mapToObj(
@@ -97,7 +97,7 @@
 
     // Received ejections are not forwarded: a report holds what its sender observed itself.
     private static long ejectedUntilMicros(EndpointState endpoint, int classIndex) {
-        return endpoint.classHealth[classIndex].locallyEjectedUntilMicros();
+        return endpoint.classHealth(classIndex).locallyEjectedUntilMicros();
     }
 
     private <T> List<T> rotatingWindow(List<T> items, int maxItems) {
@@ -109,6 +109,6 @@
     }
 
     private static int endpointCode(EndpointState endpoint) {
-        return LoadGossipMessage.endpointCode(endpoint.idHash);
+        return LoadGossipMessage.endpointCode(endpoint.idHash());
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/health/ZoneHealth.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/ZoneHealth.java
@@ -11,7 +11,7 @@
     private long suspectCooldownUntilMicros;
     private long lastProbedAtMicros;
     private int recentFailovers;
-    public double admittedFraction = 1;
+    private double admittedFraction = 1;
     private int successes;
     private int connectFailures;
 
