--- a/balancer/src/test/java/loadbalancer/MainTest.java
+++ b/balancer/src/test/java/loadbalancer/MainTest.java
@@ -14,6 +14,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -21,6 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The program as it is started: arguments, exit codes and what goes to which stream. */
+@Tag("process")
 class MainTest {
     private record ProgramResult(int exitCode, String stdout, String stderr) {}
 
--- a/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
@@ -26,6 +26,7 @@
 import loadbalancer.config.SocketAddressParser;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -33,6 +34,7 @@
  * Balancers as processes of their own, where the system's limits and a real start are what counts.
  */
 @Timeout(120)
+@Tag("process")
 class BalancerProcessTest {
     private static final String CHUNKED_HEAD =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/testbed/src/test/java/loadbalancer/testbed/process/ProcessLifetimeTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/process/ProcessLifetimeTest.java
@@ -14,6 +14,7 @@
 import loadbalancer.testbed.scenario.ScenarioReader;
 import loadbalancer.testbed.statistics.RunResult;
 import loadbalancer.testbed.workload.WorkloadPlan;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -21,6 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Balancers that end, grow or never come up are found, and none outlives the testbed. */
+@Tag("process")
 class ProcessLifetimeTest {
     private static final String TWO_BALANCERS =
             """
--- a/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
@@ -11,11 +11,13 @@
 import loadbalancer.testbed.scenario.ScenarioReader;
 import loadbalancer.testbed.statistics.RunResult;
 import loadbalancer.testbed.workload.WorkloadPlan;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A short fleet of real processes. */
+@Tag("process")
 class ScenarioRunnerTest {
     private static final String SCENARIO =
             """
