--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseMembers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseMembers.java
@@ -57,9 +57,17 @@
         long wallClockMs = WALL_CLOCK_EPOCH_MS + nowMicros / 1000;
         long processId = wallClockMs * count + member;
         long clockMicros = clockMicros(member, nowMicros);
+        List<VoterPromise> recovered = promises == null ? List.of() : promises;
         LeaseManager manager =
                 new LeaseManager(
-                        member, count, timing, promises, true, wallClockMs, processId, clockMicros);
+                        member,
+                        count,
+                        timing,
+                        recovered,
+                        true,
+                        wallClockMs,
+                        processId,
+                        clockMicros);
         if (hasBug(InjectedBug.SKIP_WAIT_AFTER_START)) {
             manager.onReachable(clockMicros - timing.leaseMicros());
         }
