--- a/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
@@ -19,9 +19,11 @@
 /** A short fleet of real processes. */
 @Tag("process")
 class ScenarioRunnerTest {
+    // The balancer that returns at 11 s has the 7 s in which members are to notice a change to
+    // start and to be seen, also where three starts at once take 6 s.
     private static final String SCENARIO =
             """
-        length_s = 13
+        length_s = 20
         [fleet]
         balancers = 3
         zones = ["a", "b", "c"]
