--- a/balancer/src/main/java/loadbalancer/cluster/RateLimitedLog.java
+++ b/balancer/src/main/java/loadbalancer/cluster/RateLimitedLog.java
@@ -2,6 +2,7 @@
 
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import loadbalancer.util.EventRateLimiter;
 
 /** Writes a bounded number of lines in each second, and drops the rest. Event loop only. */
 final class RateLimitedLog {
@@ -12,8 +13,8 @@
 
     private final Consumer<String> log;
     private final LongSupplier nowMicros;
-    private long windowSecond;
-    private int linesInWindow;
+    private final EventRateLimiter limiter =
+            EventRateLimiter.withAlignedWindows(MAX_LINES_PER_SECOND, MICROS_PER_SECOND);
 
     RateLimitedLog(Consumer<String> log, LongSupplier nowMicros) {
         this.log = log;
@@ -22,10 +23,7 @@
 
     /** Writes a line unless this second's bound is reached. */
     void log(String line) {
-        long currentSecond = nowMicros.getAsLong() / MICROS_PER_SECOND;
-        linesInWindow = currentSecond == windowSecond ? linesInWindow + 1 : 1;
-        windowSecond = currentSecond;
-        if (linesInWindow <= MAX_LINES_PER_SECOND) {
+        if (limiter.tryAcquire(nowMicros.getAsLong())) {
             log.accept(line);
         }
     }
--- a/balancer/src/main/java/loadbalancer/routing/AttemptRecorder.java
+++ b/balancer/src/main/java/loadbalancer/routing/AttemptRecorder.java
@@ -42,7 +42,7 @@
     private final ZoneFailover zoneFailover;
     private final LoadShedder loadShedder;
     private final SplittableRandom random;
-    private final RateLimitedLog log;
+    private final PolicyLog log;
 
     AttemptRecorder(
             TrafficCounters trafficCounters,
@@ -52,7 +52,7 @@
             ZoneFailover zoneFailover,
             LoadShedder loadShedder,
             SplittableRandom random,
-            RateLimitedLog log) {
+            PolicyLog log) {
         this.trafficCounters = trafficCounters;
         this.latencyTracker = latencyTracker;
         this.queueLengths = queueLengths;
@@ -135,17 +135,10 @@
         double expectedLatencyMicros = expectedLatencyMicros(request);
         endpoint.recordSuccess(trafficCounters.scale(), now);
         attempt.classEjection()
-                .onSuccess(
-                        () -> {
-                            String endpointId = endpoint.descriptor().id();
-                            String message =
-                                    "recovered " + endpointId + ", class " + request.classIndex();
-                            log.log(now, message, actions);
-                        });
+                .onSuccess(() -> log.classRecovered(endpoint, request.classIndex(), now, actions));
         endpoint.recordLatencyRatio(latencyMicros / expectedLatencyMicros, now);
         latencyTracker.recordLatency(request.classIndex(), latencyMicros);
-        outlierEjection.onSuccess(
-                endpoint, () -> log.log(now, "recovered " + endpoint.descriptor().id(), actions));
+        outlierEjection.onSuccess(endpoint, () -> log.endpointRecovered(endpoint, now, actions));
         double latencyObjectiveMicros = request.requestClass().latencyObjectiveMicros();
         loadShedder.recordSample(latencyMicros / latencyObjectiveMicros, now);
     }
@@ -202,15 +195,8 @@
                         now,
                         random,
                         ejectionMicros ->
-                                log.log(
-                                        now,
-                                        "ejected "
-                                                + endpoint.descriptor().id()
-                                                + " for "
-                                                + ejectionMicros / 1000
-                                                + " ms after failures of class "
-                                                + classIndex,
-                                        actions));
+                                log.classEjected(
+                                        endpoint, classIndex, ejectionMicros, now, actions));
     }
 
     /** An endpoint broke off an answer after its success had been recorded. */
@@ -231,7 +217,7 @@
                 penaltyMicros,
                 trafficCounters.scale(),
                 now,
-                message -> log.log(now, message, actions));
+                ejectionMicros -> log.endpointEjected(endpoint, ejectionMicros, now, actions));
     }
 
     private double expectedLatencyMicros(PendingRequest request) {
--- a/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
@@ -1,7 +1,6 @@
 package loadbalancer.routing;
 
 import java.util.List;
-import java.util.Locale;
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 import loadbalancer.routing.admission.FleetCapacity;
@@ -79,7 +78,7 @@
     private final KeyOrdering keyOrdering;
     private final AttemptRecorder attemptRecorder;
     private final RequestLifecycle requests;
-    private final RateLimitedLog log = new RateLimitedLog();
+    private final PolicyLog log = new PolicyLog();
 
     private long refreshAtMicros;
     private long timerAtMicros = NO_TIMER;
@@ -172,7 +171,7 @@
         switch (kind) {
             case FAILED -> {
                 int failures = subscription.onFailure(now);
-                log.log(now, "discovery failed " + failures + " times, asking again", actions);
+                log.discoveryFailed(failures, now, actions);
                 return;
             }
             case CACHED -> {
@@ -186,7 +185,7 @@
                 endpoints,
                 kind == EndpointListKind.DELTA,
                 now,
-                message -> log.log(now, message, actions));
+                message -> log.write(message, now, actions));
         requests.drainPendingQueue(now, actions);
     }
 
@@ -232,7 +231,7 @@
         scheduleTimerWithin(now, tickMicros, actions);
         retryPolicy.onRequest();
         if (loadShedder.shouldShed(request, random.nextDouble())) {
-            logShedding(now, actions);
+            log.loadShed(loadShedder, now, actions);
             requests.rejectOrFail(request, actions);
             return;
         }
@@ -245,18 +244,6 @@
         return requestClass.latencyObjectiveMicros() + workMicros;
     }
 
-    private void logShedding(long now, RoutingActions actions) {
-        log.log(
-                now,
-                () ->
-                        String.format(
-                                Locale.ROOT,
-                                "overload: refusing, level %.2f, strain %.2f",
-                                loadShedder.level(),
-                                loadShedder.overloadRatio()),
-                actions);
-    }
-
     @Override
     public boolean canStartAttempt(long now, String requestId, int attemptNumber) {
         return requests.canStartAttempt(now, requestId, attemptNumber);
@@ -355,7 +342,7 @@
                         (endpoint, reporterZone) ->
                                 onReportedUnreachable(endpoint, reporterZone, now));
         if (!understood) {
-            log.log(now, "passed over a message of balancer " + fromBalancer, actions);
+            log.gossipMessageIgnored(fromBalancer, now, actions);
         }
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/health/OutlierEjection.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/OutlierEjection.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
+import java.util.function.LongConsumer;
 import loadbalancer.routing.api.Idempotency;
 import loadbalancer.routing.endpoint.Attempt;
 import loadbalancer.routing.endpoint.EjectionBackoff;
@@ -188,7 +188,7 @@
      *     the endpoint as a whole
      * @param penaltyMicros for how long its slot counts as occupied
      * @param countScale weight of one event now
-     * @param log accepts a line if the endpoint is ejected
+     * @param onEjected accepts the length of an ejection that begins now, in µs without jitter
      */
     public void onFailure(
             EndpointState endpoint,
@@ -196,17 +196,12 @@
             long penaltyMicros,
             double countScale,
             long now,
-            Consumer<String> log) {
+            LongConsumer onEjected) {
         endpoint.recordFailure(failureWeight, countScale, now + penaltyMicros);
         boolean exceedsLimit = endpoint.isHalfOpen() || exceedsThresholds(endpoint, countScale);
         if (failureWeight > 0 && exceedsLimit && !endpoint.isEjected(now)) {
             long ejectionMicros = eject(endpoint, now);
-            log.accept(
-                    "ejected "
-                            + endpoint.descriptor().id()
-                            + " for "
-                            + ejectionMicros / 1000
-                            + " ms after failures");
+            onEjected.accept(ejectionMicros);
         }
     }
 
--- a/balancer/src/main/java/loadbalancer/util/package-info.java
+++ b/balancer/src/main/java/loadbalancer/util/package-info.java
@@ -1,5 +1,13 @@
 /**
- * Functions that all other packages may use: {@link loadbalancer.util.Hashing}. It is stateless,
- * safe for use from any thread, and must not depend on any other package of this project.
+ * Small building blocks that all other packages may use.
+ *
+ * <ul>
+ *   <li>{@link loadbalancer.util.Hashing}: hash functions that are the same everywhere; stateless,
+ *       safe for use from any thread
+ *   <li>{@link loadbalancer.util.EventRateLimiter}: a bound on events in time; confined to the
+ *       thread of its owner
+ * </ul>
+ *
+ * <p>Must not depend on any other package of this project.
  */
 package loadbalancer.util;
--- a/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
@@ -245,12 +245,7 @@
     @Test
     void onCallPageQuotesLogLinesOfThePolicy() throws IOException {
         String sources =
-                Files.readString(Path.of("src/main/java/loadbalancer/routing/RoutingEngine.java"))
-                        + Files.readString(
-                                Path.of("src/main/java/loadbalancer/routing/AttemptRecorder.java"))
-                        + Files.readString(
-                                Path.of(
-                                        "src/main/java/loadbalancer/routing/health/OutlierEjection.java"));
+                Files.readString(Path.of("src/main/java/loadbalancer/routing/PolicyLog.java"));
         String onCallPage = Files.readString(Path.of("../docs/on-call.md"));
         for (String line :
                 List.of(
--- a/balancer/src/test/java/loadbalancer/routing/endpoint/ActiveEndpointsTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/ActiveEndpointsTest.java
@@ -37,7 +37,7 @@
     }
 
     private void failAttempt(EndpointState endpoint) {
-        outlierEjection.onFailure(endpoint, 1, 1_000, 1, NOW, line -> {});
+        outlierEjection.onFailure(endpoint, 1, 1_000, 1, NOW, ejectionMicros -> {});
     }
 
     private void updateStatus(EndpointState endpoint, EndpointStatus status) {
--- a/testbed/src/test/java/loadbalancer/PackageDependenciesTest.java
+++ b/testbed/src/test/java/loadbalancer/PackageDependenciesTest.java
@@ -54,7 +54,15 @@
         allow("simulator", "config", "routing.api");
         allow("recovery", "config", "routing.api", "storage");
         allow("discovery", "config", "routing.api");
-        allow("cluster", "admin", "config", "lease", "membership", "recovery", "routing.api");
+        allow(
+                "cluster",
+                "admin",
+                "config",
+                "lease",
+                "membership",
+                "recovery",
+                "routing.api",
+                "util");
         allow("upstream", "admin", "config", "proxy", "routing.api");
         allow(
                 "dispatch",
