--- a/balancer/src/main/java/loadbalancer/routing/PolicyLog.java
+++ b/balancer/src/main/java/loadbalancer/routing/PolicyLog.java
@@ -26,7 +26,7 @@
             actions.log(
                     String.format(
                             Locale.ROOT,
-                            "overload: refusing, level %.2f, strain %.2f",
+                            "shedding load: level=%.2f overload=%.2f",
                             loadShedder.level(),
                             loadShedder.overloadRatio()));
         }
@@ -48,16 +48,16 @@
             long now,
             RoutingActions actions) {
         if (limiter.tryAcquire(now)) {
-            actions.log(ejectionLine(endpoint, ejectionMicros) + " of class " + classIndex);
+            actions.log(ejectionLine(endpoint, ejectionMicros) + classField(classIndex));
         }
     }
 
     private static String ejectionLine(EndpointState endpoint, long ejectionMicros) {
-        return "ejected "
+        return "endpoint ejected: endpoint="
                 + endpoint.descriptor().id()
-                + " for "
+                + " duration_ms="
                 + ejectionMicros / MICROS_PER_MILLISECOND
-                + " ms after failures";
+                + " reason=failures";
     }
 
     /** An endpoint has recovered from its ejection. */
@@ -70,25 +70,29 @@
     /** One request class of an endpoint has recovered from its ejection. */
     void classRecovered(EndpointState endpoint, int classIndex, long now, RoutingActions actions) {
         if (limiter.tryAcquire(now)) {
-            actions.log(recoveryLine(endpoint) + ", class " + classIndex);
+            actions.log(recoveryLine(endpoint) + classField(classIndex));
         }
     }
 
     private static String recoveryLine(EndpointState endpoint) {
-        return "recovered " + endpoint.descriptor().id();
+        return "endpoint recovered: endpoint=" + endpoint.descriptor().id();
+    }
+
+    private static String classField(int classIndex) {
+        return " class=" + classIndex;
     }
 
     /** Discovery has failed several times in a row, and is tried again. */
     void discoveryFailed(int consecutiveFailures, long now, RoutingActions actions) {
         if (limiter.tryAcquire(now)) {
-            actions.log("discovery failed " + consecutiveFailures + " times, asking again");
+            actions.log("discovery failed: consecutive_failures=" + consecutiveFailures);
         }
     }
 
     /** A message of another balancer can't be decoded. */
     void gossipMessageIgnored(int fromBalancer, long now, RoutingActions actions) {
         if (limiter.tryAcquire(now)) {
-            actions.log("passed over a message of balancer " + fromBalancer);
+            actions.log("gossip message ignored: from=" + fromBalancer + " reason=undecodable");
         }
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/api/InvalidSettingException.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/InvalidSettingException.java
@@ -1,6 +1,6 @@
 package loadbalancer.routing.api;
 
-/** A setting of the routing policy has a value that it cannot have. */
+/** A setting of the routing policy is out of its range. */
 public final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
@@ -10,10 +10,10 @@
      * An exception whose message names the setting and its value.
      *
      * @param setting the name of the setting, as the pages of the operators give it
-     * @param value the value that was refused
+     * @param value the rejected value
      */
     public InvalidSettingException(String setting, Object value) {
-        super("impossible " + setting + ": " + value);
+        super("invalid " + setting + ": " + value);
         this.setting = setting;
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/HashRing.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/HashRing.java
@@ -201,7 +201,7 @@
         /** The point of the endpoint that {@link #next} returns next. */
         long peekPoint() {
             if (remaining <= 0) {
-                throw new NoSuchElementException("the walk has been round the whole ring");
+                throw new NoSuchElementException("no more points on the ring");
             }
             while (index >= bucketSizes[bucket]) {
                 bucket = (bucket + 1) & (bucketSizes.length - 1);
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/SubsetOrder.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/SubsetOrder.java
@@ -41,7 +41,7 @@
             @Override
             public EndpointState next() {
                 if (!hasNext()) {
-                    throw new NoSuchElementException("the walk has met all endpoints");
+                    throw new NoSuchElementException("no more endpoints on the ring");
                 }
                 return endpoints[index++];
             }
--- a/balancer/src/main/java/loadbalancer/routing/gossip/FleetSizeException.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/FleetSizeException.java
@@ -6,9 +6,9 @@
 
     FleetSizeException(int balancerCount, int maxBalancers) {
         super(
-                "sums over the fleet reach 1 to "
-                        + maxBalancers
-                        + " balancers, not "
-                        + balancerCount);
+                "unsupported fleet size: "
+                        + balancerCount
+                        + " balancers, must be 1 to "
+                        + maxBalancers);
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/gossip/GossipMessageSizeException.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/GossipMessageSizeException.java
@@ -6,7 +6,7 @@
 
     GossipMessageSizeException(int inFlightCount, int ejectionCount, int unreachableCount) {
         super(
-                "more than fits in "
+                "load report does not fit in "
                         + LoadGossipMessage.MAX_BYTES
                         + " bytes: "
                         + inFlightCount
--- a/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossip.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossip.java
@@ -69,11 +69,10 @@
         }
         if (topology.exceedsAggregation() && !reportBuilder.hasBuilt()) {
             actions.log(
-                    "sums over the fleet reach "
-                            + BlockPartition.MAX_BALANCERS
-                            + " balancers, not "
+                    "fleet too large to aggregate: balancers="
                             + topology.balancerCount()
-                            + ": of requests only the neighbours' are known");
+                            + " max_balancers="
+                            + BlockPartition.MAX_BALANCERS);
         }
         if (schedule.isDue(now)) {
             List<EndpointState> unreachableEndpoints =
--- a/balancer/src/main/java/loadbalancer/routing/health/ZoneFailover.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/ZoneFailover.java
@@ -131,12 +131,12 @@
     private static String logLine(int zone, ZoneStatus status, ZoneTally tally) {
         return String.format(
                 Locale.ROOT,
-                "zone %d is %s: %d of %d servers out, %d answering",
+                "zone status changed: zone=%d status=%s unresponsive=%d responding=%d endpoints=%d",
                 zone,
                 status,
                 tally.unresponsive(),
-                tally.endpoints(),
-                tally.responding());
+                tally.responding(),
+                tally.endpoints());
     }
 
     private static ZoneStatus nextStatus(
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/ZoneFailoverInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/ZoneFailoverInvariant.java
@@ -10,8 +10,12 @@
  * leaves a zone that was not lost.
  */
 public final class ZoneFailoverInvariant implements RunInvariant {
-    private static final Pattern ZONE_LEFT_PATTERN =
-            Pattern.compile("zone (\\d+) is (?:FAILED_OVER|LEFT)");
+    // Also as "zone N is FAILED_OVER" and "zone N is LEFT", which earlier versions log in a mixed
+    // fleet.
+    private static final Pattern FAILOVER_PATTERN =
+            Pattern.compile(
+                    "zone (?:status changed: zone=)?(\\d+)(?: status=| is )"
+                            + "(?:FAILED_OVER|LEFT)\\b");
     private static final double MIN_FAILED_OVER_FRACTION = 0.9;
 
     private final int zone;
@@ -37,7 +41,7 @@
 
     @Override
     public void onLogLine(int balancer, long timeMicros, String line) {
-        Matcher matcher = ZONE_LEFT_PATTERN.matcher(line);
+        Matcher matcher = FAILOVER_PATTERN.matcher(line);
         if (!matcher.find()) {
             return;
         }
