--- a/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
@@ -399,10 +399,13 @@
 
     private void updateSheddingLevel(long elapsedMicros, long now) {
         loadShedder.decayStaleOverload(now, elapsedMicros);
-        loadShedder.updateLevel(
-                elapsedMicros / MICROS_PER_SECOND,
-                queueLengths.hasLivePeers() ? fleetCapacity : null,
-                fleetRequestsPerSecond());
+        double elapsedSeconds = elapsedMicros / MICROS_PER_SECOND;
+        if (queueLengths.hasLivePeers()) {
+            loadShedder.updateLevelWithinCapacity(
+                    elapsedSeconds, fleetCapacity, fleetRequestsPerSecond());
+        } else {
+            loadShedder.updateLevel(elapsedSeconds);
+        }
     }
 
     // Arrivals at all balancers, as far as they are known.
--- a/balancer/src/main/java/loadbalancer/routing/admission/LoadShedder.java
+++ b/balancer/src/main/java/loadbalancer/routing/admission/LoadShedder.java
@@ -156,28 +156,32 @@
 
     // ---------------------------------------------------------------- controller
 
+    /**
+     * Moves the level by the overload ratio alone: where no other balancer is heard, the traffic of
+     * all balancers is unknown, and the capacity of the fleet says nothing.
+     *
+     * @param elapsedSeconds since the last update
+     */
+    public void updateLevel(double elapsedSeconds) {
+        if (sampleCount > 0) {
+            level = Math.max(0, Math.min(maxLevel(), level + levelStep(elapsedSeconds)));
+        }
+    }
+
     /**
      * Moves the level by the overload ratio, within the bounds of the capacity.
      *
-     * @param elapsedSeconds since the last call
-     * @param capacity bounds the level; null where no other balancer is heard, so that the traffic
-     *     of all balancers is unknown
+     * @param elapsedSeconds since the last update
      * @param fleetRatePerSecond arrival rate of all balancers
      */
-    public void updateLevel(
+    public void updateLevelWithinCapacity(
             double elapsedSeconds, FleetCapacity capacity, double fleetRatePerSecond) {
-        double step = levelStep(elapsedSeconds);
-        if (sampleCount > 0) {
-            level = Math.max(0, Math.min(maxLevel(), level + step));
-        }
-        if (capacity != null) {
-            double upperBound =
-                    Math.max(
-                            initialLevel,
-                            levelForShedFraction(capacity.maxShedFraction(fleetRatePerSecond)));
-            double lowerBound = levelForShedFraction(capacity.excessFraction(fleetRatePerSecond));
-            level = Math.max(lowerBound, Math.min(level, upperBound));
-        }
+        updateLevel(elapsedSeconds);
+        double maxCapacityLevel =
+                levelForShedFraction(capacity.maxShedFraction(fleetRatePerSecond));
+        double upperBound = Math.max(initialLevel, maxCapacityLevel);
+        double lowerBound = levelForShedFraction(capacity.excessFraction(fleetRatePerSecond));
+        level = Math.max(lowerBound, Math.min(level, upperBound));
     }
 
     private double levelStep(double elapsedSeconds) {
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointRegistry.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointRegistry.java
@@ -115,8 +115,14 @@
             endpointCount++;
         }
         EndpointState current = known;
-        if (known == null || isRestarted(known, endpoint)) {
-            current = add(endpoint, known, now, changed);
+        if (known == null) {
+            current = add(endpoint, nextListPosition++, now);
+            changed.add(current);
+        } else if (isRestarted(known, endpoint)) {
+            current = add(endpoint, known.listPosition(), now);
+            // Before the new one: both have the same place in the order
+            markRemoved(known, changed);
+            changed.add(current);
         } else if (!known.descriptor().equals(endpoint)) {
             known.updateDescriptor(endpoint);
             changed.add(known);
@@ -130,21 +136,13 @@
                 && endpoint.startedAtMicros() > 0;
     }
 
-    // Adds an endpoint, in the place of the one that it replaces (null: at the end).
-    private EndpointState add(
-            Endpoint endpoint, EndpointState replaced, long now, List<EndpointState> changed) {
+    private EndpointState add(Endpoint endpoint, long listPosition, long now) {
         int tieBreaker = random.nextInt();
         double initialSlowStartTokens = random.nextDouble();
-        long listPosition = replaced == null ? nextListPosition++ : replaced.listPosition();
         EndpointState added =
                 new EndpointState(endpoint, tieBreaker, classCount, activeEndpoints, listPosition);
         added.start(initialSlowStartTokens, now);
         endpointsById.put(endpoint.id(), added);
-        if (replaced != null) {
-            // Before the new one: both have the same place in the order
-            markRemoved(replaced, changed);
-        }
-        changed.add(added);
         return added;
     }
 
