--- a/balancer/src/main/java/loadbalancer/cluster/ClusterCoordinator.java
+++ b/balancer/src/main/java/loadbalancer/cluster/ClusterCoordinator.java
@@ -63,22 +63,21 @@
     /**
      * Makes a coordinator that does nothing before {@link #start}.
      *
-     * @param recoveryStore null if nothing is persisted
-     * @return null if membership is switched off, or if this balancer is not one of the peers
+     * @param recoveryStore empty if nothing is persisted
+     * @return empty if membership is switched off, or if this balancer is not one of the peers
      */
-    public static ClusterCoordinator createIfEnabled(
+    public static Optional<ClusterCoordinator> createIfEnabled(
             EventLoop loop,
             BalancerConfig config,
-            RecoveryStore recoveryStore,
+            Optional<RecoveryStore> recoveryStore,
             PeerSender sender,
             Consumer<String> log) {
         boolean enabled =
                 config.localSettings().isEnabled(LocalSettings.Setting.MEMBERSHIP_ENABLED)
                         && config.boot().settings().rank() < config.peers().addresses().size();
         return enabled
-                ? new ClusterCoordinator(
-                        loop, config, Optional.ofNullable(recoveryStore), sender, log)
-                : null;
+                ? Optional.of(new ClusterCoordinator(loop, config, recoveryStore, sender, log))
+                : Optional.empty();
     }
 
     /** Begins to probe peers and to write the audit log. */
--- a/balancer/src/main/java/loadbalancer/cluster/LeaseDriver.java
+++ b/balancer/src/main/java/loadbalancer/cluster/LeaseDriver.java
@@ -71,7 +71,8 @@
     }
 
     private static Optional<List<VoterPromise>> recoveredPromises(RecoveryStore store) {
-        return VoterPromise.decode(store.recoveredPromises(), TIMING.slotCount());
+        return store.recoveredPromises()
+                .flatMap(bytes -> VoterPromise.decode(bytes, TIMING.slotCount()));
     }
 
     /**
--- a/balancer/src/main/java/loadbalancer/cluster/PeerTransport.java
+++ b/balancer/src/main/java/loadbalancer/cluster/PeerTransport.java
@@ -16,6 +16,7 @@
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import loadbalancer.admin.EventLog;
@@ -71,9 +72,14 @@
      * @return completes with the first attempt
      */
     public Future<Void> start(Consumer<String> log) {
-        if (peers.listenAddress() == null || peers.addresses().isEmpty()) {
+        Optional<InetSocketAddress> listenAddress = peers.listenAddress();
+        if (listenAddress.isEmpty() || peers.addresses().isEmpty()) {
             return loop.newSucceededFuture(null);
         }
+        return bind(listenAddress.get(), log);
+    }
+
+    private Future<Void> bind(InetSocketAddress listenAddress, Consumer<String> log) {
         // One byte more than a message may have shows that a datagram is too long.
         FixedRecvByteBufAllocator receiveBuffers =
                 new FixedRecvByteBufAllocator(MAX_MESSAGE_BYTES + 1);
@@ -82,28 +88,29 @@
                 .channelFactory(() -> new NioDatagramChannel(InternetProtocolFamily.IPv4))
                 .option(ChannelOption.RCVBUF_ALLOCATOR, receiveBuffers)
                 .handler(new DatagramHandler())
-                .bind(peers.listenAddress())
+                .bind(listenAddress)
                 .addListener(
                         bindFuture -> {
                             if (!bindFuture.isSuccess() && !closed) {
-                                onBindFailure(bindFuture.cause(), log);
+                                onBindFailure(listenAddress, bindFuture.cause(), log);
                             }
                         });
     }
 
-    private void onBindFailure(Throwable cause, Consumer<String> log) {
+    private void onBindFailure(
+            InetSocketAddress listenAddress, Throwable cause, Consumer<String> log) {
         if (!bindFailureLogged) {
             bindFailureLogged = true;
             log.accept(
                     "no messages between balancers yet: can't listen on "
-                            + peers.listenAddress()
+                            + listenAddress
                             + ": "
                             + cause.getMessage());
         }
         loop.schedule(
                 () -> {
                     if (!closed) {
-                        start(log);
+                        bind(listenAddress, log);
                     }
                 },
                 BIND_RETRY_MS,
@@ -119,11 +126,11 @@
         }
         if (peer >= 0) {
             writeDatagram(peers.addresses().get(peer), data);
-        } else if (peers.broadcastAddress() != null) {
-            writeDatagram(peers.broadcastAddress(), data);
+        } else if (peers.broadcastAddress().isPresent()) {
+            writeDatagram(peers.broadcastAddress().get(), data);
         } else {
             peers.addresses().stream()
-                    .filter(address -> !address.equals(peers.listenAddress()))
+                    .filter(address -> !peers.isOwnAddress(address))
                     .forEach(address -> writeDatagram(address, data));
         }
     }
@@ -161,7 +168,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             InetSocketAddress sender = packet.sender();
-            if (sender.equals(peers.listenAddress())) {
+            if (peers.isOwnAddress(sender)) {
                 // A broadcast of this balancer's own.
                 return;
             }
--- a/balancer/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/balancer/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -3,6 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 
 /**
  * The configuration of one balancer process, from its environment and its configuration file.
@@ -16,7 +17,7 @@
  * @param initialEndpoints the endpoint list that the configuration knows; empty: none
  * @param boot the platform's settings
  * @param peers addresses of the other balancers
- * @param adminAddress where the administration interface listens; null: there is none
+ * @param adminAddress where the administration interface listens; empty: there is none
  * @param listenSocketInherited whether the clients' listening socket was inherited as descriptor 0
  * @param localSettings settings of the load balancer itself
  */
@@ -29,7 +30,7 @@
         EndpointList initialEndpoints,
         BootSettings boot,
         PeerAddresses peers,
-        InetSocketAddress adminAddress,
+        Optional<InetSocketAddress> adminAddress,
         boolean listenSocketInherited,
         LocalSettings localSettings) {
     /**
--- a/balancer/src/main/java/loadbalancer/config/BalancerConfigParser.java
+++ b/balancer/src/main/java/loadbalancer/config/BalancerConfigParser.java
@@ -78,7 +78,7 @@
                 initialEndpoints,
                 boot,
                 peers(),
-                adminText.isPresent() ? parseAddress("admin", adminText.get()) : null,
+                adminText.map(address -> parseAddress("admin", address)),
                 listenSocketInherited,
                 LocalSettings.read(environment));
     }
@@ -148,11 +148,11 @@
         List<?> configuredPeers = json.get("peers") instanceof List<?> list ? list : List.of();
         List<InetSocketAddress> addresses =
                 configuredPeers.stream().map(peer -> parseAddress("peers", peer)).toList();
-        Object broadcastAddress = json.get("peers_all");
+        Optional<Object> broadcastAddress = Optional.ofNullable(json.get("peers_all"));
         return new PeerAddresses(
-                parseAddress("peer_listen", listenAddress),
+                Optional.of(parseAddress("peer_listen", listenAddress)),
                 addresses,
-                broadcastAddress == null ? null : parseAddress("peers_all", broadcastAddress));
+                broadcastAddress.map(address -> parseAddress("peers_all", address)));
     }
 
     private String requiredText(String variable, String field) {
--- a/balancer/src/main/java/loadbalancer/config/LocalSettings.java
+++ b/balancer/src/main/java/loadbalancer/config/LocalSettings.java
@@ -247,10 +247,10 @@
         return values.get(setting).equals(ON);
     }
 
-    /** The path of a directory setting, or null if none is set. */
-    public Path directory(Setting setting) {
+    /** The path of a directory setting; empty if none is set. */
+    public Optional<Path> directory(Setting setting) {
         String path = values.get(setting);
-        return path.isBlank() ? null : Path.of(path);
+        return path.isBlank() ? Optional.empty() : Optional.of(Path.of(path));
     }
 
     /** The value of a duration setting, in ms. */
--- a/balancer/src/main/java/loadbalancer/lease/VoterPromise.java
+++ b/balancer/src/main/java/loadbalancer/lease/VoterPromise.java
@@ -40,11 +40,11 @@
     }
 
     /**
-     * The promises that {@link #encode} wrote; empty if {@code bytes} is null or is not the valid
-     * encoding of {@code slotCount} promises.
+     * The promises that {@link #encode} wrote; empty if {@code bytes} is not the valid encoding of
+     * {@code slotCount} promises.
      */
     public static Optional<List<VoterPromise>> decode(byte[] bytes, int slotCount) {
-        if (bytes == null || bytes.length != ENCODED_BYTES * slotCount) {
+        if (bytes.length != ENCODED_BYTES * slotCount) {
             return Optional.empty();
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
--- a/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
+++ b/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
@@ -105,29 +105,43 @@
      * @param boot names of zones and machine types
      * @param snapshotIntervalMs how often {@link #takeSnapshot} shall be called
      * @param log takes events for the operators, on the caller's thread and on the disk thread
-     * @return the store, or null, with an event logged, if the directory can't be used or another
-     *     process holds its lock
+     * @return the store; empty, with an event logged, if the directory can't be used or its lock is
+     *     held
      */
-    public static RecoveryStore open(
+    public static Optional<RecoveryStore> open(
             Path directory,
             String owner,
             BootSettings boot,
             long snapshotIntervalMs,
             Consumer<String> log) {
-        DirectoryLock lock = null;
         try {
             new FileSystemDirectory(directory);
-            lock = DirectoryLock.acquire(directory);
-            return new RecoveryStore(directory, owner, boot, snapshotIntervalMs, log, lock);
+            DirectoryLock lock = DirectoryLock.acquire(directory);
+            return Optional.of(
+                    recoverLocked(directory, owner, boot, snapshotIntervalMs, log, lock));
         } catch (DirectoryInUseException e) {
             log.accept("state: " + e.getMessage() + ", serving without");
         } catch (IOException e) {
             log.accept("state: can't use " + directory + ", serving without: " + e.getMessage());
         }
-        if (lock != null) {
+        return Optional.empty();
+    }
+
+    // Releases the lock if the recovery fails.
+    private static RecoveryStore recoverLocked(
+            Path directory,
+            String owner,
+            BootSettings boot,
+            long snapshotIntervalMs,
+            Consumer<String> log,
+            DirectoryLock lock)
+            throws IOException {
+        try {
+            return new RecoveryStore(directory, owner, boot, snapshotIntervalMs, log, lock);
+        } catch (IOException e) {
             lock.close();
+            throw e;
         }
-        return null;
     }
 
     /** The directory that this process owns. */
@@ -142,9 +156,9 @@
         return incarnation;
     }
 
-    /** Promises as last persisted, in the form of their owner; null without any. */
-    public byte[] recoveredPromises() {
-        return recoveredPromises.map(Snapshot::content).orElse(null);
+    /** Promises as last persisted, in the form of their owner; empty without any. */
+    public Optional<byte[]> recoveredPromises() {
+        return recoveredPromises.map(Snapshot::content);
     }
 
     /** The recovered endpoint list, if its revision is higher than {@code known}'s; else that. */
@@ -173,25 +187,23 @@
     }
 
     /**
-     * The knowledge of the routing policy; null if none was stored, if it is malformed, older than
+     * The knowledge of the routing policy; empty if none was stored, if it is malformed, older than
      * 30 s, or of a time in the future (the wall clock was set back).
      */
-    public PolicySnapshot recoveredPolicySnapshot() {
+    public Optional<PolicySnapshot> recoveredPolicySnapshot() {
         if (recoveredSnapshot.isEmpty()
                 || snapshotAgeMicros() < 0
                 || snapshotAgeMicros() > MAX_POLICY_SNAPSHOT_AGE_MICROS) {
-            return null;
+            return Optional.empty();
         }
         try {
-            return contentCodec
-                    .decodePolicySnapshot(recoveredSnapshot.get().content())
-                    .orElse(null);
+            return contentCodec.decodePolicySnapshot(recoveredSnapshot.get().content());
         } catch (MalformedPolicySnapshotException e) {
             logUnreadablePolicySnapshot(e.field() + ": " + e.getMessage());
         } catch (IOException | IllegalArgumentException e) {
             logUnreadablePolicySnapshot(e.getMessage());
         }
-        return null;
+        return Optional.empty();
     }
 
     private void logUnreadablePolicySnapshot(String reason) {
@@ -221,20 +233,19 @@
     }
 
     /**
-     * Has a snapshot written of the endpoint list and of {@code policySnapshot} (null: none),
-     * unless there is no endpoint, one is being written, or the last one took long.
+     * Has a snapshot written of the endpoint list and of {@code policySnapshot}, if there is one;
+     * does nothing if there is no endpoint, one is being written, or the last one took long.
      */
-    public void takeSnapshot(PolicySnapshot policySnapshot) {
+    public void takeSnapshot(Optional<PolicySnapshot> policySnapshot) {
         if (endpoints.isEmpty() || !throttle.tryBegin()) {
             return;
         }
         long revision = endpoints.revision();
         List<EndpointList.Entry> entries = endpoints.entries();
-        Optional<PolicySnapshot> optionalPolicySnapshot = Optional.ofNullable(policySnapshot);
         executeOnDiskThread(
                 () -> {
                     long startNanos = System.nanoTime();
-                    byte[] content = contentCodec.encode(revision, entries, optionalPolicySnapshot);
+                    byte[] content = contentCodec.encode(revision, entries, policySnapshot);
                     writer.save(snapshots, content);
                     throttle.end(startNanos);
                 });
--- a/balancer/src/main/java/loadbalancer/server/BalancerServer.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerServer.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
-import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
@@ -45,6 +45,7 @@
     // From readiness until the process that this one replaces has ended, at most.
     private static final long HANDOVER_TIMEOUT_SECONDS = 10;
     private static final long STATS_INTERVAL_MS = 100;
+    private static final long MICROS_PER_MS = 1_000;
     private static final long LOG_SUMMARY_INTERVAL_SECONDS = 5;
 
     private final Consumer<String> log;
@@ -55,20 +56,21 @@
     private final UpstreamPool upstreamPool;
     private final DiscoveryClient discovery;
     private final PeerTransport peers;
-    // Null where no state directory is set.
-    private final RecoveryStore stateStore;
+    // Empty where no state directory is set, or it can't be used.
+    private final Optional<RecoveryStore> recoveryStore;
     // The newest list from before this start, of the configuration or the recovery store.
     private final EndpointList knownEndpoints;
-    // Null where membership is off.
-    private final ClusterCoordinator cluster;
+    // Empty where membership is off.
+    private final Optional<ClusterCoordinator> cluster;
     private final HttpFrontend frontend;
     private final BalancerConfig config;
     private final FileDescriptorBudget descriptorBudget;
     private final Metrics metrics;
-    // Null where no administration address is set.
-    private final AdminServer adminServer;
+    // Empty where no administration address is set.
+    private final Optional<AdminServer> adminServer;
     private final CountDownLatch stopped = new CountDownLatch(1);
-    private InetSocketAddress boundAdminAddress;
+    // Empty until the start, and where no administration address is set.
+    private Optional<InetSocketAddress> boundAdminAddress = Optional.empty();
     // Whether other processes may accept at the same socket.
     private volatile boolean listenerShared;
     private boolean hasUsableEndpointList;
@@ -106,11 +108,11 @@
                         events,
                         metrics,
                         bufferBudget);
-        stateStore = openRecoveryStore(config, log);
+        recoveryStore = openRecoveryStore(config, log);
         knownEndpoints =
-                stateStore == null
-                        ? config.initialEndpoints()
-                        : stateStore.newestEndpointList(config.initialEndpoints());
+                recoveryStore
+                        .map(store -> store.newestEndpointList(config.initialEndpoints()))
+                        .orElse(config.initialEndpoints());
         discovery =
                 new DiscoveryClient(
                         loop,
@@ -129,40 +131,39 @@
                         events,
                         bufferBudget);
         peers = new PeerTransport(loop, config.peers(), new PeerMessageRouter(), events);
-        cluster = ClusterCoordinator.createIfEnabled(loop, config, stateStore, peers::send, log);
+        cluster = ClusterCoordinator.createIfEnabled(loop, config, recoveryStore, peers::send, log);
         dispatcher.attach(upstreamPool, discovery, peers);
         adminServer =
-                config.adminAddress() == null ? null : new AdminServer(new EventLoopAdminHandler());
+                config.adminAddress().map(address -> new AdminServer(new EventLoopAdminHandler()));
     }
 
-    private static RecoveryStore openRecoveryStore(BalancerConfig config, Consumer<String> log) {
+    private static Optional<RecoveryStore> openRecoveryStore(
+            BalancerConfig config, Consumer<String> log) {
         LocalSettings settings = config.localSettings();
-        Path stateDirectory = settings.directory(LocalSettings.Setting.STATE_DIRECTORY);
-        if (stateDirectory == null) {
-            return null;
-        }
-        return RecoveryStore.open(
-                stateDirectory,
-                config.name(),
-                config.boot(),
-                settings.milliseconds(LocalSettings.Setting.SNAPSHOT_INTERVAL_MS),
-                log);
+        long snapshotIntervalMs = settings.milliseconds(LocalSettings.Setting.SNAPSHOT_INTERVAL_MS);
+        return settings.directory(LocalSettings.Setting.STATE_DIRECTORY)
+                .flatMap(
+                        directory ->
+                                RecoveryStore.open(
+                                        directory,
+                                        config.name(),
+                                        config.boot(),
+                                        snapshotIntervalMs,
+                                        log));
     }
 
     /** Hands messages of other balancers to the cluster coordinator or the routing policy. */
     private final class PeerMessageRouter implements PeerTransport.Listener {
         @Override
         public void onPeerMessage(int sender, byte[] data) {
-            if (cluster == null || !cluster.onPeerMessage(sender, data)) {
+            if (cluster.isEmpty() || !cluster.get().onPeerMessage(sender, data)) {
                 dispatcher.onPeerMessage(sender, data);
             }
         }
 
         @Override
         public void onAddressBound() {
-            if (cluster != null) {
-                cluster.onAddressBound();
-            }
+            cluster.ifPresent(ClusterCoordinator::onAddressBound);
         }
     }
 
@@ -187,18 +188,14 @@
     private void drain() {
         log.accept("draining, as operators asked");
         frontend.drain();
-        if (cluster != null) {
-            cluster.setDraining(true);
-        }
+        cluster.ifPresent(coordinator -> coordinator.setDraining(true));
         publishStats();
     }
 
     private void resume() {
         log.accept("back to work, as operators asked");
         frontend.resume();
-        if (cluster != null) {
-            cluster.setDraining(false);
-        }
+        cluster.ifPresent(coordinator -> coordinator.setDraining(false));
         publishStats();
     }
 
@@ -219,25 +216,34 @@
      *     is inherited and descriptor 0 is none
      */
     public InetSocketAddress start() throws IOException {
-        return start(config.listenSocketInherited() ? inheritedSocket() : null);
+        if (config.listenSocketInherited()) {
+            return start(inheritedSocket());
+        }
+        listenForOperators();
+        return startWork(frontend.listen(config.listenAddress()));
     }
 
-    /** As {@link #start()}, at a socket that listens already where it is not null. */
+    /** As {@link #start()}, at a socket that listens already and that others may share. */
     InetSocketAddress start(ServerSocketChannel listeningSocket) throws IOException {
-        listenerShared = listeningSocket != null;
-        if (adminServer != null) {
-            boundAdminAddress = adminServer.listen(config.adminAddress());
+        listenerShared = true;
+        listenForOperators();
+        return startWork(frontend.listen(listeningSocket));
+    }
+
+    private void listenForOperators() throws IOException {
+        if (adminServer.isPresent() && config.adminAddress().isPresent()) {
+            InetSocketAddress address = config.adminAddress().get();
+            boundAdminAddress = Optional.of(adminServer.get().listen(address));
         }
-        InetSocketAddress address =
-                listeningSocket == null
-                        ? frontend.listen(config.listenAddress())
-                        : frontend.listen(listeningSocket);
+    }
+
+    private InetSocketAddress startWork(InetSocketAddress address) {
         loop.execute(() -> startOnLoop(address));
         return address;
     }
 
     private void startOnLoop(InetSocketAddress address) {
-        if (adminServer != null) {
+        if (adminServer.isPresent()) {
             publishStats();
             loop.scheduleWithFixedDelay(
                     this::publishStats,
@@ -246,14 +252,10 @@
                     TimeUnit.MILLISECONDS);
         }
         onEndpointListUpdate(EndpointListKind.CACHED, knownEndpoints);
-        if (stateStore != null) {
-            restoreState();
-        }
+        recoveryStore.ifPresent(this::restoreState);
         discovery.start();
         peers.start(log);
-        if (cluster != null) {
-            cluster.start();
-        }
+        cluster.ifPresent(ClusterCoordinator::start);
         loop.scheduleWithFixedDelay(
                 () -> events.logSummary(this::summary),
                 LOG_SUMMARY_INTERVAL_SECONDS,
@@ -275,24 +277,26 @@
     }
 
     // The routing policy has an endpoint list by now; snapshots are taken from here on.
-    private void restoreState() {
-        PolicySnapshot snapshot = stateStore.recoveredPolicySnapshot();
-        if (snapshot != null) {
-            log.accept(
-                    "state: recalled what was known of "
-                            + snapshot.endpoints().size()
-                            + " upstreams "
-                            + stateStore.snapshotAgeMicros() / 1000
-                            + " ms before this start");
-            dispatcher.restorePolicy(snapshot, stateStore.snapshotAgeMicros());
-        }
+    private void restoreState(RecoveryStore store) {
+        store.recoveredPolicySnapshot()
+                .ifPresent(snapshot -> restorePolicy(snapshot, store.snapshotAgeMicros()));
         loop.scheduleWithFixedDelay(
-                () -> stateStore.takeSnapshot(dispatcher.policySnapshot()),
-                stateStore.snapshotIntervalMs(),
-                stateStore.snapshotIntervalMs(),
+                () -> store.takeSnapshot(Optional.ofNullable(dispatcher.policySnapshot())),
+                store.snapshotIntervalMs(),
+                store.snapshotIntervalMs(),
                 TimeUnit.MILLISECONDS);
     }
 
+    private void restorePolicy(PolicySnapshot snapshot, long ageMicros) {
+        log.accept(
+                "state: recalled what was known of "
+                        + snapshot.endpoints().size()
+                        + " upstreams "
+                        + ageMicros / MICROS_PER_MS
+                        + " ms before this start");
+        dispatcher.restorePolicy(snapshot, ageMicros);
+    }
+
     // At a shared socket the process that this one replaces would answer, so that the warm-up's
     // requests stay within this process.
     private void startWarmUp(InetSocketAddress address) {
@@ -326,9 +330,9 @@
         throw new IOException("descriptor 0 is no listening socket");
     }
 
-    /** The bound administration address, or null where none is set. */
+    /** The bound administration address; only after a start with one set. */
     InetSocketAddress adminAddress() {
-        return boundAdminAddress;
+        return boundAdminAddress.orElseThrow();
     }
 
     /** Watches and polls discovery at another address from now on; any thread. */
@@ -357,9 +361,7 @@
     // A cached list makes the balancer ready as well, if it has an endpoint that is up.
     private void onEndpointListUpdate(EndpointListKind kind, EndpointList endpointList) {
         dispatcher.onEndpointListUpdate(kind, endpointList);
-        if (stateStore != null) {
-            stateStore.onEndpointList(kind, endpointList);
-        }
+        recoveryStore.ifPresent(store -> store.onEndpointList(kind, endpointList));
         if (kind == EndpointListKind.COMPLETE || hasEndpointUp(endpointList)) {
             hasUsableEndpointList = true;
             updateReadiness();
@@ -389,20 +391,14 @@
         awaitStopped();
         log.accept("stopped: " + dispatcher.summary() + "; " + events);
         eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-        if (adminServer != null) {
-            adminServer.close();
-        }
-        if (stateStore != null) {
-            stateStore.close();
-        }
+        adminServer.ifPresent(AdminServer::close);
+        recoveryStore.ifPresent(RecoveryStore::close);
     }
 
     private void beginShutdown() {
         frontend.stopping(listenerShared);
         publishStats();
-        if (cluster != null) {
-            cluster.leave();
-        }
+        cluster.ifPresent(ClusterCoordinator::leave);
         if (listenerShared) {
             // The process that takes over binds this address.
             peers.close();
--- a/balancer/src/test/java/loadbalancer/cluster/PeerTransportTest.java
+++ b/balancer/src/test/java/loadbalancer/cluster/PeerTransportTest.java
@@ -14,6 +14,7 @@
 import java.net.SocketAddress;
 import java.net.SocketTimeoutException;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -56,14 +57,14 @@
         return socket;
     }
 
-    private PeerTransport startTransport(InetSocketAddress broadcastAddress)
+    private PeerTransport startTransport(Optional<InetSocketAddress> broadcastAddress)
             throws InterruptedException {
         InetSocketAddress listenAddress = new InetSocketAddress("127.0.0.1", 0);
         PeerTransport transport =
                 new PeerTransport(
                         eventLoopGroup.next(),
                         new PeerAddresses(
-                                listenAddress,
+                                Optional.of(listenAddress),
                                 List.of(
                                         (InetSocketAddress) firstPeer.getLocalSocketAddress(),
                                         (InetSocketAddress) secondPeer.getLocalSocketAddress()),
@@ -91,7 +92,7 @@
 
     @Test
     void messagesReachOneOrAllWithSender() throws Exception {
-        PeerTransport transport = startTransport(null);
+        PeerTransport transport = startTransport(Optional.empty());
         sendOnLoop(transport, -1, new byte[] {1, 2});
         SocketAddress transportAddress = receive(firstPeer).getSocketAddress();
         assertEquals(2, receive(secondPeer).getLength());
@@ -106,7 +107,7 @@
     @Test
     void broadcastAddressReachesAll() throws Exception {
         sendOnLoop(
-                startTransport((InetSocketAddress) secondPeer.getLocalSocketAddress()),
+                startTransport(Optional.of((InetSocketAddress) secondPeer.getLocalSocketAddress())),
                 -1,
                 new byte[] {7});
         assertEquals(1, receive(secondPeer).getLength());
@@ -116,7 +117,7 @@
 
     @Test
     void unknownSendersAndLongDatagramsAreCounted() throws Exception {
-        PeerTransport transport = startTransport(null);
+        PeerTransport transport = startTransport(Optional.empty());
         sendOnLoop(transport, 0, new byte[] {1});
         SocketAddress transportAddress = receive(firstPeer).getSocketAddress();
         try (DatagramSocket stranger = openPeer()) {
@@ -134,7 +135,7 @@
 
     @Test
     void oversizedMessagesAndUnknownPeersAreDropped() throws Exception {
-        PeerTransport transport = startTransport(null);
+        PeerTransport transport = startTransport(Optional.empty());
         sendOnLoop(transport, -1, new byte[257]);
         sendOnLoop(transport, 2, new byte[] {1});
         sendOnLoop(transport, 0, new byte[] {1, 2, 3});
@@ -147,9 +148,9 @@
                 new PeerTransport(
                         eventLoopGroup.next(),
                         new PeerAddresses(
-                                (InetSocketAddress) firstPeer.getLocalSocketAddress(),
+                                Optional.of((InetSocketAddress) firstPeer.getLocalSocketAddress()),
                                 List.of((InetSocketAddress) secondPeer.getLocalSocketAddress()),
-                                null),
+                                Optional.empty()),
                         (from, data) -> {},
                         events);
         assertTrue(transport.start(logLines::add).await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
--- a/balancer/src/test/java/loadbalancer/config/LocalSettingsTest.java
+++ b/balancer/src/test/java/loadbalancer/config/LocalSettingsTest.java
@@ -1,7 +1,6 @@
 package loadbalancer.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,6 +10,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import loadbalancer.config.LocalSettings.Setting;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -41,7 +41,7 @@
                 !defaults.isEnabled(Setting.MEMBERSHIP_ENABLED)
                         && !defaults.isEnabled(Setting.LEASES_ENABLED)
                         && !defaults.isEnabled(Setting.ZONE_FAILOVER_ENABLED));
-        assertNull(defaults.directory(Setting.STATE_DIRECTORY));
+        assertEquals(Optional.empty(), defaults.directory(Setting.STATE_DIRECTORY));
         environment.put("TANSYFERRY_ZONES", "off");
         LocalSettings settings =
                 readSettings(
@@ -50,7 +50,7 @@
         assertTrue(
                 settings.isEnabled(Setting.MEMBERSHIP_ENABLED)
                         && !settings.isEnabled(Setting.ZONE_FAILOVER_ENABLED));
-        assertEquals(Path.of("/var/x"), settings.directory(Setting.STATE_DIRECTORY));
+        assertEquals(Optional.of(Path.of("/var/x")), settings.directory(Setting.STATE_DIRECTORY));
         assertEquals(100, settings.milliseconds(Setting.SNAPSHOT_INTERVAL_MS));
         assertEquals(
                 List.of("membership.on", "state.dir", "state.every_ms"),
--- a/balancer/src/test/java/loadbalancer/lease/VoterPromiseTest.java
+++ b/balancer/src/test/java/loadbalancer/lease/VoterPromiseTest.java
@@ -19,7 +19,7 @@
     void corruptPromisesAreNotDecoded() {
         byte[] encoded = VoterPromise.encode(PROMISES);
         assertEquals(Optional.empty(), VoterPromise.decode(encoded, 3));
-        assertEquals(Optional.empty(), VoterPromise.decode(null, 2));
+        assertEquals(Optional.empty(), VoterPromise.decode(new byte[0], 2));
         encoded[0] = -1;
         assertEquals(Optional.empty(), VoterPromise.decode(encoded, 2));
     }
--- a/balancer/src/test/java/loadbalancer/recovery/GoldenStateContentTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/GoldenStateContentTest.java
@@ -1,7 +1,6 @@
 package loadbalancer.recovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.jr.ob.JSON;
@@ -11,6 +10,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import loadbalancer.GoldenFiles;
 import loadbalancer.config.BootSettings;
@@ -107,8 +107,10 @@
     }
 
     /** The content of the snapshot that a balancer takes in this directory. */
-    static String stored(Path directory, PolicySnapshot policySnapshot) throws IOException {
-        RecoveryStore store = RecoveryStore.open(directory, OWNER, boot(), 1_000, line -> {});
+    static String stored(Path directory, Optional<PolicySnapshot> policySnapshot)
+            throws IOException {
+        RecoveryStore store =
+                RecoveryStore.open(directory, OWNER, boot(), 1_000, line -> {}).orElseThrow();
         store.onEndpointList(EndpointListKind.COMPLETE, list());
         store.takeSnapshot(policySnapshot);
         while (!Files.exists(directory.resolve("snapshot-1"))) {
@@ -130,7 +132,7 @@
     private RecoveryStore openWith(byte[] content, long at) throws IOException {
         new SnapshotStore(new FileSystemDirectory(directory), OWNER, "snapshot")
                 .save(at, 1, content);
-        return RecoveryStore.open(directory, OWNER, boot(), 1_000, log::add);
+        return RecoveryStore.open(directory, OWNER, boot(), 1_000, log::add).orElseThrow();
     }
 
     @ParameterizedTest
@@ -142,7 +144,7 @@
             assertEquals(
                     list(),
                     store.newestEndpointList(new EndpointList(REVISION - 1, true, List.of())));
-            assertEquals(policySnapshot(), store.recoveredPolicySnapshot());
+            assertEquals(Optional.of(policySnapshot()), store.recoveredPolicySnapshot());
         } finally {
             store.close();
         }
@@ -156,7 +158,7 @@
             assertEquals(
                     list(),
                     store.newestEndpointList(new EndpointList(REVISION - 1, true, List.of())));
-            assertNull(store.recoveredPolicySnapshot());
+            assertEquals(Optional.empty(), store.recoveredPolicySnapshot());
         } finally {
             store.close();
         }
@@ -164,7 +166,7 @@
 
     @Test
     void valuesGiveBytes() throws IOException {
-        String stored = stored(directory, policySnapshot());
+        String stored = stored(directory, Optional.of(policySnapshot()));
         assertTrue(
                 Set.of(GoldenFiles.text(ENDPOINTS_FIRST), GoldenFiles.text(LATENCIES_FIRST))
                         .contains(stored),
@@ -173,13 +175,14 @@
 
     @Test
     void valuesOfListOnlyGiveBytes() throws IOException {
-        assertEquals(GoldenFiles.text(LIST_ONLY), stored(directory, null));
+        assertEquals(GoldenFiles.text(LIST_ONLY), stored(directory, Optional.empty()));
     }
 
     @Test
     void snapshotFileGivesValues() throws IOException {
         Files.write(directory.resolve("snapshot-1"), GoldenFiles.bytes(SNAPSHOT));
-        RecoveryStore store = RecoveryStore.open(directory, OWNER, boot(), 1_000, log::add);
+        RecoveryStore store =
+                RecoveryStore.open(directory, OWNER, boot(), 1_000, log::add).orElseThrow();
         try {
             assertEquals(
                     list(),
--- a/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
@@ -1,8 +1,6 @@
 package loadbalancer.recovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.jr.ob.JSON;
@@ -11,6 +9,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CopyOnWriteArrayList;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.EndpointList;
@@ -33,8 +32,8 @@
     @TempDir private Path directory;
     private final List<String> logLines = new CopyOnWriteArrayList<>();
     private final BalancerConfig config = config();
-    private RecoveryStore store;
-    private PolicySnapshot policySnapshot;
+    private Optional<RecoveryStore> openedStore = Optional.empty();
+    private Optional<PolicySnapshot> policySnapshot = Optional.empty();
 
     private static BalancerConfig config() {
         try {
@@ -65,6 +64,11 @@
     }
 
     private RecoveryStore open() {
+        openedStore = tryOpen();
+        return openedStore.orElseThrow();
+    }
+
+    private Optional<RecoveryStore> tryOpen() {
         return RecoveryStore.open(directory, "n1", config.boot(), 1_000, logLines::add);
     }
 
@@ -75,13 +79,11 @@
 
     @AfterEach
     void closeStore() {
-        if (store != null) {
-            store.close();
-        }
+        openedStore.ifPresent(RecoveryStore::close);
     }
 
     private void persist(EndpointList endpointList) throws IOException, InterruptedException {
-        store = open();
+        RecoveryStore store = open();
         store.onEndpointList(EndpointListKind.COMPLETE, endpointList);
         store.takeSnapshot(policySnapshot);
         while (!hasSnapshot()) {
@@ -100,8 +102,8 @@
     void listIsRestoredWithHigherIncarnation() throws IOException, InterruptedException {
         EndpointList persisted = parseList(41, true, "terminating");
         persist(persisted);
-        long previousIncarnation = store.incarnation();
-        store = open();
+        long previousIncarnation = openedStore.orElseThrow().incarnation();
+        RecoveryStore store = open();
         assertEquals(persisted, store.newestEndpointList(config.initialEndpoints()));
         assertTrue(store.incarnation() > previousIncarnation);
         assertTrue(
@@ -111,7 +113,7 @@
     @Test
     void platformListWinsIfAsNew() throws IOException, InterruptedException {
         persist(parseList(41, true, "in_service"));
-        store = open();
+        RecoveryStore store = open();
         EndpointList known = parseList(41, true, "terminating");
         assertEquals(known, store.newestEndpointList(known));
         assertEquals(41, store.newestEndpointList(parseList(40, true, "terminating")).revision());
@@ -119,22 +121,12 @@
 
     @Test
     void policySnapshotIsRestored() throws IOException, InterruptedException {
-        policySnapshot =
-                new PolicySnapshot(
-                        List.of(
-                                new PolicySnapshot.EndpointSnapshot(
-                                        "s1",
-                                        7,
-                                        12.5,
-                                        3,
-                                        0.25,
-                                        900_000,
-                                        2,
-                                        0,
-                                        List.of(0L, 5_000L))),
-                        List.of(60_000.5));
+        PolicySnapshot.EndpointSnapshot endpoint =
+                new PolicySnapshot.EndpointSnapshot(
+                        "s1", 7, 12.5, 3, 0.25, 900_000, 2, 0, List.of(0L, 5_000L));
+        policySnapshot = Optional.of(new PolicySnapshot(List.of(endpoint), List.of(60_000.5)));
         persist(parseList(41, true, "in_service"));
-        store = open();
+        RecoveryStore store = open();
         assertEquals(policySnapshot, store.recoveredPolicySnapshot());
         assertTrue(
                 store.snapshotAgeMicros() >= 0 && store.snapshotAgeMicros() < 30_000_000,
@@ -143,21 +135,21 @@
 
     @Test
     void directoryHasOneOwner() {
-        store = open();
-        assertNotNull(store);
-        assertNull(open());
+        openedStore = tryOpen();
+        assertTrue(openedStore.isPresent());
+        assertEquals(Optional.empty(), tryOpen());
         assertEquals(
                 List.of("state: this process has " + directory + " already, serving without"),
                 logLines);
-        store.close();
-        store = open();
-        assertNotNull(store);
+        openedStore.get().close();
+        openedStore = tryOpen();
+        assertTrue(openedStore.isPresent());
     }
 
     @Test
     void unusableDirectoryDoesNotFailStart() throws IOException {
         directory = Files.writeString(directory.resolve("file"), "x");
-        assertNull(open());
+        assertEquals(Optional.empty(), tryOpen());
         assertTrue(logLines.get(0).startsWith("state: can't use "), logLines.toString());
     }
 
@@ -166,7 +158,7 @@
         Files.writeString(
                 directory.resolve("snapshot-5"),
                 "not one of ours, but as long as one would be, and more");
-        store = open();
+        RecoveryStore store = open();
         assertEquals(
                 config.initialEndpoints(), store.newestEndpointList(config.initialEndpoints()));
         assertEquals(List.of("state: dropped snapshot-5: bad magic"), logLines);
