--- a/balancer/src/main/java/loadbalancer/config/EndpointList.java
+++ b/balancer/src/main/java/loadbalancer/config/EndpointList.java
@@ -2,6 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
+import java.util.Optional;
 import loadbalancer.routing.api.Endpoint;
 
 /**
@@ -16,9 +17,14 @@
      * One endpoint.
      *
      * @param endpoint the endpoint as the routing policy knows it
-     * @param address where this balancer connects to it; null only for a removed endpoint
+     * @param address where this balancer connects to it; empty only for a removed endpoint
      */
-    public record Entry(Endpoint endpoint, InetSocketAddress address) {}
+    public record Entry(Endpoint endpoint, Optional<InetSocketAddress> address) {
+        /** An endpoint whose address is known. */
+        public Entry(Endpoint endpoint, InetSocketAddress address) {
+            this(endpoint, Optional.of(address));
+        }
+    }
 
     /** A complete list without endpoints, older than any of discovery's. */
     static EndpointList empty() {
--- a/balancer/src/main/java/loadbalancer/config/EndpointListCodec.java
+++ b/balancer/src/main/java/loadbalancer/config/EndpointListCodec.java
@@ -12,6 +12,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointStatus;
 
@@ -52,22 +53,19 @@
      */
     public static EndpointList decode(byte[] json, int offset, int length, BootSettings boot) {
         try (JsonParser parser = JSON_FACTORY.createParser(json, offset, length)) {
-            List<EndpointList.Entry> entries = null;
+            Optional<List<EndpointList.Entry>> entries = Optional.empty();
             Map<String, Object> fields = new HashMap<>();
             if (parser.nextToken() == JsonToken.START_OBJECT) {
                 while (parser.nextToken() == JsonToken.FIELD_NAME) {
                     String name = parser.currentName();
                     JsonToken valueStart = parser.nextToken();
                     if (valueStart == JsonToken.START_ARRAY && name.equals(ENTRIES_FIELD)) {
-                        entries = decodeEntries(parser, boot);
+                        entries = Optional.of(decodeEntries(parser, boot));
                     }
                     putUnique(fields, name, readPlainValue(parser));
                 }
             }
-            if (entries == null) {
-                throw missingEntries();
-            }
-            return toEndpointList(fields, entries);
+            return toEndpointList(fields, entries.orElseThrow(EndpointListCodec::missingEntries));
         } catch (IOException e) {
             throw new InvalidEndpointListException("not JSON", e);
         }
@@ -120,7 +118,8 @@
         fields.put(name, value);
     }
 
-    // A string, number or boolean; null for null, and for objects and arrays, which are skipped.
+    // A string, number or boolean; null stands for JSON's null, and for objects and arrays, which
+    // are skipped.
     private static Object readPlainValue(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
             case VALUE_STRING -> parser.getText();
@@ -146,7 +145,7 @@
             throw new InvalidEndpointListException("a target without uid");
         }
         EndpointStatus status = toStatus(fields.get("state"));
-        InetSocketAddress address = toAddress(fields.get("endpoint"), status);
+        Optional<InetSocketAddress> address = toAddress(fields.get("endpoint"), status);
         double weight = finiteNumber(fields.get("capacity_hint"), 1);
         Endpoint endpoint =
                 new Endpoint(
@@ -161,19 +160,17 @@
     }
 
     private static EndpointStatus toStatus(Object state) {
-        EndpointStatus status = PlatformTerms.endpointStatus(String.valueOf(state));
-        if (status == null) {
-            throw new InvalidEndpointListException("unknown state: '" + state + "'");
-        }
-        return status;
+        return PlatformTerms.endpointStatus(String.valueOf(state))
+                .orElseThrow(
+                        () -> new InvalidEndpointListException("unknown state: '" + state + "'"));
     }
 
-    private static InetSocketAddress toAddress(Object address, EndpointStatus status) {
+    private static Optional<InetSocketAddress> toAddress(Object address, EndpointStatus status) {
         if (address == null && status == EndpointStatus.REMOVED) {
-            return null;
+            return Optional.empty();
         }
         try {
-            return SocketAddressParser.parse(String.valueOf(address));
+            return Optional.of(SocketAddressParser.parse(String.valueOf(address)));
         } catch (InvalidAddressException e) {
             throw new InvalidEndpointListException(e.getMessage(), e);
         }
--- a/balancer/src/main/java/loadbalancer/config/FileChangeDetector.java
+++ b/balancer/src/main/java/loadbalancer/config/FileChangeDetector.java
@@ -5,6 +5,7 @@
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
 import java.nio.file.attribute.FileTime;
+import java.util.Optional;
 
 /**
  * Polls a file's attributes for a change of its content or its replacement by another file. Not
@@ -12,8 +13,8 @@
  */
 public final class FileChangeDetector {
     private final Path file;
-    // Null until the file has been seen
-    private Fingerprint lastFingerprint;
+    // Empty until the file has been seen
+    private Optional<Fingerprint> lastFingerprint;
 
     /** What differs between two versions of a file, as far as its attributes show. */
     private record Fingerprint(Object fileKey, long sizeBytes, FileTime lastModified) {}
@@ -29,22 +30,25 @@
      * change: while a file is being replaced there may be none for a moment.
      */
     public boolean hasChanged() {
-        Fingerprint currentFingerprint = fingerprint();
-        if (currentFingerprint == null || currentFingerprint.equals(lastFingerprint)) {
+        Optional<Fingerprint> currentFingerprint = fingerprint();
+        if (currentFingerprint.isEmpty() || currentFingerprint.equals(lastFingerprint)) {
             return false;
         }
         lastFingerprint = currentFingerprint;
         return true;
     }
 
-    // Null where the file can't be read.
-    private Fingerprint fingerprint() {
+    // Empty where the file can't be read.
+    private Optional<Fingerprint> fingerprint() {
         try {
             BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
-            return new Fingerprint(
-                    attributes.fileKey(), attributes.size(), attributes.lastModifiedTime());
+            return Optional.of(
+                    new Fingerprint(
+                            attributes.fileKey(),
+                            attributes.size(),
+                            attributes.lastModifiedTime()));
         } catch (IOException e) {
-            return null;
+            return Optional.empty();
         }
     }
 }
--- a/balancer/src/main/java/loadbalancer/config/LocalSettingsParser.java
+++ b/balancer/src/main/java/loadbalancer/config/LocalSettingsParser.java
@@ -125,8 +125,10 @@
     }
 
     private String location(String key) {
-        Integer lineNumber = lineNumberByKey.get(key);
-        String line = lineNumber == null ? "" : "line " + lineNumber + ": ";
+        String line =
+                Optional.ofNullable(lineNumberByKey.get(key))
+                        .map(lineNumber -> "line " + lineNumber + ": ")
+                        .orElse("");
         return fileName + ": " + line + key;
     }
 
--- a/balancer/src/main/java/loadbalancer/config/PlatformTerms.java
+++ b/balancer/src/main/java/loadbalancer/config/PlatformTerms.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import loadbalancer.routing.api.DeduplicationScope;
 import loadbalancer.routing.api.DiscoveryMode;
 import loadbalancer.routing.api.EndpointStatus;
@@ -59,9 +60,9 @@
 
     private PlatformTerms() {}
 
-    /** The status that field {@code state} of a list's entry names; null if it is unknown. */
-    static EndpointStatus endpointStatus(String term) {
-        return ENDPOINT_STATUSES.get(term);
+    /** The status that field {@code state} of a list's entry names; empty if it is unknown. */
+    static Optional<EndpointStatus> endpointStatus(String term) {
+        return Optional.ofNullable(ENDPOINT_STATUSES.get(term));
     }
 
     /**
--- a/balancer/src/main/java/loadbalancer/config/SettingsValues.java
+++ b/balancer/src/main/java/loadbalancer/config/SettingsValues.java
@@ -3,8 +3,10 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
+import java.util.function.Function;
 
 /**
  * Typed access to settings that stand as path=value pairs. A value of {@code -} counts as missing.
@@ -28,22 +30,18 @@
     }
 
     String text(String path) {
-        String value = present(path);
-        if (value == null) {
-            throw new InvalidSettingException(path, "required setting is missing");
-        }
-        return value;
+        return present(path)
+                .orElseThrow(
+                        () -> new InvalidSettingException(path, "required setting is missing"));
     }
 
     String text(String path, String defaultValue) {
-        String value = present(path);
-        return value == null ? defaultValue : value;
+        return present(path).orElse(defaultValue);
     }
 
-    // Null where the setting is missing.
-    private String present(String path) {
-        String value = values.get(path);
-        return ABSENT.equals(value) ? null : value;
+    // Empty where the setting is missing.
+    private Optional<String> present(String path) {
+        return Optional.ofNullable(values.get(path)).filter(value -> !value.equals(ABSENT));
     }
 
     /** Values separated by commas; none where the setting is missing or empty. */
@@ -53,57 +51,50 @@
     }
 
     long integer(String path) {
-        return parseInteger(path, text(path));
+        return parse(path, text(path), NumberParser::parseLong);
     }
 
     long integer(String path, long defaultValue) {
-        String value = present(path);
-        return value == null ? defaultValue : parseInteger(path, value);
-    }
-
-    private static long parseInteger(String path, String value) {
-        try {
-            return NumberParser.parseLong(value);
-        } catch (InvalidValueException e) {
-            throw new InvalidSettingException(path, e);
-        }
+        return parse(path, NumberParser::parseLong).orElse(defaultValue);
     }
 
     double number(String path) {
-        return parseNumber(path, text(path));
+        return parse(path, text(path), NumberParser::parseFiniteDouble);
     }
 
     double number(String path, double defaultValue) {
-        String value = present(path);
-        return value == null ? defaultValue : parseNumber(path, value);
-    }
-
-    private static double parseNumber(String path, String value) {
-        try {
-            return NumberParser.parseFiniteDouble(value);
-        } catch (InvalidValueException e) {
-            throw new InvalidSettingException(path, e);
-        }
+        return parse(path, NumberParser::parseFiniteDouble).orElse(defaultValue);
     }
 
     boolean flag(String path) {
-        return parseFlag(path, text(path));
+        return parse(path, text(path), SettingsValues::parseFlag);
     }
 
     boolean flag(String path, boolean defaultValue) {
-        String value = present(path);
-        return value == null ? defaultValue : parseFlag(path, value);
+        return parse(path, SettingsValues::parseFlag).orElse(defaultValue);
     }
 
-    private static boolean parseFlag(String path, String value) {
+    private static boolean parseFlag(String value) {
         return switch (value) {
             case "true", "1" -> true;
             case "false", "0" -> false;
-            default ->
-                    throw new InvalidSettingException(path, "not true or false: '" + value + "'");
+            default -> throw new InvalidValueException("true or false", value);
         };
     }
 
+    // Empty where the setting is missing.
+    private <T> Optional<T> parse(String path, Function<String, T> parser) {
+        return present(path).map(value -> parse(path, value, parser));
+    }
+
+    private static <T> T parse(String path, String value, Function<String, T> parser) {
+        try {
+            return parser.apply(value);
+        } catch (InvalidValueException e) {
+            throw new InvalidSettingException(path, e);
+        }
+    }
+
     /** The number of numbered settings below {@code path}. */
     int count(String path) {
         return checkCount(path, integer(path + COUNT_SUFFIX));
--- a/balancer/src/main/java/loadbalancer/config/SocketAddressParser.java
+++ b/balancer/src/main/java/loadbalancer/config/SocketAddressParser.java
@@ -37,11 +37,11 @@
         if (colon <= 0 || port == INVALID) {
             throw new InvalidAddressException("address:port", text);
         }
-        byte[] ipv4Bytes = parseIpv4(text, colon);
+        byte[] octets = new byte[IPV4_BYTES];
         try {
-            return ipv4Bytes == null
-                    ? parseIpLiteral(text.substring(0, colon), port)
-                    : new InetSocketAddress(InetAddress.getByAddress(ipv4Bytes), port);
+            return parseIpv4(text, colon, octets)
+                    ? new InetSocketAddress(InetAddress.getByAddress(octets), port)
+                    : parseIpLiteral(text.substring(0, colon), port);
         } catch (UnknownHostException e) {
             throw new InvalidAddressException("an address", text);
         }
@@ -59,10 +59,10 @@
         }
     }
 
-    // The usual form, four octets; null for any other. By hand, since matching a pattern for each
-    // entry took most of the time that a large endpoint list took.
-    private static byte[] parseIpv4(String text, int end) {
-        byte[] octets = new byte[IPV4_BYTES];
+    // Reads text[0, end) into octets if it has the usual form, four of them, and returns whether it
+    // has. By hand, since matching a pattern for each entry took most of the time that a large
+    // endpoint list took.
+    private static boolean parseIpv4(String text, int end, byte[] octets) {
         int start = 0;
         for (int i = 0; i < IPV4_BYTES; i++) {
             int dot = i == IPV4_BYTES - 1 ? end : text.indexOf('.', start);
@@ -71,12 +71,12 @@
                     inText ? parseDigits(text, start, dot, MAX_OCTET_DIGITS, MAX_OCTET) : INVALID;
             boolean hasLeadingZero = value > 0 && text.charAt(start) == '0';
             if (value == INVALID || hasLeadingZero) {
-                return null;
+                return false;
             }
             octets[i] = (byte) value;
             start = dot + 1;
         }
-        return octets;
+        return true;
     }
 
     // The number in text[from, to), or INVALID: no digits, too many, or a value above max.
--- a/balancer/src/main/java/loadbalancer/config/package-info.java
+++ b/balancer/src/main/java/loadbalancer/config/package-info.java
@@ -14,6 +14,10 @@
  * loadbalancer.config.InvalidAddressException} and {@link
  * loadbalancer.config.InvalidValueException} for its parts.
  *
+ * <p>A value that may be missing is an {@link java.util.Optional}, in records, parameters and
+ * results alike. Null occurs only within methods that read a library's maps and trees, where it
+ * stands for a missing key or for JSON's null.
+ *
  * <p>The package may use {@code routing.api} for the values that settings become. It must not
  * depend on sockets, the event loop or any package that is configured by it.
  */
--- a/balancer/src/main/java/loadbalancer/recovery/SnapshotContentCodec.java
+++ b/balancer/src/main/java/loadbalancer/recovery/SnapshotContentCodec.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -16,7 +17,7 @@
 
 /**
  * Content of a snapshot as JSON: the endpoint list in the form of discovery's, so that {@link
- * EndpointList#parse} reads both, with the policy snapshot as one more key. The keys are those of
+ * EndpointListCodec} reads both, with the policy snapshot as one more key. The keys are those of
  * stored data and can't change. Immutable.
  */
 final class SnapshotContentCodec {
@@ -48,10 +49,11 @@
 
     private Map<String, Object> encodeEndpoint(EndpointList.Entry entry) {
         Endpoint endpoint = entry.endpoint();
-        String ipAddress = entry.address().getAddress().getHostAddress();
+        // Only a removed endpoint has none, and those are not persisted.
+        InetSocketAddress address = entry.address().orElseThrow();
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("uid", endpoint.id());
-        fields.put("endpoint", ipAddress + ":" + entry.address().getPort());
+        fields.put("endpoint", address.getAddress().getHostAddress() + ":" + address.getPort());
         fields.put("state", endpoint.status() == EndpointStatus.UP ? "in_service" : "terminating");
         fields.put("capacity_hint", endpoint.weight());
         fields.put("boot_ms", endpoint.startedAtMicros() / 1000);
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamPool.java
@@ -138,9 +138,7 @@
         }
         EndpointPool endpointPool =
                 endpointPools.computeIfAbsent(endpointId, id -> new EndpointPool(context, id));
-        if (entry.address() != null) {
-            endpointPool.updateAddress(entry.address());
-        }
+        entry.address().ifPresent(endpointPool::updateAddress);
         if (status == EndpointStatus.UP) {
             endpointPool.markUp();
         } else {
