--- a/balancer/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/balancer/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -135,7 +135,7 @@
             activeWatch = null;
         }
         if (!pushed) {
-            listener.onEndpointListUpdate(EndpointListKind.FAILED, null);
+            listener.onDiscoveryFailed();
         } else if (call.isWatch()) {
             reopenWatchAfter(worked ? 0 : timing.retryBackoffMs());
         }
--- a/balancer/src/main/java/loadbalancer/discovery/EndpointListListener.java
+++ b/balancer/src/main/java/loadbalancer/discovery/EndpointListListener.java
@@ -4,14 +4,17 @@
 import loadbalancer.routing.api.EndpointListKind;
 
 /** Receives what discovery sends; called on the event loop. */
-@FunctionalInterface
 public interface EndpointListListener {
     /**
-     * A list has come, or discovery has failed.
+     * A list has come.
      *
-     * @param kind {@code COMPLETE} or {@code DELTA}, or {@code FAILED} where a poll or a watch that
-     *     the routing policy asked for has ended without the response it was for
-     * @param endpointList the list; null with {@code FAILED}
+     * @param kind {@code COMPLETE} or {@code DELTA}
      */
     void onEndpointListUpdate(EndpointListKind kind, EndpointList endpointList);
+
+    /**
+     * A poll or a watch that the routing policy asked for has ended without the response it was
+     * for.
+     */
+    void onDiscoveryFailed();
 }
--- a/balancer/src/main/java/loadbalancer/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/Dispatcher.java
@@ -100,14 +100,17 @@
 
     // ---------------------------------------------------------------- endpoints and peers
 
-    /** Takes an endpoint list or a delta; null where the call or the watch has failed. */
+    /** Takes an endpoint list or a delta. */
     public void onEndpointListUpdate(EndpointListKind kind, EndpointList endpointList) {
-        if (endpointList != null) {
-            upstreamPool.updateEndpoints(endpointList, nowMicros());
-        }
+        upstreamPool.updateEndpoints(endpointList, nowMicros());
         policyEvents.endpointListReceived(kind, endpointList);
     }
 
+    /** A poll or a watch that the routing policy asked for has failed. */
+    public void onDiscoveryFailed() {
+        policyEvents.endpointListReceived(EndpointListKind.FAILED, null);
+    }
+
     /** The number of listed endpoints that get no requests now. */
     public int avoidedEndpointCount() {
         return policy.ejectedEndpointCount(nowMicros());
--- a/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
+++ b/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
@@ -220,11 +220,9 @@
 
     // ------------------------------------------------------------ persisting
 
-    /** Merges a list from discovery; null is ignored. */
+    /** Merges a list from discovery. */
     public void onEndpointList(EndpointListKind kind, EndpointList endpointList) {
-        if (endpointList != null) {
-            endpoints.apply(kind, endpointList);
-        }
+        endpoints.apply(kind, endpointList);
     }
 
     /** How often {@link #takeSnapshot} shall be called. */
--- a/balancer/src/main/java/loadbalancer/server/BalancerServer.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerServer.java
@@ -22,6 +22,7 @@
 import loadbalancer.config.EndpointList;
 import loadbalancer.config.LocalSettings;
 import loadbalancer.discovery.DiscoveryClient;
+import loadbalancer.discovery.EndpointListListener;
 import loadbalancer.dispatch.Dispatcher;
 import loadbalancer.http.HttpFrontend;
 import loadbalancer.proxy.BodyRelay;
@@ -119,7 +120,7 @@
                         config.discoveryAddress(),
                         config.boot(),
                         knownEndpoints.revision(),
-                        this::onEndpointListUpdate,
+                        new DiscoveryListener(),
                         log);
         frontend =
                 new HttpFrontend(
@@ -152,6 +153,19 @@
                                         log));
     }
 
+    /** Hands what discovery sends to the parts that use it. */
+    private final class DiscoveryListener implements EndpointListListener {
+        @Override
+        public void onEndpointListUpdate(EndpointListKind kind, EndpointList endpointList) {
+            BalancerServer.this.onEndpointListUpdate(kind, endpointList);
+        }
+
+        @Override
+        public void onDiscoveryFailed() {
+            dispatcher.onDiscoveryFailed();
+        }
+    }
+
     /** Hands messages of other balancers to the cluster coordinator or the routing policy. */
     private final class PeerMessageRouter implements PeerTransport.Listener {
         @Override
@@ -368,10 +382,9 @@
         }
     }
 
-    private static boolean hasEndpointUp(EndpointList endpointListOrNull) {
-        return endpointListOrNull != null
-                && endpointListOrNull.entries().stream()
-                        .anyMatch(entry -> entry.endpoint().status() == EndpointStatus.UP);
+    private static boolean hasEndpointUp(EndpointList endpointList) {
+        return endpointList.entries().stream()
+                .anyMatch(entry -> entry.endpoint().status() == EndpointStatus.UP);
     }
 
     private void updateReadiness() {
--- a/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
+++ b/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
@@ -60,18 +60,23 @@
                         SocketAddressParser.parse(discoveryServer.address()),
                         boot,
                         41,
-                        (kind, endpointList) -> updates.add(describe(kind, endpointList)),
+                        new RecordingListener(),
                         line -> {});
         eventLoop.execute(client::start);
     }
 
-    // Such as "DELTA 43 [b]"; a failure has no list.
-    private static String describe(EndpointListKind kind, EndpointList endpointList) {
-        if (endpointList == null) {
-            return kind + " ";
+    /** Records lists such as "DELTA 43 [b]"; a failure has no list. */
+    private final class RecordingListener implements EndpointListListener {
+        @Override
+        public void onEndpointListUpdate(EndpointListKind kind, EndpointList endpointList) {
+            List<String> ids = endpointList.endpoints().stream().map(Endpoint::id).toList();
+            updates.add(kind + " " + endpointList.revision() + " " + ids);
+        }
+
+        @Override
+        public void onDiscoveryFailed() {
+            updates.add("FAILED");
         }
-        List<String> ids = endpointList.endpoints().stream().map(Endpoint::id).toList();
-        return kind + " " + endpointList.revision() + " " + ids;
     }
 
     @AfterEach
