--- a/balancer/src/main/java/loadbalancer/lease/LeaseOutbox.java
+++ b/balancer/src/main/java/loadbalancer/lease/LeaseOutbox.java
@@ -61,10 +61,10 @@
 
     /** When the request was sent that this response repeats; empty if it no longer counts. */
     OptionalLong requestedAtMicros(LeaseMessage response) {
-        Long sentAtMicros =
-                response.processId() == processId
-                        ? sentAtMicrosByRound.get(response.sequenceNumber())
-                        : null;
+        if (response.processId() != processId) {
+            return OptionalLong.empty();
+        }
+        Long sentAtMicros = sentAtMicrosByRound.get(response.sequenceNumber());
         return sentAtMicros == null ? OptionalLong.empty() : OptionalLong.of(sentAtMicros);
     }
 
--- a/balancer/src/main/java/loadbalancer/simulator/EndpointListBuffers.java
+++ b/balancer/src/main/java/loadbalancer/simulator/EndpointListBuffers.java
@@ -2,7 +2,9 @@
 
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointStatus;
 
@@ -20,14 +22,8 @@
     };
     private static final int UNKNOWN_INDEX = -1;
 
-    // Null where no LIST has filled a buffer
-    private final List<List<Endpoint>> buffers = new ArrayList<>();
-
-    EndpointListBuffers() {
-        for (int i = 0; i < BUFFER_COUNT; i++) {
-            buffers.add(null);
-        }
-    }
+    // By their number; only those that a LIST has filled
+    private final Map<Integer, List<Endpoint>> buffers = new HashMap<>();
 
     /** Reads the ITEM frames that {@code listFrame} announces into the buffer that it names. */
     void read(WireFrame listFrame, FrameReader frames) throws IOException {
@@ -35,14 +31,13 @@
         int entryCount = listFrame.index(ENTRIES, Integer.MAX_VALUE);
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < entryCount; i++) {
-            WireFrame item = frames.next();
-            if (item == null || !item.name().equals("ITEM")) {
+            if (!frames.advance() || !frames.current().name().equals("ITEM")) {
                 throw frames.malformed(
                         "LIST", ENTRIES, entryCount + " ITEM lines announced, " + i + " found");
             }
-            endpoints.add(toEndpoint(item.withFields(ITEM_FIELDS)));
+            endpoints.add(toEndpoint(frames.current().withFields(ITEM_FIELDS)));
         }
-        buffers.set(bufferIndex, List.copyOf(endpoints));
+        buffers.put(bufferIndex, List.copyOf(endpoints));
     }
 
     private static Endpoint toEndpoint(WireFrame item) {
--- a/balancer/src/main/java/loadbalancer/simulator/FrameReader.java
+++ b/balancer/src/main/java/loadbalancer/simulator/FrameReader.java
@@ -3,9 +3,14 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 
-/** Reads the frames of the simulator's wire and counts its lines. Not thread-safe. */
+/**
+ * Reads the frames of the simulator's wire, one after another, and counts its lines. Not
+ * thread-safe.
+ */
 final class FrameReader {
     private final BufferedReader input;
+    // Null before the first line, and from the end of the input on
+    private WireFrame currentFrame;
     private long lineNumber;
 
     /** {@code input} stays its caller's to close. */
@@ -13,11 +18,17 @@
         this.input = input;
     }
 
-    /** The next frame, or null at the end of the input. */
-    WireFrame next() throws IOException {
+    /** Reads the next frame, which becomes the current one; false at the end of the input. */
+    boolean advance() throws IOException {
         String text = input.readLine();
         lineNumber++;
-        return text == null ? null : new WireFrame(lineNumber, text);
+        currentFrame = text == null ? null : new WireFrame(lineNumber, text);
+        return currentFrame != null;
+    }
+
+    /** The frame that the last {@link #advance} read; only if it returned true. */
+    WireFrame current() {
+        return currentFrame;
     }
 
     /** The exception for a fault of the line that was asked for last, be it beyond the end. */
--- a/balancer/src/main/java/loadbalancer/simulator/ReplyWriter.java
+++ b/balancer/src/main/java/loadbalancer/simulator/ReplyWriter.java
@@ -15,9 +15,9 @@
     private static final String NO_PAYLOAD = "-";
 
     private final StringBuilder text = new StringBuilder();
-    // Null until the batch concerns an instance
-    private String currentInstance;
-    private String writtenInstance;
+    // Empty until the batch concerns an instance
+    private String currentInstance = "";
+    private String writtenInstance = "";
 
     /** Names the instance that further actions are of. */
     void selectInstance(String name) {
@@ -39,7 +39,7 @@
     }
 
     private void appendLine(String name, Object... values) {
-        if (currentInstance != null && !currentInstance.equals(writtenInstance)) {
+        if (!currentInstance.equals(writtenInstance)) {
             text.append("ON_BEHALF\t").append(currentInstance).append('\n');
             writtenInstance = currentInstance;
         }
--- a/balancer/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
+++ b/balancer/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -19,6 +19,8 @@
     private static final String INSTANCE = "Balancer";
     private static final String SEED = "InitSeed";
     private static final int FIRST_SETTING_POSITION = 2;
+    // No instance can have this name: a name on the wire has at least one character.
+    private static final String NO_INSTANCE = "";
 
     /** Creates the routing policy of a new instance. */
     public interface PolicyFactory {
@@ -46,11 +48,8 @@
      */
     public void run() throws IOException {
         boolean policiesWork = true;
-        while (policiesWork) {
-            WireFrame frame = frames.next();
-            if (frame == null) {
-                return;
-            }
+        while (policiesWork && frames.advance()) {
+            WireFrame frame = frames.current();
             if (!frame.name().equals("TICK")) {
                 throw frame.malformed("TICK", "a batch begins with it");
             }
@@ -75,13 +74,10 @@
     }
 
     private void processBatch(long nowMicros, ReplyWriter reply) throws IOException {
-        // Null until an AT line names one
-        String instanceName = null;
-        while (true) {
-            WireFrame frame = frames.next();
-            if (frame == null) {
-                throw frames.malformed("GO", "GO", "the input ends within a batch");
-            }
+        // Until an AT line names one
+        String instanceName = NO_INSTANCE;
+        while (frames.advance()) {
+            WireFrame frame = frames.current();
             switch (frame.name()) {
                 case "GO" -> {
                     frame.withFields();
@@ -101,6 +97,7 @@
                 }
             }
         }
+        throw frames.malformed("GO", "GO", "the input ends within a batch");
     }
 
     private void startInstance(WireFrame frame, String instanceName, ReplyWriter reply) {
@@ -121,7 +118,7 @@
     }
 
     private static String requireInstanceName(WireFrame frame, String instanceName) {
-        if (instanceName == null) {
+        if (instanceName.equals(NO_INSTANCE)) {
             throw frame.malformed(INSTANCE, "no AT line names the instance");
         }
         return instanceName;
--- a/balancer/src/main/java/loadbalancer/simulator/package-info.java
+++ b/balancer/src/main/java/loadbalancer/simulator/package-info.java
@@ -8,6 +8,7 @@
  * <p>Everything here belongs to the thread that calls {@code SimulatorAdapter.run()}. The package
  * may use {@code routing.api} and {@code config}; it must not depend on sockets, the event loop or
  * the implementation of the routing policy, which its caller passes in. It holds no decisions, so
- * that what the simulator measures is what the real balancer decides.
+ * that what the simulator measures is what the real balancer decides. A key and a load report that
+ * a message lacks are passed on as null, as {@code RoutingPolicy} has it.
  */
 package loadbalancer.simulator;
