--- a/balancer/src/main/java/loadbalancer/config/EndpointListCodec.java
+++ b/balancer/src/main/java/loadbalancer/config/EndpointListCodec.java
@@ -10,6 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -17,9 +18,10 @@
 import loadbalancer.routing.api.EndpointStatus;
 
 /**
- * Decodes endpoint lists from discovery's JSON: {@code {"rev": N, "all": true, "targets": [...]}}.
- * Fields that it doesn't know are skipped. All methods throw {@link InvalidEndpointListException}
- * for a document that is not such a list. Stateless.
+ * Decodes endpoint lists from discovery's JSON, {@code {"rev": N, "all": true, "targets": [...]}},
+ * and encodes lists in the same form. Fields that it doesn't know are skipped. All methods that
+ * decode throw {@link InvalidEndpointListException} for a document that is not such a list.
+ * Stateless.
  */
 public final class EndpointListCodec {
     /** Entries that one list may have; more would not fit into memory beside the requests. */
@@ -28,6 +30,16 @@
     private static final String ENTRIES_FIELD = "targets";
     private static final String REVISION_FIELD = "rev";
     private static final String COMPLETE_FIELD = "all";
+    // Of one entry
+    private static final String ID_FIELD = "uid";
+    private static final String ADDRESS_FIELD = "endpoint";
+    private static final String STATUS_FIELD = "state";
+    private static final String WEIGHT_FIELD = "capacity_hint";
+    private static final String STARTED_AT_FIELD = "boot_ms";
+    private static final String CELL_FIELD = "pod_group";
+    private static final String MACHINE_TYPE_FIELD = "model";
+    private static final String ZONE_FIELD = "az";
+
     private static final long MICROS_PER_MS = 1_000;
     private static final int UNKNOWN_CELL = -1;
     private static final JsonFactory JSON_FACTORY = new JsonFactory();
@@ -141,21 +153,22 @@
     }
 
     private static EndpointList.Entry toEntry(Map<?, ?> fields, BootSettings boot) {
-        if (!(fields.get("uid") instanceof String id) || id.isEmpty()) {
+        if (!(fields.get(ID_FIELD) instanceof String id) || id.isEmpty()) {
             throw new InvalidEndpointListException("a target without uid");
         }
-        EndpointStatus status = toStatus(fields.get("state"));
-        Optional<InetSocketAddress> address = toAddress(fields.get("endpoint"), status);
-        double weight = finiteNumber(fields.get("capacity_hint"), 1);
+        EndpointStatus status = toStatus(fields.get(STATUS_FIELD));
+        Optional<InetSocketAddress> address = toAddress(fields.get(ADDRESS_FIELD), status);
+        double weight = finiteNumber(fields.get(WEIGHT_FIELD), 1);
         Endpoint endpoint =
                 new Endpoint(
                         id,
                         status,
-                        (long) (finiteNumber(fields.get("boot_ms"), 0) * MICROS_PER_MS),
+                        (long) (finiteNumber(fields.get(STARTED_AT_FIELD), 0) * MICROS_PER_MS),
                         weight > 0 ? weight : 1,
-                        (int) finiteNumber(fields.get("pod_group"), UNKNOWN_CELL),
-                        PlatformTerms.indexOfName(boot.machineTypeNames(), fields.get("model")),
-                        PlatformTerms.indexOfName(boot.zoneNames(), fields.get("az")));
+                        (int) finiteNumber(fields.get(CELL_FIELD), UNKNOWN_CELL),
+                        PlatformTerms.indexOfName(
+                                boot.machineTypeNames(), fields.get(MACHINE_TYPE_FIELD)),
+                        PlatformTerms.indexOfName(boot.zoneNames(), fields.get(ZONE_FIELD)));
         return new EndpointList.Entry(endpoint, address);
     }
 
@@ -191,4 +204,37 @@
     private static InvalidEndpointListException missingEntries() {
         return new InvalidEndpointListException("no list of targets");
     }
+
+    /**
+     * The tree for a JSON writer from which {@link #decode} gives {@code endpointList} again; the
+     * caller may add fields. No entry may be without an address.
+     */
+    public static Map<String, Object> encodeTree(EndpointList endpointList, BootSettings boot) {
+        Map<String, Object> tree = new LinkedHashMap<>();
+        tree.put(REVISION_FIELD, endpointList.revision());
+        tree.put(COMPLETE_FIELD, endpointList.complete());
+        tree.put(
+                ENTRIES_FIELD,
+                endpointList.entries().stream().map(entry -> encodeEntry(entry, boot)).toList());
+        return tree;
+    }
+
+    private static Map<String, Object> encodeEntry(EndpointList.Entry entry, BootSettings boot) {
+        Endpoint endpoint = entry.endpoint();
+        InetSocketAddress address = entry.address().orElseThrow();
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(ID_FIELD, endpoint.id());
+        fields.put(ADDRESS_FIELD, address.getAddress().getHostAddress() + ":" + address.getPort());
+        fields.put(STATUS_FIELD, PlatformTerms.endpointStatusTerm(endpoint.status()));
+        fields.put(WEIGHT_FIELD, endpoint.weight());
+        fields.put(STARTED_AT_FIELD, endpoint.startedAtMicros() / MICROS_PER_MS);
+        fields.put(CELL_FIELD, endpoint.cell());
+        if (endpoint.zone() >= 0) {
+            fields.put(ZONE_FIELD, boot.zoneNames().get(endpoint.zone()));
+        }
+        if (endpoint.machineType() >= 0) {
+            fields.put(MACHINE_TYPE_FIELD, boot.machineTypeNames().get(endpoint.machineType()));
+        }
+        return fields;
+    }
 }
--- a/balancer/src/main/java/loadbalancer/config/PlatformTerms.java
+++ b/balancer/src/main/java/loadbalancer/config/PlatformTerms.java
@@ -49,13 +49,16 @@
                     "CELL",
                     DeduplicationScope.CELL);
 
+    private static final String IN_SERVICE = "in_service";
+    private static final String TERMINATING = "terminating";
+    private static final String TERMINATED = "terminated";
     private static final Map<String, EndpointStatus> ENDPOINT_STATUSES =
             Map.of(
-                    "in_service",
+                    IN_SERVICE,
                     EndpointStatus.UP,
-                    "terminating",
+                    TERMINATING,
                     EndpointStatus.DRAINING,
-                    "terminated",
+                    TERMINATED,
                     EndpointStatus.REMOVED);
 
     private PlatformTerms() {}
@@ -65,6 +68,15 @@
         return Optional.ofNullable(ENDPOINT_STATUSES.get(term));
     }
 
+    /** The value of field {@code state} for a status. */
+    static String endpointStatusTerm(EndpointStatus status) {
+        return switch (status) {
+            case UP -> IN_SERVICE;
+            case DRAINING -> TERMINATING;
+            case REMOVED -> TERMINATED;
+        };
+    }
+
     /**
      * A name as the platform writes it in settings: spaces and commas, which separate values there,
      * become underscores. Names from elsewhere (headers, endpoint lists) are compared in this form.
--- a/balancer/src/main/java/loadbalancer/recovery/PersistedEndpoints.java
+++ b/balancer/src/main/java/loadbalancer/recovery/PersistedEndpoints.java
@@ -30,16 +30,12 @@
         revision = endpointList.revision();
     }
 
-    long revision() {
-        return revision;
-    }
-
     boolean isEmpty() {
         return entriesById.isEmpty();
     }
 
-    /** An immutable copy, for the disk thread. */
-    List<EndpointList.Entry> entries() {
-        return List.copyOf(entriesById.values());
+    /** An immutable copy as a complete list, for the disk thread. */
+    EndpointList toEndpointList() {
+        return new EndpointList(revision, true, List.copyOf(entriesById.values()));
     }
 }
--- a/balancer/src/main/java/loadbalancer/recovery/PolicySnapshotCodec.java
+++ b/balancer/src/main/java/loadbalancer/recovery/PolicySnapshotCodec.java
@@ -80,15 +80,13 @@
                 (long) number(fields, EJECTED_FOR, MAX_DURATION_MICROS),
                 (int) number(fields, EJECTIONS, MAX_CONSECUTIVE_FAILURES),
                 (int) number(fields, CONNECT_FAILURES, MAX_CONSECUTIVE_FAILURES),
-                list(fields, CLASS_EJECTED_FOR).stream()
-                        .map(
-                                micros ->
-                                        (long)
-                                                asNumber(
-                                                        CLASS_EJECTED_FOR,
-                                                        micros,
-                                                        MAX_DURATION_MICROS))
-                        .toList());
+                durations(fields, CLASS_EJECTED_FOR));
+    }
+
+    private static List<Long> durations(Map<?, ?> fields, String key) {
+        return list(fields, key).stream()
+                .map(micros -> (long) asNumber(key, micros, MAX_DURATION_MICROS))
+                .toList();
     }
 
     private static Map<?, ?> asMap(String field, Object value) {
--- a/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
+++ b/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
 import loadbalancer.config.BootSettings;
@@ -238,12 +237,11 @@
         if (endpoints.isEmpty() || !throttle.tryBegin()) {
             return;
         }
-        long revision = endpoints.revision();
-        List<EndpointList.Entry> entries = endpoints.entries();
+        EndpointList endpointList = endpoints.toEndpointList();
         executeOnDiskThread(
                 () -> {
                     long startNanos = System.nanoTime();
-                    byte[] content = contentCodec.encode(revision, entries, policySnapshot);
+                    byte[] content = contentCodec.encode(endpointList, policySnapshot);
                     writer.save(snapshots, content);
                     throttle.end(startNanos);
                 });
--- a/balancer/src/main/java/loadbalancer/recovery/SnapshotContentCodec.java
+++ b/balancer/src/main/java/loadbalancer/recovery/SnapshotContentCodec.java
@@ -3,16 +3,11 @@
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import java.net.InetSocketAddress;
-import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import loadbalancer.config.BootSettings;
 import loadbalancer.config.EndpointList;
 import loadbalancer.config.EndpointListCodec;
-import loadbalancer.routing.api.Endpoint;
-import loadbalancer.routing.api.EndpointStatus;
 import loadbalancer.routing.api.PolicySnapshot;
 
 /**
@@ -30,14 +25,8 @@
         this.boot = boot;
     }
 
-    byte[] encode(
-            long revision,
-            List<EndpointList.Entry> endpoints,
-            Optional<PolicySnapshot> policySnapshot) {
-        Map<String, Object> content = new LinkedHashMap<>();
-        content.put("rev", revision);
-        content.put("all", true);
-        content.put("targets", endpoints.stream().map(this::encodeEndpoint).toList());
+    byte[] encode(EndpointList endpointList, Optional<PolicySnapshot> policySnapshot) {
+        Map<String, Object> content = EndpointListCodec.encodeTree(endpointList, boot);
         policySnapshot.ifPresent(
                 snapshot -> content.put(POLICY_SNAPSHOT, PolicySnapshotCodec.encode(snapshot)));
         try {
@@ -47,26 +36,6 @@
         }
     }
 
-    private Map<String, Object> encodeEndpoint(EndpointList.Entry entry) {
-        Endpoint endpoint = entry.endpoint();
-        // Only a removed endpoint has none, and those are not persisted.
-        InetSocketAddress address = entry.address().orElseThrow();
-        Map<String, Object> fields = new LinkedHashMap<>();
-        fields.put("uid", endpoint.id());
-        fields.put("endpoint", address.getAddress().getHostAddress() + ":" + address.getPort());
-        fields.put("state", endpoint.status() == EndpointStatus.UP ? "in_service" : "terminating");
-        fields.put("capacity_hint", endpoint.weight());
-        fields.put("boot_ms", endpoint.startedAtMicros() / 1000);
-        fields.put("pod_group", endpoint.cell());
-        if (endpoint.zone() >= 0) {
-            fields.put("az", boot.zoneNames().get(endpoint.zone()));
-        }
-        if (endpoint.machineType() >= 0) {
-            fields.put("model", boot.machineTypeNames().get(endpoint.machineType()));
-        }
-        return fields;
-    }
-
     /**
      * Decodes the endpoint list.
      *
--- a/balancer/src/test/java/loadbalancer/config/EndpointListCodecTest.java
+++ b/balancer/src/test/java/loadbalancer/config/EndpointListCodecTest.java
@@ -174,6 +174,17 @@
         assertEquals(expected, list.endpoints().get(0).status());
     }
 
+    @Test
+    void encodedListIsDecodedToTheSame() {
+        EndpointList list =
+                EndpointListCodec.decode(
+                        listJson(2).replaceFirst("in_service", "terminating"), BOOT_SETTINGS);
+        assertEquals(
+                list,
+                EndpointListCodec.decodeTree(
+                        EndpointListCodec.encodeTree(list, BOOT_SETTINGS), BOOT_SETTINGS));
+    }
+
     @Test
     void unknownStateIsRejected() {
         assertEquals(
