--- a/balancer/src/main/java/loadbalancer/cluster/LeaseDriver.java
+++ b/balancer/src/main/java/loadbalancer/cluster/LeaseDriver.java
@@ -29,9 +29,9 @@
     private final Optional<RecoveryStore> recoveryStore;
     private final Consumer<String> log;
     private final RateLimitedLog changeLog;
+    private final DecodeFailureLog decodeFailures;
     private final LeaseManager leaseManager;
     private final TickScheduler ticks;
-    private boolean decodeFailureLogged;
 
     /**
      * Makes a driver whose voter abstains.
@@ -53,6 +53,7 @@
         this.recoveryStore = recoveryStore;
         this.log = log;
         this.changeLog = new RateLimitedLog(log, MonotonicClock::nowMicros);
+        this.decodeFailures = new DecodeFailureLog("lease", log);
         this.leaseManager =
                 new LeaseManager(
                         self,
@@ -102,9 +103,8 @@
         Optional<LeaseMessage> message = LeaseMessage.decode(data);
         if (message.isPresent()) {
             execute(leaseManager.onPeerMessage(MonotonicClock.nowMicros(), from, message.get()));
-        } else if (!decodeFailureLogged) {
-            decodeFailureLogged = true;
-            log.accept("lease message ignored: from=" + from + " reason=undecodable");
+        } else {
+            decodeFailures.onDecodeFailure(from);
         }
         return true;
     }
--- a/balancer/src/main/java/loadbalancer/cluster/MembershipDriver.java
+++ b/balancer/src/main/java/loadbalancer/cluster/MembershipDriver.java
@@ -17,12 +17,11 @@
  */
 final class MembershipDriver {
     private final PeerSender sender;
-    private final Consumer<String> log;
     private final RateLimitedLog changeLog;
+    private final DecodeFailureLog decodeFailures;
     private final Consumer<MembershipView> viewListener;
     private final Membership membership;
     private final TickScheduler ticks;
-    private boolean decodeFailureLogged;
 
     /**
      * Makes a driver that does nothing before {@link #start}.
@@ -40,8 +39,8 @@
             Consumer<String> log,
             Consumer<MembershipView> viewListener) {
         this.sender = sender;
-        this.log = log;
         this.changeLog = new RateLimitedLog(log, MonotonicClock::nowMicros);
+        this.decodeFailures = new DecodeFailureLog("membership", log);
         this.viewListener = viewListener;
         this.membership =
                 new Membership(
@@ -70,9 +69,8 @@
         Optional<MembershipMessage> message = MembershipMessage.decode(data);
         if (message.isPresent()) {
             execute(membership.onPeerMessage(MonotonicClock.nowMicros(), from, message.get()));
-        } else if (!decodeFailureLogged) {
-            decodeFailureLogged = true;
-            log.accept("membership message ignored: from=" + from + " reason=undecodable");
+        } else {
+            decodeFailures.onDecodeFailure(from);
         }
         return true;
     }
--- a/balancer/src/main/java/loadbalancer/cluster/package-info.java
+++ b/balancer/src/main/java/loadbalancer/cluster/package-info.java
@@ -9,8 +9,9 @@
  * protects.
  *
  * <p>All classes belong to the event loop that they are made for, except where a method says that
- * it runs on the thread of {@link loadbalancer.recovery.RecoveryStore}. The package must not depend
- * on {@code routing}, {@code http}, {@code upstream} or {@code dispatch}; no client request waits
- * for it.
+ * it runs on the thread of {@link loadbalancer.recovery.RecoveryStore}. A part that settings switch
+ * off is an empty {@link java.util.Optional}; null marks only a timer or a channel that is not
+ * open, in a private field that says so. The package must not depend on {@code routing}, {@code
+ * http}, {@code upstream} or {@code dispatch}; no client request waits for it.
  */
 package loadbalancer.cluster;
