--- a/balancer/src/main/java/loadbalancer/discovery/DiscoveryCall.java
+++ b/balancer/src/main/java/loadbalancer/discovery/DiscoveryCall.java
@@ -48,7 +48,7 @@
     private final EndpointListFrameDecoder frameDecoder = new EndpointListFrameDecoder();
     private final long openedAtNanos = System.nanoTime();
     private State state = State.AWAITING_FIRST_LIST;
-    // Null until the call is opened
+    // Both null until the call is opened
     private Channel channel;
     private Future<?> silenceTimer;
 
--- a/balancer/src/main/java/loadbalancer/lease/package-info.java
+++ b/balancer/src/main/java/loadbalancer/lease/package-info.java
@@ -11,5 +11,9 @@
  * <p>All classes belong to one thread, the caller's event loop. The package depends on no socket,
  * disk, clock or Netty class and on no other package but {@code util}; {@code cluster.LeaseDriver}
  * supplies them. No client request waits for a lease.
+ *
+ * <p>Results that may be missing are {@link java.util.Optional}. Null occurs in private fields
+ * only, each with a comment that says what it stands for: a candidacy, a lease or a write not under
+ * way.
  */
 package loadbalancer.lease;
--- a/balancer/src/test/java/loadbalancer/membership/GoldenMembershipMessageTest.java
+++ b/balancer/src/test/java/loadbalancer/membership/GoldenMembershipMessageTest.java
@@ -38,7 +38,7 @@
                                         MemberStatus.LEFT,
                                         GREATEST_INCARNATION))));
         messages.put(
-                "ask-each-status.hex",
+                "ping-req-each-status.hex",
                 new MembershipMessage(
                         MembershipMessage.Kind.PING_REQ,
                         258,
@@ -50,19 +50,20 @@
                                 new MemberUpdate(255, MemberStatus.DEAD, RECENT_INCARNATION),
                                 new MemberUpdate(256, MemberStatus.LEFT, 1L << 32))));
         messages.put(
-                "tell-most-news.hex",
-                new MembershipMessage(MembershipMessage.Kind.GOSSIP, 13, -1, 1L << 47, mostNews()));
+                "gossip-most-updates.hex",
+                new MembershipMessage(
+                        MembershipMessage.Kind.GOSSIP, 13, -1, 1L << 47, mostUpdates()));
         return messages;
     }
 
-    private static List<MemberUpdate> mostNews() {
-        List<MemberUpdate> news = new ArrayList<>();
+    private static List<MemberUpdate> mostUpdates() {
+        List<MemberUpdate> updates = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            news.add(
+            updates.add(
                     new MemberUpdate(
                             i * 550, MemberStatus.values()[i % 4], RECENT_INCARNATION + i));
         }
-        return news;
+        return updates;
     }
 
     static List<String> names() {
