--- a/balancer/src/main/java/loadbalancer/server/BalancerServer.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerServer.java
@@ -46,8 +46,9 @@
     // From readiness until the process that this one replaces has ended, at most.
     private static final long HANDOVER_TIMEOUT_SECONDS = 10;
     private static final long STATS_INTERVAL_MS = 100;
-    private static final long MICROS_PER_MS = 1_000;
+    private static final String WARM_UP_ADDRESS_ID = "warm-up";
     private static final long LOG_SUMMARY_INTERVAL_SECONDS = 5;
+    private static final long MICROS_PER_MS = 1_000;
 
     private final Consumer<String> log;
     private final EventLog events;
@@ -83,7 +84,6 @@
      * @param policyFactory makes the routing policy from the settings and the random seed
      * @param warmUp whether a warm-up precedes readiness
      * @param log takes the log lines; called from several threads
-     * @throws loadbalancer.config.InvalidConfigException if the state directory can't be used
      */
     public BalancerServer(
             BalancerConfig config,
@@ -100,15 +100,7 @@
         metrics = new Metrics(config.boot().classNames());
         dispatcher = new Dispatcher(loop, config.boot(), policy, log, events, metrics);
         BodyRelay.BufferBudget bufferBudget = new BodyRelay.BufferBudget();
-        upstreamPool =
-                new UpstreamPool(
-                        loop,
-                        config.boot(),
-                        descriptorBudget,
-                        dispatcher::nowMicros,
-                        events,
-                        metrics,
-                        bufferBudget);
+        upstreamPool = newUpstreamPool(bufferBudget);
         recoveryStore = openRecoveryStore(config, log);
         knownEndpoints =
                 recoveryStore
@@ -122,15 +114,7 @@
                         knownEndpoints.revision(),
                         new DiscoveryListener(),
                         log);
-        frontend =
-                new HttpFrontend(
-                        loop,
-                        config.boot(),
-                        dispatcher,
-                        descriptorBudget,
-                        upstreamPool::closeLongestIdle,
-                        events,
-                        bufferBudget);
+        frontend = newFrontend(bufferBudget);
         peers = new PeerTransport(loop, config.peers(), new PeerMessageRouter(), events);
         cluster = ClusterCoordinator.createIfEnabled(loop, config, recoveryStore, peers::send, log);
         dispatcher.attach(upstreamPool, discovery, peers);
@@ -138,6 +122,28 @@
                 config.adminAddress().map(address -> new AdminServer(new EventLoopAdminHandler()));
     }
 
+    private UpstreamPool newUpstreamPool(BodyRelay.BufferBudget bufferBudget) {
+        return new UpstreamPool(
+                loop,
+                config.boot(),
+                descriptorBudget,
+                dispatcher::nowMicros,
+                events,
+                metrics,
+                bufferBudget);
+    }
+
+    private HttpFrontend newFrontend(BodyRelay.BufferBudget bufferBudget) {
+        return new HttpFrontend(
+                loop,
+                config.boot(),
+                dispatcher,
+                descriptorBudget,
+                upstreamPool::closeLongestIdle,
+                events,
+                bufferBudget);
+    }
+
     private static Optional<RecoveryStore> openRecoveryStore(
             BalancerConfig config, Consumer<String> log) {
         LocalSettings settings = config.localSettings();
@@ -314,7 +320,10 @@
     // At a shared socket the process that this one replaces would answer, so that the warm-up's
     // requests stay within this process.
     private void startWarmUp(InetSocketAddress address) {
-        LocalAddress inProcessAddress = listenerShared ? new LocalAddress("rehearsal") : null;
+        Optional<LocalAddress> inProcessAddress =
+                listenerShared
+                        ? Optional.of(new LocalAddress(WARM_UP_ADDRESS_ID))
+                        : Optional.empty();
         WarmUp warmUp =
                 new WarmUp(
                         loop,
@@ -324,10 +333,10 @@
                         () -> !listenerShared && dispatcher.isInService(),
                         this::onWarmUpFinished);
         frontend.setWarmUp(warmUp);
-        if (inProcessAddress == null) {
-            warmUp.start(address);
+        if (inProcessAddress.isPresent()) {
+            frontend.listenInProcess(inProcessAddress.get(), () -> warmUp.start(address));
         } else {
-            frontend.listenInProcess(inProcessAddress, () -> warmUp.start(address));
+            warmUp.start(address);
         }
     }
 
--- a/balancer/src/main/java/loadbalancer/server/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/server/WarmUp.java
@@ -8,6 +8,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
@@ -67,7 +68,7 @@
     private boolean finished;
 
     /**
-     * @param inProcessAddress where requests go within this process, or null where they go to the
+     * @param inProcessAddress where requests go within this process; empty: they go to the
      *     balancer's own address
      * @param clientRequestCount the number of clients' requests so far, each of which makes one of
      *     the warm-up's unnecessary
@@ -77,7 +78,7 @@
     WarmUp(
             EventLoop loop,
             BalancerConfig config,
-            LocalAddress inProcessAddress,
+            Optional<LocalAddress> inProcessAddress,
             LongSupplier clientRequestCount,
             BooleanSupplier hurried,
             Runnable onFinished) {
@@ -103,7 +104,7 @@
                                 silentEvents,
                                 metrics,
                                 bufferBudget,
-                                inProcessAddress);
+                                inProcessAddress.orElse(null));
         upstreamPool = newPool.get();
         clientPool = newPool.get();
         dispatcher.attach(upstreamPool, null, null);
--- a/balancer/src/test/java/loadbalancer/server/WarmUpTest.java
+++ b/balancer/src/test/java/loadbalancer/server/WarmUpTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-import io.netty.channel.local.LocalAddress;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
@@ -39,7 +39,7 @@
                                 new WarmUp(
                                                 eventLoopGroup.next(),
                                                 config,
-                                                (LocalAddress) null,
+                                                Optional.empty(),
                                                 () -> realRequests,
                                                 () -> clientsWaiting,
                                                 () -> {
