--- a/balancer/src/main/java/loadbalancer/cluster/ClusterCoordinator.java
+++ b/balancer/src/main/java/loadbalancer/cluster/ClusterCoordinator.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import loadbalancer.config.BalancerConfig;
-import loadbalancer.config.LocalSettings;
+import loadbalancer.config.LocalSetting;
 import loadbalancer.lease.Lease;
 import loadbalancer.membership.MembershipView;
 import loadbalancer.recovery.RecoveryStore;
@@ -43,7 +43,7 @@
                         loop, self, memberCount, incarnation, sender, log, this::onViewChanged);
         view = membershipDriver.view();
         leaseDriver =
-                config.localSettings().isEnabled(LocalSettings.Setting.LEASES_ENABLED)
+                config.localSettings().isEnabled(LocalSetting.LEASES_ENABLED)
                         ? Optional.of(
                                 new LeaseDriver(
                                         loop,
@@ -73,7 +73,7 @@
             PeerSender sender,
             Consumer<String> log) {
         boolean enabled =
-                config.localSettings().isEnabled(LocalSettings.Setting.MEMBERSHIP_ENABLED)
+                config.localSettings().isEnabled(LocalSetting.MEMBERSHIP_ENABLED)
                         && config.boot().settings().rank() < config.peers().addresses().size();
         return enabled
                 ? Optional.of(new ClusterCoordinator(loop, config, recoveryStore, sender, log))
--- a/balancer/src/main/java/loadbalancer/config/LocalSettingsParser.java
+++ b/balancer/src/main/java/loadbalancer/config/LocalSettingsParser.java
@@ -17,8 +17,6 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import loadbalancer.config.LocalSettings.Setting;
-import loadbalancer.config.LocalSettings.ValueType;
 
 /**
  * Parses the TOML file of the local settings. A class apart from {@link LocalSettings}, so that a
@@ -31,7 +29,7 @@
 
     private final String fileName;
     private final Map<String, Integer> lineNumberByKey = new HashMap<>();
-    private final Map<Setting, String> values = new EnumMap<>(Setting.class);
+    private final Map<LocalSetting, String> values = new EnumMap<>(LocalSetting.class);
     private final List<String> errors = new ArrayList<>();
 
     /**
@@ -40,7 +38,7 @@
      * @param values the valid values, each as an environment variable would give it
      * @param errors all that is wrong, each with file, line and key as far as they are known
      */
-    record Result(Map<Setting, String> values, List<String> errors) {}
+    record Result(Map<LocalSetting, String> values, List<String> errors) {}
 
     private LocalSettingsParser(String fileName) {
         this.fileName = fileName;
@@ -83,7 +81,7 @@
         for (Map.Entry<String, JsonNode> entry : table.properties()) {
             String key = tableKey.isEmpty() ? entry.getKey() : tableKey + "." + entry.getKey();
             JsonNode node = entry.getValue();
-            Optional<Setting> setting = findSetting(key);
+            Optional<LocalSetting> setting = findSetting(key);
             if (setting.isPresent()) {
                 readValue(setting.get(), node);
             } else if (node.isObject() && isTableOfSettings(key)) {
@@ -94,7 +92,7 @@
         }
     }
 
-    private void readValue(Setting setting, JsonNode node) {
+    private void readValue(LocalSetting setting, JsonNode node) {
         Optional<String> text = toVariableText(setting.type(), node);
         Optional<String> problem =
                 text.isPresent()
@@ -108,7 +106,7 @@
     }
 
     // As an environment variable would give the value; empty where it is of another type.
-    private static Optional<String> toVariableText(ValueType type, JsonNode node) {
+    private static Optional<String> toVariableText(LocalSetting.Type type, JsonNode node) {
         boolean hasType =
                 switch (type) {
                     case BOOLEAN -> node.isBoolean();
@@ -119,8 +117,8 @@
             return Optional.empty();
         }
         return Optional.of(
-                type == ValueType.BOOLEAN
-                        ? LocalSettings.booleanText(node.asBoolean())
+                type == LocalSetting.Type.BOOLEAN
+                        ? LocalSetting.booleanText(node.asBoolean())
                         : node.asText());
     }
 
@@ -132,18 +130,20 @@
         return fileName + ": " + line + key;
     }
 
-    private static Optional<Setting> findSetting(String key) {
-        return Arrays.stream(Setting.values())
+    private static Optional<LocalSetting> findSetting(String key) {
+        return Arrays.stream(LocalSetting.values())
                 .filter(setting -> setting.key().equals(key))
                 .findAny();
     }
 
     private static boolean isTableOfSettings(String key) {
-        return Arrays.stream(Setting.values())
+        return Arrays.stream(LocalSetting.values())
                 .anyMatch(setting -> setting.key().startsWith(key + "."));
     }
 
     private static String knownKeys() {
-        return Arrays.stream(Setting.values()).map(Setting::key).collect(Collectors.joining(", "));
+        return Arrays.stream(LocalSetting.values())
+                .map(LocalSetting::key)
+                .collect(Collectors.joining(", "));
     }
 }
--- a/balancer/src/main/java/loadbalancer/config/package-info.java
+++ b/balancer/src/main/java/loadbalancer/config/package-info.java
@@ -1,10 +1,10 @@
 /**
  * The configuration of a balancer process: what the platform gives ({@link
  * loadbalancer.config.BalancerConfig}, {@link loadbalancer.config.BootSettings}), the load
- * balancer's own settings ({@link loadbalancer.config.LocalSettings}) and endpoint lists ({@link
- * loadbalancer.config.EndpointList}), each with its parser. {@link
- * loadbalancer.config.PlatformTerms} is the one place where the platform's vocabulary is translated
- * to the code's terms.
+ * balancer's own settings ({@link loadbalancer.config.LocalSettings}, each of them a {@link
+ * loadbalancer.config.LocalSetting}) and endpoint lists ({@link loadbalancer.config.EndpointList}),
+ * each with its parser. {@link loadbalancer.config.PlatformTerms} is the one place where the
+ * platform's vocabulary is translated to the code's terms.
  *
  * <p>Values are immutable and may be shared between threads; parsers belong to the thread that
  * calls them. Invalid input is reported by typed exceptions: {@link
--- a/balancer/src/main/java/loadbalancer/server/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerProcess.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.InvalidConfigException;
-import loadbalancer.config.LocalSettings;
+import loadbalancer.config.LocalSetting;
 import loadbalancer.routing.RoutingEngine;
 
 /**
@@ -43,7 +43,7 @@
         try {
             config = BalancerConfig.read(environment);
             boolean zoneFailover =
-                    config.localSettings().isEnabled(LocalSettings.Setting.ZONE_FAILOVER_ENABLED);
+                    config.localSettings().isEnabled(LocalSetting.ZONE_FAILOVER_ENABLED);
             balancer =
                     new BalancerServer(
                             config,
--- a/balancer/src/main/java/loadbalancer/server/BalancerServer.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerServer.java
@@ -20,6 +20,7 @@
 import loadbalancer.cluster.PeerTransport;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.EndpointList;
+import loadbalancer.config.LocalSetting;
 import loadbalancer.config.LocalSettings;
 import loadbalancer.discovery.DiscoveryClient;
 import loadbalancer.discovery.EndpointListListener;
@@ -147,8 +148,8 @@
     private static Optional<RecoveryStore> openRecoveryStore(
             BalancerConfig config, Consumer<String> log) {
         LocalSettings settings = config.localSettings();
-        long snapshotIntervalMs = settings.milliseconds(LocalSettings.Setting.SNAPSHOT_INTERVAL_MS);
-        return settings.directory(LocalSettings.Setting.STATE_DIRECTORY)
+        long snapshotIntervalMs = settings.milliseconds(LocalSetting.SNAPSHOT_INTERVAL_MS);
+        return settings.directory(LocalSetting.STATE_DIRECTORY)
                 .flatMap(
                         directory ->
                                 RecoveryStore.open(
--- a/balancer/src/test/java/loadbalancer/config/LocalSettingsTest.java
+++ b/balancer/src/test/java/loadbalancer/config/LocalSettingsTest.java
@@ -7,11 +7,13 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Optional;
-import loadbalancer.config.LocalSettings.Setting;
+import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -38,20 +40,21 @@
     void defaultsAreOffAndVariablesWin() throws IOException {
         LocalSettings defaults = LocalSettings.read(Map.of());
         assertTrue(
-                !defaults.isEnabled(Setting.MEMBERSHIP_ENABLED)
-                        && !defaults.isEnabled(Setting.LEASES_ENABLED)
-                        && !defaults.isEnabled(Setting.ZONE_FAILOVER_ENABLED));
-        assertEquals(Optional.empty(), defaults.directory(Setting.STATE_DIRECTORY));
+                !defaults.isEnabled(LocalSetting.MEMBERSHIP_ENABLED)
+                        && !defaults.isEnabled(LocalSetting.LEASES_ENABLED)
+                        && !defaults.isEnabled(LocalSetting.ZONE_FAILOVER_ENABLED));
+        assertEquals(Optional.empty(), defaults.directory(LocalSetting.STATE_DIRECTORY));
         environment.put("TANSYFERRY_ZONES", "off");
         LocalSettings settings =
                 readSettings(
                         "zones.on = true\n[membership]\non = true\n"
                                 + "[state]\ndir = \"/var/x\"\nevery_ms = 100\n");
         assertTrue(
-                settings.isEnabled(Setting.MEMBERSHIP_ENABLED)
-                        && !settings.isEnabled(Setting.ZONE_FAILOVER_ENABLED));
-        assertEquals(Optional.of(Path.of("/var/x")), settings.directory(Setting.STATE_DIRECTORY));
-        assertEquals(100, settings.milliseconds(Setting.SNAPSHOT_INTERVAL_MS));
+                settings.isEnabled(LocalSetting.MEMBERSHIP_ENABLED)
+                        && !settings.isEnabled(LocalSetting.ZONE_FAILOVER_ENABLED));
+        assertEquals(
+                Optional.of(Path.of("/var/x")), settings.directory(LocalSetting.STATE_DIRECTORY));
+        assertEquals(100, settings.milliseconds(LocalSetting.SNAPSHOT_INTERVAL_MS));
         assertEquals(
                 List.of("membership.on", "state.dir", "state.every_ms"),
                 defaults.changedKeys(settings));
@@ -99,9 +102,46 @@
 
     @Test
     void documentationShowsTheSettingsTable() throws IOException {
+        String table =
+                Arrays.stream(LocalSetting.values())
+                        .map(LocalSettingsTest::tableRow)
+                        .collect(Collectors.joining());
+        String header =
+                "| setting | variable | unit | default | bounds | meaning |\n"
+                        + "| --- | --- | --- | --- | --- | --- |\n";
         assertTrue(
-                Files.readString(Path.of("../docs/settings.md"))
-                        .contains(LocalSettings.markdownTable()),
-                LocalSettings.markdownTable());
+                Files.readString(Path.of("../docs/settings.md")).contains(header + table),
+                header + table);
+    }
+
+    private static String tableRow(LocalSetting setting) {
+        String variable = setting.environmentVariable().map(name -> "`" + name + "`").orElse("-");
+        return String.format(
+                Locale.ROOT,
+                "| `%s` | %s | %s | %s | %s | %s |%n",
+                setting.key(),
+                variable,
+                unit(setting.type()),
+                shownDefault(setting),
+                setting.type() == LocalSetting.Type.MILLISECONDS
+                        ? setting.min() + " to " + setting.max()
+                        : "-",
+                setting.description());
+    }
+
+    private static String unit(LocalSetting.Type type) {
+        return switch (type) {
+            case BOOLEAN -> "true, false";
+            case DIRECTORY -> "path";
+            case MILLISECONDS -> "ms";
+        };
+    }
+
+    private static String shownDefault(LocalSetting setting) {
+        return switch (setting.type()) {
+            case BOOLEAN -> String.valueOf(LocalSetting.parseBoolean(setting.defaultValue()));
+            case DIRECTORY -> setting.defaultValue().isEmpty() ? "none" : setting.defaultValue();
+            case MILLISECONDS -> setting.defaultValue();
+        };
     }
 }
