--- a/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
@@ -1,5 +1,6 @@
 package loadbalancer.recovery;
 
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,6 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CopyOnWriteArrayList;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.EndpointList;
@@ -133,6 +135,17 @@
                 store.snapshotAgeMicros() + " µs");
     }
 
+    @Test
+    void promisesAreRestored() throws Exception {
+        RecoveryStore store = open();
+        assertEquals(Optional.empty(), store.recoveredPromises());
+        CompletableFuture<Boolean> durable = new CompletableFuture<>();
+        store.persistPromises(new byte[] {1, 2, 3}, durable::complete);
+        assertTrue(durable.get());
+        store.close();
+        assertArrayEquals(new byte[] {1, 2, 3}, open().recoveredPromises().orElseThrow());
+    }
+
     @Test
     void directoryHasOneOwner() {
         openedStore = tryOpen();
