--- a/balancer/src/test/java/loadbalancer/config/EndpointListCodecTest.java
+++ b/balancer/src/test/java/loadbalancer/config/EndpointListCodecTest.java
@@ -61,111 +61,121 @@
         return values[random.nextInt(values.length)];
     }
 
+    private static String randomListJson(Random random) {
+        StringBuilder json = new StringBuilder("{");
+        json.append(randomOf(random, "", "\"rev\": 12,", "\"rev\":1.5e3,"));
+        json.append(randomOf(random, "", "\"all\":true,", "\"more\":{\"targets\":[1]},"));
+        json.append("\"targets\":[");
+        for (int remaining = random.nextInt(4); remaining > 0; remaining--) {
+            appendRandomEntry(json, random);
+            json.append(remaining > 1 ? ", " : "");
+        }
+        json.append("]").append(randomOf(random, "}", ",\"rev\":9}", ",\"all\":false}"));
+        return json.toString();
+    }
+
+    private static void appendRandomEntry(StringBuilder json, Random random) {
+        json.append("{\"uid\":").append(randomId(random));
+        json.append(",\"state\":").append(randomState(random));
+        json.append(",\"endpoint\":").append(randomAddress(random));
+        json.append(randomOf(random, "", ",\"az\":\"b\"", ",\"az\":[\"b\"]", ",\"az\":7"));
+        json.append(randomOf(random, "", ",\"model\":\"m 1\"", ",\"model\":null"));
+        json.append(
+                randomOf(
+                        random,
+                        "",
+                        ",\"capacity_hint\":2.5",
+                        ",\"capacity_hint\":-1",
+                        ",\"capacity_hint\":\"3\""));
+        json.append(
+                randomOf(
+                        random,
+                        "",
+                        ",\"boot_ms\":1700000000123",
+                        ",\"pod_group\":4,\"boot_ms\":0.5"));
+        json.append(randomOf(random, "", ",\"x\":{\"uid\":\"z\",\"y\":[{}]}"));
+        json.append("}");
+    }
+
+    private static String randomId(Random random) {
+        return randomOf(
+                random,
+                "\"a\"",
+                "\"\\u00e9\"",
+                "\"b c\"",
+                "\"d\"",
+                "\"e\"",
+                "\"f\"",
+                "\"g\"",
+                random.nextInt(9) == 0 ? "7" : "\"h\"");
+    }
+
+    private static String randomState(Random random) {
+        return randomOf(
+                random,
+                "\"in_service\"",
+                "\"terminating\"",
+                "\"terminated\"",
+                random.nextInt(9) == 0 ? "null" : "\"in_service\"");
+    }
+
+    private static String randomAddress(Random random) {
+        return randomOf(
+                random,
+                "\"10.0.0.1:80\"",
+                "\"255.255.0.9:65535\"",
+                "\"[::1]:8080\"",
+                random.nextInt(9) == 0 ? randomInvalidAddress(random) : "\"1.2.3.4:6\"");
+    }
+
+    private static String randomInvalidAddress(Random random) {
+        return randomOf(
+                random,
+                "\"10.0.0.256:1\"",
+                "\"10.0.1:\"",
+                "\"x:1\"",
+                "\"1.2.3.4:65536\"",
+                "\"1.2.3.04:6\"");
+    }
+
     /** The streaming decoder gives what the decoder of a tree gives, and rejects the same lists. */
     @Test
-    void streamedListEqualsTree() throws IOException {
+    void streamedListEqualsTree() {
         Random random = new Random(5);
         int parsedCount = 0;
         for (int i = 0; i < 2_000; i++) {
-            StringBuilder json = new StringBuilder("{");
-            json.append(randomOf(random, "", "\"rev\": 12,", "\"rev\":1.5e3,"));
-            json.append(randomOf(random, "", "\"all\":true,", "\"more\":{\"targets\":[1]},"));
-            json.append("\"targets\":[");
-            for (int remaining = random.nextInt(4); remaining > 0; remaining--) {
-                json.append("{\"uid\":")
-                        .append(
-                                randomOf(
-                                        random,
-                                        "\"a\"",
-                                        "\"\\u00e9\"",
-                                        "\"b c\"",
-                                        "\"d\"",
-                                        "\"e\"",
-                                        "\"f\"",
-                                        "\"g\"",
-                                        random.nextInt(9) == 0 ? "7" : "\"h\""))
-                        .append(",\"state\":")
-                        .append(
-                                randomOf(
-                                        random,
-                                        "\"in_service\"",
-                                        "\"terminating\"",
-                                        "\"terminated\"",
-                                        random.nextInt(9) == 0 ? "null" : "\"in_service\""))
-                        .append(",\"endpoint\":")
-                        .append(
-                                randomOf(
-                                        random,
-                                        "\"10.0.0.1:80\"",
-                                        "\"255.255.0.9:65535\"",
-                                        "\"[::1]:8080\"",
-                                        random.nextInt(9) == 0
-                                                ? randomOf(
-                                                        random,
-                                                        "\"10.0.0.256:1\"",
-                                                        "\"10.0.1:\"",
-                                                        "\"x:1\"",
-                                                        "\"1.2.3.4:65536\"",
-                                                        "\"1.2.3.04:6\"")
-                                                : "\"1.2.3.4:6\""))
-                        .append(
-                                randomOf(
-                                        random,
-                                        "",
-                                        ",\"az\":\"b\"",
-                                        ",\"az\":[\"b\"]",
-                                        ",\"az\":7"))
-                        .append(randomOf(random, "", ",\"model\":\"m 1\"", ",\"model\":null"))
-                        .append(
-                                randomOf(
-                                        random,
-                                        "",
-                                        ",\"capacity_hint\":2.5",
-                                        ",\"capacity_hint\":-1",
-                                        ",\"capacity_hint\":\"3\""))
-                        .append(
-                                randomOf(
-                                        random,
-                                        "",
-                                        ",\"boot_ms\":1700000000123",
-                                        ",\"pod_group\":4,\"boot_ms\":0.5"))
-                        .append(randomOf(random, "", ",\"x\":{\"uid\":\"z\",\"y\":[{}]}"))
-                        .append("}")
-                        .append(remaining > 1 ? ", " : "");
-            }
-            json.append("]").append(randomOf(random, "}", ",\"rev\":9}", ",\"all\":false}"));
+            String json = randomListJson(random);
             EndpointList expected;
             try {
-                expected =
-                        EndpointListCodec.decodeTree(
-                                JSON.std.anyFrom(json.toString()), BOOT_SETTINGS);
+                expected = EndpointListCodec.decodeTree(JSON.std.anyFrom(json), BOOT_SETTINGS);
             } catch (IOException e) {
                 // A field name occurs twice
-                parseError(json.toString());
+                parseError(json);
                 continue;
             } catch (IllegalArgumentException e) {
-                assertEquals(e.getMessage(), parseError(json.toString()), json.toString());
+                assertEquals(e.getMessage(), parseError(json), json);
                 continue;
             }
             parsedCount++;
-            assertEquals(
-                    expected,
-                    EndpointListCodec.decode(json.toString(), BOOT_SETTINGS),
-                    json.toString());
-            byte[] bytes = json.toString().getBytes(StandardCharsets.UTF_8);
-            assertEquals(
-                    expected,
-                    EndpointListCodec.decode(
-                            Unpooled.directBuffer().writeBytes(bytes), BOOT_SETTINGS));
-            assertEquals(
-                    expected,
-                    EndpointListCodec.decode(
-                            Unpooled.buffer().writeByte(1).writeBytes(bytes).skipBytes(1),
-                            BOOT_SETTINGS));
+            assertDecoded(expected, json);
         }
         assertTrue(parsedCount > 1_000, parsedCount + " lists could be read");
     }
 
+    // From a text, a buffer without an array, and one whose list begins within its array.
+    private static void assertDecoded(EndpointList expected, String json) {
+        assertEquals(expected, EndpointListCodec.decode(json, BOOT_SETTINGS), json);
+        byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
+        assertEquals(
+                expected,
+                EndpointListCodec.decode(Unpooled.directBuffer().writeBytes(bytes), BOOT_SETTINGS));
+        assertEquals(
+                expected,
+                EndpointListCodec.decode(
+                        Unpooled.buffer().writeByte(1).writeBytes(bytes).skipBytes(1),
+                        BOOT_SETTINGS));
+    }
+
     @ParameterizedTest
     @CsvSource({"in_service, UP", "terminating, DRAINING", "terminated, REMOVED"})
     void stateOfThePlatformBecomesAStatus(String state, EndpointStatus expected) {
