--- a/balancer/src/main/java/loadbalancer/cluster/MonotonicClock.java
+++ b/balancer/src/main/java/loadbalancer/cluster/MonotonicClock.java
@@ -2,10 +2,12 @@
 
 /** The clock of membership and leases. */
 final class MonotonicClock {
+    private static final long NANOS_PER_MICRO = 1_000;
+
     private MonotonicClock() {}
 
     /** Monotonic time of this machine, µs. */
     static long nowMicros() {
-        return System.nanoTime() / 1000;
+        return System.nanoTime() / NANOS_PER_MICRO;
     }
 }
--- a/balancer/src/main/java/loadbalancer/cluster/RotatedFiles.java
+++ b/balancer/src/main/java/loadbalancer/cluster/RotatedFiles.java
@@ -12,6 +12,8 @@
 final class RotatedFiles {
     private static final long MAX_FILE_BYTES = 256 << 10;
     private static final int MAX_FILES = 8;
+    private static final long FIRST_NUMBER = 1;
+    private static final long NO_NUMBER = -1;
 
     private final Path directory;
     private final String namePrefix;
@@ -30,7 +32,7 @@
     private Path currentFile() throws IOException {
         List<Path> files = filesByNumber();
         if (files.isEmpty()) {
-            return file(1);
+            return file(FIRST_NUMBER);
         }
         Path newest = files.get(files.size() - 1);
         if (Files.size(newest) < MAX_FILE_BYTES) {
@@ -45,7 +47,7 @@
 
     private List<Path> filesByNumber() throws IOException {
         try (Stream<Path> paths = Files.list(directory)) {
-            return paths.filter(path -> numberOf(path) >= 0)
+            return paths.filter(path -> numberOf(path) != NO_NUMBER)
                     .sorted(Comparator.comparingLong(this::numberOf))
                     .toList();
         }
@@ -55,11 +57,11 @@
         return directory.resolve(namePrefix + number);
     }
 
-    // -1: a file of another name
+    // NO_NUMBER for a file of another name.
     private long numberOf(Path file) {
         String name = file.getFileName().toString();
         return name.matches(namePrefix + "\\d{1,9}")
                 ? Long.parseLong(name.substring(namePrefix.length()))
-                : -1;
+                : NO_NUMBER;
     }
 }
--- a/balancer/src/main/java/loadbalancer/config/EndpointListCodec.java
+++ b/balancer/src/main/java/loadbalancer/config/EndpointListCodec.java
@@ -122,7 +122,7 @@
         }
     }
 
-    // Duplicate names are refused, as the configuration's JSON reader refuses them.
+    // Duplicate names are rejected, as the configuration's JSON reader rejects them.
     private static void putUnique(Map<String, Object> fields, String name, Object value) {
         if (fields.containsKey(name)) {
             throw new InvalidEndpointListException("not JSON");
--- a/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
+++ b/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
@@ -36,6 +36,7 @@
 public final class RecoveryStore implements AutoCloseable {
     private static final long MAX_POLICY_SNAPSHOT_AGE_MICROS = 30_000_000;
     private static final long MICROS_PER_MS = 1_000;
+    private static final long MS_PER_SECOND = 1_000;
 
     private final Path directory;
     private final long snapshotIntervalMs;
@@ -91,7 +92,7 @@
     }
 
     private void logRecovered(Snapshot snapshot) {
-        long ageSeconds = Math.max(0, startedAtMs - snapshot.createdAtMs()) / 1000;
+        long ageSeconds = Math.max(0, startedAtMs - snapshot.createdAtMs()) / MS_PER_SECOND;
         log.accept(
                 "state: recovered snapshot " + snapshot.sequence() + ", " + ageSeconds + " s old");
     }
