--- a/balancer/src/main/java/loadbalancer/cluster/ClusterCoordinator.java
+++ b/balancer/src/main/java/loadbalancer/cluster/ClusterCoordinator.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import loadbalancer.config.BalancerConfig;
-import loadbalancer.config.LocalSettings;
+import loadbalancer.config.LocalSetting;
 import loadbalancer.lease.Lease;
 import loadbalancer.membership.MembershipView;
 import loadbalancer.recovery.RecoveryStore;
@@ -43,7 +43,7 @@
                         loop, self, memberCount, incarnation, sender, log, this::onViewChanged);
         view = membershipDriver.view();
         leaseDriver =
-                config.localSettings().isEnabled(LocalSettings.Setting.LEASES_ENABLED)
+                config.localSettings().isEnabled(LocalSetting.LEASES_ENABLED)
                         ? Optional.of(
                                 new LeaseDriver(
                                         loop,
@@ -63,22 +63,21 @@
     /**
      * Makes a coordinator that does nothing before {@link #start}.
      *
-     * @param recoveryStore null if nothing is persisted
-     * @return null if membership is switched off, or if this balancer is not one of the peers
+     * @param recoveryStore empty if nothing is persisted
+     * @return empty if membership is switched off, or if this balancer is not one of the peers
      */
-    public static ClusterCoordinator createIfEnabled(
+    public static Optional<ClusterCoordinator> createIfEnabled(
             EventLoop loop,
             BalancerConfig config,
-            RecoveryStore recoveryStore,
+            Optional<RecoveryStore> recoveryStore,
             PeerSender sender,
             Consumer<String> log) {
         boolean enabled =
-                config.localSettings().isEnabled(LocalSettings.Setting.MEMBERSHIP_ENABLED)
+                config.localSettings().isEnabled(LocalSetting.MEMBERSHIP_ENABLED)
                         && config.boot().settings().rank() < config.peers().addresses().size();
         return enabled
-                ? new ClusterCoordinator(
-                        loop, config, Optional.ofNullable(recoveryStore), sender, log)
-                : null;
+                ? Optional.of(new ClusterCoordinator(loop, config, recoveryStore, sender, log))
+                : Optional.empty();
     }
 
     /** Begins to probe peers and to write the audit log. */
--- a/balancer/src/main/java/loadbalancer/config/EndpointListCodec.java
+++ b/balancer/src/main/java/loadbalancer/config/EndpointListCodec.java
@@ -10,15 +10,18 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointStatus;
 
 /**
- * Decodes endpoint lists from discovery's JSON: {@code {"rev": N, "all": true, "targets": [...]}}.
- * Fields that it doesn't know are skipped. All methods throw {@link InvalidEndpointListException}
- * for a document that is not such a list. Stateless.
+ * Decodes endpoint lists from discovery's JSON, {@code {"rev": N, "all": true, "targets": [...]}},
+ * and encodes lists in the same form. Fields that it doesn't know are skipped. All methods that
+ * decode throw {@link InvalidEndpointListException} for a document that is not such a list.
+ * Stateless.
  */
 public final class EndpointListCodec {
     /** Entries that one list may have; more would not fit into memory beside the requests. */
@@ -27,6 +30,16 @@
     private static final String ENTRIES_FIELD = "targets";
     private static final String REVISION_FIELD = "rev";
     private static final String COMPLETE_FIELD = "all";
+    // Of one entry
+    private static final String ID_FIELD = "uid";
+    private static final String ADDRESS_FIELD = "endpoint";
+    private static final String STATUS_FIELD = "state";
+    private static final String WEIGHT_FIELD = "capacity_hint";
+    private static final String STARTED_AT_FIELD = "boot_ms";
+    private static final String CELL_FIELD = "pod_group";
+    private static final String MACHINE_TYPE_FIELD = "model";
+    private static final String ZONE_FIELD = "az";
+
     private static final long MICROS_PER_MS = 1_000;
     private static final int UNKNOWN_CELL = -1;
     private static final JsonFactory JSON_FACTORY = new JsonFactory();
@@ -52,22 +65,19 @@
      */
     public static EndpointList decode(byte[] json, int offset, int length, BootSettings boot) {
         try (JsonParser parser = JSON_FACTORY.createParser(json, offset, length)) {
-            List<EndpointList.Entry> entries = null;
+            Optional<List<EndpointList.Entry>> entries = Optional.empty();
             Map<String, Object> fields = new HashMap<>();
             if (parser.nextToken() == JsonToken.START_OBJECT) {
                 while (parser.nextToken() == JsonToken.FIELD_NAME) {
                     String name = parser.currentName();
                     JsonToken valueStart = parser.nextToken();
                     if (valueStart == JsonToken.START_ARRAY && name.equals(ENTRIES_FIELD)) {
-                        entries = decodeEntries(parser, boot);
+                        entries = Optional.of(decodeEntries(parser, boot));
                     }
                     putUnique(fields, name, readPlainValue(parser));
                 }
             }
-            if (entries == null) {
-                throw missingEntries();
-            }
-            return toEndpointList(fields, entries);
+            return toEndpointList(fields, entries.orElseThrow(EndpointListCodec::missingEntries));
         } catch (IOException e) {
             throw new InvalidEndpointListException("not JSON", e);
         }
@@ -112,7 +122,7 @@
         }
     }
 
-    // Duplicate names are refused, as the configuration's JSON reader refuses them.
+    // Duplicate names are rejected, as the configuration's JSON reader rejects them.
     private static void putUnique(Map<String, Object> fields, String name, Object value) {
         if (fields.containsKey(name)) {
             throw new InvalidEndpointListException("not JSON");
@@ -120,7 +130,8 @@
         fields.put(name, value);
     }
 
-    // A string, number or boolean; null for null, and for objects and arrays, which are skipped.
+    // A string, number or boolean; null stands for JSON's null, and for objects and arrays, which
+    // are skipped.
     private static Object readPlainValue(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
             case VALUE_STRING -> parser.getText();
@@ -142,38 +153,37 @@
     }
 
     private static EndpointList.Entry toEntry(Map<?, ?> fields, BootSettings boot) {
-        if (!(fields.get("uid") instanceof String id) || id.isEmpty()) {
+        if (!(fields.get(ID_FIELD) instanceof String id) || id.isEmpty()) {
             throw new InvalidEndpointListException("a target without uid");
         }
-        EndpointStatus status = toStatus(fields.get("state"));
-        InetSocketAddress address = toAddress(fields.get("endpoint"), status);
-        double weight = finiteNumber(fields.get("capacity_hint"), 1);
+        EndpointStatus status = toStatus(fields.get(STATUS_FIELD));
+        Optional<InetSocketAddress> address = toAddress(fields.get(ADDRESS_FIELD), status);
+        double weight = finiteNumber(fields.get(WEIGHT_FIELD), 1);
         Endpoint endpoint =
                 new Endpoint(
                         id,
                         status,
-                        (long) (finiteNumber(fields.get("boot_ms"), 0) * MICROS_PER_MS),
+                        (long) (finiteNumber(fields.get(STARTED_AT_FIELD), 0) * MICROS_PER_MS),
                         weight > 0 ? weight : 1,
-                        (int) finiteNumber(fields.get("pod_group"), UNKNOWN_CELL),
-                        PlatformTerms.indexOfName(boot.machineTypeNames(), fields.get("model")),
-                        PlatformTerms.indexOfName(boot.zoneNames(), fields.get("az")));
+                        (int) finiteNumber(fields.get(CELL_FIELD), UNKNOWN_CELL),
+                        PlatformTerms.indexOfName(
+                                boot.machineTypeNames(), fields.get(MACHINE_TYPE_FIELD)),
+                        PlatformTerms.indexOfName(boot.zoneNames(), fields.get(ZONE_FIELD)));
         return new EndpointList.Entry(endpoint, address);
     }
 
     private static EndpointStatus toStatus(Object state) {
-        EndpointStatus status = PlatformTerms.endpointStatus(String.valueOf(state));
-        if (status == null) {
-            throw new InvalidEndpointListException("unknown state: '" + state + "'");
-        }
-        return status;
+        return PlatformTerms.endpointStatus(String.valueOf(state))
+                .orElseThrow(
+                        () -> new InvalidEndpointListException("unknown state: '" + state + "'"));
     }
 
-    private static InetSocketAddress toAddress(Object address, EndpointStatus status) {
+    private static Optional<InetSocketAddress> toAddress(Object address, EndpointStatus status) {
         if (address == null && status == EndpointStatus.REMOVED) {
-            return null;
+            return Optional.empty();
         }
         try {
-            return SocketAddressParser.parse(String.valueOf(address));
+            return Optional.of(SocketAddressParser.parse(String.valueOf(address)));
         } catch (InvalidAddressException e) {
             throw new InvalidEndpointListException(e.getMessage(), e);
         }
@@ -194,4 +204,37 @@
     private static InvalidEndpointListException missingEntries() {
         return new InvalidEndpointListException("no list of targets");
     }
+
+    /**
+     * The tree for a JSON writer from which {@link #decode} gives {@code endpointList} again; the
+     * caller may add fields. No entry may be without an address.
+     */
+    public static Map<String, Object> encodeTree(EndpointList endpointList, BootSettings boot) {
+        Map<String, Object> tree = new LinkedHashMap<>();
+        tree.put(REVISION_FIELD, endpointList.revision());
+        tree.put(COMPLETE_FIELD, endpointList.complete());
+        tree.put(
+                ENTRIES_FIELD,
+                endpointList.entries().stream().map(entry -> encodeEntry(entry, boot)).toList());
+        return tree;
+    }
+
+    private static Map<String, Object> encodeEntry(EndpointList.Entry entry, BootSettings boot) {
+        Endpoint endpoint = entry.endpoint();
+        InetSocketAddress address = entry.address().orElseThrow();
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(ID_FIELD, endpoint.id());
+        fields.put(ADDRESS_FIELD, address.getAddress().getHostAddress() + ":" + address.getPort());
+        fields.put(STATUS_FIELD, PlatformTerms.endpointStatusTerm(endpoint.status()));
+        fields.put(WEIGHT_FIELD, endpoint.weight());
+        fields.put(STARTED_AT_FIELD, endpoint.startedAtMicros() / MICROS_PER_MS);
+        fields.put(CELL_FIELD, endpoint.cell());
+        if (endpoint.zone() >= 0) {
+            fields.put(ZONE_FIELD, boot.zoneNames().get(endpoint.zone()));
+        }
+        if (endpoint.machineType() >= 0) {
+            fields.put(MACHINE_TYPE_FIELD, boot.machineTypeNames().get(endpoint.machineType()));
+        }
+        return fields;
+    }
 }
--- a/balancer/src/main/java/loadbalancer/config/PlatformTerms.java
+++ b/balancer/src/main/java/loadbalancer/config/PlatformTerms.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import loadbalancer.routing.api.DeduplicationScope;
 import loadbalancer.routing.api.DiscoveryMode;
 import loadbalancer.routing.api.EndpointStatus;
@@ -48,20 +49,32 @@
                     "CELL",
                     DeduplicationScope.CELL);
 
+    private static final String IN_SERVICE = "in_service";
+    private static final String TERMINATING = "terminating";
+    private static final String TERMINATED = "terminated";
     private static final Map<String, EndpointStatus> ENDPOINT_STATUSES =
             Map.of(
-                    "in_service",
+                    IN_SERVICE,
                     EndpointStatus.UP,
-                    "terminating",
+                    TERMINATING,
                     EndpointStatus.DRAINING,
-                    "terminated",
+                    TERMINATED,
                     EndpointStatus.REMOVED);
 
     private PlatformTerms() {}
 
-    /** The status that field {@code state} of a list's entry names; null if it is unknown. */
-    static EndpointStatus endpointStatus(String term) {
-        return ENDPOINT_STATUSES.get(term);
+    /** The status that field {@code state} of a list's entry names; empty if it is unknown. */
+    static Optional<EndpointStatus> endpointStatus(String term) {
+        return Optional.ofNullable(ENDPOINT_STATUSES.get(term));
+    }
+
+    /** The value of field {@code state} for a status. */
+    static String endpointStatusTerm(EndpointStatus status) {
+        return switch (status) {
+            case UP -> IN_SERVICE;
+            case DRAINING -> TERMINATING;
+            case REMOVED -> TERMINATED;
+        };
     }
 
     /**
