--- a/balancer/src/test/java/loadbalancer/recovery/GoldenStateContentTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/GoldenStateContentTest.java
@@ -1,5 +1,6 @@
 package loadbalancer.recovery;
 
+import static loadbalancer.TestAwait.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -111,9 +112,8 @@
         RecoveryStore store = RecoveryStore.open(directory, OWNER, boot(), 1_000, line -> {});
         store.onEndpointList(EndpointListKind.COMPLETE, list());
         store.takeSnapshot(policySnapshot);
-        while (!Files.exists(directory.resolve("snapshot-1"))) {
-            Thread.onSpinWait();
-        }
+        await("the first snapshot is written")
+                .until(() -> Files.exists(directory.resolve("snapshot-1")));
         store.close();
         Snapshot snapshot =
                 new SnapshotStore(new FileSystemDirectory(directory), OWNER, "snapshot")
--- a/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
@@ -1,5 +1,6 @@
 package loadbalancer.recovery;
 
+import static loadbalancer.TestAwait.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -84,9 +85,7 @@
         store = open();
         store.onEndpointList(EndpointListKind.COMPLETE, endpointList);
         store.takeSnapshot(policySnapshot);
-        while (!hasSnapshot()) {
-            Thread.onSpinWait();
-        }
+        await("a snapshot is written").until(this::hasSnapshot);
         store.close();
     }
 
