--- a/balancer/src/test/java/loadbalancer/admin/AdminServerTest.java
+++ b/balancer/src/test/java/loadbalancer/admin/AdminServerTest.java
@@ -1,5 +1,8 @@
 package loadbalancer.admin;
 
+import static loadbalancer.admin.AdminTestClient.connect;
+import static loadbalancer.admin.AdminTestClient.readToEnd;
+import static loadbalancer.admin.AdminTestClient.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,7 +10,6 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
@@ -17,6 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** {@link AdminServer} over loopback sockets. */
 @Timeout(60)
@@ -54,31 +57,13 @@
         server.close();
     }
 
-    private Socket connect() throws IOException {
-        Socket socket = new Socket(address.getAddress(), address.getPort());
-        socket.setSoTimeout(20_000);
-        return socket;
-    }
-
-    private static void write(Socket socket, String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
-        socket.getOutputStream().flush();
-    }
-
-    private static String readToEnd(Socket socket) throws IOException {
-        return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    }
-
     private String call(String line) throws IOException {
-        try (Socket socket = connect()) {
-            write(socket, line);
-            return readToEnd(socket);
-        }
+        return AdminTestClient.call(address, line);
     }
 
     @Test
     void readinessAndMetricsAreThoseLastPublished() throws IOException {
-        assertTrue(call("ready\n").startsWith("400 "));
+        assertTrue(call("ready\n").startsWith("400 "), "not ready before the first snapshot");
         assertEquals(
                 List.of("EOF"),
                 call("show-stat\n").lines().filter(line -> line.equals("EOF")).toList());
@@ -116,19 +101,25 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"stop, 0", "'', 0", "drain, 1", "drain, 120"})
+    @CsvSource(
+            useHeadersInDisplayName = true,
+            textBlock =
+                    """
+                command, padding
+                stop,    0
+                '',      0
+                drain,   1
+                drain,   120
+                """)
     void unknownCommandIsRejected(String command, int paddingLength) throws IOException {
         assertTrue(call(command + "x".repeat(paddingLength) + "\n").startsWith("400 "));
         assertEquals(List.of(), calls);
     }
 
-    @ParameterizedTest
-    @CsvSource({"128, true", "129, true", "100000, true"})
-    void overlongLineIsAnswered(int length, boolean terminated) throws IOException {
-        try (Socket socket = connect()) {
-            write(socket, "x".repeat(length) + (terminated ? "\n" : ""));
-            assertEquals("400", readToEnd(socket).substring(0, 3));
-        }
+    @ParameterizedTest(name = "{0} bytes")
+    @ValueSource(ints = {128, 129, 100_000})
+    void overlongLineIsAnswered(int length) throws IOException {
+        assertEquals("400", call("x".repeat(length) + "\n").substring(0, 3));
     }
 
     /** More clients than {@code MAX_CONNECTIONS} connect and send nothing, or half a line. */
@@ -137,11 +128,12 @@
         List<Socket> idleConnections = new ArrayList<>();
         try {
             for (int i = 0; i < 2 * AdminServer.MAX_CONNECTIONS; i++) {
-                idleConnections.add(connect());
+                idleConnections.add(connect(address));
                 write(idleConnections.get(i), i % 2 == 0 ? "show-st" : "");
                 assertTrue(call("ready\n").startsWith("400 "));
             }
-            assertEquals("", readToEnd(idleConnections.get(0)));
+            assertEquals(
+                    "", readToEnd(idleConnections.get(0)), "response on the oldest connection");
         } finally {
             for (Socket socket : idleConnections) {
                 socket.close();
@@ -150,13 +142,14 @@
         assertEquals(List.of(), calls);
     }
 
+    /** One connection more than the limit: the oldest is closed long before its timeout. */
     @Test
     void surplusConnectionClosesTheOldestAtOnce() throws IOException {
         long startNanos = System.nanoTime();
         List<Socket> sockets = new ArrayList<>();
         try {
             for (int i = 0; i <= AdminServer.MAX_CONNECTIONS; i++) {
-                sockets.add(connect());
+                sockets.add(connect(address));
             }
             assertEquals("", readToEnd(sockets.get(0)));
             long elapsedMs = (System.nanoTime() - startNanos) / 1_000_000;
--- a/balancer/src/test/java/loadbalancer/server/AttemptRaceTest.java
+++ b/balancer/src/test/java/loadbalancer/server/AttemptRaceTest.java
@@ -1,15 +1,19 @@
 package loadbalancer.server;
 
+import static loadbalancer.server.BalancerServerFixtures.requestWithId;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.net.Socket;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Attempts that end, or connections that do, in the turn in which they are used. */
+/** Attempts and connections that end in the event loop's iteration in which they are used. */
 class AttemptRaceTest extends BalancerServerTestSupport {
+    private static final long ATTEMPT_TIMEOUT_MICROS = 300_000;
+
+    /** While its attempt waits for a connection the policy forbids to start it. */
     @Test
     void disallowedAttemptIsNotWritten() throws Exception {
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
@@ -22,17 +26,19 @@
                 assertEquals(502, client.readStatus());
                 policy.canStartAttempt = true;
                 client.send(requestWithId("r2"));
-                assertTrue(
-                        FakeHttpServer.readHead(accepted.getInputStream()).contains("Req-Id: r2"));
+                assertRequestArrivesOn(accepted, "r2");
             }
         }
     }
 
-    /** An idle connection is chosen while its close, or unsolicited data, is arriving. */
-    @ParameterizedTest
+    /**
+     * An idle connection is chosen while its close, its reset or unsolicited data is arriving: the
+     * request gets a connection of its own.
+     */
+    @ParameterizedTest(name = "{0}")
     @ValueSource(
             strings = {
-                "end",
+                "close",
                 "reset",
                 "HTTP/1.1 2",
                 "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
@@ -51,7 +57,7 @@
                             balancer.loop(),
                             () -> policy.capturedActions.send(policy.lastRequestId, "s1", 0));
             switch (arrival) {
-                case "end" -> firstRequest.socket().close();
+                case "close" -> firstRequest.socket().close();
                 case "reset" -> firstRequest.reset();
                 default -> firstRequest.sendRaw(arrival);
             }
@@ -65,14 +71,14 @@
     }
 
     /**
-     * Both orders: the loop reads the answer before it looks at the clock, or the attempt ended
-     * before.
+     * The response and the attempt's timeout are due in one iteration, in both orders: the loop
+     * reads the response first, or the attempt has ended before it reads.
      */
-    @ParameterizedTest
+    @ParameterizedTest(name = "responseFirst={0}")
     @ValueSource(booleans = {false, true})
     void responseRacingTimeoutEndsAttemptOnce(boolean responseFirst) throws Exception {
         start();
-        policy.timeoutMicros = 300_000;
+        policy.timeoutMicros = ATTEMPT_TIMEOUT_MICROS;
         try (HttpTestClient client = new HttpTestClient(address).send(requestWithId("r1"))) {
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             EventLoopStall stall =
@@ -84,11 +90,8 @@
                                 }
                             });
             receivedRequest.respond(200, "", "r1");
-            long deadlineNanos = System.nanoTime() + 300_000_000;
-            while (System.nanoTime() < deadlineNanos) {
-                // Until its time-out is due as well
-                Thread.onSpinWait();
-            }
+            // Until the timeout is due as well.
+            TimeUnit.MICROSECONDS.sleep(ATTEMPT_TIMEOUT_MICROS);
             stall.release();
             assertEquals(responseFirst ? 200 : 502, client.readStatus());
             assertEquals(responseFirst ? "OK closed" : "CANCELLED", policy.nextEvent());
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerFixtures.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerFixtures.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
+import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -11,13 +12,26 @@
 
 /** Balancers, their configuration and settings, and requests to them. */
 public final class BalancerServerFixtures {
-    /** A request of the class read, with a hint of its work, that is a retry of the client's. */
+    /** A request of the class read with a hint of its work, marked as a retry by the client. */
     static final String IDEMPOTENT_REQUEST =
             "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
                     + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
 
+    /**
+     * The head of a request of the class book, which is not idempotent, up to the headers that
+     * frame its body.
+     */
+    static final String NON_IDEMPOTENT_HEAD =
+            "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
+                    + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n";
+
     static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
+    private static final long DRAIN_GRACE_MICROS = 1_000_000;
+    private static final int CLASS_LATENCY_OBJECTIVE_MICROS = 600_000;
+    private static final int CLASS_DEADLINE_MICROS = 30_000_000;
+    private static final int CLASS_IDEMPOTENCY_WINDOW_MICROS = 1_000_000;
+
     private BalancerServerFixtures() {}
 
     /** A balancer that is ready at once, knows one upstream, s1, and finds no discovery. */
@@ -35,7 +49,7 @@
                         "settings",
                         rawSettings,
                         "known",
-                        knownList(upstream.address()),
+                        knownList("s1", upstream.address()),
                         "admin",
                         "127.0.0.1:0"),
                 policy,
@@ -56,25 +70,42 @@
     }
 
     /** A configuration on any free port that finds no discovery, with other keys on top. */
-    static BalancerConfig config(Map<String, Object> overrides) {
+    public static BalancerConfig config(Map<String, Object> overrides) {
+        return BalancerConfig.parse(Map.of(), rawConfig(overrides));
+    }
+
+    /** The same as the content of a configuration file. */
+    static Map<String, Object> rawConfig(Map<String, Object> overrides) {
         Map<String, Object> raw = new HashMap<>();
         raw.put("name", "n1");
         raw.put("listen", "127.0.0.1:0");
         raw.put("discovery", "127.0.0.1:9");
         raw.put("seed", "8c1f30d27a5be964");
         raw.putAll(overrides);
-        return BalancerConfig.parse(Map.of(), raw);
+        return raw;
     }
 
-    /** The list of a configuration that knows s1 at the given address, in service. */
-    static Map<String, Object> knownList(String endpointAddress) throws IOException {
-        return JSON.std.mapFrom(
-                "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s1\",\"endpoint\":\""
-                        + endpointAddress
-                        + "\",\"state\":\"in_service\",\"boot_ms\":0}]}");
+    /** The endpoint list of a configuration that knows one endpoint, in service. */
+    static Map<String, Object> knownList(String endpointId, String endpointAddress)
+            throws IOException {
+        return JSON.std.mapFrom(oneEndpointJson(1, true, endpointId, endpointAddress));
     }
 
-    /** A list of discovery's with s1 alone, ending with a line feed. */
+    /** An endpoint list with one endpoint, in service. */
+    public static String oneEndpointJson(
+            int revision, boolean complete, String endpointId, String endpointAddress) {
+        return "{\"rev\":"
+                + revision
+                + ",\"all\":"
+                + complete
+                + ",\"targets\":[{\"uid\":\""
+                + endpointId
+                + "\",\"endpoint\":\""
+                + endpointAddress
+                + "\",\"state\":\"in_service\",\"boot_ms\":0}]}";
+    }
+
+    /** An endpoint list of the discovery server's with s1 alone, ending with a line feed. */
     static String listJson(int revision, boolean complete, String endpointAddress, String state) {
         return "{\"rev\":"
                 + revision
@@ -89,10 +120,27 @@
     }
 
     /** One chunk of a body with chunked transfer encoding. */
-    static String chunk(String text) {
+    public static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
+    /** {@link #IDEMPOTENT_REQUEST} with another id. */
+    static String requestWithId(String requestId) {
+        return IDEMPOTENT_REQUEST.replace("Req-Id: r1", "Req-Id: " + requestId);
+    }
+
+    /** {@link #NON_IDEMPOTENT_HEAD} with another id. */
+    static String nonIdempotentHead(String requestId) {
+        return NON_IDEMPOTENT_HEAD.replace("Req-Id: r1", "Req-Id: " + requestId);
+    }
+
+    /** The status of a readiness check on a connection of its own. */
+    static int readinessStatus(InetSocketAddress address) throws IOException {
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            return client.send(READY_REQUEST).readStatus();
+        }
+    }
+
     /** A POST request of the given class; {@code extraHeaders} end with a line feed. */
     static String postRequest(String className, String extraHeaders, String body) {
         return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: "
@@ -105,20 +153,37 @@
                 + body;
     }
 
-    private static Map<String, Object> requestClass(String name, String idempotency) {
+    /** A request class; times in microseconds. */
+    static Map<String, Object> requestClass(
+            String name,
+            String idempotency,
+            String deduplicationScope,
+            long latencyObjectiveMicros,
+            long deadlineMicros,
+            long idempotencyWindowMicros) {
         return Map.of(
                 "Name",
                 name,
                 "Idempotency",
                 idempotency,
                 "DedupScope",
-                "cell",
+                deduplicationScope,
                 "GoalTime",
-                600_000,
+                latencyObjectiveMicros,
                 "GiveUp",
-                30_000_000,
+                deadlineMicros,
                 "KeyTtl",
-                1_000_000);
+                idempotencyWindowMicros);
+    }
+
+    private static Map<String, Object> requestClass(String name, String idempotency) {
+        return requestClass(
+                name,
+                idempotency,
+                "cell",
+                CLASS_LATENCY_OBJECTIVE_MICROS,
+                CLASS_DEADLINE_MICROS,
+                CLASS_IDEMPOTENCY_WINDOW_MICROS);
     }
 
     /** Settings with the classes read, pay and book: one of each idempotency. */
@@ -146,27 +211,30 @@
                         requestClass("book", "unsafe")));
         settings.put("Limits", limits);
         settings.put("MembershipMode", "ask");
-        settings.put(
-                "Rules",
-                Map.of(
-                        "AnswerSlack",
-                        8_000,
-                        "DrainGrace",
-                        1_000_000,
-                        "AskWithin",
-                        10_000_000,
-                        "ColdFrom",
-                        0.3,
-                        "RampTime",
-                        8_400_000,
-                        "OverloadFactor",
-                        3.0,
-                        "Fall",
-                        1_000_000));
+        settings.put("Rules", rules(DRAIN_GRACE_MICROS));
         settings.put("Quantum", 2_000);
         settings.put("Areas", List.of("podrum"));
         settings.put("Kinds", List.of("puni", "slabi"));
         settings.put("Stats", Map.of("How", "answers", "Fields", List.of("outstanding")));
         return settings;
     }
+
+    /** The settings' rules with another grace period of drains. */
+    public static Map<String, Object> rules(long drainGraceMicros) {
+        return Map.of(
+                "AnswerSlack",
+                8_000,
+                "DrainGrace",
+                drainGraceMicros,
+                "AskWithin",
+                10_000_000,
+                "ColdFrom",
+                0.3,
+                "RampTime",
+                8_400_000,
+                "OverloadFactor",
+                3.0,
+                "Fall",
+                1_000_000);
+    }
 }
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerTest.java
@@ -1,7 +1,9 @@
 package loadbalancer.server;
 
+import static loadbalancer.TestAwait.await;
 import static loadbalancer.server.BalancerServerFixtures.IDEMPOTENT_REQUEST;
 import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
+import static loadbalancer.server.BalancerServerFixtures.readinessStatus;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -15,7 +17,7 @@
 import java.net.ServerSocket;
 import java.util.Locale;
 import java.util.Map;
-import java.util.concurrent.TimeUnit;
+import java.util.Objects;
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.config.InvalidConfigException;
 import org.junit.jupiter.api.Test;
@@ -30,55 +32,46 @@
     }
 
     /**
-     * The starting thread is interrupted before bind returns to it; clients can connect all the
-     * same.
+     * The starting thread is interrupted before the bind returns to it; the balancer accepts and
+     * answers clients all the same.
      */
     @Test
     void connectionDuringStartIsAnswered() throws Exception {
-        int port;
-        try (ServerSocket unusedSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = unusedSocket.getLocalPort();
-        }
+        InetSocketAddress listenAddress = findFreeAddress();
         balancer =
                 new BalancerServer(
-                        config(1024, settings(), port),
+                        config(1024, settings(), listenAddress.getPort()),
                         (settings, seed) -> policy,
                         false,
                         line -> {});
         Thread.currentThread().interrupt();
         assertThrows(IOException.class, balancer::start);
         assertTrue(Thread.interrupted());
-        InetSocketAddress listenAddress =
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-        try (HttpTestClient client = connectWithRetry(listenAddress)) {
-            assertEquals(503, client.send(READY_REQUEST).readStatus());
-        }
+        // No event tells of a completed bind here.
+        int status =
+                await("the balancer accepts connections")
+                        .ignoreException(ConnectException.class)
+                        .until(() -> readinessStatus(listenAddress), Objects::nonNull);
+        assertEquals(503, status);
     }
 
-    // There is no event for a completed bind here.
-    private static HttpTestClient connectWithRetry(InetSocketAddress listenAddress)
-            throws IOException {
-        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (true) {
-            try {
-                return new HttpTestClient(listenAddress);
-            } catch (ConnectException e) {
-                if (System.nanoTime() - deadlineNanos > 0) {
-                    throw e;
-                }
-            }
+    private static InetSocketAddress findFreeAddress() throws IOException {
+        try (ServerSocket unusedSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return (InetSocketAddress) unusedSocket.getLocalSocketAddress();
         }
     }
 
+    /** The requests of the warm-up stay within the process, and no client can send them. */
     @Test
     void warmUpReachesNeitherPolicyNorUpstream() throws IOException, InterruptedException {
         warmUpEnabled = true;
         start();
         try (HttpTestClient client = new HttpTestClient(address)) {
-            int status = 503;
-            while (status == 503) {
-                status = client.send(READY_REQUEST).readStatus();
-            }
+            int status =
+                    await("the readiness check of the warmed-up balancer is no longer 503")
+                            .until(
+                                    () -> client.send(READY_REQUEST).readStatus(),
+                                    readiness -> readiness != 503);
             assertEquals(200, status);
             assertEquals(
                     404, client.send("GET /-/rehearsed HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
@@ -97,28 +90,21 @@
     @Test
     void gracefulStopAnswersPendingRequests() throws IOException, InterruptedException {
         start();
-        HttpTestClient idleClient = new HttpTestClient(address);
-        assertEquals(200, idleClient.send(READY_REQUEST).readStatus());
-        HttpTestClient pendingClient = new HttpTestClient(address).send(IDEMPOTENT_REQUEST);
-        FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
-        Thread stopThread = new Thread(balancer::stop);
-        stopThread.start();
-        int readyStatus = 200;
-        while (readyStatus == 200) {
-            try (HttpTestClient lateClient = new HttpTestClient(address)) {
-                readyStatus = lateClient.send(READY_REQUEST).readStatus();
-            }
+        try (HttpTestClient idleClient = new HttpTestClient(address);
+                HttpTestClient pendingClient = new HttpTestClient(address)) {
+            assertEquals(200, idleClient.send(READY_REQUEST).readStatus());
+            pendingClient.send(IDEMPOTENT_REQUEST);
+            FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
+            Thread stopThread = stopInBackground();
+            awaitStopping();
+            assertNull(idleClient.readResponse(), "the idle connection is closed");
+            receivedRequest.respond(200, "", "late but complete");
+            String head = pendingClient.readResponse();
+            assertTrue(head.startsWith("HTTP/1.1 200"), head);
+            assertTrue(head.toLowerCase(Locale.ROOT).contains("connection: close"), head);
+            assertNull(pendingClient.readResponse(), "the connection is closed after the response");
+            stopThread.join();
         }
-        assertEquals(503, readyStatus);
-        // Closed while idle
-        assertNull(idleClient.readResponse());
-        receivedRequest.respond(200, "", "late but whole");
-        String head = pendingClient.readResponse();
-        assertTrue(head.startsWith("HTTP/1.1 200"), head);
-        assertTrue(head.toLowerCase(Locale.ROOT).contains("connection: close"), head);
-        assertNull(pendingClient.readResponse());
-        stopThread.join();
-        balancer = null;
     }
 
     @ParameterizedTest
@@ -134,12 +120,13 @@
                         + "| settings: ",
             })
     void invalidConfigurationIsNamed(String json, String expectedMessage) throws IOException {
-        try {
-            BalancerConfig.parse(Map.of("ROUTER_NAME", "n1"), JSON.std.mapFrom(json));
-        } catch (InvalidConfigException e) {
-            assertTrue(e.getMessage().startsWith(expectedMessage), e.getMessage());
-            return;
-        }
-        throw new AssertionError("taken");
+        Map<String, Object> raw = JSON.std.mapFrom(json);
+        Map<String, String> environment = Map.of("ROUTER_NAME", "n1");
+        InvalidConfigException exception =
+                assertThrows(
+                        InvalidConfigException.class,
+                        () -> BalancerConfig.parse(environment, raw),
+                        "the invalid configuration was accepted");
+        assertTrue(exception.getMessage().startsWith(expectedMessage), exception.getMessage());
     }
 }
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerTestSupport.java
@@ -1,18 +1,21 @@
 package loadbalancer.server;
 
+import static loadbalancer.server.BalancerServerFixtures.requestWithId;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
+import java.net.Socket;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.TestAwait;
 import loadbalancer.routing.api.AttemptOutcome;
 import loadbalancer.routing.api.LoadReport;
 import loadbalancer.routing.api.RoutingActions;
 
 /**
- * A balancer over loopback sockets for tests of what is still owed, or arriving, in the very turn
- * in which something ends: see docs/design/endings.md.
+ * A balancer over loopback sockets for tests of races: responses that are due, or data that is
+ * arriving, in the iteration of the event loop in which something ends. See docs/design/endings.md.
  */
 abstract class BalancerServerTestSupport extends UpstreamBackedTestSupport {
     /**
@@ -35,7 +38,7 @@
                 LoadReport load,
                 RoutingActions actions) {
             if (retriesRejected && !closed && outcome == AttemptOutcome.REJECTED) {
-                events.add("again");
+                events.add("retry");
                 actions.send(requestId, "s1", 0);
             } else {
                 super.onAttemptEnded(
@@ -81,32 +84,56 @@
                                 "settings",
                                 rawSettings,
                                 "known",
-                                BalancerServerFixtures.knownList(endpointAddress)),
+                                BalancerServerFixtures.knownList("s1", endpointAddress)),
                         policy,
                         line -> {});
         address = balancer.start();
         assertEquals("CACHED [s1=UP]", policy.nextEvent());
     }
 
-    static final String requestWithId(String requestId) {
-        return BalancerServerFixtures.IDEMPOTENT_REQUEST.replace(
-                "Req-Id: r1", "Req-Id: " + requestId);
-    }
-
+    /** Waits until the policy gets a request. */
     final void awaitRequest() throws InterruptedException {
-        assertEquals("0 k1 700 true", policy.acceptedRequests.poll(20, TimeUnit.SECONDS));
+        assertEquals(
+                "0 k1 700 true",
+                policy.acceptedRequests.poll(TestAwait.TIMEOUT.toMillis(), TimeUnit.MILLISECONDS),
+                "the next request at the policy");
     }
 
-    /**
-     * Expects {@code requestId} as the next request at the upstream, and answers it with its id.
-     */
+    /** Expects {@code requestId} as the next request at the upstream, and responds with that id. */
     final FakeHttpServer.ReceivedRequest serveNext(HttpTestClient client, String requestId)
             throws IOException, InterruptedException {
         FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
         assertEquals(requestId, receivedRequest.header("Req-Id"));
         receivedRequest.respond(200, "", requestId);
         assertEquals(200, client.readStatus());
-        assertEquals(requestId, new String(client.body, StandardCharsets.UTF_8));
+        assertEquals(requestId, client.bodyText());
         return receivedRequest;
     }
+
+    /**
+     * Sends a request from a new client, and expects it as the next at the upstream: nothing was
+     * forwarded before it.
+     */
+    final void assertNextRequestIsServed() throws IOException, InterruptedException {
+        try (HttpTestClient nextClient = new HttpTestClient(address)) {
+            nextClient.send(requestWithId("next"));
+            serveNext(nextClient, "next");
+        }
+    }
+
+    /** The same, where the next request is due on a connection that the upstream has accepted. */
+    final void assertNextRequestArrivesOn(Socket upstreamSocket) throws IOException {
+        try (HttpTestClient nextClient = new HttpTestClient(address)) {
+            nextClient.send(requestWithId("next"));
+            assertRequestArrivesOn(upstreamSocket, "next");
+        }
+    }
+
+    static final void assertRequestArrivesOn(Socket upstreamSocket, String requestId)
+            throws IOException {
+        String head = FakeHttpServer.readHead(upstreamSocket.getInputStream());
+        assertTrue(
+                head != null && head.contains("Req-Id: " + requestId),
+                "expected the request " + requestId + " but received " + head);
+    }
 }
--- a/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
@@ -1,5 +1,8 @@
 package loadbalancer.server;
 
+import static loadbalancer.TestAwait.await;
+import static loadbalancer.server.FakeHttpServer.CHUNKED_HEAD;
+import static loadbalancer.server.FakeHttpServer.OK_STATUS_LINE;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -21,18 +24,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Streamed request and response bodies: over 64 KiB, up to 32 MB. */
-class BodyStreamingTest extends UpstreamBackedTestSupport {
-    private static final String POST_HEAD =
-            "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: r1\r\nReq-Kind: book\r\n"
-                    + "Req-Deadline-Ms: 20000\r\n";
-    private static final String OK_STATUS_LINE = "HTTP/1.1 200 OK\r\n";
-
-    private final ScriptedPolicy policy = new ScriptedPolicy();
+class BodyStreamingTest extends ScriptedPolicyTestSupport {
+    private static final String POST_HEAD = BalancerServerFixtures.NON_IDEMPOTENT_HEAD;
+    private static final int MEGABYTE = 1_000_000;
+    private static final int LARGEST_BODY_MEGABYTES = 32;
+    // In which a wrong event would come.
+    private static final long QUIET_MS = 100;
+    // In which the writer of a large body fills all buffers on the way to the client.
+    private static final long BUFFERS_FILL_MS = 500;
+    private static final int SLOW_UPLOAD_PIECES = 30;
+    private static final long SLOW_UPLOAD_INTERVAL_MS = 100;
 
     @BeforeEach
     void start() throws IOException, InterruptedException {
-        startReady(policy, 1024, line -> {});
-        assertEquals("CACHED [s1=UP]", policy.nextEvent());
+        startReady(DEFAULT_MAX_SOCKETS);
     }
 
     private static byte[] randomBytes(int length) {
@@ -71,26 +76,27 @@
                                 .split("\r\n")[0]);
         byte[] body = client.input.readNBytes(length);
         if (body.length < length) {
-            throw new IOException("cut off");
+            throw new IOException(
+                    "the body ended after " + body.length + " of " + length + " bytes");
         }
         return body;
     }
 
-    @ParameterizedTest
+    /** A body of each framing, below and above the size that is streamed, on a kept connection. */
+    @ParameterizedTest(name = "{0} bytes, chunked={1}")
     @CsvSource({"65536, false", "65537, false", "65537, true", "3000000, false", "3000000, true"})
     void requestBodiesArriveUnchanged(int length, boolean useChunks) throws Exception {
         byte[] payload = randomBytes(length);
         try (HttpTestClient client = new HttpTestClient(address)) {
-            OutputStream output = client.socket.getOutputStream();
+            // The second request shows that the connection is usable after the first body.
             for (int i = 0; i < 2; i++) {
-                // The connection goes on behind it
                 client.send(
                         POST_HEAD
                                 + (useChunks
                                         ? "Transfer-Encoding: chunked"
                                         : "Content-Length: " + length)
                                 + "\r\n\r\n");
-                output.write(useChunks ? encodeChunked(payload, 1000) : payload);
+                client.send(useChunks ? encodeChunked(payload, 1000) : payload);
                 FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
                 assertArrayEquals(payload, receivedRequest.body());
                 assertEquals(1, receivedRequest.connectionNumber());
@@ -117,7 +123,7 @@
                 client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
                 FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
                 if (framing.equals("chunked")) {
-                    receivedRequest.sendRaw(OK_STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n");
+                    receivedRequest.sendRaw(CHUNKED_HEAD);
                     receivedRequest.sendRaw(encodeChunked(payload, 1000));
                 } else {
                     receivedRequest.sendRaw(
@@ -177,8 +183,8 @@
             if (framing.startsWith("T")) {
                 receivedRequest.sendRaw(encodeChunked(randomBytes(80_000), 80_000 + 1).length + "");
                 receivedRequest.reset();
+                // Nothing was forwarded, so the attempt failed as a whole.
                 assertEquals("RESET", policy.nextEvent());
-                // Nothing had been passed on
                 return;
             }
             receivedRequest.sendRaw(randomBytes(80_000));
@@ -189,10 +195,11 @@
                 receivedRequest.socket().close();
             }
             assertThrows(IOException.class, () -> readBody(client));
-            assertEquals("broke off s1", policy.nextEvent());
+            assertEquals("response aborted s1", policy.nextEvent());
         }
     }
 
+    /** A client that disconnects amid a response is no fault of the upstream's. */
     @Test
     void disconnectDuringResponseIsNotBlamed() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
@@ -204,32 +211,29 @@
             client.socket.close();
             assertTrue(receivedRequest.isClosedByPeer());
         }
-        assertNull(policy.events.poll(100, TimeUnit.MILLISECONDS));
+        assertNull(policy.events.poll(QUIET_MS, TimeUnit.MILLISECONDS), "no further event");
     }
 
-    /**
-     * Upstream and client stay connected: the policy's response comes while the client is still
-     * sending.
-     */
+    /** The upstream closes its connection while the client is still sending. */
     @Test
     void abortedUploadIsAnsweredAndNotRetried() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(POST_HEAD + "Content-Length: 30000000\r\n\r\n");
             client.socket.getOutputStream().write(randomBytes(100_000));
             assertEquals("uploading", policy.nextEvent());
-            while (upstream.connectionCount() == 0) {
-                Thread.onSpinWait();
-            }
+            await("the balancer connects to the upstream")
+                    .until(() -> upstream.connectionCount() > 0);
             upstream.closeAllConnections();
             assertEquals("CONNECT_FAILED", policy.nextEvent());
             assertEquals(502, client.readStatus());
-            // Expected: the balancer may close first.
+            // The client goes on sending, and its connection still ends without a reset.
             client.socket.getOutputStream().write(randomBytes(100_000));
             assertNull(client.readResponse());
         }
         assertEquals(1, upstream.connectionCount());
     }
 
+    /** Upstream and client stay connected; the policy rejects while the client is still sending. */
     @Test
     void earlyRejectionOfUploadIsSent() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
@@ -257,7 +261,10 @@
         assertTrue(upstream.isEmpty());
     }
 
-    /** Takes longer than the request timeout, and longer than the deadline. */
+    /**
+     * An upload that takes longer than the timeout for a request's head and than its deadline
+     * succeeds while it proceeds; one that stalls ends.
+     */
     @Test
     void slowUploadSucceedsAndStalledOneEnds() throws Exception {
         byte[] payload = randomBytes(300_000);
@@ -267,9 +274,10 @@
             stalledClient.send(postHead + "Content-Length: 300000\r\n\r\n");
             stalledClient.socket.getOutputStream().write(payload, 0, 100_000);
             slowClient.send(postHead + "Content-Length: 300000\r\n\r\n");
-            for (int i = 0; i < 30; i++) {
-                slowClient.socket.getOutputStream().write(payload, i * 10_000, 10_000);
-                TimeUnit.MILLISECONDS.sleep(100);
+            int pieceLength = payload.length / SLOW_UPLOAD_PIECES;
+            for (int i = 0; i < SLOW_UPLOAD_PIECES; i++) {
+                slowClient.socket.getOutputStream().write(payload, i * pieceLength, pieceLength);
+                TimeUnit.MILLISECONDS.sleep(SLOW_UPLOAD_INTERVAL_MS);
             }
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             assertArrayEquals(payload, receivedRequest.body());
@@ -279,19 +287,23 @@
         }
     }
 
-    /** Neither side's 32 MB are buffered: what the client does not read stays at the upstream. */
+    /** The balancer does not buffer 32 MB: what the client does not read stays at the upstream. */
     @Test
     void slowReaderAppliesBackpressure() throws Exception {
-        byte[] block = randomBytes(1_000_000);
+        byte[] block = randomBytes(MEGABYTE);
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
-            receivedRequest.sendRaw(OK_STATUS_LINE + "Content-Length: 32000000\r\n\r\n");
+            receivedRequest.sendRaw(
+                    OK_STATUS_LINE
+                            + "Content-Length: "
+                            + LARGEST_BODY_MEGABYTES * MEGABYTE
+                            + "\r\n\r\n");
             Thread writer =
                     new Thread(
                             () -> {
                                 try {
-                                    for (int i = 0; i < 32; i++) {
+                                    for (int i = 0; i < LARGEST_BODY_MEGABYTES; i++) {
                                         receivedRequest.sendRaw(block);
                                     }
                                 } catch (IOException e) {
@@ -300,11 +312,13 @@
                             });
             writer.start();
             assertEquals("OK closed", policy.nextEvent());
-            writer.join(500);
-            assertTrue(writer.isAlive());
+            writer.join(BUFFERS_FILL_MS);
+            assertTrue(
+                    writer.isAlive(),
+                    "the upstream wrote all of the body to a client that reads nothing");
             byte[] body = readBody(client);
-            assertEquals(32_000_000, body.length);
-            assertFalse(writer.isInterrupted());
+            assertEquals(LARGEST_BODY_MEGABYTES * MEGABYTE, body.length);
+            assertFalse(writer.isInterrupted(), "the upstream could not write all of the body");
         }
     }
 }
--- a/balancer/src/test/java/loadbalancer/server/ClientDisconnectTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ClientDisconnectTest.java
@@ -1,6 +1,8 @@
 package loadbalancer.server;
 
 import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
+import static loadbalancer.server.BalancerServerFixtures.nonIdempotentHead;
+import static loadbalancer.server.BalancerServerFixtures.requestWithId;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,8 +13,10 @@
 import java.net.Socket;
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -20,15 +24,30 @@
 
 /** Clients that disconnect, at each stage of their requests. */
 class ClientDisconnectTest extends BalancerServerTestSupport {
+    // Longer than an attempt may start after its client's disconnect.
+    private static final long DISCONNECT_PAUSE_MS = 150;
+    // In which a client that sends a long body fills the socket buffers on the way.
+    private static final long BUFFERS_FILL_MS = 2_000;
+    private static final int LONG_BODY_BYTES = 1_500_000;
+    // Where an incomplete body is read no further, its client is closed at the request's deadline.
+    private static final Duration FLOOD_RELEASE_TIMEOUT = Duration.ofSeconds(20 + 10);
+    private static final int FLOODING_CLIENTS = 12;
+    private static final int FLOOD_BYTES = 1 << 20;
+
+    /** The clients send and disconnect while the event loop is stalled. */
     @ParameterizedTest
-    @CsvSource({
-        "1,false,false",
-        "1,true,false",
-        "1,false,true",
-        "1,true,true",
-        "300,false,false",
-        "300,true,false"
-    })
+    @CsvSource(
+            useHeadersInDisplayName = true,
+            textBlock =
+                    """
+                clients, reset, keep-alive
+                1,       false, false
+                1,       true,  false
+                1,       false, true
+                1,       true,  true
+                300,     false, false
+                300,     true,  false
+                """)
     void requestOfDisconnectedClientIsNotForwarded(
             int clientCount, boolean reset, boolean keepAlive) throws Exception {
         start();
@@ -44,26 +63,31 @@
             if (!keepAlive) {
                 disconnectedClients.add(new HttpTestClient(address));
             }
-            disconnectedClients.get(i).send(requestWithId("gone" + i));
-            if (reset) {
-                disconnectedClients.get(i).socket.setSoLinger(true, 0);
-            }
-            disconnectedClients.get(i).close();
+            disconnectedClients.get(i).send(requestWithId("disconnected" + i));
+            disconnect(disconnectedClients.get(i), reset);
         }
         stall.release();
-        try (HttpTestClient nextClient = new HttpTestClient(address).send(requestWithId("r2"))) {
-            serveNext(nextClient, "r2");
-        }
+        assertNextRequestIsServed();
         awaitRequest();
         assertTrue(policy.acceptedRequests.isEmpty(), policy.acceptedRequests.toString());
         assertEquals("OK closed", policy.nextEvent());
     }
 
+    private static void disconnect(HttpTestClient client, boolean reset) throws IOException {
+        if (reset) {
+            client.reset();
+        } else {
+            client.close();
+        }
+    }
+
+    /** The policy sends a request after its client has disconnected. */
     @Test
     void pendingRequestOfDisconnectedClientIsDropped() throws Exception {
         start();
         policy.endpointId = null;
-        HttpTestClient disconnectedClient = new HttpTestClient(address).send(requestWithId("gone"));
+        HttpTestClient disconnectedClient =
+                new HttpTestClient(address).send(requestWithId("disconnected"));
         awaitRequest();
         String pendingRequestId = policy.lastRequestId;
         disconnectedClient.close();
@@ -73,17 +97,24 @@
                         () -> policy.capturedActions.send(pendingRequestId, "s1", 0))
                 .release();
         policy.endpointId = "s1";
-        try (HttpTestClient nextClient = new HttpTestClient(address).send(requestWithId("r2"))) {
-            serveNext(nextClient, "r2");
-        }
+        assertNextRequestIsServed();
     }
 
     /**
-     * The event loop is stalled as they disconnect, and runs their attempts before it reads their
-     * closes.
+     * The clients disconnect while the event loop is stalled; it starts their attempts before it
+     * reads that they have disconnected.
      */
     @ParameterizedTest
-    @CsvSource({"1,false", "1,true", "300,false", "300,true"})
+    @CsvSource(
+            useHeadersInDisplayName = true,
+            textBlock =
+                    """
+                clients, reset
+                1,       false
+                1,       true
+                300,     false
+                300,     true
+                """)
     void attemptAfterUnreadDisconnectIsNotSent(int clientCount, boolean reset) throws Exception {
         start();
         try (HttpTestClient firstClient = new HttpTestClient(address).send(requestWithId("r0"))) {
@@ -96,7 +127,8 @@
         List<HttpTestClient> disconnectedClients = new ArrayList<>();
         List<String> pendingRequestIds = new ArrayList<>();
         for (int i = 0; i < clientCount; i++) {
-            disconnectedClients.add(new HttpTestClient(address).send(requestWithId("gone" + i)));
+            disconnectedClients.add(
+                    new HttpTestClient(address).send(requestWithId("disconnected" + i)));
             awaitRequest();
             pendingRequestIds.add(policy.lastRequestId);
         }
@@ -108,150 +140,136 @@
                                         requestId ->
                                                 policy.capturedActions.send(requestId, "s1", 0)));
         for (HttpTestClient client : disconnectedClients) {
-            client.socket.setSoLinger(reset, 0);
-            client.close();
+            disconnect(client, reset);
         }
-        spinBriefly();
+        pauseAfterDisconnect();
         stall.release();
         for (int i = 0; i < clientCount; i++) {
             assertEquals("gone", policy.nextEvent());
             assertEquals("NOT_SENT closed", policy.nextEvent());
         }
         policy.endpointId = "s1";
-        try (HttpTestClient nextClient = new HttpTestClient(address).send(requestWithId("r2"))) {
-            serveNext(nextClient, "r2");
-        }
-        assertEquals(1, upstream.connectionCount());
+        assertNextRequestIsServed();
+        assertEquals(1, upstream.connectionCount(), "connections to the upstream");
+    }
+
+    private static void pauseAfterDisconnect() throws InterruptedException {
+        TimeUnit.MILLISECONDS.sleep(DISCONNECT_PAUSE_MS);
     }
 
     /**
-     * The attempt is rejected, and the client disconnects; the loop reads the rejection first, and
+     * The attempt is rejected, then the client disconnects; the loop reads the rejection first, and
      * the policy retries.
      */
     @Test
     void noRetryAfterDisconnectBetweenAttempts() throws Exception {
         start();
         policy.retriesRejected = true;
-        HttpTestClient disconnectedClient = new HttpTestClient(address).send(requestWithId("gone"));
+        HttpTestClient disconnectedClient =
+                new HttpTestClient(address).send(requestWithId("disconnected"));
         awaitRequest();
         FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
         EventLoopStall stall = new EventLoopStall(balancer.loop());
         receivedRequest.respond(503, "Srv-Declined: 1\r\n", "");
-        // The rejection is the first that the loop reads.
-        spinBriefly();
+        // The rejection arrives first, so the loop reads it first.
+        pauseAfterDisconnect();
         disconnectedClient.close();
-        spinBriefly();
+        pauseAfterDisconnect();
         stall.release();
-        assertEquals("again", policy.nextEvent());
+        assertEquals("retry", policy.nextEvent());
         assertEquals("gone", policy.nextEvent());
         assertEquals("NOT_SENT closed", policy.nextEvent());
-        try (HttpTestClient nextClient = new HttpTestClient(address).send(requestWithId("r2"))) {
-            serveNext(nextClient, "r2");
-        }
+        assertNextRequestIsServed();
     }
 
-    /** The connection is established, then the client disconnects, while the loop is stalled. */
-    @ParameterizedTest
+    /** Starts an attempt whose connect completes only once {@code backlogListener} accepts. */
+    private HttpTestClient startConnectingAttempt(
+            FullBacklogListener backlogListener, boolean cancelsOnDisconnect) throws Exception {
+        start(backlogListener.address());
+        policy.cancelsOnDisconnect = cancelsOnDisconnect;
+        HttpTestClient client = new HttpTestClient(address).send(requestWithId("disconnected"));
+        awaitRequest();
+        return client;
+    }
+
+    /** While the loop is stalled the connection is established, then the client disconnects. */
+    @ParameterizedTest(name = "cancelsOnDisconnect={0}")
     @ValueSource(booleans = {false, true})
     void disconnectDuringConnectEventSendsNothing(boolean cancelsOnDisconnect) throws Exception {
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
-            start(backlogListener.address());
-            policy.cancelsOnDisconnect = cancelsOnDisconnect;
             HttpTestClient disconnectedClient =
-                    new HttpTestClient(address).send(requestWithId("gone"));
-            awaitRequest();
+                    startConnectingAttempt(backlogListener, cancelsOnDisconnect);
+            // After these iterations of the loop the connect has begun.
             for (int i = 0; i < 3; i++) {
-                // It has begun to connect
                 balancer.loop().submit(() -> {}).get();
             }
             EventLoopStall stall = new EventLoopStall(balancer.loop());
             Socket accepted = backlogListener.acceptNext();
-            spinBriefly();
+            pauseAfterDisconnect();
             disconnectedClient.close();
-            spinBriefly();
+            pauseAfterDisconnect();
             stall.release();
             assertEquals("gone", policy.nextEvent());
             assertEquals("NOT_SENT closed", policy.nextEvent());
-            try (HttpTestClient nextClient = new HttpTestClient(address)) {
-                nextClient.send(requestWithId("r2"));
-                assertTrue(
-                        FakeHttpServer.readHead(accepted.getInputStream()).contains("Req-Id: r2"));
-            }
-        }
-    }
-
-    // Longer than an attempt may start after its client's disconnect.
-    private static void spinBriefly() {
-        long deadlineNanos = System.nanoTime() + 150_000_000;
-        while (System.nanoTime() < deadlineNanos) {
-            Thread.onSpinWait();
+            assertNextRequestArrivesOn(accepted);
         }
     }
 
-    /** Where nothing may be cancelled, too: a connection that comes up later is not used for it. */
-    @ParameterizedTest
+    /**
+     * The connection is established after the disconnect. The attempt is not sent on it even where
+     * the policy cancels nothing.
+     */
+    @ParameterizedTest(name = "cancelsOnDisconnect={0}")
     @ValueSource(booleans = {false, true})
     void disconnectWhileConnectingSendsNothing(boolean cancelsOnDisconnect) throws Exception {
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
-            start(backlogListener.address());
-            policy.cancelsOnDisconnect = cancelsOnDisconnect;
             HttpTestClient disconnectedClient =
-                    new HttpTestClient(address).send(requestWithId("gone"));
-            awaitRequest();
+                    startConnectingAttempt(backlogListener, cancelsOnDisconnect);
             disconnectedClient.close();
             assertEquals("gone", policy.nextEvent());
             Socket accepted = backlogListener.acceptNext();
             assertEquals("NOT_SENT closed", policy.nextEvent());
-            try (HttpTestClient nextClient = new HttpTestClient(address)) {
-                nextClient.send(requestWithId("r2"));
-                assertTrue(
-                        FakeHttpServer.readHead(accepted.getInputStream()).contains("Req-Id: r2"));
-            }
+            assertNextRequestArrivesOn(accepted);
         }
     }
 
     /**
-     * The answer meets a reset that the loop has not read yet: its connection is closed by the
-     * write.
+     * The response is written while a reset is there that the loop has not read yet: the write
+     * closes the connection.
      */
     @Test
     void disconnectDuringResponseFreesConnection() throws Exception {
         start();
         policy.endpointId = null;
-        HttpTestClient disconnectedClient = new HttpTestClient(address).send(requestWithId("gone"));
+        HttpTestClient disconnectedClient =
+                new HttpTestClient(address).send(requestWithId("disconnected"));
         awaitRequest();
         EventLoopStall stall =
                 new EventLoopStall(
                         balancer.loop(),
                         () -> policy.capturedActions.reject(policy.lastRequestId, 0));
-        disconnectedClient.socket.setSoLinger(true, 0);
-        disconnectedClient.close();
+        disconnectedClient.reset();
         stall.release();
-        String clientSummary = "";
-        while (!clientSummary.startsWith("0 clients'")) {
-            clientSummary = balancer.loop().submit(() -> balancer.frontend().toString()).get();
-        }
-        assertEquals("0 clients' (0 new, 0 at rest, 0 shut)", clientSummary);
+        assertEquals("0 clients' (0 new, 0 at rest, 0 shut)", awaitClientCount(0));
     }
 
     @Test
     void pipelinedRequestOfDisconnectedClientIsDropped() throws Exception {
         start();
         HttpTestClient disconnectedClient =
-                new HttpTestClient(address).send(requestWithId("r1") + requestWithId("gone"));
+                new HttpTestClient(address)
+                        .send(requestWithId("r1") + requestWithId("disconnected"));
         FakeHttpServer.ReceivedRequest firstRequest = upstream.nextRequest();
         disconnectedClient.close();
         assertEquals("gone", policy.nextEvent());
         assertEquals("CANCELLED closed", policy.nextEvent());
-        assertTrue(firstRequest.isClosedByPeer());
-        try (HttpTestClient nextClient = new HttpTestClient(address).send(requestWithId("r2"))) {
-            serveNext(nextClient, "r2");
-        }
+        assertTrue(firstRequest.isClosedByPeer(), "the first attempt's connection is closed");
+        assertNextRequestIsServed();
     }
 
     /**
-     * Its body waits for a connection, and more of it than is read meanwhile: its end stands behind
-     * that.
+     * The body waits for a connection to the upstream and is longer than what is read meanwhile:
+     * the end of the client's stream is behind bytes that are not read yet.
      */
     @Test
     void disconnectIsSeenWhileReadingIsPaused() throws Exception {
@@ -260,10 +278,9 @@
             HttpTestClient disconnectedClient =
                     new HttpTestClient(address)
                             .send(
-                                    "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: gone\r\n"
-                                            + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n"
-                                            + "Content-Length: 200000\r\n\r\n");
-            disconnectedClient.socket.getOutputStream().write(new byte[180_000]);
+                                    nonIdempotentHead("disconnected")
+                                            + "Content-Length: 200000\r\n\r\n")
+                            .send(new byte[180_000]);
             assertEquals("uploading", policy.nextEvent());
             disconnectedClient.close();
             assertEquals("gone", policy.nextEvent());
@@ -271,118 +288,112 @@
     }
 
     /**
-     * All of its body is on its way, and its end behind more than is read while its connection is
-     * made: the attempt that begins then never gets its last byte, and so never was one.
+     * The client sends all of its body and disconnects; the end of its stream is behind more than
+     * is read while the attempt connects. The attempt starts, but the upstream never gets the last
+     * byte and so never executes the request.
      */
-    @ParameterizedTest
+    @ParameterizedTest(name = "chunked={0}")
     @ValueSource(booleans = {false, true})
     void longBodyOfDisconnectedClientStaysIncomplete(boolean chunked) throws Exception {
-        int length = 1_500_000;
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
             start(backlogListener.address());
             policy.cancelsOnDisconnect = false;
-            HttpTestClient disconnectedClient =
-                    new HttpTestClient(address)
-                            .send(
-                                    "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: gone\r\n"
-                                            + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n"
-                                            + (chunked
-                                                    ? "Transfer-Encoding: chunked\r\n\r\n"
-                                                    : "Content-Length: " + length + "\r\n\r\n"));
-            Thread sender =
-                    new Thread(
-                            () -> {
-                                try {
-                                    OutputStream output =
-                                            disconnectedClient.socket.getOutputStream();
-                                    output.write(
-                                            chunked
-                                                    ? (Integer.toHexString(length) + "\r\n")
-                                                            .getBytes(StandardCharsets.US_ASCII)
-                                                    : new byte[0]);
-                                    output.write(new byte[length]);
-                                    output.write(
-                                            chunked
-                                                    ? "\r\n0\r\n\r\n"
-                                                            .getBytes(StandardCharsets.US_ASCII)
-                                                    : new byte[0]);
-                                    disconnectedClient.close();
-                                } catch (IOException e) {
-                                    Thread.currentThread().interrupt();
-                                }
-                            });
-            sender.start();
+            Thread sender = sendLongBodyAndDisconnect(new HttpTestClient(address), chunked);
             assertEquals("uploading", policy.nextEvent());
-            // The socket buffers are full.
-            sender.join(2_000);
-            spinBriefly();
-            spinBriefly();
+            sender.join(BUFFERS_FILL_MS);
+            pauseAfterDisconnect();
+            pauseAfterDisconnect();
             Socket accepted = backlogListener.acceptNext();
-            assertTrue(FakeHttpServer.readHead(accepted.getInputStream()).contains("Req-Id: gone"));
-            assertFalse(isBodyComplete(accepted.getInputStream(), chunked ? -1 : length));
+            assertRequestArrivesOn(accepted, "disconnected");
+            assertFalse(
+                    isBodyComplete(accepted.getInputStream(), chunked),
+                    "the upstream received the complete body");
+        }
+    }
+
+    private static Thread sendLongBodyAndDisconnect(HttpTestClient client, boolean chunked) {
+        Thread sender =
+                new Thread(
+                        () -> {
+                            try {
+                                client.send(nonIdempotentHead("disconnected"));
+                                writeLongBody(client.socket.getOutputStream(), chunked);
+                                client.close();
+                            } catch (IOException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        });
+        sender.start();
+        return sender;
+    }
+
+    private static void writeLongBody(OutputStream output, boolean chunked) throws IOException {
+        String framing =
+                chunked
+                        ? "Transfer-Encoding: chunked\r\n\r\n"
+                                + Integer.toHexString(LONG_BODY_BYTES)
+                                + "\r\n"
+                        : "Content-Length: " + LONG_BODY_BYTES + "\r\n\r\n";
+        output.write(framing.getBytes(StandardCharsets.US_ASCII));
+        output.write(new byte[LONG_BODY_BYTES]);
+        if (chunked) {
+            output.write("\r\n0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         }
     }
 
-    // Reads until its last byte has come, or the connection has ended before.
-    private static boolean isBodyComplete(InputStream body, long length) throws IOException {
+    /** Reads until the body's last byte has come, or the connection has ended before. */
+    private static boolean isBodyComplete(InputStream body, boolean chunked) throws IOException {
         try {
-            if (length >= 0) {
-                return body.readNBytes((int) length).length == length;
+            if (!chunked) {
+                return body.readNBytes(LONG_BODY_BYTES).length == LONG_BODY_BYTES;
             }
             FakeHttpServer.readChunked(body);
             return true;
         } catch (SocketException | NumberFormatException e) {
-            // It was reset, or ended amid a chunk
+            // The connection was reset, or ended amid a chunk.
             return false;
         } catch (IOException e) {
-            assertTrue(e.getMessage().contains("amid"), e.toString());
+            assertTrue(e.getMessage().contains("ended amid"), e.toString());
             return false;
         }
     }
 
     /**
-     * Clients that send a lot and disconnect: an endless line, pipelined requests, an incomplete
-     * body.
+     * Clients send a lot and disconnect: a line without end, pipelined requests, an incomplete
+     * body. The balancer serves others meanwhile and keeps nothing of theirs.
      */
-    @ParameterizedTest
+    @ParameterizedTest(name = "{0}")
     @ValueSource(strings = {"line", "requests", "body"})
     void abandonedFloodsLeaveNothingBehind(String floodKind) throws Exception {
         start();
         String flood =
                 switch (floodKind) {
-                    case "line" -> "GET /" + "x".repeat(1 << 20);
+                    case "line" -> "GET /" + "x".repeat(FLOOD_BYTES);
                     case "requests" -> requestWithId("flood").repeat(2_000);
                     default ->
-                            "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: flood\r\nReq-Kind: book\r\n"
-                                    + "Req-Deadline-Ms: 20000\r\nContent-Length: 30000000\r\n\r\n"
-                                    + "x".repeat(1 << 20);
+                            nonIdempotentHead("flood")
+                                    + "Content-Length: 30000000\r\n\r\n"
+                                    + "x".repeat(FLOOD_BYTES);
                 };
         // What has been read of them is buffered.
         policy.endpointId = null;
-        for (int i = 0; i < 12; i++) {
-            HttpTestClient disconnectedClient = new HttpTestClient(address);
-            try {
+        for (int i = 0; i < FLOODING_CLIENTS; i++) {
+            try (HttpTestClient disconnectedClient = new HttpTestClient(address)) {
                 disconnectedClient.send(flood);
             } catch (IOException e) {
                 // Rejected before all of it was sent.
-                assertEquals("line", floodKind);
+                assertEquals("line", floodKind, e.toString());
             }
-            disconnectedClient.close();
-        }
-        try (HttpTestClient properClient = new HttpTestClient(address)) {
-            // Amid them
-            assertEquals(200, properClient.send(READY_REQUEST).readStatus());
         }
-        String clientSummary = "";
-        while (!clientSummary.startsWith("0 clients'")) {
-            // Or the test's own time is over
-            clientSummary = balancer.loop().submit(() -> balancer.frontend().toString()).get();
+        try (HttpTestClient otherClient = new HttpTestClient(address)) {
+            assertEquals(200, otherClient.send(READY_REQUEST).readStatus());
         }
-        assertEquals(0, balancer.loop().submit(() -> balancer.pendingRequestCount()).get());
+        awaitClientCount(0, FLOOD_RELEASE_TIMEOUT);
+        assertEquals(
+                0,
+                balancer.loop().submit(() -> balancer.pendingRequestCount()).get(),
+                "pending requests");
         policy.endpointId = "s1";
-        try (HttpTestClient properClient =
-                new HttpTestClient(address).send(requestWithId("proper"))) {
-            serveNext(properClient, "proper");
-        }
+        assertNextRequestIsServed();
     }
 }
--- a/balancer/src/test/java/loadbalancer/server/DrainAndTakeoverTest.java
+++ b/balancer/src/test/java/loadbalancer/server/DrainAndTakeoverTest.java
@@ -1,5 +1,8 @@
 package loadbalancer.server;
 
+import static loadbalancer.TestAwait.await;
+import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
+import static loadbalancer.server.BalancerServerFixtures.readinessStatus;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -8,21 +11,20 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.Socket;
 import java.nio.channels.ServerSocketChannel;
-import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
+import loadbalancer.admin.AdminTestClient;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /**
- * What operators do with a balancer that serves: read its figures, empty it, start its successor.
+ * What operators do with a balancer that serves: read its metrics, drain it, start its successor.
  */
 class DrainAndTakeoverTest extends UpstreamBackedTestSupport {
-    private static final String READY_REQUEST =
-            "GET /-/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n";
+    private static final int SHARED_SOCKET_BACKLOG = 64;
+    private static final int READINESS_CHECKS = 20;
 
     private final ScriptedPolicy policy = new ScriptedPolicy();
     private final List<String> logLines = new CopyOnWriteArrayList<>();
@@ -36,34 +38,28 @@
                         upstream, policy, BalancerServerFixtures.settings(), 1024, logLines::add);
     }
 
-    private static String call(BalancerServer balancer, String line) throws IOException {
-        try (Socket socket =
-                new Socket(
-                        balancer.adminAddress().getAddress(), balancer.adminAddress().getPort())) {
-            socket.setSoTimeout(20_000);
-            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
-            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        }
+    private static String call(BalancerServer balancer, String command) throws IOException {
+        return AdminTestClient.call(balancer.adminAddress(), command + "\n");
     }
 
-    private static void awaitReady(BalancerServer balancer, boolean ready) throws IOException {
-        while (call(balancer, "ready").startsWith("200") != ready) {
-            Thread.onSpinWait();
-        }
+    private static void awaitReady(BalancerServer balancer, boolean ready) {
+        await("the administration endpoint reports ready=" + ready)
+                .until(() -> call(balancer, "ready").startsWith("200") == ready);
     }
 
-    private void awaitMetric(String metric) throws IOException {
-        while (!call(balancer, "show-stat").contains(metric + "\n")) {
-            Thread.onSpinWait();
-        }
+    private void awaitMetric(String metric) {
+        await("the metric " + metric)
+                .until(() -> call(balancer, "show-stat").contains(metric + "\n"));
     }
 
-    private static int readyStatus(InetSocketAddress address) throws IOException {
-        try (HttpTestClient client = new HttpTestClient(address)) {
-            return client.send(READY_REQUEST).readStatus();
-        }
+    private static ServerSocketChannel openSharedSocket() throws IOException {
+        ServerSocketChannel sharedSocket = ServerSocketChannel.open();
+        sharedSocket.bind(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), SHARED_SOCKET_BACKLOG);
+        return sharedSocket;
     }
 
+    /** One request is served, one fails, and one is pending until its client disconnects. */
     @Test
     void requestsAreCountedOnce() throws Exception {
         address = balancer.start();
@@ -91,6 +87,7 @@
         assertTrue(metrics.contains("app.sends:2|c\n"), metrics);
     }
 
+    /** A draining balancer goes on serving, one request a connection, until it is resumed. */
     @Test
     void drainingBalancerClosesIdleConnections() throws Exception {
         address = balancer.start();
@@ -103,14 +100,15 @@
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             assertTrue(call(balancer, "drain").startsWith("200 "));
             awaitReady(balancer, false);
-            assertEquals(503, readyStatus(address));
-            assertNull(idleClient.readResponse());
-            assertNull(silentClient.readResponse());
+            assertEquals(503, readinessStatus(address));
+            assertNull(idleClient.readResponse(), "the idle connection is closed");
+            assertNull(silentClient.readResponse(), "the silent connection is closed");
             receivedRequest.respond(200, "", "x");
             String head = busyClient.readResponse();
             assertTrue(
                     head.startsWith("HTTP/1.1 200")
-                            && head.toLowerCase(Locale.ROOT).contains("connection: close"));
+                            && head.toLowerCase(Locale.ROOT).contains("connection: close"),
+                    head);
             assertNull(busyClient.readResponse());
             try (HttpTestClient lateClient = new HttpTestClient(address)) {
                 lateClient.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
@@ -128,11 +126,13 @@
         }
     }
 
-    /** Both share the listening socket; closed by one, it would be closed for both. */
+    /**
+     * Predecessor and successor share the listening socket; closed by one, it would be closed for
+     * both.
+     */
     @Test
     void successorTakesOverListeningSocket() throws Exception {
-        try (ServerSocketChannel sharedSocket = ServerSocketChannel.open()) {
-            sharedSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
+        try (ServerSocketChannel sharedSocket = openSharedSocket()) {
             address = (InetSocketAddress) sharedSocket.getLocalAddress();
             balancer.start(sharedSocket);
             awaitReady(balancer, true);
@@ -152,34 +152,29 @@
                 FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
                 successor.start(sharedSocket);
                 awaitReady(successor, true);
-                Thread stopThread = new Thread(balancer::stop);
-                stopThread.start();
-                awaitReady(balancer, false);
-                // The old one has closed what it closes
-                assertNull(idleClient.readResponse());
-                for (int i = 0; i < 20; i++) {
-                    // The old one accepts nothing any more
-                    assertEquals(200, readyStatus(address));
+                BalancerServer predecessor = balancer;
+                Thread stopThread = stopInBackground();
+                awaitReady(predecessor, false);
+                assertNull(idleClient.readResponse(), "the idle connection is closed");
+                // The predecessor accepts nothing any more.
+                for (int i = 0; i < READINESS_CHECKS; i++) {
+                    assertEquals(200, readinessStatus(address));
                 }
-                assertTrue(sharedSocket.isOpen());
+                assertTrue(sharedSocket.isOpen(), "the shared socket stays open");
                 receivedRequest.respond(200, "", "x");
-                assertTrue(
-                        pendingClient
-                                .readResponse()
-                                .toLowerCase(Locale.ROOT)
-                                .contains("connection: close"));
+                String head = pendingClient.readResponse();
+                assertTrue(head.toLowerCase(Locale.ROOT).contains("connection: close"), head);
                 stopThread.join();
-                balancer = null;
             } finally {
                 successor.stop();
             }
         }
     }
 
+    /** Connections stay in the shared socket's backlog for a balancer that is ready. */
     @Test
     void unreadyBalancerAcceptsNothing() throws Exception {
-        try (ServerSocketChannel sharedSocket = ServerSocketChannel.open()) {
-            sharedSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
+        try (ServerSocketChannel sharedSocket = openSharedSocket()) {
             BalancerServer unreadyBalancer =
                     BalancerServerFixtures.unreadyBalancer(
                             BalancerServerFixtures.settings(), policy, logLines::add);
@@ -190,7 +185,7 @@
                 unreadyBalancer.loop().submit(() -> {}).get();
                 assertTrue(call(unreadyBalancer, "ready").startsWith("400 "));
                 sharedSocket.configureBlocking(false);
-                assertNotNull(sharedSocket.accept(), "still in the queue, for whoever is ready");
+                assertNotNull(sharedSocket.accept(), "the connection is still in the backlog");
             } finally {
                 unreadyBalancer.stop();
             }
--- a/balancer/src/test/java/loadbalancer/server/EndpointConnectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/server/EndpointConnectionsTest.java
@@ -1,30 +1,28 @@
 package loadbalancer.server;
 
+import static loadbalancer.TestAwait.await;
 import static loadbalancer.server.BalancerServerFixtures.IDEMPOTENT_REQUEST;
 import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
 import static loadbalancer.server.BalancerServerFixtures.chunk;
+import static loadbalancer.server.FakeHttpServer.CHUNKED_HEAD;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
-import java.net.SocketTimeoutException;
-import java.util.ArrayList;
-import java.util.List;
+import java.time.Duration;
 import java.util.Map;
+import java.util.Objects;
 import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
 
 /** Connections to upstreams, and what a change of the endpoint list does to them. */
 class EndpointConnectionsTest extends DiscoveryBackedTestSupport {
-    private final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
+    private static final String EMPTY_LIST = "{\"rev\":50,\"all\":true,\"targets\":[]}";
+    private static final int EVENT_POLL_MS = 10;
 
     @Test
     void idleConnectionsAreClosedInTime() throws IOException, InterruptedException {
@@ -61,11 +59,11 @@
         FakeHttpServer.ReceivedRequest watch = discoveryServer.nextRequest();
         assertEquals("GET /api/targets?watch=1&from=41 HTTP/1.1", watch.requestLine());
         String firstList = listJson(43, true, "in_service");
-        watch.sendRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        watch.sendRaw(CHUNKED_HEAD);
         watch.sendRaw(chunk(firstList.substring(0, 30)));
         watch.sendRaw(chunk(firstList.substring(30)));
         assertEquals("COMPLETE [s1=UP]", policy.nextEvent());
-        // Nothing has changed
+        // An empty line: nothing has changed.
         watch.sendRaw(chunk("\n"));
         watch.sendRaw(chunk(listJson(44, false, "terminating")));
         assertEquals("DELTA [s1=DRAINING]", policy.nextEvent());
@@ -85,104 +83,86 @@
         assertEquals("FAILED []", policy.nextEvent());
     }
 
+    // The discovery server answers the next poll with an empty list.
+    private void removeAllEndpoints() throws IOException, InterruptedException {
+        runOnLoop(() -> policy.capturedActions.fetchEndpointList());
+        discoveryServer.nextRequest().respond(200, "", EMPTY_LIST);
+        assertEquals("COMPLETE []", policy.nextEvent());
+    }
+
+    /**
+     * The policy goes on sending to an endpoint that is removed from the list: its attempts are
+     * sent until the grace period for drains is over, and none after.
+     */
     @Test
-    @Timeout(60)
     void removedEndpointGetsNoRequests() throws IOException, InterruptedException {
         start(Map.of(), 1024);
-        runOnLoop(() -> policy.capturedActions.fetchEndpointList());
-        discoveryServer.nextRequest().respond(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
-        assertEquals("COMPLETE []", policy.nextEvent());
-        // Until the grace period is over; this test's policy goes on sending.
+        removeAllEndpoints();
         try (HttpTestClient client = new HttpTestClient(address)) {
-            String event = "OK closed";
-            while (event.startsWith("OK")) {
-                client.send(IDEMPOTENT_REQUEST);
-                event = policy.events.poll(10, TimeUnit.MILLISECONDS);
-                while (event == null) {
-                    if (!upstream.isEmpty()) {
-                        upstream.nextRequest().respond(200, "", "ok");
-                    }
-                    event = policy.events.poll(10, TimeUnit.MILLISECONDS);
-                }
-                client.readStatus();
-            }
+            String event =
+                    await("an attempt after the grace period")
+                            .until(
+                                    () -> sendAndAwaitOutcome(client),
+                                    outcome -> !outcome.startsWith("OK"));
             assertEquals("NOT_SENT", event);
         }
     }
 
+    private String sendAndAwaitOutcome(HttpTestClient client) throws Exception {
+        client.send(IDEMPOTENT_REQUEST);
+        String event = null;
+        while (event == null) {
+            if (!upstream.isEmpty()) {
+                upstream.nextRequest().respond(200, "", "ok");
+            }
+            event = policy.events.poll(EVENT_POLL_MS, TimeUnit.MILLISECONDS);
+        }
+        client.readStatus();
+        return event;
+    }
+
     /**
-     * Connections are established only once the test accepts, as the listener's backlog is full.
+     * Attempts to a removed endpoint wait for connections, which are established only once the test
+     * accepts: after the grace period for drains.
      */
     @Test
-    @Timeout(60)
     void connectingAttemptIsNotSentAfterDrainGrace() throws IOException, InterruptedException {
-        List<Socket> backlogSockets = new ArrayList<>();
-        List<HttpTestClient> clients = new ArrayList<>();
-        try (ServerSocket fullListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            while (fillBacklog(backlogSockets, fullListener.getLocalPort())) {
-                assertTrue(backlogSockets.size() < 50, "the queue never fills");
-            }
-            endpointAddress = "127.0.0.1:" + fullListener.getLocalPort();
+        try (FullBacklogListener listener = new FullBacklogListener()) {
+            endpointAddress = listener.address();
             start(Map.of("DialTimeout", 30_000_000), 1024);
-            clients.add(new HttpTestClient(address).send(IDEMPOTENT_REQUEST));
-            assertEquals("0 k1 700 true", policy.acceptedRequests.poll(20, TimeUnit.SECONDS));
-            runOnLoop(() -> policy.capturedActions.fetchEndpointList());
-            discoveryServer
-                    .nextRequest()
-                    .respond(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
-            assertEquals("COMPLETE []", policy.nextEvent());
-            String event = null;
-            while (event == null) {
-                // Until new attempts show that the grace period is over.
-                clients.add(new HttpTestClient(address).send(IDEMPOTENT_REQUEST));
-                event = policy.events.poll(100, TimeUnit.MILLISECONDS);
-            }
-            assertEquals("NOT_SENT", event);
-            Thread acceptor =
-                    new Thread(
-                            () -> {
-                                try {
-                                    while (true) {
-                                        accepted.add(fullListener.accept());
-                                    }
-                                } catch (IOException e) {
-                                    Thread.currentThread().interrupt();
-                                }
-                            });
-            acceptor.start();
-            for (int i = 1; i < clients.size(); i++) {
-                assertEquals("NOT_SENT", policy.nextEvent());
-            }
-            Socket acceptedSocket;
-            int acceptedCount = 0;
-            for (int i = 0; i < backlogSockets.size(); i++) {
-                acceptedSocket = accepted.poll(20, TimeUnit.SECONDS);
-                acceptedCount += acceptedSocket == null ? 0 : 1;
-            }
-            assertEquals(backlogSockets.size(), acceptedCount);
-            acceptedSocket = accepted.poll(20, TimeUnit.SECONDS);
-            acceptedSocket.setSoTimeout(20_000);
-            assertEquals(-1, acceptedSocket.getInputStream().read(), "nothing was written");
-        } finally {
-            for (Socket backlogSocket : backlogSockets) {
-                backlogSocket.close();
-            }
-            for (HttpTestClient client : clients) {
-                client.close();
+            try (HttpTestClientGroup clients = new HttpTestClientGroup(address)) {
+                clients.connect().send(IDEMPOTENT_REQUEST);
+                assertEquals("0 k1 700 true", policy.acceptedRequests.poll(20, TimeUnit.SECONDS));
+                removeAllEndpoints();
+                // A new attempt that fails at once shows that the grace period is over.
+                String event =
+                        await("an attempt after the grace period")
+                                .pollInterval(Duration.ofMillis(100))
+                                .until(
+                                        () -> {
+                                            clients.connect().send(IDEMPOTENT_REQUEST);
+                                            return policy.events.poll();
+                                        },
+                                        Objects::nonNull);
+                assertEquals("NOT_SENT", event);
+                assertConnectionsStayEmpty(listener, clients.clients().size() - 1);
             }
         }
     }
 
-    private static boolean fillBacklog(List<Socket> backlogSockets, int port) throws IOException {
-        Socket socket = new Socket();
-        try {
-            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 300);
-            backlogSockets.add(socket);
-            return true;
-        } catch (SocketTimeoutException e) {
-            socket.close();
-            return false;
+    private void assertConnectionsStayEmpty(FullBacklogListener listener, int connectingAttempts)
+            throws IOException, InterruptedException {
+        int backlogSize = listener.backlogSize();
+        BlockingQueue<Socket> accepted = listener.acceptInBackground();
+        for (int i = 0; i < connectingAttempts; i++) {
+            assertEquals("NOT_SENT", policy.nextEvent());
+        }
+        for (int i = 0; i < backlogSize; i++) {
+            assertNotNull(accepted.poll(20, TimeUnit.SECONDS), "a connection of the backlog");
         }
+        Socket upstreamSocket = accepted.poll(20, TimeUnit.SECONDS);
+        assertNotNull(upstreamSocket, "a connection of the balancer's");
+        assertEquals(-1, upstreamSocket.getInputStream().read(), "nothing was written");
     }
 
     @Test
@@ -193,12 +173,13 @@
         assertEquals("GET /-/load HTTP/1.1", receivedRequest.requestLine());
         assertNull(receivedRequest.header("Req-Id"));
         receivedRequest.respond(200, "", "TEXT inflight=3");
-        assertEquals("probed OK 3.0", policy.nextEvent());
+        assertEquals("health check OK 3.0", policy.nextEvent());
     }
 
+    /** An idle connection to the upstream has the descriptor that a second client needs. */
     @Test
     void idleConnectionsAreClosedToFreeDescriptors() throws IOException, InterruptedException {
-        // A reserve of two, two for use
+        // Two of the four descriptors are reserved.
         start(Map.of(), 4);
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(IDEMPOTENT_REQUEST);
--- a/balancer/src/test/java/loadbalancer/server/FakeHttpServer.java
+++ b/balancer/src/test/java/loadbalancer/server/FakeHttpServer.java
@@ -1,5 +1,7 @@
 package loadbalancer.server;
 
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -18,13 +20,19 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import loadbalancer.TestAwait;
 
-/**
- * The other side of a connection, for tests: hands each request over, and answers what the test
- * says.
- */
+/** An HTTP server that hands each request to the test, and responds with what the test gives it. */
 public final class FakeHttpServer implements Closeable {
-    /** A request as it came, and the connection to answer on. */
+    /** The status line of a response that the balancer counts as a success. */
+    public static final String OK_STATUS_LINE = "HTTP/1.1 200 OK\r\n";
+
+    /** The head of a successful response with chunked transfer encoding. */
+    public static final String CHUNKED_HEAD = OK_STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n";
+
+    private static final int TIMEOUT_MS = (int) TestAwait.TIMEOUT.toMillis();
+
+    /** A request as it was received, and the connection to respond on. */
     public record ReceivedRequest(String head, byte[] body, Socket socket, int connectionNumber) {
         public String requestLine() {
             return head.substring(0, head.indexOf("\r\n"));
@@ -77,7 +85,7 @@
         /** Waits for the other side to end the connection. */
         public boolean isClosedByPeer() {
             try {
-                socket.setSoTimeout(20_000);
+                socket.setSoTimeout(TIMEOUT_MS);
                 return socket.getInputStream().read() < 0;
             } catch (IOException e) {
                 return !(e instanceof java.net.SocketTimeoutException);
@@ -157,7 +165,7 @@
             int chunkSize = Integer.parseInt(readLine(input), 16);
             body.write(input.readNBytes(chunkSize));
             if (!readLine(input).isEmpty()) {
-                throw new IOException("no end of a chunk");
+                throw new IOException("a chunk does not end with a line end");
             }
             if (chunkSize == 0) {
                 return body.toByteArray();
@@ -169,7 +177,7 @@
         StringBuilder line = new StringBuilder();
         for (int character = input.read(); character != '\n'; character = input.read()) {
             if (character < 0) {
-                throw new IOException("the end amid a chunk");
+                throw new IOException("the stream ended amid a chunk");
             }
             line.append((char) character);
         }
@@ -205,18 +213,20 @@
      * reader still sits in a read, neither an end nor a reset has left.
      */
     void awaitClosed(ReceivedRequest receivedRequest) throws InterruptedException {
-        readerThreads.get(receivedRequest.connectionNumber()).join(20_000);
+        Thread reader = readerThreads.get(receivedRequest.connectionNumber());
+        reader.join(TIMEOUT_MS);
+        assertFalse(reader.isAlive(), "the connection that the test closed is still being read");
     }
 
     int connectionCount() {
         return connectionCount.get();
     }
 
-    /** The next request; fails where none comes. */
+    /** The next request; fails if none is received in time. */
     public ReceivedRequest nextRequest() throws InterruptedException {
-        ReceivedRequest receivedRequest = receivedRequests.poll(20, TimeUnit.SECONDS);
+        ReceivedRequest receivedRequest = receivedRequests.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (receivedRequest == null) {
-            throw new AssertionError("no request came");
+            throw new AssertionError("no request was received within " + TIMEOUT_MS + " ms");
         }
         return receivedRequest;
     }
@@ -229,9 +239,9 @@
     public void close() throws IOException {
         listener.close();
         try {
-            // Until its acceptor has left, the system may still take a connection in, and never
-            // refuse it.
-            readerThreads.get(0).join(20_000);
+            // Until the acceptor has ended, the system may accept a connection rather than refuse
+            // it.
+            readerThreads.get(0).join(TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/balancer/src/test/java/loadbalancer/server/FullBacklogListener.java
+++ b/balancer/src/test/java/loadbalancer/server/FullBacklogListener.java
@@ -6,21 +6,29 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
-import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.LinkedBlockingQueue;
+import loadbalancer.TestAwait;
 
 /**
- * An upstream whose connections come up only once the test lets them: its queue of waiting ones is
- * full.
+ * A listener whose backlog is full: a connection to it is established only once the test accepts.
  */
 public final class FullBacklogListener implements Closeable {
+    private static final int MAX_BACKLOG = 50;
+    // Without room in the backlog the system drops the connect, which then times out.
+    private static final int CONNECT_TIMEOUT_MS = 300;
+    private static final int TIMEOUT_MS = (int) TestAwait.TIMEOUT.toMillis();
+
     private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    private final List<Socket> sockets = new ArrayList<>();
+    private final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
     public FullBacklogListener() throws IOException {
         while (fillBacklog()) {
-            if (sockets.size() > 50) {
-                throw new IOException("the queue never fills");
+            if (sockets.size() > MAX_BACKLOG) {
+                throw new IOException(
+                        "the backlog is not full after " + sockets.size() + " connections");
             }
         }
     }
@@ -28,7 +36,7 @@
     private boolean fillBacklog() throws IOException {
         Socket socket = new Socket();
         try {
-            socket.connect(listener.getLocalSocketAddress(), 300);
+            socket.connect(listener.getLocalSocketAddress(), CONNECT_TIMEOUT_MS);
             sockets.add(socket);
             return true;
         } catch (SocketTimeoutException e) {
@@ -41,18 +49,46 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Lets all that wait in, and returns the first that is not one of its own. */
+    /** Accepts all that wait, and returns the first connection that is not its own. */
     public Socket acceptNext() throws IOException {
         for (int i = sockets.size(); i > 0; i--) {
             sockets.add(listener.accept());
         }
-        listener.setSoTimeout(20_000);
+        listener.setSoTimeout(TIMEOUT_MS);
         Socket socket = listener.accept();
-        socket.setSoTimeout(20_000);
+        socket.setSoTimeout(TIMEOUT_MS);
         sockets.add(socket);
         return socket;
     }
 
+    /** The number of connections that fill the backlog: the first that are accepted. */
+    int backlogSize() {
+        return sockets.size();
+    }
+
+    /** Accepts all connections from now on; they are in the queue in the order of their accept. */
+    BlockingQueue<Socket> acceptInBackground() {
+        BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
+        Thread acceptor =
+                new Thread(
+                        () -> {
+                            try {
+                                while (true) {
+                                    Socket socket = listener.accept();
+                                    socket.setSoTimeout(TIMEOUT_MS);
+                                    sockets.add(socket);
+                                    accepted.add(socket);
+                                }
+                            } catch (IOException e) {
+                                // The listener is closed.
+                                Thread.currentThread().interrupt();
+                            }
+                        });
+        acceptor.setDaemon(true);
+        acceptor.start();
+        return accepted;
+    }
+
     @Override
     public void close() throws IOException {
         listener.close();
--- a/balancer/src/test/java/loadbalancer/server/GracefulShutdownTest.java
+++ b/balancer/src/test/java/loadbalancer/server/GracefulShutdownTest.java
@@ -1,7 +1,9 @@
 package loadbalancer.server;
 
-import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
+import static loadbalancer.TestAwait.await;
+import static loadbalancer.server.BalancerServerFixtures.requestWithId;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,39 +14,30 @@
 import java.net.Socket;
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.List;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
 /** Requests and responses under way as a balancer stops and closes its connections. */
 class GracefulShutdownTest extends BalancerServerTestSupport {
-    private Thread stopInBackground() {
-        Thread stopThread = new Thread(balancer::stop);
-        balancer = null;
-        stopThread.start();
-        return stopThread;
-    }
+    private static final int BACKLOGGED_CLIENTS = 40;
+    private static final int LAST_RESPONSE_BYTES = 64 * 1024;
+    private static final long DEADLINE_MS = 900;
+    private static final long MAX_RESPONSE_NANOS = TimeUnit.MILLISECONDS.toNanos(950);
+    private static final long MAX_STOP_MS = 20_000;
 
-    // Until the readiness check fails.
-    private void awaitStopping() throws IOException {
-        int readyStatus = 200;
-        while (readyStatus == 200) {
-            try (HttpTestClient readinessClient = new HttpTestClient(address)) {
-                readyStatus = readinessClient.send(READY_REQUEST).readStatus();
-            }
-        }
+    private void awaitListenerClosed() {
+        await("the balancer accepts no more connections").until(this::isConnectionRefused);
     }
 
-    // Until the balancer accepts no more connections.
-    private void awaitListenerClosed() throws IOException {
-        while (true) {
-            try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-                assertTrue(socket.isConnected());
-            } catch (ConnectException e) {
-                return;
-            } catch (SocketException e) {
-                // Connected in the very instant of the close: the next attempt shows it.
-            }
+    private boolean isConnectionRefused() throws IOException {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            assertTrue(socket.isConnected());
+            return false;
+        } catch (ConnectException e) {
+            return true;
+        } catch (SocketException e) {
+            // Connected at the moment of the close: the next attempt shows it.
+            return false;
         }
     }
 
@@ -75,6 +68,7 @@
         assertTrue(policy.acceptedRequests.isEmpty());
     }
 
+    /** The balancer stops between the first and the last bytes of a request. */
     @Test
     void startedRequestIsAnsweredDuringStop() throws Exception {
         start();
@@ -89,27 +83,30 @@
         }
     }
 
-    /** The operating system has accepted them, the process not yet. */
+    /**
+     * Connections that the operating system has accepted, but the process has not when it closes
+     * its listening socket.
+     */
     @Test
     void backloggedConnectionsAreAnswered() throws Exception {
         start();
-        List<HttpTestClient> clients = new ArrayList<>();
         EventLoopStall stall =
                 new EventLoopStall(balancer.loop(), () -> balancer.frontend().close(() -> {}));
-        for (int i = 0; i < 40; i++) {
-            clients.add(new HttpTestClient(address).send(requestWithId("r" + i)));
-        }
-        stall.release();
-        for (int i = 0; i < clients.size(); i++) {
-            upstream.nextRequest().respond(200, "", "ok");
-        }
-        for (HttpTestClient client : clients) {
-            assertEquals(200, client.readStatus());
-            client.close();
+        try (HttpTestClientGroup group = new HttpTestClientGroup(address)) {
+            for (int i = 0; i < BACKLOGGED_CLIENTS; i++) {
+                group.connect().send(requestWithId("r" + i));
+            }
+            stall.release();
+            for (int i = 0; i < BACKLOGGED_CLIENTS; i++) {
+                upstream.nextRequest().respond(200, "", "ok");
+            }
+            for (HttpTestClient client : group.clients()) {
+                assertEquals(200, client.readStatus());
+            }
         }
     }
 
-    /** The client never closes, so the connection is closed after its bound. */
+    /** The client never closes its side, so the balancer closes the connection after a bound. */
     @Test
     void stopDoesNotWaitForStuckClients() throws Exception {
         start();
@@ -117,14 +114,17 @@
             client.send(requestWithId("r1"));
             serveNext(client, "r1");
             Thread stopThread = stopInBackground();
-            stopThread.join(20_000);
-            assertTrue(!stopThread.isAlive());
+            stopThread.join(MAX_STOP_MS);
+            assertFalse(stopThread.isAlive(), "the stop waits for a client that never closes");
             InputStream input = new BufferedInputStream(client.socket.getInputStream());
             assertEquals(-1, input.read());
         }
     }
 
-    /** More than the socket buffers take at once: the remainder waits in the process. */
+    /**
+     * The response is larger than the socket buffers: its remainder waits in the process until the
+     * client reads.
+     */
     @Test
     void slowReaderGetsTheCompleteLastResponse() throws Exception {
         start();
@@ -135,7 +135,7 @@
             slowReader
                     .getOutputStream()
                     .write(requestWithId("r1").getBytes(StandardCharsets.ISO_8859_1));
-            byte[] body = new byte[64 * 1024];
+            byte[] body = new byte[LAST_RESPONSE_BYTES];
             upstream.nextRequest().respond(200, "", body);
             assertEquals("OK closed", policy.nextEvent());
             stopThread = stopInBackground();
@@ -147,7 +147,7 @@
         stopThread.join();
     }
 
-    /** The upstream hangs; a request that comes then is answered by its deadline all the same. */
+    /** The upstream never responds; a request during the stop is answered by its deadline. */
     @Test
     void deadlinesHoldDuringDrain() throws Exception {
         start();
@@ -155,10 +155,13 @@
         awaitStopping();
         try (HttpTestClient lateClient = new HttpTestClient(address)) {
             long sentAtNanos = System.nanoTime();
-            lateClient.send(requestWithId("r1").replace("20000", "900"));
+            lateClient.send(requestWithId("r1").replace("20000", Long.toString(DEADLINE_MS)));
             upstream.nextRequest();
             assertEquals(502, lateClient.readStatus());
-            assertTrue(System.nanoTime() - sentAtNanos < 950_000_000);
+            long elapsedNanos = System.nanoTime() - sentAtNanos;
+            assertTrue(
+                    elapsedNanos < MAX_RESPONSE_NANOS,
+                    "answered after " + elapsedNanos / 1_000_000 + " ms");
         }
         stopThread.join();
     }
--- a/balancer/src/test/java/loadbalancer/server/HttpTestClient.java
+++ b/balancer/src/test/java/loadbalancer/server/HttpTestClient.java
@@ -8,8 +8,9 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
+import loadbalancer.TestAwait;
 
-/** A client's connection, with blocking reads of responses. */
+/** A client's connection to a balancer, with blocking reads of responses. */
 final class HttpTestClient implements Closeable {
     final Socket socket;
     final InputStream input;
@@ -17,17 +18,32 @@
 
     HttpTestClient(InetSocketAddress serverAddress) throws IOException {
         socket = new Socket(serverAddress.getAddress(), serverAddress.getPort());
-        socket.setSoTimeout(20_000);
+        socket.setSoTimeout((int) TestAwait.TIMEOUT.toMillis());
         input = new BufferedInputStream(socket.getInputStream());
     }
 
     HttpTestClient send(String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+        return send(text.getBytes(StandardCharsets.ISO_8859_1));
+    }
+
+    HttpTestClient send(byte[] bytes) throws IOException {
+        socket.getOutputStream().write(bytes);
         socket.getOutputStream().flush();
         return this;
     }
 
-    /** The head of the next response, its body in {@link #body}; null where it was closed. */
+    /** Closes the connection with a reset in place of an orderly end. */
+    void reset() throws IOException {
+        socket.setSoLinger(true, 0);
+        socket.close();
+    }
+
+    /** The body of the last response as text. */
+    String bodyText() {
+        return new String(body, StandardCharsets.UTF_8);
+    }
+
+    /** The head of the next response, with its body in {@link #body}; null at a close. */
     String readResponse() throws IOException {
         String head = FakeHttpServer.readHead(input);
         if (head != null) {
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/server/HttpTestClientGroup.java
@@ -0,0 +1,44 @@
+package loadbalancer.server;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+
+/** Clients that stay connected until the group is closed. */
+final class HttpTestClientGroup implements Closeable {
+    private final InetSocketAddress serverAddress;
+    private final List<HttpTestClient> clients = new ArrayList<>();
+
+    HttpTestClientGroup(InetSocketAddress serverAddress) {
+        this.serverAddress = serverAddress;
+    }
+
+    /** Connects one more client. */
+    HttpTestClient connect() throws IOException {
+        HttpTestClient client = new HttpTestClient(serverAddress);
+        clients.add(client);
+        return client;
+    }
+
+    /** Connects the given number of clients, which send nothing yet. */
+    void connect(int count) throws IOException {
+        for (int i = 0; i < count; i++) {
+            connect();
+        }
+    }
+
+    /** All clients, in the order of their connections. */
+    List<HttpTestClient> clients() {
+        return Collections.unmodifiableList(clients);
+    }
+
+    @Override
+    public void close() throws IOException {
+        for (HttpTestClient client : clients) {
+            client.close();
+        }
+    }
+}
--- a/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
@@ -44,8 +44,7 @@
             assertEquals(200, client.readStatus());
             assertEquals("abc", new String(client.body, StandardCharsets.UTF_8));
         }
-        // Reused after the first request.
-        assertEquals(1, upstream.connectionCount());
+        assertEquals(1, upstream.connectionCount(), "the second request reuses the connection");
     }
 
     @ParameterizedTest
@@ -71,20 +70,25 @@
             int status = client.send(request).readStatus();
             assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
         }
-        assertTrue(policy.acceptedRequests.isEmpty());
-        assertEquals(0, upstream.connectionCount());
+        assertTrue(policy.acceptedRequests.isEmpty(), "no request reaches the policy");
+        assertEquals(0, upstream.connectionCount(), "connections to the upstream");
     }
 
     @ParameterizedTest
-    @CsvSource({
-        "200,'',OK closed,200",
-        "500,'',ERROR,502",
-        "503,'',ERROR,502",
-        "503,Srv-Declined: 1,REJECTED,502",
-        "504,Srv-Declined: 1,REJECTED,502",
-        "500,Srv-Declined: 1,ERROR,502",
-        "429,'',ERROR,502"
-    })
+    @CsvSource(
+            useHeadersInDisplayName = true,
+            delimiter = '|',
+            textBlock =
+                    """
+                upstream status | header          | outcome   | client status
+                200             | ''              | OK closed | 200
+                500             | ''              | ERROR     | 502
+                503             | ''              | ERROR     | 502
+                503             | Srv-Declined: 1 | REJECTED  | 502
+                504             | Srv-Declined: 1 | REJECTED  | 502
+                500             | Srv-Declined: 1 | ERROR     | 502
+                429             | ''              | ERROR     | 502
+                """)
     void onlyDeclinedResponseProvesNonExecution(
             int status, String header, String expectedOutcome, int expectedStatus)
             throws IOException, InterruptedException {
@@ -97,6 +101,7 @@
         }
     }
 
+    /** Before the response, and amid it. */
     @Test
     void brokenConnectionIsReportedAsReset() throws IOException, InterruptedException {
         start();
@@ -149,6 +154,7 @@
         assertTrue(receivedRequest.isClosedByPeer());
     }
 
+    /** The policy asks for nothing: the balancer itself answers at the request's deadline. */
     @Test
     void silentPolicyIsCoveredByLastResort() throws IOException, InterruptedException {
         start();
@@ -163,6 +169,7 @@
         }
     }
 
+    /** The policy throws: the balancer logs it, answers by itself and serves the next request. */
     @Test
     void policyExceptionDoesNotStopTheServer() throws IOException, InterruptedException {
         start();
--- a/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
@@ -17,21 +17,21 @@
  * Where a request ends: nothing within another request, or after a malformed one, is handled as a
  * request.
  */
-class RequestFramingTest extends UpstreamBackedTestSupport {
-    private static final String INNER_REQUEST =
-            BalancerServerFixtures.IDEMPOTENT_REQUEST.replace("Req-Id: r1", "Req-Id: inner");
-    private static final String OUTER_HEAD =
-            "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: outer\r\n"
-                    + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n";
-
-    private final ScriptedPolicy policy = new ScriptedPolicy();
+class RequestFramingTest extends ScriptedPolicyTestSupport {
+    private static final String INNER_REQUEST = BalancerServerFixtures.requestWithId("inner");
+    private static final String OUTER_HEAD = BalancerServerFixtures.nonIdempotentHead("outer");
+    private static final int MAX_PIPELINED_REQUESTS = 17;
 
     @BeforeEach
     void start() throws IOException, InterruptedException {
-        startReady(policy, 1024, line -> {});
-        assertEquals("CACHED [s1=UP]", policy.nextEvent());
+        startReady(DEFAULT_MAX_SOCKETS);
     }
 
+    /**
+     * A request follows the malformed one, or is within what a lenient parser would take for its
+     * body. In the rows HEAD stands for the head of a request, HEAD10 for the same in HTTP/1.0 and
+     * ALL for the length of that request and the five bytes before it.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -71,25 +71,27 @@
             client.send(outer + INNER_REQUEST);
             int status = client.readStatus();
             assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
-            assertNull(responseOrNull(client));
+            assertClosed(client);
         }
-        assertTrue(policy.acceptedRequests.isEmpty());
-        assertEquals(0, upstream.connectionCount());
+        assertTrue(policy.acceptedRequests.isEmpty(), "no request reaches the policy");
+        assertEquals(0, upstream.connectionCount(), "connections to the upstream");
     }
 
     // Input that the balancer left unread may cause a reset, which counts as a close.
-    private static String responseOrNull(HttpTestClient client) {
+    private static void assertClosed(HttpTestClient client) {
+        String response;
         try {
-            return client.readResponse();
+            response = client.readResponse();
         } catch (IOException e) {
-            return null;
+            response = null;
         }
+        assertNull(response, "a response where the connection should end");
     }
 
-    /** A long body is on its way to an upstream by the time it turns out to be too long. */
+    /** Much of the body has been forwarded by the time it turns out to be too long. */
     @Test
     void oversizedChunkedBodyIsRejected() throws Exception {
-        String chunk = "100000\r\n" + "x".repeat(0x100000) + "\r\n";
+        String chunk = BalancerServerFixtures.chunk("x".repeat(0x100000));
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(OUTER_HEAD + "Transfer-Encoding: chunked\r\n\r\n");
             for (int i = 0; i < 32; i++) {
@@ -97,11 +99,11 @@
             }
             client.send("1\r\nx\r\n");
             assertEquals(413, client.readStatus());
-            assertNull(responseOrNull(client));
+            assertClosed(client);
         }
         assertEquals("uploading", policy.nextEvent());
         assertEquals("gone", policy.nextEvent());
-        assertTrue(upstream.isEmpty());
+        assertTrue(upstream.isEmpty(), "no complete request reaches the upstream");
     }
 
     @Test
@@ -111,7 +113,7 @@
                     "GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
                             + INNER_REQUEST);
             assertEquals(200, client.readStatus());
-            assertNull(responseOrNull(client));
+            assertClosed(client);
         }
         assertTrue(policy.acceptedRequests.isEmpty());
     }
@@ -127,27 +129,25 @@
             assertNotNull(policy.acceptedRequests.poll(20, TimeUnit.SECONDS));
             upstream.nextRequest().respond(200, "", "ok");
             assertEquals(200, client.readStatus());
-            assertNull(responseOrNull(client));
+            assertClosed(client);
         }
         assertTrue(policy.acceptedRequests.isEmpty());
     }
 
-    /** The limit on requests sent ahead: those within it are answered, and the connection ends. */
+    /** Pipelined requests within the limit are answered, then the connection is closed. */
     @Test
     void pipeliningIsServedUpToTheLimit() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(INNER_REQUEST.repeat(30));
-            for (int i = 0; i < 17; i++) {
+            for (int i = 0; i < MAX_PIPELINED_REQUESTS; i++) {
                 upstream.nextRequest().respond(200, "", "ok");
-                assertEquals(200, client.readStatus(), "answer " + i);
+                assertEquals(200, client.readStatus(), "response " + i);
             }
-            assertNull(responseOrNull(client));
+            assertClosed(client);
         }
-        assertEquals(17, policy.acceptedRequests.size());
+        assertEquals(MAX_PIPELINED_REQUESTS, policy.acceptedRequests.size());
     }
 
-    // ---------------------------------------------------------------- valid requests pass
-
     @Test
     void chunkedBodyMayArriveByteByByte() throws Exception {
         String request =
@@ -183,7 +183,7 @@
             assertEquals(length, receivedRequest.body().length);
             receivedRequest.respond(200, "", "ok");
             assertEquals(200, client.readStatus());
-            // A request of its own
+            // What follows the body is a request of its own.
             upstream.nextRequest().respond(200, "", "inner");
             assertEquals(200, client.readStatus());
         }
--- a/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
@@ -1,5 +1,6 @@
 package loadbalancer.server;
 
+import static loadbalancer.server.FakeHttpServer.OK_STATUS_LINE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,15 +12,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Only a complete, well-formed response to the same request is forwarded. */
-class ResponseFramingTest extends UpstreamBackedTestSupport {
-    private static final String OK_STATUS_LINE = "HTTP/1.1 200 OK\r\n";
-
-    private final ScriptedPolicy policy = new ScriptedPolicy();
-
+class ResponseFramingTest extends ScriptedPolicyTestSupport {
     @BeforeEach
     void start() throws IOException, InterruptedException {
-        startReady(policy, 1024, line -> {});
-        assertEquals("CACHED [s1=UP]", policy.nextEvent());
+        startReady(DEFAULT_MAX_SOCKETS);
     }
 
     @ParameterizedTest
@@ -97,6 +93,7 @@
         }
     }
 
+    /** The upstream sends two responses to one request, in one piece. */
     @Test
     void firstOfTwoResponsesIsForwarded() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
@@ -113,8 +110,6 @@
         }
     }
 
-    // ---------------------------------------------------------------- valid answers pass
-
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -131,11 +126,13 @@
             })
     void validResponsesAreForwardedInAnySplit(String response) throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
+            // In one piece.
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             upstream.nextRequest().sendRaw(response);
             assertEquals(200, client.readStatus());
             assertEquals("hello", new String(client.body, StandardCharsets.UTF_8));
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
+            // Byte by byte.
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             for (int at = 0; at < response.length(); at++) {
                 receivedRequest.sendRaw(response.substring(at, at + 1));
--- a/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
+++ b/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
@@ -4,6 +4,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.TestAwait;
 import loadbalancer.routing.api.AttemptOutcome;
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointListKind;
@@ -11,12 +12,18 @@
 import loadbalancer.routing.api.RoutingActions;
 import loadbalancer.routing.api.RoutingPolicy;
 
-/** A routing policy that records its events and sends each request to {@code endpointId}. */
+/**
+ * A routing policy that records its events as text, sends each request to {@link #endpointId} and
+ * fails each request whose attempt failed. The fields may be changed from any thread.
+ */
 class ScriptedPolicy implements RoutingPolicy {
+    private static final long TIMEOUT_MS = TestAwait.TIMEOUT.toMillis();
+
     final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     final BlockingQueue<String> acceptedRequests = new LinkedBlockingQueue<>();
     volatile long timeoutMicros;
     volatile boolean failing;
+    // Where requests are sent; null for nowhere, so that they stay pending.
     volatile String endpointId = "s1";
     volatile RoutingActions capturedActions;
     volatile String lastRequestId;
@@ -87,7 +94,7 @@
 
     @Override
     public void onResponseAborted(long now, String endpointId, RoutingActions actions) {
-        events.add("broke off " + endpointId);
+        events.add("response aborted " + endpointId);
     }
 
     @Override
@@ -108,16 +115,18 @@
             long latencyMicros,
             LoadReport load,
             RoutingActions actions) {
-        events.add("probed " + outcome + " " + (load == null ? "-" : load.inFlight()));
+        events.add("health check " + outcome + " " + (load == null ? "-" : load.inFlight()));
     }
 
     @Override
     public void onTimer(long now, RoutingActions actions) {}
 
+    /** The next event; fails if there is none in time. */
     String nextEvent() throws InterruptedException {
-        String event = events.poll(20, TimeUnit.SECONDS);
+        String event = events.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (event == null) {
-            throw new AssertionError("the module was told nothing");
+            throw new AssertionError(
+                    "the routing policy received no event within " + TIMEOUT_MS + " ms");
         }
         return event;
     }
--- a/balancer/src/test/java/loadbalancer/server/SettingsVariantsTest.java
+++ b/balancer/src/test/java/loadbalancer/server/SettingsVariantsTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -23,21 +22,11 @@
 /** A balancer with settings unlike those of the other tests. */
 @Timeout(60)
 class SettingsVariantsTest {
+    // Its latency objective is half of its deadline.
     private static Map<String, Object> requestClass(
             String name, String idempotency, String scope, long deadlineMs, long windowMs) {
-        return Map.of(
-                "Name",
-                name,
-                "Idempotency",
-                idempotency,
-                "DedupScope",
-                scope,
-                "GoalTime",
-                deadlineMs * 500,
-                "GiveUp",
-                deadlineMs * 1000,
-                "KeyTtl",
-                windowMs * 1000);
+        return BalancerServerFixtures.requestClass(
+                name, idempotency, scope, deadlineMs * 500, deadlineMs * 1000, windowMs * 1000);
     }
 
     // No zones, models, tenants, health checks, hedging, cancelling, peers or load reports, and two
@@ -92,10 +81,16 @@
                         "settings",
                         settings,
                         "known",
-                        JSON.std.mapFrom(
-                                "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s1\",\"endpoint\":\""
-                                        + endpointAddress
-                                        + "\",\"state\":\"in_service\"}]}")));
+                        BalancerServerFixtures.knownList("s1", endpointAddress)));
+    }
+
+    private static BalancerServer balancer(
+            List<Map<String, Object>> requestClasses, String endpointAddress) throws IOException {
+        return new BalancerServer(
+                config(minimalSettings(requestClasses), endpointAddress),
+                RoutingEngine::new,
+                false,
+                line -> {});
     }
 
     private static String request(String className, String idempotency, long deadlineMs) {
@@ -129,12 +124,7 @@
                             30));
         }
         try (FakeHttpServer upstream = new FakeHttpServer()) {
-            BalancerServer balancer =
-                    new BalancerServer(
-                            config(minimalSettings(requestClasses), upstream.address()),
-                            RoutingEngine::new,
-                            false,
-                            line -> {});
+            BalancerServer balancer = balancer(requestClasses, upstream.address());
             InetSocketAddress address = balancer.start();
             try (HttpTestClient client = new HttpTestClient(address)) {
                 for (int i = 0; i < classCount; i++) {
@@ -148,26 +138,23 @@
         }
     }
 
-    /** The last of these has too little time to be sent at all. */
-    @ParameterizedTest
+    /**
+     * The connect to the upstream takes longer than the request's deadline. In the last row there
+     * is too little time to start an attempt at all.
+     */
+    @ParameterizedTest(name = "{0}, {1} ms")
     @CsvSource({"safe,150", "keyed,150", "unsafe,150", "unsafe,12"})
     void deadlineShorterThanConnectIsKept(String idempotency, long deadlineMs) throws Exception {
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
             BalancerServer balancer =
-                    new BalancerServer(
-                            config(
-                                    minimalSettings(
-                                            List.of(
-                                                    requestClass(
-                                                            "a", idempotency, "cell", 150, 20))),
-                                    backlogListener.address()),
-                            RoutingEngine::new,
-                            false,
-                            line -> {});
+                    balancer(
+                            List.of(requestClass("a", idempotency, "cell", 150, 20)),
+                            backlogListener.address());
             InetSocketAddress address = balancer.start();
             try (HttpTestClient client = new HttpTestClient(address)) {
                 client.send(request("a", idempotency, deadlineMs));
-                assertTrue(client.readStatus() > 500);
+                int status = client.readStatus();
+                assertTrue(status > 500, "status " + status);
             } finally {
                 balancer.stop();
             }
--- a/balancer/src/test/java/loadbalancer/server/SlowClientTest.java
+++ b/balancer/src/test/java/loadbalancer/server/SlowClientTest.java
@@ -1,12 +1,13 @@
 package loadbalancer.server;
 
+import static loadbalancer.TestAwait.await;
+import static loadbalancer.server.BalancerServerFixtures.IDEMPOTENT_REQUEST;
 import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.IOException;
-import java.util.ArrayList;
+import java.time.Duration;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
@@ -14,24 +15,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Clients that connect and send nothing, or never complete a request, are disconnected soon. */
-class SlowClientTest extends UpstreamBackedTestSupport {
-    private static final String POST_HEAD =
-            "POST /api/k1 HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
-                    + "Req-Deadline-Ms: 20000\r\n";
-
-    private final ScriptedPolicy policy = new ScriptedPolicy();
-
-    private void start(int maxSockets) throws IOException {
-        startReady(policy, maxSockets, line -> {});
-    }
+class SlowClientTest extends ScriptedPolicyTestSupport {
+    private static final String POST_HEAD = BalancerServerFixtures.NON_IDEMPOTENT_HEAD;
+    private static final int FEW_SOCKETS = 40;
+    private static final Duration TRICKLE_INTERVAL = Duration.ofMillis(50);
+    // Longer than a new connection may be silent where there are few sockets.
+    private static final long SILENT_MS = 80;
+    private static final int SLOW_REQUEST_PIECES = 20;
+    private static final long SLOW_REQUEST_INTERVAL_MS = 40;
 
+    /** A connection that sent nothing is closed soon; one that was served a request is kept. */
     @Test
-    void silentConnectionIsClosedAndIdleClientKept() throws IOException {
-        start(1024);
+    void silentConnectionIsClosedAndIdleClientKept() throws Exception {
+        startReady(DEFAULT_MAX_SOCKETS);
         try (HttpTestClient client = new HttpTestClient(address)) {
             assertEquals(200, client.send(READY_REQUEST).readStatus());
             for (int i = 0; i < 2; i++) {
-                // Longer than a new connection may be silent.
                 try (HttpTestClient silentClient = new HttpTestClient(address)) {
                     assertNull(silentClient.readResponse());
                 }
@@ -51,12 +50,12 @@
                 POST_HEAD + "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n0\r\n",
                 POST_HEAD + "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n",
             })
-    void unfinishedRequestTimesOut(String partialRequest) throws IOException {
-        start(1024);
+    void unfinishedRequestTimesOut(String partialRequest) throws Exception {
+        startReady(DEFAULT_MAX_SOCKETS);
         try (HttpTestClient firstClient = new HttpTestClient(address);
                 HttpTestClient secondClient = new HttpTestClient(address)) {
             firstClient.send(partialRequest);
-            // In one piece with a complete request.
+            // The second sends it in one piece with a complete request.
             assertEquals(200, secondClient.send(READY_REQUEST + partialRequest).readStatus());
             for (HttpTestClient client : List.of(firstClient, secondClient)) {
                 String head = client.readResponseAfterContinue();
@@ -67,164 +66,127 @@
         assertTrue(policy.acceptedRequests.isEmpty());
     }
 
+    /** A client sends its request byte by byte, without end. */
     @Test
     void tricklingRequestTimesOut() throws Exception {
-        start(1024);
+        startReady(DEFAULT_MAX_SOCKETS);
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send("GET /-/ready HTTP/1.1\r\nX: ");
-            while (client.input.available() == 0) {
-                client.send("x");
-                TimeUnit.MILLISECONDS.sleep(50);
-            }
+            await("a response to the trickling request")
+                    .pollInterval(TRICKLE_INTERVAL)
+                    .until(
+                            () -> {
+                                client.send("x");
+                                return client.input.available() > 0;
+                            });
             assertEquals(408, client.readStatus());
         }
     }
 
     @Test
     void requestInProgressIsNotTimedOut() throws Exception {
-        start(1024);
+        startReady(DEFAULT_MAX_SOCKETS);
         try (HttpTestClient client = new HttpTestClient(address);
                 HttpTestClient silentClient = new HttpTestClient(address)) {
-            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
+            client.send(IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
-            // Its time is over
-            assertNull(silentClient.readResponse());
+            assertNull(silentClient.readResponse(), "a silent client is disconnected meanwhile");
             receivedRequest.respond(200, "", "ok");
             assertEquals(200, client.readStatus());
         }
     }
 
-    /** Unproven connections are evicted first, then idle ones of proper clients. */
-    @ParameterizedTest
+    /**
+     * Idle clients hold most sockets when others need connections to the upstream: clients that
+     * only checked readiness are evicted, and so are idle ones that were served requests.
+     */
+    @ParameterizedTest(name = "realRequests={0}")
     @ValueSource(booleans = {false, true})
     void idleClientsDoNotBlockUpstreamConnections(boolean realRequests) throws Exception {
-        start(40);
-        List<HttpTestClient> openClients = new ArrayList<>();
-        try {
+        startReady(FEW_SOCKETS);
+        try (HttpTestClientGroup idleClients = new HttpTestClientGroup(address);
+                HttpTestClientGroup activeClients = new HttpTestClientGroup(address)) {
             for (int i = 0; i < 30; i++) {
-                HttpTestClient idleClient = new HttpTestClient(address);
-                openClients.add(idleClient);
-                idleClient.send(
-                        realRequests ? BalancerServerFixtures.IDEMPOTENT_REQUEST : READY_REQUEST);
+                HttpTestClient idleClient = idleClients.connect();
+                idleClient.send(realRequests ? IDEMPOTENT_REQUEST : READY_REQUEST);
                 if (realRequests) {
-                    FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
-                    receivedRequest.respond(200, "Connection: close\r\n", "ok");
+                    upstream.nextRequest().respond(200, "Connection: close\r\n", "ok");
                 }
                 assertEquals(200, idleClient.readStatus());
             }
-            List<HttpTestClient> clients = new ArrayList<>();
+            // All at once, each with a connection to the upstream.
             for (int i = 0; i < 8; i++) {
-                // All at once, each with a connection to the upstream
-                openClients.add(
-                        new HttpTestClient(address)
-                                .send(BalancerServerFixtures.IDEMPOTENT_REQUEST));
-                clients.add(openClients.get(openClients.size() - 1));
+                activeClients.connect().send(IDEMPOTENT_REQUEST);
             }
-            for (int i = 0; i < clients.size(); i++) {
+            for (int i = 0; i < activeClients.clients().size(); i++) {
                 upstream.nextRequest().respond(200, "", "ok");
             }
-            for (HttpTestClient client : clients) {
-                assertEquals(200, client.readStatus());
-            }
-        } finally {
-            for (HttpTestClient idleClient : openClients) {
-                idleClient.close();
+            for (HttpTestClient activeClient : activeClients.clients()) {
+                assertEquals(200, activeClient.readStatus());
             }
         }
     }
 
-    /** More of them than there are descriptors: clients come to their turn all the same. */
+    /** There are more silent connections than sockets; a client is served all the same. */
     @Test
     void silentConnectionsDoNotBlockClients() throws Exception {
-        start(40);
-        List<HttpTestClient> silentClients = new ArrayList<>();
-        try {
-            for (int i = 0; i < 60; i++) {
-                silentClients.add(new HttpTestClient(address));
-            }
+        startReady(FEW_SOCKETS);
+        try (HttpTestClientGroup silentClients = new HttpTestClientGroup(address)) {
+            silentClients.connect(FEW_SOCKETS + 20);
             try (HttpTestClient client = new HttpTestClient(address)) {
-                client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
+                client.send(IDEMPOTENT_REQUEST);
                 upstream.nextRequest().respond(200, "", "ok");
                 assertEquals(200, client.readStatus());
             }
-        } finally {
-            for (HttpTestClient silentClient : silentClients) {
-                silentClient.close();
-            }
         }
     }
 
     /**
-     * Their requests have arrived, but the stalled loop first accepts the connections that need
-     * room.
+     * While the loop is stalled, requests arrive on accepted connections, and so do more
+     * connections than there is room for. The loop accepts before it reads, and yet evicts none of
+     * those that have sent their requests.
      */
     @Test
     void unreadNewConnectionsAreKept() throws Exception {
-        start(40);
-        List<HttpTestClient> clients = new ArrayList<>();
-        try {
-            for (int i = 0; i < 12; i++) {
-                clients.add(new HttpTestClient(address));
-            }
-            while (!balancer.loop()
-                    .submit(() -> balancer.frontend().toString())
-                    .get()
-                    .startsWith("12 clients'")) {
-                Thread.onSpinWait();
-            }
+        startReady(FEW_SOCKETS);
+        try (HttpTestClientGroup acceptedClients = new HttpTestClientGroup(address);
+                HttpTestClientGroup laterClients = new HttpTestClientGroup(address)) {
+            acceptedClients.connect(12);
+            awaitClientCount(12);
             EventLoopStall stall = new EventLoopStall(balancer.loop());
-            for (int i = 0; i < 8; i++) {
-                clients.add(new HttpTestClient(address));
-            }
-            for (HttpTestClient client : clients.subList(0, 12)) {
+            laterClients.connect(8);
+            for (HttpTestClient client : acceptedClients.clients()) {
                 client.send(READY_REQUEST);
             }
-            // Longer than a new connection may be silent.
-            TimeUnit.MILLISECONDS.sleep(80);
+            TimeUnit.MILLISECONDS.sleep(SILENT_MS);
             stall.release();
-            for (HttpTestClient client : clients.subList(0, 12)) {
+            for (HttpTestClient client : acceptedClients.clients()) {
                 assertEquals(200, client.readStatus());
             }
-        } finally {
-            for (HttpTestClient client : clients) {
-                client.close();
-            }
         }
     }
 
     /**
-     * It is not evicted for others that make less progress: neither for silent ones nor for those
-     * that begin and stop.
+     * A client that sends its request slowly is not evicted for others that make less progress:
+     * silent ones, and those that begin a request and stop.
      */
     @Test
     void slowClientOutlastsStalledOnes() throws Exception {
-        start(40);
-        List<HttpTestClient> stalledClients = new ArrayList<>();
-        try (HttpTestClient slowClient = new HttpTestClient(address)) {
-            int pieces = 20;
-            int length = BalancerServerFixtures.IDEMPOTENT_REQUEST.length() / pieces + 1;
-            for (int i = 0; i < pieces; i++) {
-                int end =
-                        Math.min(
-                                BalancerServerFixtures.IDEMPOTENT_REQUEST.length(),
-                                (i + 1) * length);
-                slowClient.send(
-                        BalancerServerFixtures.IDEMPOTENT_REQUEST.substring(i * length, end));
-                for (int j = 0; j < 3; j++) {
-                    stalledClients.add(new HttpTestClient(address));
-                    stalledClients
-                            .get(stalledClients.size() - 1)
-                            .send(j == 0 ? "" : j == 1 ? "GET /" : READY_REQUEST);
-                }
-                // The pace of the slow one, over a half-second in all
-                TimeUnit.MILLISECONDS.sleep(40);
+        startReady(FEW_SOCKETS);
+        try (HttpTestClient slowClient = new HttpTestClient(address);
+                HttpTestClientGroup stalledClients = new HttpTestClientGroup(address)) {
+            int requestLength = IDEMPOTENT_REQUEST.length();
+            int pieceLength = requestLength / SLOW_REQUEST_PIECES + 1;
+            for (int i = 0; i < SLOW_REQUEST_PIECES; i++) {
+                int end = Math.min(requestLength, (i + 1) * pieceLength);
+                slowClient.send(IDEMPOTENT_REQUEST.substring(i * pieceLength, end));
+                stalledClients.connect();
+                stalledClients.connect().send("GET /");
+                stalledClients.connect().send(READY_REQUEST);
+                TimeUnit.MILLISECONDS.sleep(SLOW_REQUEST_INTERVAL_MS);
             }
             upstream.nextRequest().respond(200, "", "ok");
             assertEquals(200, slowClient.readStatus());
-        } finally {
-            for (HttpTestClient stalledClient : stalledClients) {
-                stalledClient.close();
-            }
         }
     }
 }
--- a/balancer/src/test/java/loadbalancer/server/UpstreamBackedTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/UpstreamBackedTestSupport.java
@@ -1,8 +1,12 @@
 package loadbalancer.server;
 
+import static loadbalancer.TestAwait.await;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.function.Consumer;
+import java.time.Duration;
+import loadbalancer.TestAwait;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
@@ -28,12 +32,35 @@
         upstream.close();
     }
 
-    /** Starts a balancer that is ready at once and routes by {@code policy}. */
-    final void startReady(ScriptedPolicy policy, int maxSockets, Consumer<String> logSink)
-            throws IOException {
-        balancer =
-                BalancerServerFixtures.readyBalancer(
-                        upstream, policy, BalancerServerFixtures.settings(), maxSockets, logSink);
-        address = balancer.start();
+    /** Stops the balancer on a thread of its own, which ends with the stop. */
+    final Thread stopInBackground() {
+        Thread stopThread = new Thread(balancer::stop);
+        balancer = null;
+        stopThread.start();
+        return stopThread;
+    }
+
+    /** Waits until the readiness check fails, and with 503. */
+    final void awaitStopping() {
+        int status =
+                await("the readiness check fails")
+                        .until(
+                                () -> BalancerServerFixtures.readinessStatus(address),
+                                readiness -> readiness != 200);
+        assertEquals(503, status, "status of the readiness check of a stopping balancer");
+    }
+
+    /** Waits until the balancer has this number of clients' connections; returns its summary. */
+    final String awaitClientCount(int count) {
+        return awaitClientCount(count, TestAwait.TIMEOUT);
+    }
+
+    /** The same within {@code timeout}. */
+    final String awaitClientCount(int count, Duration timeout) {
+        return await(count + " client connections")
+                .atMost(timeout)
+                .until(
+                        () -> balancer.loop().submit(() -> balancer.frontend().toString()).get(),
+                        summary -> summary.startsWith(count + " clients'"));
     }
 }
