--- a/balancer/src/test/java/loadbalancer/MainTest.java
+++ b/balancer/src/test/java/loadbalancer/MainTest.java
@@ -1,22 +1,25 @@
 package loadbalancer;
 
+import static loadbalancer.TestAwait.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
+import java.net.ConnectException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
+import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -24,22 +27,21 @@
 /** The program as it is started: arguments, exit codes and what goes to which stream. */
 @Tag("process")
 class MainTest {
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(50);
+    private static final String UNREACHABLE_DISCOVERY = "127.0.0.1:9";
+
     private record ProgramResult(int exitCode, String stdout, String stderr) {}
 
-    private static ProgramResult runMain(String input, String... arguments)
+    @TempDir private Path directory;
+
+    // A run of the program that ends by itself.
+    private ProgramResult runMain(String input, String... arguments)
             throws IOException, InterruptedException {
-        List<String> command =
-                new ArrayList<>(
-                        List.of(
-                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                                "-cp",
-                                System.getProperty("java.class.path"),
-                                "loadbalancer.Main"));
+        List<String> command = ServeProcess.mainCommand(List.of());
         command.addAll(List.of(arguments));
-        Path inputFile = Files.createTempFile("load-balancer", ".in");
-        Path outputFile = Files.createTempFile("load-balancer", ".out");
-        Path errorFile = Files.createTempFile("load-balancer", ".err");
-        Files.writeString(inputFile, input);
+        Path inputFile = Files.writeString(directory.resolve("input"), input);
+        Path outputFile = directory.resolve("output");
+        Path errorFile = directory.resolve("error");
         int exitCode =
                 new ProcessBuilder(command)
                         .redirectInput(inputFile.toFile())
@@ -47,18 +49,13 @@
                         .redirectError(errorFile.toFile())
                         .start()
                         .waitFor();
-        ProgramResult result =
-                new ProgramResult(
-                        exitCode,
-                        Files.readString(outputFile, StandardCharsets.UTF_8),
-                        Files.readString(errorFile, StandardCharsets.UTF_8));
-        for (Path file : List.of(inputFile, outputFile, errorFile)) {
-            Files.delete(file);
-        }
-        return result;
+        return new ProgramResult(
+                exitCode,
+                Files.readString(outputFile, StandardCharsets.UTF_8),
+                Files.readString(errorFile, StandardCharsets.UTF_8));
     }
 
-    @ParameterizedTest
+    @ParameterizedTest(name = "\"{0}\"")
     @ValueSource(strings = {"", "adapter", "wirehost extra"})
     void wrongArgumentsPrintUsage(String arguments) throws IOException, InterruptedException {
         ProgramResult result =
@@ -69,7 +66,7 @@
                 result);
     }
 
-    /** The build runs it to record the classes of a start; it needs no discovery or upstreams. */
+    /** The build runs this to record which classes a start loads; it needs no other process. */
     @Test
     void prepareStartsAndStopsABalancer() throws IOException, InterruptedException {
         ProgramResult result = runMain("", "prepare");
@@ -97,9 +94,7 @@
                 frames.strip().replace(" NOISE", "\nNOISE").replace("TICK 1", "TICK\t1") + "\n";
         ProgramResult result = runMain(input, "wirehost");
         assertEquals(1, result.exitCode());
-        assertTrue(
-                result.stderr().equals("load-balancer: " + expectedMessage.strip() + "\n"),
-                result.stderr());
+        assertEquals("load-balancer: " + expectedMessage.strip() + "\n", result.stderr());
         assertEquals("", result.stdout());
     }
 
@@ -112,43 +107,42 @@
             })
     void missingConfigurationPrintsOneLine(String configPath, String expectedMessage)
             throws IOException, InterruptedException {
-        Process process = startServe(configPath);
-        String stderr = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(1, process.waitFor());
-        assertTrue(stderr.startsWith("load-balancer: " + expectedMessage), stderr);
-        assertEquals(1, stderr.lines().count(), stderr);
+        try (ServeProcess balancer = ServeProcess.start(configPath)) {
+            assertFailsWithOneLine(balancer, "load-balancer: " + expectedMessage);
+        }
     }
 
     @Test
     void addressInUsePrintsOneLine() throws IOException, InterruptedException {
         try (ServerSocket occupiedSocket =
-                new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Path configFile = config("127.0.0.1:" + occupiedSocket.getLocalPort());
-            Process process = startServe(configFile.toString());
-            String stderr =
-                    new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals(1, process.waitFor());
-            assertTrue(stderr.startsWith("load-balancer: can't listen on "), stderr);
-            assertEquals(1, stderr.lines().count(), stderr);
-            Files.delete(configFile);
+                        new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                ServeProcess balancer = startServe("127.0.0.1:" + occupiedSocket.getLocalPort())) {
+            assertFailsWithOneLine(balancer, "load-balancer: can't listen on ");
         }
     }
 
+    private static void assertFailsWithOneLine(ServeProcess balancer, String expectedStart)
+            throws InterruptedException {
+        List<String> log = balancer.readRemainingLines();
+        assertEquals(1, balancer.awaitExit(), "exit code");
+        assertEquals(1, log.size(), log.toString());
+        assertTrue(log.get(0).startsWith(expectedStart), log.get(0));
+    }
+
     @Test
     void sigtermExitsWithCodeZero() throws IOException, InterruptedException {
-        Path configFile = config("127.0.0.1:0");
-        Process process = startServe(configFile.toString());
-        try (BufferedReader stderr = process.errorReader(StandardCharsets.UTF_8)) {
-            String line = stderr.readLine();
+        try (ServeProcess balancer = startServe("127.0.0.1:0")) {
+            String line = balancer.readLine();
             assertTrue(line.startsWith("load-balancer: listening on 127.0.0.1:"), line);
-            // SIGTERM
-            process.destroy();
-            assertEquals(0, process.waitFor());
+            balancer.terminate();
+            assertEquals(0, balancer.awaitExit());
         }
-        Files.delete(configFile);
     }
 
-    /** From its first connection on a balancer may have requests: a signal then drains it too. */
+    /**
+     * From its first connection on a balancer may have requests, so a signal drains it from then
+     * on, however many follow.
+     */
     @Test
     @Timeout(60)
     void repeatedSigtermAtStartStopsGracefully() throws IOException, InterruptedException {
@@ -156,51 +150,51 @@
         try (ServerSocket unusedSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = unusedSocket.getLocalPort();
         }
-        Path configFile = config("127.0.0.1:" + port);
-        Process process = startServe(configFile.toString());
-        boolean listening = false;
-        while (!listening) {
-            try (Socket firstConnection = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                listening = firstConnection.isConnected();
-            } catch (java.net.ConnectException e) {
-                assertTrue(process.isAlive());
-            }
+        try (ServeProcess balancer = startServe("127.0.0.1:" + port)) {
+            await("the balancer accepts a connection")
+                    .atMost(START_TIMEOUT)
+                    .until(() -> acceptsConnection(balancer, port));
+            balancer.terminate();
+            balancer.hangUp();
+            balancer.terminate();
+            assertEquals(0, balancer.awaitExit());
         }
-        process.destroy();
-        sendSighup(process);
-        process.destroy();
-        assertEquals(0, process.waitFor());
-        Files.delete(configFile);
     }
 
+    private static boolean acceptsConnection(ServeProcess balancer, int port) throws IOException {
+        try (Socket connection = new Socket(InetAddress.getLoopbackAddress(), port)) {
+            return connection.isConnected();
+        } catch (ConnectException e) {
+            assertTrue(balancer.process().isAlive(), "the process ended before it listened");
+            return false;
+        }
+    }
+
+    /** Invalid files change nothing; a valid one makes the balancer watch the new discovery. */
     @Test
     @Timeout(60)
     void sighupReloadsOnlyValidConfiguration() throws IOException, InterruptedException {
-        Path configFile = config("127.0.0.1:0");
-        Process process = startServe(configFile.toString());
-        try (BufferedReader stderr = process.errorReader(StandardCharsets.UTF_8);
+        try (ServeProcess balancer = startServe("127.0.0.1:0");
                 ServerSocket newDiscovery =
                         new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            awaitLine(stderr, "listening on ");
-            String validConfig = Files.readString(configFile);
-            for (String invalidConfig :
+            balancer.awaitLine("listening on ");
+            String validConfig = Files.readString(configFile());
+            List<String> invalidConfigs =
                     List.of(
                             "",
                             "{",
                             "[]",
                             "{\"discovery\":7}",
-                            validConfig.replace(":9\"", ":x\""))) {
-                Files.writeString(configFile, invalidConfig);
-                sendSighup(process);
-                awaitLine(stderr, "keeping the old configuration: ");
+                            validConfig.replace(":9\"", ":x\""));
+            for (String invalidConfig : invalidConfigs) {
+                Files.writeString(configFile(), invalidConfig);
+                balancer.hangUp();
+                balancer.awaitLine("keeping the old configuration: ");
             }
-            Files.writeString(
-                    configFile,
-                    validConfig.replace("127.0.0.1:9", "127.0.0.1:" + newDiscovery.getLocalPort()));
-            sendSighup(process);
-            awaitLine(
-                    stderr,
-                    "configuration reread: discovery at 127.0.0.1:" + newDiscovery.getLocalPort());
+            String newAddress = "127.0.0.1:" + newDiscovery.getLocalPort();
+            Files.writeString(configFile(), validConfig.replace(UNREACHABLE_DISCOVERY, newAddress));
+            balancer.hangUp();
+            balancer.awaitLine("configuration reread: discovery at " + newAddress);
             try (Socket connection = newDiscovery.accept()) {
                 String requestLine =
                         new BufferedReader(
@@ -210,59 +204,43 @@
                                 .readLine();
                 assertTrue(requestLine.startsWith("GET /api/targets?watch=1&from="), requestLine);
             }
-            process.destroy();
-            assertEquals(0, process.waitFor());
-        } finally {
-            process.destroyForcibly();
+            balancer.terminate();
+            assertEquals(0, balancer.awaitExit());
         }
-        Files.delete(configFile);
     }
 
-    /** Under nohup SIGHUP is ignored, but a changed configuration still has to take effect. */
+    /** Under nohup SIGHUP is ignored; a changed configuration file takes effect all the same. */
     @Test
     @Timeout(60)
     void changedFileIsReloadedWhenSighupIsIgnored() throws IOException, InterruptedException {
-        Path configFile = config("127.0.0.1:0");
-        Process process =
-                startServe(
-                        configFile.toString(), "/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
-        try (BufferedReader stderr = process.errorReader(StandardCharsets.UTF_8)) {
-            awaitLine(stderr, "SIGHUP is ignored here since the start");
-            awaitLine(stderr, "listening on ");
-            Files.writeString(configFile, "{");
-            awaitLine(stderr, "keeping the old configuration: ");
-            Files.writeString(configFile, config("127.0.0.1:0", "127.0.0.1:19"));
-            awaitLine(stderr, "configuration reread: discovery at 127.0.0.1:19");
-            sendSighup(process);
-            process.destroy();
-            assertEquals(0, process.waitFor());
-        } finally {
-            process.destroyForcibly();
+        writeConfig("127.0.0.1:0", UNREACHABLE_DISCOVERY);
+        List<String> ignoringSighup = List.of("/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
+        try (ServeProcess balancer =
+                ServeProcess.start(configFile().toString(), ignoringSighup, List.of())) {
+            balancer.awaitLine("SIGHUP is ignored here since the start");
+            balancer.awaitLine("listening on ");
+            Files.writeString(configFile(), "{");
+            balancer.awaitLine("keeping the old configuration: ");
+            writeConfig("127.0.0.1:0", "127.0.0.1:19");
+            balancer.awaitLine("configuration reread: discovery at 127.0.0.1:19");
+            balancer.hangUp();
+            balancer.terminate();
+            assertEquals(0, balancer.awaitExit());
         }
-        Files.delete(configFile);
-    }
-
-    private static void sendSighup(Process process) throws IOException, InterruptedException {
-        assertEquals(
-                0,
-                new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
     }
 
-    private static void awaitLine(BufferedReader stderr, String text) throws IOException {
-        String line = stderr.readLine();
-        while (line != null && !line.contains(text)) {
-            line = stderr.readLine();
-        }
-        assertTrue(line != null, "no line: " + text);
+    private Path configFile() {
+        return directory.resolve("balancer.json");
     }
 
-    private static Path config(String listenAddress) throws IOException {
-        Path configFile = Files.createTempFile("load-balancer", ".json");
-        return Files.writeString(configFile, config(listenAddress, "127.0.0.1:9"));
+    private ServeProcess startServe(String listenAddress) throws IOException {
+        writeConfig(listenAddress, UNREACHABLE_DISCOVERY);
+        return ServeProcess.start(configFile().toString());
     }
 
-    private static String config(String listenAddress, String discoveryAddress) {
-        return """
+    private void writeConfig(String listenAddress, String discoveryAddress) throws IOException {
+        String config =
+                """
             {"listen": "%s", "discovery": "%s", "seed": "8c1f30d27a5be964", "settings": {
               "Balancers": 1, "Quantum": 5000, "MembershipMode": "ask",
               "Classes": [{"Name": "a", "Idempotency": "safe", "GoalTime": 600000, "GiveUp": 1200000}],
@@ -270,24 +248,7 @@
               "Rules": {"AnswerSlack": 20000, "DrainGrace": 1000000, "AskWithin": 10000000, "ColdFrom": 0.2,
                 "RampTime": 20000000, "OverloadFactor": 2.5, "Fall": 1500000}}}
             """
-                .formatted(listenAddress, discoveryAddress);
-    }
-
-    private static Process startServe(String configPath, String... launcher) throws IOException {
-        List<String> command = new ArrayList<>(List.of(launcher));
-        command.addAll(
-                List.of(
-                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                        "-cp",
-                        System.getProperty("java.class.path"),
-                        "loadbalancer.Main",
-                        "serve"));
-        ProcessBuilder builder = new ProcessBuilder(command);
-        builder.environment().keySet().removeIf(name -> name.startsWith("ROUTER_"));
-        if (!configPath.isEmpty()) {
-            builder.environment().put("ROUTER_CONFIG", configPath);
-        }
-        builder.environment().put("ROUTER_NAME", "n1");
-        return builder.start();
+                        .formatted(listenAddress, discoveryAddress);
+        Files.writeString(configFile(), config);
     }
 }
--- a/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
@@ -1,46 +1,62 @@
 package loadbalancer.server;
 
+import static loadbalancer.TestAwait.await;
 import static loadbalancer.server.BalancerServerFixtures.READY_REQUEST;
 import static loadbalancer.server.BalancerServerFixtures.chunk;
+import static loadbalancer.server.FakeHttpServer.CHUNKED_HEAD;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-import java.io.BufferedReader;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
+import loadbalancer.ServeProcess;
+import loadbalancer.TestAwait;
 import loadbalancer.config.SocketAddressParser;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Balancers as processes of their own, where the system's limits and a real start are what counts.
- */
+/** Balancers in processes of their own, for the system's limits and the time of a real start. */
 @Timeout(120)
 @Tag("process")
 class BalancerProcessTest {
-    private static final String CHUNKED_HEAD =
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final int DESCRIPTOR_LIMIT = 256;
+    // The most descriptors below the limit that clients leave free.
+    private static final int MAX_FREE_DESCRIPTORS = 60;
+    private static final Duration READY_TIMEOUT = Duration.ofSeconds(60);
+    private static final Duration READY_POLL_INTERVAL = Duration.ofMillis(20);
+    private static final int ACTIVE_CLIENTS = 60;
+    private static final int MIN_REQUESTS_IN_FLIGHT = 30;
+    // In which the active clients' requests reach the upstream or are rejected.
+    private static final long REQUESTS_SETTLE_MS = 2_000;
+    // In which the balancer has accepted or evicted the idle clients.
+    private static final long IDLE_CLIENTS_SETTLE_MS = 300;
+    private static final Duration MAX_DISCOVERY_DELAY = Duration.ofSeconds(6);
+    private static final int SIMULTANEOUS_STARTS = 10;
+    private static final long MAX_START_MS = 10_000;
 
-    private final List<Process> processes = Collections.synchronizedList(new ArrayList<>());
+    @TempDir private Path directory;
+    private final AtomicInteger startCount = new AtomicInteger();
+    private final List<ServeProcess> processes = Collections.synchronizedList(new ArrayList<>());
     private FakeHttpServer upstream;
     private FakeHttpServer discoveryServer;
 
@@ -52,36 +68,42 @@
 
     @AfterEach
     void close() throws IOException {
-        processes.forEach(Process::destroyForcibly);
+        for (ServeProcess process : processes) {
+            process.process().destroyForcibly();
+        }
         upstream.close();
         discoveryServer.close();
     }
 
-    private String listJson(int revision, String endpointId, String address) {
-        return "{\"rev\":"
-                + revision
-                + ",\"all\":true,\"targets\":[{\"uid\":\""
-                + endpointId
-                + "\",\"endpoint\":\""
-                + address
-                + "\",\"state\":\"in_service\",\"boot_ms\":0}]}";
-    }
-
     private record RunningBalancer(Process process, InetSocketAddress address) {}
 
-    /** Starts one under a limit on descriptors; it listens once this returns. */
+    /** Starts a balancer under a limit on file descriptors; it listens once this returns. */
     private RunningBalancer startBalancer(Map<String, Object> extraConfig) throws IOException {
+        ServeProcess balancer =
+                ServeProcess.start(
+                        writeConfig(extraConfig).toString(),
+                        List.of(
+                                "/bin/sh",
+                                "-c",
+                                "ulimit -n " + DESCRIPTOR_LIMIT + "; exec \"$@\"",
+                                "sh"),
+                        List.of("-Xmx32m"));
+        processes.add(balancer);
+        String line = balancer.awaitLine("listening on ");
+        balancer.discardLog();
+        return new RunningBalancer(
+                balancer.process(),
+                SocketAddressParser.parse(line.substring(line.lastIndexOf(' ') + 1)));
+    }
+
+    private Path writeConfig(Map<String, Object> extraConfig) throws IOException {
         Map<String, Object> settings =
                 BalancerServerFixtures.settings(Map.of("PeerMessages", true));
         settings.put("MembershipMode", "push");
         settings.put("Balancers", 2);
         Map<String, Object> config =
-                new HashMap<>(
+                BalancerServerFixtures.rawConfig(
                         Map.of(
-                                "name",
-                                "n1",
-                                "listen",
-                                "127.0.0.1:0",
                                 "discovery",
                                 discoveryServer.address(),
                                 "seed",
@@ -89,53 +111,20 @@
                                 "settings",
                                 settings,
                                 "known",
-                                JSON.std.mapFrom(listJson(1, "s1", upstream.address()))));
+                                BalancerServerFixtures.knownList("s1", upstream.address())));
         config.putAll(extraConfig);
-        Path file = Files.createTempFile("load-balancer", ".json");
-        Files.writeString(file, JSON.std.asString(config));
-        ProcessBuilder builder =
-                new ProcessBuilder(
-                        "/bin/sh",
-                        "-c",
-                        "ulimit -n " + DESCRIPTOR_LIMIT + "; exec \"$@\"",
-                        "sh",
-                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                        "-Xmx32m",
-                        "-cp",
-                        System.getProperty("java.class.path"),
-                        "loadbalancer.Main",
-                        "serve");
-        builder.environment().keySet().removeIf(name -> name.startsWith("ROUTER_"));
-        builder.environment().put("ROUTER_CONFIG", file.toString());
-        Process process = builder.start();
-        processes.add(process);
-        BufferedReader stderr = process.errorReader(StandardCharsets.UTF_8);
-        String line = stderr.readLine();
-        while (line != null && !line.contains("listening on ")) {
-            line = stderr.readLine();
-        }
-        assertTrue(line != null, "it has ended");
-        Files.delete(file);
-        Thread reader = new Thread(() -> stderr.lines().forEach(l -> {}));
-        reader.setDaemon(true);
-        reader.start();
-        return new RunningBalancer(
-                process, SocketAddressParser.parse(line.substring(line.lastIndexOf(' ') + 1)));
+        Path file = directory.resolve("balancer-" + startCount.incrementAndGet() + ".json");
+        return Files.writeString(file, JSON.std.asString(config));
     }
 
-    private static boolean isReady(InetSocketAddress address) throws IOException {
-        try (HttpTestClient client = new HttpTestClient(address)) {
-            return client.send(READY_REQUEST).readStatus() == 200;
-        }
+    private static void awaitReady(InetSocketAddress address) {
+        await("the balancer is ready")
+                .atMost(READY_TIMEOUT)
+                .pollInterval(READY_POLL_INTERVAL)
+                .until(() -> BalancerServerFixtures.readinessStatus(address) == 200);
     }
 
-    private static void awaitReady(InetSocketAddress address) throws Exception {
-        while (!isReady(address)) {
-            TimeUnit.MILLISECONDS.sleep(20);
-        }
-    }
-
-    // ns for which the thread that starts it, and then its loop, were ready to run and had no core.
+    // The time for which the main thread and the event loop were runnable but had no core.
     private static long runQueueNanos(Process process) throws IOException {
         long totalNanos = 0;
         try (DirectoryStream<Path> threads =
@@ -159,105 +148,130 @@
     }
 
     /**
-     * Idle clients, each of which has asked something and stays, while discovery accepts and is
-     * silent. What is under way goes on, so do datagrams, and the watch has its connection when
-     * discovery is back.
+     * Idle clients, which were served a request and stay connected, take all descriptors while
+     * discovery accepts connections and is silent. Requests in flight are answered, datagrams are
+     * sent, and the watch has its connection when discovery responds again.
      */
     @Test
     void idleClientsDoNotBlockActiveWork() throws Exception {
-        List<HttpTestClient> idleClients = new ArrayList<>();
-        InetAddress loopback = InetAddress.getLoopbackAddress();
-        try (DatagramSocket peer = new DatagramSocket(0, loopback);
+        try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 FakeHttpServer otherUpstream = new FakeHttpServer()) {
-            String ownAddress = "127.0.0.1:" + findFreePort();
-            InetSocketAddress address =
-                    startBalancer(
-                                    Map.of(
-                                            "peer_listen",
-                                            ownAddress,
-                                            "peers",
-                                            List.of(
-                                                    ownAddress,
-                                                    "127.0.0.1:" + peer.getLocalPort())))
-                            .address();
-            awaitReady(address);
-            Map<String, HttpTestClient> activeClients = new HashMap<>();
-            for (int i = 0; i < 60; i++) {
-                // Each with a connection to the upstream
-                activeClients.put(
-                        "w" + i,
-                        new HttpTestClient(address)
-                                .send(
-                                        BalancerServerFixtures.IDEMPOTENT_REQUEST.replace(
-                                                "Req-Id: r1", "Req-Id: w" + i)));
-            }
-            idleClients.addAll(activeClients.values());
-            TimeUnit.SECONDS.sleep(2);
-            List<FakeHttpServer.ReceivedRequest> inFlight = new ArrayList<>();
-            while (!upstream.isEmpty()) {
+            RunningBalancer balancer = startBalancer(configWithPeer(peer));
+            awaitReady(balancer.address());
+            try (HttpTestClientGroup clients = new HttpTestClientGroup(balancer.address())) {
+                Map<String, HttpTestClient> activeClients = sendActiveRequests(clients);
+                TimeUnit.MILLISECONDS.sleep(REQUESTS_SETTLE_MS);
                 // The routing policy may have rejected some.
-                inFlight.add(upstream.nextRequest());
-            }
-            assertTrue(inFlight.size() >= 30, inFlight.size() + " under way");
-            for (int i = 0; i < 2 * DESCRIPTOR_LIMIT; i++) {
-                HttpTestClient client = new HttpTestClient(address);
-                idleClients.add(client);
-                client.send(READY_REQUEST);
-            }
-            TimeUnit.MILLISECONDS.sleep(300);
-            long descriptorCount = countOpenDescriptors(processes.get(0));
-            assertTrue(
-                    descriptorCount > DESCRIPTOR_LIMIT - 60 && descriptorCount <= DESCRIPTOR_LIMIT,
-                    descriptorCount + " descriptors");
-            peer.setSoTimeout(20_000);
-            while (!discoveryServer.isEmpty()) {
-                // From before
-                discoveryServer.nextRequest();
-            }
-            for (int i = 0; i < 3; i++) {
-                // It goes on to ask, and to tell
-                assertTrue(discoveryServer.nextRequest().requestLine().contains("watch=1"));
-                peer.receive(new DatagramPacket(new byte[256], 256));
-            }
-            for (FakeHttpServer.ReceivedRequest receivedRequest : inFlight) {
-                receivedRequest.respond(200, "", "ok");
-            }
-            for (FakeHttpServer.ReceivedRequest receivedRequest : inFlight) {
-                assertEquals(200, activeClients.get(receivedRequest.header("Req-Id")).readStatus());
-            }
-            HttpTestClient nextClient = activeClients.get(inFlight.get(0).header("Req-Id"));
-            while (!discoveryServer.isEmpty()) {
-                discoveryServer.nextRequest();
-            }
-            long reachableAtNanos = System.nanoTime();
-            String list = CHUNKED_HEAD + chunk(listJson(42, "s2", otherUpstream.address()) + "\n");
-            discoveryServer.nextRequest().sendRaw(list);
-            nextClient.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
-            answerWatchesUntilRequested(list, otherUpstream);
-            otherUpstream.nextRequest().respond(200, "", "ok");
-            assertEquals(200, nextClient.readStatus());
-            assertTrue(System.nanoTime() - reachableAtNanos < 6_000_000_000L);
-        } finally {
-            for (HttpTestClient client : idleClients) {
-                client.close();
+                List<FakeHttpServer.ReceivedRequest> inFlight = drain(upstream);
+                assertTrue(
+                        inFlight.size() >= MIN_REQUESTS_IN_FLIGHT, inFlight.size() + " in flight");
+                for (int i = 0; i < 2 * DESCRIPTOR_LIMIT; i++) {
+                    clients.connect().send(READY_REQUEST);
+                }
+                TimeUnit.MILLISECONDS.sleep(IDLE_CLIENTS_SETTLE_MS);
+                assertDescriptorsInUse(balancer.process());
+                assertWatchesAndDatagramsGoOn(peer);
+                for (FakeHttpServer.ReceivedRequest receivedRequest : inFlight) {
+                    receivedRequest.respond(200, "", "ok");
+                }
+                for (FakeHttpServer.ReceivedRequest receivedRequest : inFlight) {
+                    HttpTestClient client = activeClients.get(receivedRequest.header("Req-Id"));
+                    assertEquals(200, client.readStatus());
+                }
+                assertNewListIsUsedInTime(
+                        activeClients.get(inFlight.get(0).header("Req-Id")), otherUpstream);
             }
         }
     }
 
+    private static Map<String, Object> configWithPeer(DatagramSocket peer) throws IOException {
+        String ownAddress = "127.0.0.1:" + findFreePort();
+        return Map.of(
+                "peer_listen",
+                ownAddress,
+                "peers",
+                List.of(ownAddress, "127.0.0.1:" + peer.getLocalPort()));
+    }
+
     /**
-     * Discovery that can be reached answers each watch: one that was answered may have been given
-     * up by the balancer a moment before, and its next watch is due the same list.
+     * Sends requests that each need a connection to the upstream; returns clients by request id.
      */
-    private void answerWatchesUntilRequested(String list, FakeHttpServer upstreamServer)
+    private static Map<String, HttpTestClient> sendActiveRequests(HttpTestClientGroup clients)
+            throws IOException {
+        Map<String, HttpTestClient> activeClients = new HashMap<>();
+        for (int i = 0; i < ACTIVE_CLIENTS; i++) {
+            String requestId = "w" + i;
+            activeClients.put(
+                    requestId,
+                    clients.connect().send(BalancerServerFixtures.requestWithId(requestId)));
+        }
+        return activeClients;
+    }
+
+    // All requests that the server has received so far.
+    private static List<FakeHttpServer.ReceivedRequest> drain(FakeHttpServer server)
+            throws InterruptedException {
+        List<FakeHttpServer.ReceivedRequest> requests = new ArrayList<>();
+        while (!server.isEmpty()) {
+            requests.add(server.nextRequest());
+        }
+        return requests;
+    }
+
+    private static void assertDescriptorsInUse(Process process) throws IOException {
+        long descriptorCount = countOpenDescriptors(process);
+        assertTrue(
+                descriptorCount > DESCRIPTOR_LIMIT - MAX_FREE_DESCRIPTORS
+                        && descriptorCount <= DESCRIPTOR_LIMIT,
+                descriptorCount + " descriptors");
+    }
+
+    private void assertWatchesAndDatagramsGoOn(DatagramSocket peer) throws Exception {
+        peer.setSoTimeout((int) TestAwait.TIMEOUT.toMillis());
+        drain(discoveryServer);
+        for (int i = 0; i < 3; i++) {
+            String requestLine = discoveryServer.nextRequest().requestLine();
+            assertTrue(requestLine.contains("watch=1"), requestLine);
+            peer.receive(new DatagramPacket(new byte[256], 256));
+        }
+    }
+
+    /** Discovery responds again, with a list of another upstream; the next request goes there. */
+    private void assertNewListIsUsedInTime(HttpTestClient client, FakeHttpServer otherUpstream)
             throws Exception {
-        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(6);
-        while (upstreamServer.isEmpty() && System.nanoTime() < deadlineNanos) {
-            if (discoveryServer.isEmpty()) {
-                TimeUnit.MILLISECONDS.sleep(5);
-                continue;
-            }
+        drain(discoveryServer);
+        long reachableAtNanos = System.nanoTime();
+        String list =
+                CHUNKED_HEAD
+                        + chunk(
+                                BalancerServerFixtures.oneEndpointJson(
+                                                42, true, "s2", otherUpstream.address())
+                                        + "\n");
+        discoveryServer.nextRequest().sendRaw(list);
+        client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
+        await("a request at the upstream of the new list")
+                .atMost(MAX_DISCOVERY_DELAY)
+                .until(
+                        () -> {
+                            answerWatches(list);
+                            return !otherUpstream.isEmpty();
+                        });
+        otherUpstream.nextRequest().respond(200, "", "ok");
+        assertEquals(200, client.readStatus());
+        long elapsedNanos = System.nanoTime() - reachableAtNanos;
+        assertTrue(
+                elapsedNanos < MAX_DISCOVERY_DELAY.toNanos(),
+                "served after " + elapsedNanos / 1_000_000 + " ms");
+    }
+
+    /**
+     * Answers all watches received so far: the balancer may have abandoned a watch that was
+     * answered a moment before, and its next watch is due the same list.
+     */
+    private void answerWatches(String list) throws InterruptedException {
+        for (FakeHttpServer.ReceivedRequest watch : drain(discoveryServer)) {
             try {
-                discoveryServer.nextRequest().sendRaw(list);
+                watch.sendRaw(list);
             } catch (IOException e) {
                 // Closed by the balancer meanwhile: its next watch is answered.
             }
@@ -272,15 +286,15 @@
     }
 
     /**
-     * Ten balancers start at once, with a known list, while discovery is silent. Counted is their
-     * own time, as on a machine with a core for each: the time spent waiting for a core is
-     * subtracted.
+     * Ten balancers start at once with a configured endpoint list while discovery is silent; nine
+     * become ready in time. The time for which they waited for a core is subtracted, as if the
+     * machine had a core for each.
      */
     @Test
     void simultaneousStartsBecomeReadyInTime() throws Exception {
         List<Thread> startThreads = new ArrayList<>();
         List<Long> durationsMs = Collections.synchronizedList(new ArrayList<>());
-        for (int i = 0; i < 10; i++) {
+        for (int i = 0; i < SIMULTANEOUS_STARTS; i++) {
             startThreads.add(
                     new Thread(
                             () -> {
@@ -305,6 +319,8 @@
             startThread.join();
         }
         List<Long> sortedDurationsMs = durationsMs.stream().sorted().toList();
-        assertTrue(sortedDurationsMs.get(8) < 10_000, sortedDurationsMs + " ms");
+        assertTrue(
+                sortedDurationsMs.get(SIMULTANEOUS_STARTS - 2) < MAX_START_MS,
+                sortedDurationsMs + " ms");
     }
 }
