--- a/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
+++ b/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
@@ -1,5 +1,8 @@
 package loadbalancer.discovery;
 
+import static loadbalancer.TestAwait.await;
+import static loadbalancer.server.BalancerServerFixtures.chunk;
+import static loadbalancer.server.FakeHttpServer.CHUNKED_HEAD;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -8,13 +11,14 @@
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import java.util.HashMap;
+import java.time.Duration;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.config.BalancerConfig;
+import loadbalancer.TestAwait;
 import loadbalancer.config.BootSettings;
 import loadbalancer.config.EndpointList;
 import loadbalancer.config.SettingsFlattener;
@@ -24,7 +28,7 @@
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointListKind;
 import loadbalancer.server.BalancerServer;
-import loadbalancer.server.BalancerServerTest;
+import loadbalancer.server.BalancerServerFixtures;
 import loadbalancer.server.FakeHttpServer;
 import loadbalancer.server.FullBacklogListener;
 import org.junit.jupiter.api.AfterEach;
@@ -38,8 +42,17 @@
 /** {@link DiscoveryClient}: watches that fall silent, break or are replaced. */
 @Timeout(60)
 class DiscoveryClientTest {
-    private static final String CHUNKED_HEAD =
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String ENDPOINT_ADDRESS = "127.0.0.1:80";
+    // The update that follows a response to a watch, unless the client has closed that watch.
+    private static final long UPDATE_TIMEOUT_MS = 2_000;
+    // In which the system drops the first packets of a connect to a full backlog.
+    private static final long LOST_PACKETS_MS = 1_100;
+    private static final Duration MAX_SILENT_START = Duration.ofSeconds(1);
+    private static final Duration MAX_RECONNECT = Duration.ofMillis(700);
+    private static final Duration MAX_SILENCE = Duration.ofSeconds(6);
+    private static final Duration MAX_SUCCESSIVE_FAILURES = Duration.ofMillis(5_900);
+    private static final long DRAIN_GRACE_MICROS = 2_800_000;
+    private static final long EMPTY_LINE_INTERVAL_MS = 500;
 
     private final NioEventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
     private final EventLoop eventLoop = eventLoopGroup.next();
@@ -50,7 +63,7 @@
     @BeforeEach
     void open() throws IOException {
         discoveryServer = new FakeHttpServer();
-        Map<String, Object> settings = new HashMap<>(BalancerServerTest.settings());
+        Map<String, Object> settings = BalancerServerFixtures.settings();
         settings.put("MembershipMode", "push");
         Map<String, String> flattened = SettingsFlattener.flatten(settings);
         BootSettings boot = SettingsReader.read(flattened);
@@ -81,17 +94,13 @@
     }
 
     private static String listJson(int revision, boolean complete, String endpointId) {
-        return "{\"rev\":"
-                + revision
-                + ",\"all\":"
-                + complete
-                + ",\"targets\":[{\"uid\":\""
-                + endpointId
-                + "\",\"endpoint\":\"127.0.0.1:80\",\"state\":\"in_service\"}]}";
+        return BalancerServerFixtures.oneEndpointJson(
+                revision, complete, endpointId, ENDPOINT_ADDRESS);
     }
 
-    private static String chunk(String text) {
-        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
+    private static void assertElapsedBelow(Duration bound, long startNanos) {
+        Duration elapsed = Duration.ofNanos(System.nanoTime() - startNanos);
+        assertTrue(elapsed.compareTo(bound) < 0, elapsed.toMillis() + " ms");
     }
 
     private FakeHttpServer.ReceivedRequest expectWatchFrom(int revision)
@@ -103,51 +112,60 @@
     }
 
     /**
-     * Responds to the newest watch until the client has got the payload: while the test is slow the
-     * client may close a call before its response.
+     * Responds to the newest watch until the client has the payload: while the test is slow the
+     * client may close a watch before its response.
+     *
+     * @return the watch that was answered
      */
     private FakeHttpServer.ReceivedRequest answerNewestWatch(
-            int revision, String payload, String expected) throws Exception {
-        while (true) {
-            FakeHttpServer.ReceivedRequest watch = expectWatchFrom(revision);
-            while (!discoveryServer.isEmpty()) {
-                watch = expectWatchFrom(revision);
-            }
-            try {
-                watch.sendRaw(CHUNKED_HEAD + chunk(payload));
-            } catch (IOException e) {
-                // The client has closed this call
-                continue;
-            }
-            String update = updates.poll(2, TimeUnit.SECONDS);
-            if (update != null) {
-                assertEquals(expected, update);
-                return watch;
-            }
+            int revision, String payload, String expectedUpdate) {
+        return await("the update " + expectedUpdate)
+                .until(
+                        () -> tryAnswerNewestWatch(revision, payload, expectedUpdate),
+                        Objects::nonNull);
+    }
+
+    // Returns null where the client has closed the watch.
+    private FakeHttpServer.ReceivedRequest tryAnswerNewestWatch(
+            int revision, String payload, String expectedUpdate) throws InterruptedException {
+        FakeHttpServer.ReceivedRequest watch = expectWatchFrom(revision);
+        while (!discoveryServer.isEmpty()) {
+            watch = expectWatchFrom(revision);
+        }
+        try {
+            watch.sendRaw(CHUNKED_HEAD + chunk(payload));
+        } catch (IOException e) {
+            return null;
+        }
+        String update = updates.poll(UPDATE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        if (update == null) {
+            return null;
         }
+        assertEquals(expectedUpdate, update);
+        return watch;
     }
 
     private String nextUpdate() throws InterruptedException {
-        return String.valueOf(updates.poll(20, TimeUnit.SECONDS));
+        return String.valueOf(updates.poll(TestAwait.TIMEOUT.toMillis(), TimeUnit.MILLISECONDS));
     }
 
     /**
-     * While discovery is down its agent accepts connections and is silent. What it learns at its
-     * return must arrive within the grace of drains.
+     * While discovery is down its agent accepts connections and sends nothing. What it learns when
+     * discovery is back must arrive within the grace period for drains.
      */
     @Test
     void initiallySilentWatchIsReopenedInTime() throws Exception {
         FakeHttpServer.ReceivedRequest silentWatch = expectWatchFrom(41);
         long openedAtNanos = System.nanoTime();
         expectWatchFrom(41);
-        assertTrue(System.nanoTime() - openedAtNanos < 1_000_000_000L);
-        assertTrue(silentWatch.isClosedByPeer());
+        assertElapsedBelow(MAX_SILENT_START, openedAtNanos);
+        assertTrue(silentWatch.isClosedByPeer(), "the silent watch is closed");
         answerNewestWatch(41, listJson(51, true, "new") + "\n", "COMPLETE 51 [new]");
     }
 
     /**
-     * While an agent accepts no connections the system repeats lost connects after seconds; a
-     * connect that is new reaches it at once.
+     * While an agent accepts no connections the system repeats a lost connect only after seconds; a
+     * new connect reaches the agent at once when it accepts again.
      */
     @Test
     void unconnectedWatchIsRetriedInTime() throws Exception {
@@ -155,21 +173,16 @@
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
             eventLoop.execute(
                     () -> client.reconnectTo(SocketAddressParser.parse(backlogListener.address())));
-            // The system has dropped the connect's first packets by then
-            long packetsLostAtNanos = System.nanoTime() + 1_100_000_000;
-            while (System.nanoTime() < packetsLostAtNanos) {
-                Thread.onSpinWait();
-            }
+            TimeUnit.MILLISECONDS.sleep(LOST_PACKETS_MS);
             long reachableAtNanos = System.nanoTime();
-            assertTrue(
-                    FakeHttpServer.readHead(backlogListener.acceptNext().getInputStream())
-                            .contains("watch=1&from=41"));
-            assertTrue(System.nanoTime() - reachableAtNanos < 700_000_000L);
+            String head = FakeHttpServer.readHead(backlogListener.acceptNext().getInputStream());
+            assertTrue(head.contains("watch=1&from=41"), head);
+            assertElapsedBelow(MAX_RECONNECT, reachableAtNanos);
         }
     }
 
     /**
-     * What a watch misses must be known 6 s after it fell silent, be it within a list or between
+     * What a watch misses must be known 6 s after it fell silent, whether within a list or between
      * two.
      */
     @ParameterizedTest
@@ -182,73 +195,74 @@
         }
         long silentSinceNanos = System.nanoTime();
         answerNewestWatch(42, listJson(43, false, "b") + "\n", "DELTA 43 [b]");
-        assertTrue(System.nanoTime() - silentSinceNanos < 6_000_000_000L);
+        assertElapsedBelow(MAX_SILENCE, silentSinceNanos);
     }
 
     private static BalancerServer balancer(String mode, String discoveryAddress) {
-        Map<String, Object> rules = new HashMap<>();
-        rules.put("AnswerSlack", 8_000);
-        rules.put("DrainGrace", 2_800_000);
-        rules.put("AskWithin", 10_000_000);
-        rules.put("ColdFrom", 0.3);
-        rules.put("RampTime", 8_400_000);
-        rules.put("OverloadFactor", 3.0);
-        rules.put("Fall", 1_000_000);
-        Map<String, Object> settings = new HashMap<>(BalancerServerTest.settings());
+        Map<String, Object> settings = BalancerServerFixtures.settings();
         settings.put("MembershipMode", mode);
-        settings.put("Rules", rules);
-        Map<String, Object> config = new HashMap<>();
-        config.put("name", "n1");
-        config.put("listen", "127.0.0.1:0");
-        config.put("discovery", discoveryAddress);
-        config.put("seed", "1");
-        config.put("settings", settings);
+        settings.put("Rules", BalancerServerFixtures.rules(DRAIN_GRACE_MICROS));
         return new BalancerServer(
-                BalancerConfig.parse(Map.of(), config), RoutingEngine::new, false, line -> {});
+                BalancerServerFixtures.config(
+                        Map.of("discovery", discoveryAddress, "seed", "1", "settings", settings)),
+                RoutingEngine::new,
+                false,
+                line -> {});
     }
 
     /**
-     * One deadline for all of it: the watch falls silent, the next call times out, the one after
-     * that is reset, and a backoff follows each. Where lists are polled it is the routing policy
-     * that calls again.
+     * One deadline covers successive failures: the watch falls silent, the next calls time out, the
+     * one after them is reset, and a backoff follows each. Where lists are polled the routing
+     * policy makes the next call.
      */
     @ParameterizedTest
-    @CsvSource({"push,2", "ask,1"})
+    @CsvSource(
+            useHeadersInDisplayName = true,
+            textBlock =
+                    """
+                mode, calls that time out
+                push, 2
+                ask,  1
+                """)
     void successiveFailuresEndWithinNotifyDeadline(String mode, int abandonedCalls)
             throws Exception {
         try (FakeHttpServer server = new FakeHttpServer()) {
             BalancerServer balancer = balancer(mode, server.address());
             try {
                 balancer.start();
-                FakeHttpServer.ReceivedRequest watch = server.nextRequest();
-                watch.sendRaw(CHUNKED_HEAD + chunk(listJson(42, true, "a") + "\n"));
-                long silentSinceNanos = System.nanoTime();
-                FakeHttpServer.ReceivedRequest nextCall = server.nextRequest();
-                while (!nextCall.requestLine().contains("from=42")) {
-                    // The client closed the first while the test was slow
-                    watch = nextCall;
-                    watch.sendRaw(CHUNKED_HEAD + chunk(listJson(42, true, "a") + "\n"));
-                    silentSinceNanos = System.nanoTime();
-                    nextCall = server.nextRequest();
-                }
+                SilencedWatch silenced = silenceAnsweredWatch(server);
+                FakeHttpServer.ReceivedRequest nextCall = silenced.nextCall();
                 for (int i = 0; i < abandonedCalls; i++) {
-                    assertTrue(nextCall.isClosedByPeer());
+                    assertTrue(nextCall.isClosedByPeer(), "call " + i + " timed out");
                     nextCall = server.nextRequest();
                 }
                 nextCall.reset();
-                // A response to this call would bring the missed change
+                // A response to this call would bring the missed change.
                 server.nextRequest();
-                long elapsedNanos = System.nanoTime() - silentSinceNanos;
-                assertTrue(elapsedNanos < 5_900_000_000L, elapsedNanos / 1_000_000 + " ms");
+                assertElapsedBelow(MAX_SUCCESSIVE_FAILURES, silenced.silentSinceNanos());
             } finally {
                 balancer.stop();
             }
         }
     }
 
+    private record SilencedWatch(long silentSinceNanos, FakeHttpServer.ReceivedRequest nextCall) {}
+
+    // Answers watches until one is answered in time; it is silent from then on.
+    private static SilencedWatch silenceAnsweredWatch(FakeHttpServer server) throws Exception {
+        FakeHttpServer.ReceivedRequest nextCall = server.nextRequest();
+        long silentSinceNanos;
+        do {
+            nextCall.sendRaw(CHUNKED_HEAD + chunk(listJson(42, true, "a") + "\n"));
+            silentSinceNanos = System.nanoTime();
+            nextCall = server.nextRequest();
+        } while (!nextCall.requestLine().contains("from=42"));
+        return new SilencedWatch(silentSinceNanos, nextCall);
+    }
+
     /**
-     * Half a list, and then only the empty lines that come while nothing changes: a list that
-     * follows would become part of the first.
+     * After half a list come only the empty lines that tell that nothing has changed: a list that
+     * followed would become part of the half one.
      */
     @Test
     void endlessListIsAbandoned() throws Exception {
@@ -265,7 +279,7 @@
                     }
                 },
                 0,
-                500,
+                EMPTY_LINE_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
         answerNewestWatch(42, listJson(43, false, "b") + "\n", "DELTA 43 [b]");
     }
@@ -283,7 +297,7 @@
 
     @Test
     void listsMaySpanLinesAndChunks() throws Exception {
-        // Blank: nothing has changed since the revision
+        // A blank line: nothing has changed since the revision.
         FakeHttpServer.ReceivedRequest watch = answerNewestWatch(41, "  \n", "DELTA 41 []");
         String prettyList =
                 JSON.std
@@ -313,13 +327,13 @@
         watch.sendRaw(chunk(listJson(46, false, "b") + "\n" + listJson(44, false, "old") + "\n"));
         assertEquals("DELTA 46 [b]", nextUpdate());
         fetch.respond(200, "", listJson(45, true, "old"));
-        assertTrue(fetch.isClosedByPeer());
+        assertTrue(fetch.isClosedByPeer(), "the fetch is complete");
         watch.sendRaw(chunk(listJson(47, false, "c") + "\n"));
         assertEquals("DELTA 47 [c]", nextUpdate());
     }
 
     /** After a reload, while the old watch is silent, reset or within a list. */
-    @ParameterizedTest
+    @ParameterizedTest(name = "old watch: {0}")
     @ValueSource(strings = {"silent", "reset", "{\"rev\":43,"})
     void newAddressIsWatchedAtOnce(String oldWatchState) throws Exception {
         FakeHttpServer.ReceivedRequest watch =
@@ -335,10 +349,10 @@
             FakeHttpServer.ReceivedRequest newWatch = newServer.nextRequest();
             assertEquals("GET /api/targets?watch=1&from=42 HTTP/1.1", newWatch.requestLine());
             if (oldWatchState.equals("silent")) {
-                assertTrue(watch.isClosedByPeer());
+                assertTrue(watch.isClosedByPeer(), "the old watch is closed");
             }
             newWatch.sendRaw(CHUNKED_HEAD + chunk(listJson(7, true, "elsewhere") + "\n"));
-            // The new discovery has revisions of its own
+            // The new discovery counts revisions on its own: a lower one is newer.
             assertEquals("COMPLETE 7 [elsewhere]", nextUpdate());
         }
     }
--- a/balancer/src/test/java/loadbalancer/discovery/DiscoveryTimingTest.java
+++ b/balancer/src/test/java/loadbalancer/discovery/DiscoveryTimingTest.java
@@ -6,24 +6,27 @@
 import java.util.Map;
 import loadbalancer.config.SettingsFlattener;
 import loadbalancer.config.SettingsReader;
-import loadbalancer.server.BalancerServerTest;
+import loadbalancer.server.BalancerServerFixtures;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** {@link DiscoveryTiming}: timeouts as they follow from the mode and the grace of drains. */
+/** {@link DiscoveryTiming}: timeouts that follow from the mode and the grace period for drains. */
 class DiscoveryTimingTest {
     @ParameterizedTest
-    @CsvSource({
-        // mode, DrainGrace in us, timeout of the first response in ms, backoff in ms
-        "push, 1000000, 250, 62",
-        "push, 100000, 100, 25",
-        "push, 60000000, 700, 175",
-        "ask, 1000000, 700, 175",
-    })
+    @CsvSource(
+            useHeadersInDisplayName = true,
+            textBlock =
+                    """
+                mode, DrainGrace in us, first response timeout in ms, backoff in ms
+                push, 1000000,          250,                          62
+                push, 100000,           100,                          25
+                push, 60000000,         700,                          175
+                ask,  1000000,          700,                          175
+                """)
     void timeoutsFollowFromTheDrainGrace(
             String mode, long drainGraceMicros, long firstResponseTimeoutMs, long backoffMs) {
         Map<String, String> settings =
-                new HashMap<>(SettingsFlattener.flatten(BalancerServerTest.settings()));
+                new HashMap<>(SettingsFlattener.flatten(BalancerServerFixtures.settings()));
         settings.put("MembershipMode", mode);
         settings.put("Rules.DrainGrace", Long.toString(drainGraceMicros));
         assertEquals(
