--- a/balancer/src/test/java/loadbalancer/cluster/PeerTransportTest.java
+++ b/balancer/src/test/java/loadbalancer/cluster/PeerTransportTest.java
@@ -27,6 +27,12 @@
 /** The datagrams between balancers. */
 class PeerTransportTest {
     private static final int TIMEOUT_MS = 5_000;
+    // In which a datagram that must not arrive would arrive.
+    private static final int QUIET_MS = 50;
+    private static final int MAX_DATAGRAM_BYTES = 256;
+    private static final int ALL_PEERS = -1;
+    private static final int STRANGERS_DATAGRAMS = 20;
+    private static final int MAX_LOG_LINES = 10;
 
     private record ReceivedDatagram(int fromPeer, byte[] payload) {}
 
@@ -92,25 +98,26 @@
     @Test
     void messagesReachOneOrAllWithSender() throws Exception {
         PeerTransport transport = startTransport(null);
-        sendOnLoop(transport, -1, new byte[] {1, 2});
+        sendOnLoop(transport, ALL_PEERS, new byte[] {1, 2});
         SocketAddress transportAddress = receive(firstPeer).getSocketAddress();
         assertEquals(2, receive(secondPeer).getLength());
         sendOnLoop(transport, 1, new byte[] {3});
         assertEquals(1, receive(secondPeer).getLength());
-        send(secondPeer, 256, transportAddress);
+        send(secondPeer, MAX_DATAGRAM_BYTES, transportAddress);
         ReceivedDatagram message = receivedDatagrams.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertEquals(1, message.fromPeer());
-        assertArrayEquals(new byte[256], message.payload());
+        assertArrayEquals(new byte[MAX_DATAGRAM_BYTES], message.payload());
     }
 
+    /** A message to all is sent once to the broadcast address and to no peer of its own. */
     @Test
     void broadcastAddressReachesAll() throws Exception {
         sendOnLoop(
                 startTransport((InetSocketAddress) secondPeer.getLocalSocketAddress()),
-                -1,
+                ALL_PEERS,
                 new byte[] {7});
         assertEquals(1, receive(secondPeer).getLength());
-        firstPeer.setSoTimeout(50);
+        firstPeer.setSoTimeout(QUIET_MS);
         assertThrows(SocketTimeoutException.class, () -> receive(firstPeer));
     }
 
@@ -120,27 +127,29 @@
         sendOnLoop(transport, 0, new byte[] {1});
         SocketAddress transportAddress = receive(firstPeer).getSocketAddress();
         try (DatagramSocket stranger = openPeer()) {
-            for (int i = 0; i < 20; i++) {
+            for (int i = 0; i < STRANGERS_DATAGRAMS; i++) {
                 send(stranger, 5, transportAddress);
             }
         }
-        send(firstPeer, 257, transportAddress);
+        send(firstPeer, MAX_DATAGRAM_BYTES + 1, transportAddress);
         send(firstPeer, 2, transportAddress);
         assertEquals(2, receivedDatagrams.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS).payload().length);
-        assertTrue(receivedDatagrams.isEmpty());
-        assertTrue(events.count(EventLog.Kind.STRAY) >= 21);
-        assertTrue(logLines.size() <= 10, "lines: " + logLines);
+        assertTrue(receivedDatagrams.isEmpty(), receivedDatagrams.toString());
+        long strayCount = events.count(EventLog.Kind.STRAY);
+        assertTrue(strayCount >= STRANGERS_DATAGRAMS + 1, strayCount + " stray datagrams counted");
+        assertTrue(logLines.size() <= MAX_LOG_LINES, "lines: " + logLines);
     }
 
     @Test
     void oversizedMessagesAndUnknownPeersAreDropped() throws Exception {
         PeerTransport transport = startTransport(null);
-        sendOnLoop(transport, -1, new byte[257]);
+        sendOnLoop(transport, ALL_PEERS, new byte[MAX_DATAGRAM_BYTES + 1]);
         sendOnLoop(transport, 2, new byte[] {1});
         sendOnLoop(transport, 0, new byte[] {1, 2, 3});
         assertEquals(3, receive(firstPeer).getLength());
     }
 
+    /** The start ends all the same, and sending does nothing. */
     @Test
     void addressInUseDisablesMessages() throws Exception {
         PeerTransport transport =
@@ -152,11 +161,13 @@
                                 null),
                         (from, data) -> {},
                         events);
-        assertTrue(transport.start(logLines::add).await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertTrue(
+                transport.start(logLines::add).await(TIMEOUT_MS, TimeUnit.MILLISECONDS),
+                "the start has not ended");
         eventLoopGroup
                 .next()
-                .submit(() -> transport.send(-1, new byte[] {1}))
+                .submit(() -> transport.send(ALL_PEERS, new byte[] {1}))
                 .get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        assertTrue(logLines.get(0).contains("no messages between balancers"));
+        assertTrue(logLines.get(0).contains("no messages between balancers"), logLines.toString());
     }
 }
--- a/balancer/src/test/java/loadbalancer/cluster/RateLimitedLogTest.java
+++ b/balancer/src/test/java/loadbalancer/cluster/RateLimitedLogTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** {@link RateLimitedLog}: the bound on the lines of one second. */
 class RateLimitedLogTest {
     private static final long SECOND_MICROS = 1_000_000;
 
--- a/balancer/src/test/java/loadbalancer/cluster/TickSchedulerTest.java
+++ b/balancer/src/test/java/loadbalancer/cluster/TickSchedulerTest.java
@@ -12,8 +12,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** {@link TickScheduler}: when ticks run, and that none runs after a stop. */
 class TickSchedulerTest {
     private static final int TIMEOUT_MS = 5_000;
+    // In which a tick that must not run would run.
+    private static final int QUIET_MS = 50;
     private static final long FAR_MICROS = TimeUnit.HOURS.toMicros(1);
 
     private final EventLoop loop = new DefaultEventLoop();
@@ -35,14 +38,14 @@
     @Test
     void tickRunsWhenDue() throws Exception {
         scheduleAt(MonotonicClock.nowMicros());
-        assertTrue(ticked.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertTrue(ticked.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "no tick");
     }
 
     @Test
     void earlierTimeReplacesTimer() throws Exception {
         scheduleAt(MonotonicClock.nowMicros() + FAR_MICROS);
         scheduleAt(MonotonicClock.nowMicros());
-        assertTrue(ticked.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertTrue(ticked.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "no tick");
     }
 
     @Test
@@ -50,7 +53,7 @@
         scheduleAt(MonotonicClock.nowMicros() + FAR_MICROS);
         loop.submit(scheduler::stop).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         scheduleAt(MonotonicClock.nowMicros());
-        assertFalse(ticked.await(50, TimeUnit.MILLISECONDS));
+        assertFalse(ticked.await(QUIET_MS, TimeUnit.MILLISECONDS), "a tick after the stop");
         assertEquals(1, ticked.getCount());
     }
 }
--- a/balancer/src/test/java/loadbalancer/recovery/GoldenStateContentTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/GoldenStateContentTest.java
@@ -127,21 +127,24 @@
         return new Snapshot(1, SNAPSHOT_AT_MS, 1_764_679_000_000L, OWNER, content);
     }
 
-    private RecoveryStore openWith(byte[] content, long at) throws IOException {
+    private RecoveryStore openWith(String goldenFile) throws IOException {
+        byte[] content = GoldenFiles.text(goldenFile).getBytes(StandardCharsets.UTF_8);
         new SnapshotStore(new FileSystemDirectory(directory), OWNER, "snapshot")
-                .save(at, 1, content);
+                .save(System.currentTimeMillis(), 1, content);
         return RecoveryStore.open(directory, OWNER, boot(), 1_000, log::add);
     }
 
+    private static void assertListIsRecovered(RecoveryStore store) {
+        EndpointList configuredList = new EndpointList(REVISION - 1, true, List.of());
+        assertEquals(list(), store.newestEndpointList(configuredList));
+    }
+
     @ParameterizedTest
     @ValueSource(strings = {ENDPOINTS_FIRST, LATENCIES_FIRST})
     void bytesGiveValues(String file) throws IOException {
-        byte[] content = GoldenFiles.text(file).getBytes(StandardCharsets.UTF_8);
-        RecoveryStore store = openWith(content, System.currentTimeMillis());
+        RecoveryStore store = openWith(file);
         try {
-            assertEquals(
-                    list(),
-                    store.newestEndpointList(new EndpointList(REVISION - 1, true, List.of())));
+            assertListIsRecovered(store);
             assertEquals(policySnapshot(), store.recoveredPolicySnapshot());
         } finally {
             store.close();
@@ -150,12 +153,9 @@
 
     @Test
     void bytesOfListOnlyGiveValues() throws IOException {
-        byte[] content = GoldenFiles.text(LIST_ONLY).getBytes(StandardCharsets.UTF_8);
-        RecoveryStore store = openWith(content, System.currentTimeMillis());
+        RecoveryStore store = openWith(LIST_ONLY);
         try {
-            assertEquals(
-                    list(),
-                    store.newestEndpointList(new EndpointList(REVISION - 1, true, List.of())));
+            assertListIsRecovered(store);
             assertNull(store.recoveredPolicySnapshot());
         } finally {
             store.close();
@@ -181,9 +181,7 @@
         Files.write(directory.resolve("snapshot-1"), GoldenFiles.bytes(SNAPSHOT));
         RecoveryStore store = RecoveryStore.open(directory, OWNER, boot(), 1_000, log::add);
         try {
-            assertEquals(
-                    list(),
-                    store.newestEndpointList(new EndpointList(REVISION - 1, true, List.of())));
+            assertListIsRecovered(store);
         } finally {
             store.close();
         }
--- a/balancer/src/test/java/loadbalancer/recovery/PolicySnapshotCodecTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/PolicySnapshotCodecTest.java
@@ -7,10 +7,13 @@
 import java.util.Map;
 import loadbalancer.routing.api.PolicySnapshot;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
 
+/** {@link PolicySnapshotCodec}: which persisted values are not restored. */
 class PolicySnapshotCodecTest {
     @Test
-    void invalidPolicySnapshotIsRejected() {
+    void numberOutOfRangeIsRejected() {
         Map<String, Object> invalid =
                 PolicySnapshotCodec.encode(new PolicySnapshot(List.of(), List.of(-1.0)));
         assertEquals(
@@ -19,17 +22,21 @@
                                 MalformedPolicySnapshotException.class,
                                 () -> PolicySnapshotCodec.decode(invalid))
                         .getMessage());
-        for (Object malformed :
-                new Object[] {
-                    "x",
-                    Map.of(),
-                    Map.of("servers", List.of(3), "latencies", List.of()),
-                    Map.of("servers", List.of(Map.of("uid", 3)), "latencies", List.of())
-                }) {
-            assertThrows(
-                    MalformedPolicySnapshotException.class,
-                    () -> PolicySnapshotCodec.decode(malformed),
-                    malformed.toString());
-        }
+    }
+
+    static List<Object> malformedSnapshots() {
+        return List.of(
+                "x",
+                Map.of(),
+                Map.of("servers", List.of(3), "latencies", List.of()),
+                Map.of("servers", List.of(Map.of("uid", 3)), "latencies", List.of()));
+    }
+
+    @ParameterizedTest
+    @MethodSource("malformedSnapshots")
+    void malformedSnapshotIsRejected(Object malformed) {
+        assertThrows(
+                MalformedPolicySnapshotException.class,
+                () -> PolicySnapshotCodec.decode(malformed));
     }
 }
--- a/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
@@ -18,11 +18,13 @@
 import loadbalancer.config.EndpointListCodec;
 import loadbalancer.routing.api.EndpointListKind;
 import loadbalancer.routing.api.PolicySnapshot;
+import loadbalancer.server.BalancerServerFixtures;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
+/** {@link RecoveryStore}: what a balancer persists, and what its next start restores. */
 @Timeout(60)
 class RecoveryStoreTest {
     private static final String LIST_JSON =
@@ -47,19 +49,7 @@
                  "Limits":{"TryLimit":3,"MayDuplicate":true,"Cancel":true,"Probes":true},
                  "Rules":{"AnswerSlack":20000,"DrainGrace":1000000,"AskWithin":10000000,"ColdFrom":0.2,
                    "RampTime":20000000,"OverloadFactor":2.5,"Fall":1500000}}""");
-            return BalancerConfig.parse(
-                    Map.of(),
-                    Map.of(
-                            "name",
-                            "n1",
-                            "listen",
-                            "127.0.0.1:0",
-                            "discovery",
-                            "127.0.0.1:9",
-                            "seed",
-                            "1",
-                            "settings",
-                            settings));
+            return BalancerServerFixtures.config(Map.of("seed", "1", "settings", settings));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -81,6 +71,7 @@
         }
     }
 
+    /** Takes a snapshot with this list and {@link #policySnapshot}, and closes the store. */
     private void persist(EndpointList endpointList) throws IOException, InterruptedException {
         store = open();
         store.onEndpointList(EndpointListKind.COMPLETE, endpointList);
@@ -102,13 +93,16 @@
         long previousIncarnation = store.incarnation();
         store = open();
         assertEquals(persisted, store.newestEndpointList(config.initialEndpoints()));
-        assertTrue(store.incarnation() > previousIncarnation);
+        assertTrue(
+                store.incarnation() > previousIncarnation,
+                store.incarnation() + " after " + previousIncarnation);
         assertTrue(
                 logLines.get(0).startsWith("state: recovered snapshot 1, "), logLines.toString());
     }
 
+    /** The list of the platform's configuration is taken unless the snapshot's is newer. */
     @Test
-    void platformListWinsIfAsNew() throws IOException, InterruptedException {
+    void configuredListWinsAtEqualRevision() throws IOException, InterruptedException {
         persist(parseList(41, true, "in_service"));
         store = open();
         EndpointList known = parseList(41, true, "terminating");
