--- a/balancer/src/test/java/loadbalancer/DeployFileTest.java
+++ b/balancer/src/test/java/loadbalancer/DeployFileTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The deploy file names sources that exist, so that operators measure the code that runs. */
+/** The deploy file names source files that exist: operators measure the code by them. */
 class DeployFileTest {
     private static final Path ROOT = Path.of("..");
     private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
@@ -29,7 +29,7 @@
         int files = 0;
         while (path.find()) {
             files++;
-            assertTrue(Files.exists(ROOT.resolve(path.group(1))), path.group(1));
+            assertTrue(Files.exists(ROOT.resolve(path.group(1))), "no such file: " + path.group(1));
         }
         assertTrue(files >= minFiles, files + " files are named");
     }
--- a/balancer/src/test/java/loadbalancer/KnownRedListTest.java
+++ b/balancer/src/test/java/loadbalancer/KnownRedListTest.java
@@ -18,9 +18,12 @@
 
     @TempDir private Path directory;
 
-    private Process runScript(String text) throws IOException {
-        Path file = Files.writeString(directory.resolve("red.txt"), text);
-        return new ProcessBuilder("bash", ".ci/known-red", file.toString())
+    private Process runScript(String list) throws IOException {
+        return startScript(Files.writeString(directory.resolve("red.txt"), list));
+    }
+
+    private static Process startScript(Path list) throws IOException {
+        return new ProcessBuilder("bash", ".ci/known-red", list.toString())
                 .directory(Path.of("..").toAbsolutePath().toFile())
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
@@ -28,7 +31,7 @@
 
     private static String awaitOutput(Process process) throws IOException, InterruptedException {
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(0, process.waitFor());
+        assertEquals(0, process.waitFor(), "exit code");
         return output;
     }
 
@@ -38,14 +41,12 @@
                 "loadbalancer/KnownRedListTest#listedTestIsPrintedForSurefire\n",
                 awaitOutput(runScript(VALID_LINE)));
         assertEquals("", awaitOutput(runScript("\n")));
-        assertEquals(
-                "",
-                awaitOutput(
-                        new ProcessBuilder("bash", ".ci/known-red", directory + "/none")
-                                .directory(Path.of("..").toAbsolutePath().toFile())
-                                .start()));
+        assertEquals("", awaitOutput(startScript(directory.resolve("none"))));
     }
 
+    /**
+     * Lines without a method, cause or issue; lines that name no test; more lines than are allowed.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -60,6 +61,6 @@
     void malformedListIsRejected(String text) throws IOException, InterruptedException {
         Process process = runScript(text);
         process.getInputStream().readAllBytes();
-        assertEquals(1, process.waitFor());
+        assertEquals(1, process.waitFor(), "exit code");
     }
 }
--- a/balancer/src/test/java/loadbalancer/StartupCostTest.java
+++ b/balancer/src/test/java/loadbalancer/StartupCostTest.java
@@ -12,12 +12,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What the program's classes must not make a start pay for. */
+/** Costs that the program's classes must not add to a start. */
 class StartupCostTest {
     @Test
     void noClassUsesIndyStringConcatenation() throws IOException, URISyntaxException {
-        // Each place that joins strings spun classes of its own when first met: a tenth of a second
-        // of CPU.
+        // The JVM would generate classes at the first use of each place that joins strings: a tenth
+        // of a second of CPU in all.
         Path classDirectory =
                 Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         List<Path> classFiles;
--- a/balancer/src/test/java/loadbalancer/server/WarmUpTest.java
+++ b/balancer/src/test/java/loadbalancer/server/WarmUpTest.java
@@ -1,7 +1,6 @@
 package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.jr.ob.JSON;
@@ -15,14 +14,18 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import loadbalancer.TestAwait;
 import loadbalancer.config.BalancerConfig;
-import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
-/** How a warm-up gives way to clients that come before it is over. */
+/** How a warm-up gives way to clients whose requests come before it is complete. */
 @Timeout(30)
 class WarmUpTest {
-    /** Runs one against an upstream that never answers, after {@code realRequests} requests. */
+    private static final long TIMEOUT_MS = TestAwait.TIMEOUT.toMillis();
+
+    /** Runs a warm-up against a server that never responds, beside that many real requests. */
     private static boolean endsAtOnce(long realRequests, boolean clientsWaiting)
             throws IOException, InterruptedException {
         NioEventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
@@ -51,27 +54,37 @@
                                                         "127.0.0.1", silentServer.getLocalPort()));
                                 started.countDown();
                             });
-            assertTrue(started.await(20, TimeUnit.SECONDS));
+            assertTrue(started.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "not started");
             boolean endedAtOnce = ended.getCount() == 0;
-            assertTrue(ended.await(20, TimeUnit.SECONDS), "it ends however silent the server is");
-            assertEquals(1, endCount.get());
+            assertTrue(
+                    ended.await(TIMEOUT_MS, TimeUnit.MILLISECONDS),
+                    "the warm-up waits for a silent server without end");
+            assertEquals(1, endCount.get(), "calls at the end of the warm-up");
             return endedAtOnce;
         } finally {
             eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
-    @Test
-    void enoughRealRequestsEndWarmUp() throws IOException, InterruptedException {
-        // On half a core it took 2 to 4 s beside clients' requests.
-        assertTrue(endsAtOnce(40, true));
-        assertFalse(endsAtOnce(39, true));
-    }
-
-    @Test
-    void warmUpIsNotCutShortWithoutClients() throws IOException, InterruptedException {
-        // 40 were too few at a day's start: 8% of the requests of the first five seconds were late.
-        assertFalse(endsAtOnce(299, false));
-        assertTrue(endsAtOnce(300, false));
+    /**
+     * With clients waiting 40 real requests replace the warm-up: on half a core it took 2 to 4 s
+     * beside them. Without, it takes 300: at a day's start 40 were too few, and 8% of the requests
+     * of the first five seconds were late.
+     */
+    @ParameterizedTest
+    @CsvSource(
+            useHeadersInDisplayName = true,
+            textBlock =
+                    """
+                real requests, clients waiting, ends at once
+                40,            true,            true
+                39,            true,            false
+                299,           false,           false
+                300,           false,           true
+                """)
+    void enoughRealRequestsEndWarmUp(
+            long realRequests, boolean clientsWaiting, boolean expectedEndAtOnce)
+            throws IOException, InterruptedException {
+        assertEquals(expectedEndAtOnce, endsAtOnce(realRequests, clientsWaiting));
     }
 }
