--- a/balancer/src/test/java/loadbalancer/recovery/GoldenStateContentTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/GoldenStateContentTest.java
@@ -1,5 +1,6 @@
 package loadbalancer.recovery;
 
+import static loadbalancer.TestAwait.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -113,9 +114,8 @@
                 RecoveryStore.open(directory, OWNER, boot(), 1_000, line -> {}).orElseThrow();
         store.onEndpointList(EndpointListKind.COMPLETE, list());
         store.takeSnapshot(policySnapshot);
-        while (!Files.exists(directory.resolve("snapshot-1"))) {
-            Thread.onSpinWait();
-        }
+        await("the first snapshot is written")
+                .until(() -> Files.exists(directory.resolve("snapshot-1")));
         store.close();
         Snapshot snapshot =
                 new SnapshotStore(new FileSystemDirectory(directory), OWNER, "snapshot")
@@ -129,21 +129,24 @@
         return new Snapshot(1, SNAPSHOT_AT_MS, 1_764_679_000_000L, OWNER, content);
     }
 
-    private RecoveryStore openWith(byte[] content, long at) throws IOException {
+    private RecoveryStore openWith(String goldenFile) throws IOException {
+        byte[] content = GoldenFiles.text(goldenFile).getBytes(StandardCharsets.UTF_8);
         new SnapshotStore(new FileSystemDirectory(directory), OWNER, "snapshot")
-                .save(at, 1, content);
+                .save(System.currentTimeMillis(), 1, content);
         return RecoveryStore.open(directory, OWNER, boot(), 1_000, log::add).orElseThrow();
     }
 
+    private static void assertListIsRecovered(RecoveryStore store) {
+        EndpointList configuredList = new EndpointList(REVISION - 1, true, List.of());
+        assertEquals(list(), store.newestEndpointList(configuredList));
+    }
+
     @ParameterizedTest
     @ValueSource(strings = {ENDPOINTS_FIRST, LATENCIES_FIRST})
     void bytesGiveValues(String file) throws IOException {
-        byte[] content = GoldenFiles.text(file).getBytes(StandardCharsets.UTF_8);
-        RecoveryStore store = openWith(content, System.currentTimeMillis());
+        RecoveryStore store = openWith(file);
         try {
-            assertEquals(
-                    list(),
-                    store.newestEndpointList(new EndpointList(REVISION - 1, true, List.of())));
+            assertListIsRecovered(store);
             assertEquals(Optional.of(policySnapshot()), store.recoveredPolicySnapshot());
         } finally {
             store.close();
@@ -152,12 +155,9 @@
 
     @Test
     void bytesOfListOnlyGiveValues() throws IOException {
-        byte[] content = GoldenFiles.text(LIST_ONLY).getBytes(StandardCharsets.UTF_8);
-        RecoveryStore store = openWith(content, System.currentTimeMillis());
+        RecoveryStore store = openWith(LIST_ONLY);
         try {
-            assertEquals(
-                    list(),
-                    store.newestEndpointList(new EndpointList(REVISION - 1, true, List.of())));
+            assertListIsRecovered(store);
             assertEquals(Optional.empty(), store.recoveredPolicySnapshot());
         } finally {
             store.close();
@@ -184,9 +184,7 @@
         RecoveryStore store =
                 RecoveryStore.open(directory, OWNER, boot(), 1_000, log::add).orElseThrow();
         try {
-            assertEquals(
-                    list(),
-                    store.newestEndpointList(new EndpointList(REVISION - 1, true, List.of())));
+            assertListIsRecovered(store);
         } finally {
             store.close();
         }
