--- a/balancer/src/main/java/loadbalancer/cluster/PeerTransport.java
+++ b/balancer/src/main/java/loadbalancer/cluster/PeerTransport.java
@@ -102,9 +102,9 @@
         if (!bindFailureLogged) {
             bindFailureLogged = true;
             log.accept(
-                    "no messages between balancers yet: can't listen on "
+                    "peer socket bind failed: address="
                             + listenAddress
-                            + ": "
+                            + " reason="
                             + cause.getMessage());
         }
         loop.schedule(
--- a/balancer/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/balancer/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -122,7 +122,7 @@
     }
 
     void logInvalidList(String problem) {
-        log.accept("discovery sent a list that can't be read: " + problem);
+        log.accept("endpoint list undecodable: reason=" + problem);
     }
 
     /**
--- a/balancer/src/main/java/loadbalancer/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/Dispatcher.java
@@ -25,7 +25,7 @@
     private final PolicyEvents policyEvents;
     private final RequestTable requests;
     private final AttemptRunner attempts;
-    private final RequestLifecycle lifecycle;
+    private final ExchangeLifecycle lifecycle;
     private final PolicyActions actions;
     private UpstreamPool upstreamPool;
 
@@ -43,7 +43,7 @@
         requests = new RequestTable(loop);
         FinalResponses responses = new FinalResponses(context, requests, policyEvents);
         attempts = new AttemptRunner(context, requests, responses, policyEvents);
-        lifecycle = new RequestLifecycle(context, requests, responses, attempts, policyEvents);
+        lifecycle = new ExchangeLifecycle(context, requests, responses, attempts, policyEvents);
         actions = new PolicyActions(context, requests, responses, attempts, policyEvents);
         policyEvents.attach(actions);
     }
@@ -78,7 +78,7 @@
         return lifecycle.submit(proxyRequest, responseSender);
     }
 
-    /** The number of requests taken since the start. */
+    /** The number of requests accepted since the start. */
     public long acceptedRequestCount() {
         return requests.acceptedRequestCount();
     }
@@ -141,12 +141,12 @@
     /** The counters since the start, for the log. */
     public String summary() {
         return requests.acceptedRequestCount()
-                + " requests taken, "
+                + " requests accepted, "
                 + requests.pendingRequestCount()
-                + " unanswered, "
+                + " pending, "
                 + lifecycle.fallbackResponseCount()
-                + " last-resort answers, "
-                + policyEvents.faultCount()
-                + " faults";
+                + " fallback responses, "
+                + policyEvents.exceptionCount()
+                + " policy exceptions";
     }
 }
--- a/balancer/src/main/java/loadbalancer/dispatch/RequestLifecycle.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/ExchangeLifecycle.java
@@ -8,7 +8,7 @@
  * A client's request from its submission on: the end of its upload, its disconnect, and the
  * fallback response where the policy leaves it without one. Event loop thread only.
  */
-final class RequestLifecycle {
+final class ExchangeLifecycle {
     private final DispatchContext context;
     private final RequestTable requests;
     private final FinalResponses responses;
@@ -16,7 +16,7 @@
     private final PolicyEvents policyEvents;
     private long fallbackResponseCount;
 
-    RequestLifecycle(
+    ExchangeLifecycle(
             DispatchContext context,
             RequestTable requests,
             FinalResponses responses,
@@ -53,7 +53,7 @@
 
         @Override
         public void onClientDisconnected() {
-            RequestLifecycle.this.onClientDisconnected(exchange);
+            ExchangeLifecycle.this.onClientDisconnected(exchange);
         }
 
         @Override
@@ -105,12 +105,11 @@
     }
 
     // The policy has not answered in time, or has failed on an event: the client gets a failure
-    // before
-    // its deadline
+    // before its deadline
     private void sendFallbackResponse(Exchange exchange) {
         fallbackResponseCount++;
         if (Long.bitCount(fallbackResponseCount) == 1) {
-            context.log().accept("last-resort answers: " + fallbackResponseCount);
+            context.log().accept("fallback responses: count=" + fallbackResponseCount);
         }
         responses.failAtDeadline(exchange);
         policyEvents.clientDisconnected(exchange);
--- a/balancer/src/main/java/loadbalancer/dispatch/PolicyEvents.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/PolicyEvents.java
@@ -25,7 +25,7 @@
     private RoutingActions actions;
     private boolean processing;
     private boolean retired;
-    private long faultCount;
+    private long exceptionCount;
 
     PolicyEvents(RoutingPolicy policy, MonotonicClock clock, Consumer<String> log) {
         this.policy = policy;
@@ -44,8 +44,8 @@
     }
 
     /** The number of events that the policy has failed on. */
-    long faultCount() {
-        return faultCount;
+    long exceptionCount() {
+        return exceptionCount;
     }
 
     private void submit(LongConsumer event) {
@@ -69,16 +69,20 @@
     }
 
     // A policy that fails on one event must not end the process; a request that this leaves without
-    // a
-    // response gets the fallback response
+    // a response gets the fallback response
     private void process(LongConsumer event) {
         try {
             event.accept(clock.nowMicros());
         } catch (RuntimeException e) {
-            faultCount++;
+            exceptionCount++;
             StackTraceElement[] trace = e.getStackTrace();
             String place = trace.length == 0 ? "" : " at " + trace[0];
-            log.accept("fault " + faultCount + ": " + e + place);
+            log.accept(
+                    "routing policy exception: count="
+                            + exceptionCount
+                            + " exception="
+                            + e
+                            + place);
         }
     }
 
--- a/balancer/src/main/java/loadbalancer/http/ClientConnections.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientConnections.java
@@ -201,7 +201,7 @@
         ClientConnection stalledConnection = findStalled();
         while (stalledConnection != null && isLimitReached()) {
             if (stalledConnection.confirmStalled()) {
-                stalledConnection.drop("no request yet, and no room");
+                stalledConnection.drop("no request yet, evicted at the limit");
             }
             stalledConnection = findStalled();
         }
@@ -209,7 +209,7 @@
 
     private void evictIdle() {
         while (isLimitReached() && !idle.isEmpty()) {
-            findIdleToEvict().drop("at rest, and no room");
+            findIdleToEvict().drop("idle, evicted at the limit");
         }
     }
 
@@ -246,12 +246,12 @@
     @Override
     public String toString() {
         return openCount
-                + " clients' ("
+                + " client connections ("
                 + unproven.size()
-                + " new, "
+                + " unproven, "
                 + idle.size()
-                + " at rest, "
+                + " idle, "
                 + halfClosed.size()
-                + " shut)";
+                + " half-closed)";
     }
 }
--- a/balancer/src/main/java/loadbalancer/recovery/DirectoryInUseException.java
+++ b/balancer/src/main/java/loadbalancer/recovery/DirectoryInUseException.java
@@ -12,10 +12,10 @@
     }
 
     static DirectoryInUseException byAnotherProcess(Path directory) {
-        return new DirectoryInUseException("another process has " + directory);
+        return new DirectoryInUseException(directory + " is locked by another process");
     }
 
     static DirectoryInUseException byThisProcess(Path directory) {
-        return new DirectoryInUseException("this process has " + directory + " already");
+        return new DirectoryInUseException(directory + " is locked by this process");
     }
 }
--- a/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
+++ b/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
@@ -87,14 +87,13 @@
 
     private Optional<Snapshot> recover(SnapshotStore source) {
         SnapshotStore.RecoveryResult result = source.recover();
-        result.discarded().forEach(file -> log.accept("state: dropped " + file));
+        result.discarded().forEach(file -> log.accept("snapshot discarded: " + file));
         return result.newest();
     }
 
     private void logRecovered(Snapshot snapshot) {
         long ageSeconds = Math.max(0, startedAtMs - snapshot.createdAtMs()) / MS_PER_SECOND;
-        log.accept(
-                "state: recovered snapshot " + snapshot.sequence() + ", " + ageSeconds + " s old");
+        log.accept("snapshot recovered: sequence=" + snapshot.sequence() + " age_s=" + ageSeconds);
     }
 
     /**
@@ -120,9 +119,13 @@
             return Optional.of(
                     recoverLocked(directory, owner, boot, snapshotIntervalMs, log, lock));
         } catch (DirectoryInUseException e) {
-            log.accept("state: " + e.getMessage() + ", serving without");
+            log.accept("state directory unavailable: reason=" + e.getMessage());
         } catch (IOException e) {
-            log.accept("state: can't use " + directory + ", serving without: " + e.getMessage());
+            log.accept(
+                    "state directory unavailable: reason=can't use "
+                            + directory
+                            + ": "
+                            + e.getMessage());
         }
         return Optional.empty();
     }
@@ -170,18 +173,18 @@
         try {
             recovered = contentCodec.decodeEndpoints(recoveredSnapshot.get().content());
         } catch (InvalidEndpointListException e) {
-            log.accept("state: stored endpoint list can't be read: " + e.getMessage());
+            log.accept("stored endpoint list undecodable: reason=" + e.getMessage());
             return known;
         }
         if (recovered.revision() <= known.revision()) {
             return known;
         }
         log.accept(
-                "state: list revision "
+                "stored endpoint list used: revision="
                         + recovered.revision()
-                        + " with "
+                        + " endpoints="
                         + recovered.entries().size()
-                        + " upstreams, where the configuration knew "
+                        + " configured_revision="
                         + known.revision());
         return recovered;
     }
@@ -207,7 +210,7 @@
     }
 
     private void logUnreadablePolicySnapshot(String reason) {
-        log.accept("state: stored policy snapshot can't be read: " + reason);
+        log.accept("stored policy snapshot undecodable: reason=" + reason);
     }
 
     /**
--- a/balancer/src/main/java/loadbalancer/recovery/SnapshotWriter.java
+++ b/balancer/src/main/java/loadbalancer/recovery/SnapshotWriter.java
@@ -25,13 +25,13 @@
         } catch (IOException | RuntimeException e) {
             if (!lastWriteFailed) {
                 lastWriteFailed = true;
-                log.accept("state: not kept, the one before still is: " + e.getMessage());
+                log.accept("snapshot write failed: reason=" + e.getMessage());
             }
             return false;
         }
         if (lastWriteFailed) {
             lastWriteFailed = false;
-            log.accept("state: kept again");
+            log.accept("snapshot writes resumed");
         }
         return true;
     }
--- a/balancer/src/main/java/loadbalancer/server/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerProcess.java
@@ -65,7 +65,7 @@
         try {
             signalHandled = ReloadSignal.install(reloader::reload);
         } catch (ReflectiveOperationException e) {
-            log.accept("SIGHUP is not heard here: " + e);
+            log.accept("SIGHUP handler not installed: reason=" + e);
         }
         InetSocketAddress address;
         try {
@@ -77,8 +77,7 @@
             return EXIT_FAILURE;
         }
         if (!signalHandled) {
-            log.accept(
-                    "SIGHUP is ignored here since the start: looking at the configuration instead");
+            log.accept("SIGHUP ignored since the start: polling the configuration file");
             reloader.pollForChanges();
         }
         // Logged last: whoever reads it may send a signal at once.
--- a/balancer/src/main/java/loadbalancer/server/BalancerServer.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerServer.java
@@ -207,14 +207,14 @@
     }
 
     private void drain() {
-        log.accept("draining, as operators asked");
+        log.accept("drain started");
         frontend.drain();
         cluster.ifPresent(coordinator -> coordinator.setDraining(true));
         publishStats();
     }
 
     private void resume() {
-        log.accept("back to work, as operators asked");
+        log.accept("drain ended");
         frontend.resume();
         cluster.ifPresent(coordinator -> coordinator.setDraining(false));
         publishStats();
@@ -310,11 +310,10 @@
 
     private void restorePolicy(PolicySnapshot snapshot, long ageMicros) {
         log.accept(
-                "state: recalled what was known of "
+                "policy snapshot restored: endpoints="
                         + snapshot.endpoints().size()
-                        + " upstreams "
-                        + ageMicros / MICROS_PER_MS
-                        + " ms before this start");
+                        + " age_ms="
+                        + ageMicros / MICROS_PER_MS);
         dispatcher.restorePolicy(snapshot, ageMicros);
     }
 
--- a/balancer/src/main/java/loadbalancer/server/ConfigReloader.java
+++ b/balancer/src/main/java/loadbalancer/server/ConfigReloader.java
@@ -39,7 +39,7 @@
             BalancerConfig newConfig = BalancerConfig.readForReload(environment);
             InetSocketAddress discoveryAddress = newConfig.discoveryAddress();
             log.accept(
-                    "configuration reread: discovery at "
+                    "configuration reloaded: discovery="
                             + discoveryAddress.getAddress().getHostAddress()
                             + ":"
                             + discoveryAddress.getPort());
@@ -49,15 +49,14 @@
                     .forEach(
                             key ->
                                     log.accept(
-                                            "settings: "
-                                                    + key
-                                                    + " takes effect at the next start"));
+                                            "setting changed, effective at the next start: key="
+                                                    + key));
             balancer.reconnectDiscovery(discoveryAddress);
         } catch (InvalidConfigException e) {
-            log.accept("keeping the old configuration: " + e.getMessage());
+            log.accept("configuration reload failed: reason=" + e.getMessage());
         } catch (RuntimeException e) {
             // Whatever else a malformed file causes must not end the balancer.
-            log.accept("keeping the old configuration: " + e);
+            log.accept("configuration reload failed: reason=" + e);
         }
     }
 
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamPool.java
@@ -93,7 +93,7 @@
     public String toString() {
         int idleConnections =
                 endpointPools.values().stream().mapToInt(EndpointPool::idleCount).sum();
-        return context.openConnections() + " upstreams' (" + idleConnections + " at rest)";
+        return context.openConnections() + " upstream connections (" + idleConnections + " idle)";
     }
 
     // ---------------------------------------------------------------- endpoint list
--- a/balancer/src/test/java/loadbalancer/MainTest.java
+++ b/balancer/src/test/java/loadbalancer/MainTest.java
@@ -71,7 +71,7 @@
     void prepareStartsAndStopsABalancer() throws IOException, InterruptedException {
         ProgramResult result = runMain("", "prepare");
         assertEquals(0, result.exitCode(), result.stderr());
-        assertTrue(result.stderr().contains("stopped: 0 requests taken"), result.stderr());
+        assertTrue(result.stderr().contains("stopped: 0 requests accepted"), result.stderr());
     }
 
     @Test
@@ -189,12 +189,12 @@
             for (String invalidConfig : invalidConfigs) {
                 Files.writeString(configFile(), invalidConfig);
                 balancer.hangUp();
-                balancer.awaitLine("keeping the old configuration: ");
+                balancer.awaitLine("configuration reload failed: reason=");
             }
             String newAddress = "127.0.0.1:" + newDiscovery.getLocalPort();
             Files.writeString(configFile(), validConfig.replace(UNREACHABLE_DISCOVERY, newAddress));
             balancer.hangUp();
-            balancer.awaitLine("configuration reread: discovery at " + newAddress);
+            balancer.awaitLine("configuration reloaded: discovery=" + newAddress);
             try (Socket connection = newDiscovery.accept()) {
                 String requestLine =
                         new BufferedReader(
@@ -217,12 +217,12 @@
         List<String> ignoringSighup = List.of("/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
         try (ServeProcess balancer =
                 ServeProcess.start(configFile().toString(), ignoringSighup, List.of())) {
-            balancer.awaitLine("SIGHUP is ignored here since the start");
+            balancer.awaitLine("SIGHUP ignored since the start");
             balancer.awaitLine("listening on ");
             Files.writeString(configFile(), "{");
-            balancer.awaitLine("keeping the old configuration: ");
+            balancer.awaitLine("configuration reload failed: reason=");
             writeConfig("127.0.0.1:0", "127.0.0.1:19");
-            balancer.awaitLine("configuration reread: discovery at 127.0.0.1:19");
+            balancer.awaitLine("configuration reloaded: discovery=127.0.0.1:19");
             balancer.hangUp();
             balancer.terminate();
             assertEquals(0, balancer.awaitExit());
--- a/balancer/src/test/java/loadbalancer/cluster/PeerTransportTest.java
+++ b/balancer/src/test/java/loadbalancer/cluster/PeerTransportTest.java
@@ -169,6 +169,7 @@
                 .next()
                 .submit(() -> transport.send(ALL_PEERS, new byte[] {1}))
                 .get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        assertTrue(logLines.get(0).contains("no messages between balancers"), logLines.toString());
+        assertTrue(
+                logLines.get(0).contains("peer socket bind failed: address="), logLines.toString());
     }
 }
--- a/balancer/src/test/java/loadbalancer/dispatch/PolicyEventsTest.java
+++ b/balancer/src/test/java/loadbalancer/dispatch/PolicyEventsTest.java
@@ -31,9 +31,10 @@
                 });
         policyEvents.timerExpired();
         assertEquals(List.of("timer begins", "list FAILED 0"), policy.events());
-        assertEquals(1, policyEvents.faultCount());
+        assertEquals(1, policyEvents.exceptionCount());
         assertEquals(1, logLines.size());
-        String expectedStart = "fault 1: java.lang.ArithmeticException: planted at loadbalancer.";
+        String expectedStart =
+                "routing policy exception: count=1 exception=java.lang.ArithmeticException: planted at loadbalancer.";
         assertTrue(logLines.get(0).startsWith(expectedStart), logLines.get(0));
     }
 
--- a/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
@@ -101,7 +101,8 @@
                 store.incarnation() > previousIncarnation,
                 store.incarnation() + " after " + previousIncarnation);
         assertTrue(
-                logLines.get(0).startsWith("state: recovered snapshot 1, "), logLines.toString());
+                logLines.get(0).startsWith("snapshot recovered: sequence=1 age_s="),
+                logLines.toString());
     }
 
     /** The list of the platform's configuration is taken unless the snapshot's is newer. */
@@ -145,7 +146,10 @@
         assertTrue(openedStore.isPresent());
         assertEquals(Optional.empty(), tryOpen());
         assertEquals(
-                List.of("state: this process has " + directory + " already, serving without"),
+                List.of(
+                        "state directory unavailable: reason="
+                                + directory
+                                + " is locked by this process"),
                 logLines);
         openedStore.get().close();
         openedStore = tryOpen();
@@ -156,7 +160,9 @@
     void unusableDirectoryDoesNotFailStart() throws IOException {
         directory = Files.writeString(directory.resolve("file"), "x");
         assertEquals(Optional.empty(), tryOpen());
-        assertTrue(logLines.get(0).startsWith("state: can't use "), logLines.toString());
+        assertTrue(
+                logLines.get(0).startsWith("state directory unavailable: reason=can't use "),
+                logLines.toString());
     }
 
     @Test
@@ -167,6 +173,6 @@
         RecoveryStore store = open();
         assertEquals(
                 config.initialEndpoints(), store.newestEndpointList(config.initialEndpoints()));
-        assertEquals(List.of("state: dropped snapshot-5: bad magic"), logLines);
+        assertEquals(List.of("snapshot discarded: snapshot-5: bad magic"), logLines);
     }
 }
--- a/balancer/src/test/java/loadbalancer/server/ClientDisconnectTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ClientDisconnectTest.java
@@ -250,7 +250,8 @@
                         () -> policy.capturedActions.reject(policy.lastRequestId, 0));
         disconnectedClient.reset();
         stall.release();
-        assertEquals("0 clients' (0 new, 0 at rest, 0 shut)", awaitClientCount(0));
+        assertEquals(
+                "0 client connections (0 unproven, 0 idle, 0 half-closed)", awaitClientCount(0));
     }
 
     @Test
--- a/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
@@ -165,7 +165,7 @@
             assertEquals("gone", policy.nextEvent());
         }
         synchronized (logLines) {
-            assertTrue(logLines.contains("last-resort answers: 1"), logLines.toString());
+            assertTrue(logLines.contains("fallback responses: count=1"), logLines.toString());
         }
     }
 
@@ -179,7 +179,8 @@
             assertEquals("gone", policy.nextEvent());
             synchronized (logLines) {
                 assertTrue(
-                        logLines.get(logLines.size() - 2).startsWith("fault 1: "),
+                        logLines.get(logLines.size() - 2)
+                                .startsWith("routing policy exception: count=1 "),
                         logLines.toString());
             }
             policy.failing = false;
--- a/balancer/src/test/java/loadbalancer/server/UpstreamBackedTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/UpstreamBackedTestSupport.java
@@ -61,6 +61,6 @@
                 .atMost(timeout)
                 .until(
                         () -> balancer.loop().submit(() -> balancer.frontend().toString()).get(),
-                        summary -> summary.startsWith(count + " clients'"));
+                        summary -> summary.startsWith(count + " client connections"));
     }
 }
--- a/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
@@ -99,7 +99,7 @@
         assertTrue(result.metrics().get("duties_passed_on") >= 1, result.metrics().toString());
         // It came back with what it had kept, and the others kept serving from theirs.
         String log = Files.readString(outputDirectory.resolve("n2.log"));
-        assertTrue(log.contains("state: recovered snapshot "), log);
+        assertTrue(log.contains("snapshot recovered: sequence="), log);
         assertEquals(result.scenario(), RunResult.read(outputDirectory).scenario());
         assertEquals(0, ProcessHandle.current().children().filter(ProcessHandle::isAlive).count());
     }
