--- a/balancer/src/main/java/loadbalancer/routing/AttemptRecorder.java
+++ b/balancer/src/main/java/loadbalancer/routing/AttemptRecorder.java
@@ -14,7 +14,7 @@
 import loadbalancer.routing.health.ZoneFailover;
 
 /**
- * Records the start and the outcome of each attempt with all that learn from them: the state of the
+ * Records the start and the outcome of each attempt wherever they count: in the state of the
  * endpoint, outlier and class ejection, zone failover, latencies, load shedding and queue lengths.
  *
  * <p>Not thread-safe: belongs to the thread of its {@link RoutingEngine}.
@@ -26,11 +26,11 @@
     private static final double REJECTED_OVERLOAD_RATIO = 1.5;
     // The same for an attempt that timed out
     private static final double TIMEOUT_OVERLOAD_RATIO = 1.2;
-    // Weights of failures: how much they say of the endpoint as a whole
+    // Weights of failures as evidence against the endpoint as a whole
     private static final double NO_FAILURE_WEIGHT = 0;
     private static final double HALF_FAILURE_WEIGHT = 0.5;
     private static final double FULL_FAILURE_WEIGHT = 1;
-    // An attempt that failed without an answer occupies its slot for this many usual latencies
+    // An attempt that failed without a response occupies its slot for this many usual latencies
     private static final int PENALTY_LATENCIES = 2;
     // Beyond this many expected latencies a cancelled attempt counts as slow
     private static final int SLOW_CANCELLED_LATENCIES = 2;
@@ -75,7 +75,7 @@
      * Records how an attempt has ended.
      *
      * @param latencyMicros µs since it was sent
-     * @param load the report that came with the answer, or null
+     * @param load the report that came with the response, or null
      */
     void recordEnd(
             Attempt attempt,
@@ -86,7 +86,7 @@
             RoutingActions actions) {
         attempt.recordEnd(!outcome.neverRan());
         queueLengths.onAttemptEnded();
-        trafficCounters.rejections(outcome.neverRan() ? 1 : 0);
+        trafficCounters.recordRejections(outcome.neverRan() ? 1 : 0);
         attempt.endpoint().recordLoadReport(load, now);
         recordReachability(attempt.endpoint(), outcome);
         recordHealth(attempt, outcome, latencyMicros, now, actions);
@@ -143,8 +143,8 @@
         loadShedder.recordSample(latencyMicros / latencyObjectiveMicros, now);
     }
 
-    // The hedged copy was answered first, or the client has left: the endpoint may still be working
-    // on the request if that took long.
+    // The other attempt of a hedged request was answered first, or the client has disconnected: the
+    // endpoint counts as slow if that took long.
     private void recordCancelled(
             Attempt attempt,
             long latencyMicros,
@@ -161,7 +161,8 @@
         }
     }
 
-    // A hung endpoint fills up, then only rejects: without successes that is no mere overload.
+    // A hung endpoint fills up, then rejects everything: without successes it is not just
+    // overloaded.
     private void recordRejected(
             EndpointState endpoint, double usualLatencyMicros, long now, RoutingActions actions) {
         boolean isLikelyHung = now - endpoint.lastSuccessAtMicros() > RECENT_SUCCESS_MICROS;
@@ -171,7 +172,7 @@
         loadShedder.recordSample(REJECTED_OVERLOAD_RATIO, now);
     }
 
-    // The load may be the cause of a time-out, so it says less of the endpoint.
+    // The load may be the cause of a time-out, so it is weaker evidence against the endpoint.
     private void recordTimeout(
             Attempt attempt,
             long latencyMicros,
@@ -184,7 +185,7 @@
         recordFailure(attempt.endpoint(), HALF_FAILURE_WEIGHT, penaltyMicros, now, actions);
     }
 
-    // The endpoint runs and answers: an error counts against its class only.
+    // The endpoint runs and responds: an error counts against the request class only.
     private void recordError(
             Attempt attempt, long penaltyMicros, long now, RoutingActions actions) {
         EndpointState endpoint = attempt.endpoint();
@@ -199,7 +200,7 @@
                                         endpoint, classIndex, ejectionMicros, now, actions));
     }
 
-    /** An endpoint broke off an answer after its success had been recorded. */
+    /** An endpoint aborted a response after its success had been recorded. */
     void recordAbortedResponse(EndpointState endpoint, long now, RoutingActions actions) {
         long penaltyMicros = (long) latencyTracker.shortestUsualMicros();
         recordFailure(endpoint, FULL_FAILURE_WEIGHT, penaltyMicros, now, actions);
--- a/balancer/src/main/java/loadbalancer/routing/CandidateFilter.java
+++ b/balancer/src/main/java/loadbalancer/routing/CandidateFilter.java
@@ -25,22 +25,22 @@
  * failed over. Candidates are taken from a subset, an arc of the hash ring that starts at this
  * balancer's point, or at the key's: this bounds the number of connections as the fleet grows, and
  * lets this balancer see each endpoint often enough for its counts and queues to mean something. If
- * the subset has too few usable endpoints the walk goes on, over the whole list if need be.
+ * the subset has too few usable endpoints the search continues, over the whole list if necessary.
  *
  * <p>Not thread-safe: belongs to the thread of its {@link RoutingEngine}.
  */
 final class CandidateFilter {
-    // As many as sampling needs
+    // Enough for the sample of JSQ-DAS
     private static final int MIN_SUBSET_SIZE = 6;
-    // The sample size of JSQ-DAS: a key's endpoints are all sampled
+    // The sample size of JSQ-DAS: all endpoints of a key's subset are sampled
     private static final int MIN_KEY_SUBSET_SIZE = 4;
     // Size of a key's subset, as a multiple of the fraction of the fleet that its traffic needs
     private static final double HOT_KEY_SUBSET_FACTOR = 2;
-    // A subset is at most so large that each of its endpoints is sent a request once in this time
+    // A subset is so small that each of its endpoints gets a request within this time
     private static final double SUBSET_VISIT_INTERVAL_SECONDS = 1.5;
     // The same where new connections have a cost
     private static final double COSTLY_CONNECTION_VISIT_INTERVAL_SECONDS = 0.5;
-    // Bound of the walk, as a multiple of the subset, where only the own zone's endpoints count
+    // Bound of the search, as a multiple of the subset, where only the own zone's endpoints count
     private static final int MAX_SUBSET_SEARCH_FACTOR = 4;
 
     private final RoutingSettings settings;
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Looks anew for classes that most endpoints fail: then the fault is likely in the requests,
-     * and ejections for that class no longer count.
+     * Determines the classes that most endpoints have ejected: there the fault is likely in the
+     * requests, and ejections for the class are ignored.
      */
     void updateMajorityEjections(List<EndpointState> activeEndpoints, int listedCount, long now) {
         for (int classIndex = 0; classIndex < majorityEjectedByClass.length; classIndex++) {
@@ -174,7 +174,7 @@
                 || endpoint.classHealth(classIndex).allowsAttempt(now);
     }
 
-    // A zone that is failed over is probed with requests that may be repeated.
+    // A zone that is failed over is probed with requests that are safe to repeat.
     private boolean isZoneAdmitted(EndpointState endpoint, PendingRequest request, long now) {
         boolean mayProbe = request.requestClass().idempotency() != Idempotency.NON_IDEMPOTENT;
         return zoneFailover.allowsAttempt(endpoint, request, mayProbe, now);
--- a/balancer/src/main/java/loadbalancer/routing/QueueLengthEstimator.java
+++ b/balancer/src/main/java/loadbalancer/routing/QueueLengthEstimator.java
@@ -21,7 +21,7 @@
     private static final double IN_FLIGHT_DECAY_MICROS = 2e6;
     // Time constant of trust in a load report, in usual latencies of the quickest class
     private static final double REPORT_TRUST_LATENCIES = 2;
-    // Relative and absolute surcharge on a queue in another zone, per unit of cross-zone cost
+    // Relative and absolute penalty on a queue in another zone, per unit of cross-zone cost
     private static final double CROSS_ZONE_QUEUE_PER_COST = 10;
 
     private final RoutingSettings settings;
@@ -52,7 +52,7 @@
         inFlight--;
     }
 
-    /** Moves the mean of attempts in flight, by the time since it last was. */
+    /** Updates the mean of attempts in flight, by the time since its last update. */
     void updateMeanInFlight(long elapsedMicros) {
         double weight = 1 - Math.exp(-elapsedMicros / IN_FLIGHT_DECAY_MICROS);
         meanInFlight += weight * (inFlight - meanInFlight);
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Attempts of other balancers at an endpoint: as its last load report says, the less the older
-     * that is; else as the peers' gossip says; and for silent peers what Little's law infers from
-     * this balancer's own mean, in proportion to weight and latency.
+     * Attempts of other balancers at an endpoint. Its own last load report counts by its age; the
+     * rest is what peers report by gossip and, for silent peers, what Little's law infers from this
+     * balancer's own mean, in proportion to weight and latency.
      */
     private double remoteInFlight(EndpointState endpoint, long now) {
         double relativeWeight = endpoint.descriptor().weight() / registry.meanWeight();
@@ -103,7 +103,7 @@
         return gossipEstimate + reportTrust(endpoint, now) * (reportEstimate - gossipEstimate);
     }
 
-    // From 1 for a report of this moment down to 0.
+    // From 1 for a report that arrives now, down to 0 with its age.
     private double reportTrust(EndpointState endpoint, long now) {
         if (endpoint.reportedAtMicros() <= 0) {
             return 0;
--- a/balancer/src/main/java/loadbalancer/routing/RequestLifecycle.java
+++ b/balancer/src/main/java/loadbalancer/routing/RequestLifecycle.java
@@ -16,19 +16,19 @@
 import loadbalancer.routing.endpoint.PendingRequest;
 
 /**
- * The open requests, each from its arrival to its final answer and the end of its last attempt: it
- * is sent at once if it may be, else waits in the pending queue until an endpoint can take it or
- * its time is over. Each request gets exactly one final answer, in time.
+ * The open requests, each from its arrival to its final response and the end of its last attempt:
+ * it is sent at once if it may be, otherwise it waits in the pending queue until an endpoint can
+ * take it or its time is over. Each request gets exactly one final response, in time.
  *
  * <p>Bound: the requests that the caller has open. Not thread-safe: belongs to the thread of its
  * {@link RoutingEngine}.
  */
 final class RequestLifecycle {
-    // Answers that are due within so many timer intervals are given now
-    private static final int ANSWER_MARGIN_TICKS = 2;
-    // The last start that still answers in time, in usual latencies before the objective
+    // A final response that is due within this number of timer intervals is given now
+    private static final int RESPONSE_MARGIN_TICKS = 2;
+    // A request is sent at the latest this number of usual latencies before its objective
     private static final int START_MARGIN_LATENCIES = 2;
-    // But a request waits at least this part of its time, as a divisor
+    // A request waits at least its time until the objective divided by this
     private static final int MIN_WAIT_DIVISOR = 4;
 
     private final RoutingLimits limits;
@@ -38,7 +38,7 @@
     private final RetryPolicy retryPolicy;
     private final KeyOrdering keyOrdering;
     private final AttemptRecorder attemptRecorder;
-    private final long answerMarginMicros;
+    private final long responseMarginMicros;
     private final Map<String, PendingRequest> openRequests = new LinkedHashMap<>();
     private final PendingQueue pendingQueue = new PendingQueue(this::latestStartMicros);
 
@@ -61,7 +61,7 @@
         this.retryPolicy = retryPolicy;
         this.keyOrdering = keyOrdering;
         this.attemptRecorder = attemptRecorder;
-        this.answerMarginMicros = ANSWER_MARGIN_TICKS * tickMicros;
+        this.responseMarginMicros = RESPONSE_MARGIN_TICKS * tickMicros;
     }
 
     /** Whether no request is open. */
@@ -74,7 +74,7 @@
         return openRequests.get(requestId);
     }
 
-    /** Opens a request. Until it is sent, queued or rejected it is owed an answer. */
+    /** Opens a request; {@link #dispatch} or {@link #rejectOrFail} must follow. */
     void open(PendingRequest request) {
         openRequests.put(request.id(), request);
     }
@@ -87,7 +87,7 @@
         sendOrEnqueue(request, now, actions);
     }
 
-    /** Gives a request its final answer: rejected where a resubmission is harmless, else failed. */
+    /** Gives the final response: a rejection where a resubmission is harmless, else a failure. */
     void rejectOrFail(PendingRequest request, RoutingActions actions) {
         request.close();
         if (request.isSafeToResubmit()) {
@@ -111,8 +111,8 @@
     }
 
     /**
-     * Takes the end of an attempt: retries its request or gives the final answer, and sends queued
-     * requests. Ends of attempts that are not in flight are ignored.
+     * Handles the end of an attempt: retries its request or gives the final response, and sends
+     * queued requests. The end of an attempt that is not in flight is ignored.
      */
     void onAttemptEnded(
             String requestId,
@@ -142,7 +142,9 @@
         drainPendingQueue(now, actions);
     }
 
-    /** The client of a request has left: its attempts are cancelled, no answer is owed. */
+    /**
+     * The client of a request has disconnected: its attempts are cancelled, it gets no response.
+     */
     void onClientDisconnected(String requestId, RoutingActions actions) {
         PendingRequest request = openRequests.get(requestId);
         if (request != null && !request.isClosed()) {
@@ -162,14 +164,14 @@
                     request.onDequeued();
                     iterator.remove();
                 } else if (isUnrestricted(request)) {
-                    // Any endpoint would do for this one: none is free for the others either
+                    // It may be sent to any endpoint, so none is available for the others either
                     return;
                 }
             }
         }
     }
 
-    // Neither earlier attempts, nor order, nor placement keep it from an endpoint.
+    // Whether neither earlier attempts nor ordering nor placement exclude any endpoint.
     private static boolean isUnrestricted(PendingRequest request) {
         RequestClass requestClass = request.requestClass();
         return !request.hasAttempts()
@@ -179,27 +181,27 @@
     }
 
     /**
-     * Answers queued requests whose time is over or that may not be sent any more: one without
-     * attempts as soon as it can't be answered within its latency objective, others in time before
-     * their deadline.
+     * Rejects or fails queued requests whose time is over or that may not be sent any more: one
+     * without attempts as soon as it can't be served within its latency objective, others in time
+     * before their deadline.
      */
     void finishOverdueRequests(long now, RoutingActions actions) {
         pendingQueue.toList().forEach(request -> finishIfOverdue(request, now, actions));
     }
 
     private void finishIfOverdue(PendingRequest request, long now, RoutingActions actions) {
-        long latestAnswerAtMicros = request.deadlineMicros() - answerMarginMicros;
+        long latestResponseAtMicros = request.deadlineMicros() - responseMarginMicros;
         long giveUpAtMicros =
                 !request.hasAttempts()
-                        ? Math.min(latestAnswerAtMicros, latestStartMicros(request))
-                        : latestAnswerAtMicros;
+                        ? Math.min(latestResponseAtMicros, latestStartMicros(request))
+                        : latestResponseAtMicros;
         if (now >= giveUpAtMicros || !retryPolicy.isRepeatAllowed(request, now)) {
             pendingQueue.remove(request);
             rejectOrFail(request, actions);
         }
     }
 
-    /** Sends second copies of the requests that have waited too long for their answer. */
+    /** Sends hedged requests for those that have waited too long for their response. */
     void hedgeSlowRequests(long now, RoutingActions actions) {
         openRequests.values().forEach(request -> hedgeIfSlow(request, now, actions));
     }
@@ -215,8 +217,8 @@
         }
     }
 
-    // When a request must be sent to be answered within its objective; one whose objective has
-    // passed does not wait.
+    // When a request must be sent to be served within its objective; one whose objective has passed
+    // does not wait.
     private long latestStartMicros(PendingRequest request) {
         long objectiveMicros = request.latencyObjectiveAtMicros() - request.arrivedAtMicros();
         if (objectiveMicros <= 0) {
@@ -243,7 +245,7 @@
         if (trySend(request, now, actions)) {
             return;
         }
-        if (now >= request.deadlineMicros() - answerMarginMicros) {
+        if (now >= request.deadlineMicros() - responseMarginMicros) {
             rejectOrFail(request, actions);
         } else {
             pendingQueue.add(request);
--- a/balancer/src/main/java/loadbalancer/routing/RetryPolicy.java
+++ b/balancer/src/main/java/loadbalancer/routing/RetryPolicy.java
@@ -31,8 +31,8 @@
  * <ul>
  *   <li>a request that may have run is repeated only as its class allows, see {@link
  *       #isRepeatAllowed} and {@link #isWithinDeduplicationScope};
- *   <li>the final answer is due before the deadline, so a delay counts against the time left, see
- *       {@link #allowsRetry}; the queue answers requests whose time is over;
+ *   <li>the final response is due before the deadline, so a delay counts against the time left, see
+ *       {@link #allowsRetry}; requests whose time is over are ended in the queue;
  *   <li>retries of attempts that may have run, and hedged requests, add at most {@link
  *       #BUDGET_PER_REQUEST} attempts per arrival beyond {@link #MAX_BUDGET} saved ones, so that
  *       they cannot feed an overload.
@@ -46,18 +46,18 @@
  * <p>Not thread-safe: belongs to the thread of its {@link RoutingEngine}.
  */
 final class RetryPolicy {
-    // Asked of rejected clients: about as long as an overload lasts
+    // The delay that rejected clients are asked for: about as long as an overload lasts
     private static final long RETRY_AFTER_MICROS = 2_000_000;
     // Attempts beyond the first that the arrival of a request adds to the budget
     private static final double BUDGET_PER_REQUEST = 0.2;
     private static final double MAX_BUDGET = 10;
-    // What hedged requests leave of the budget to retries
+    // Part of the budget that is reserved for retries
     private static final double MIN_BUDGET_FOR_HEDGING = 4;
-    // Below this fraction of the weight a late answer is not worth its work
+    // Below this factor a late response is not worth its work
     private static final double MIN_LATE_WEIGHT_FACTOR = 0.5;
-    // A hedged request leaves this many expected latencies until the latency objective
+    // A hedged request is sent this many expected latencies before the latency objective
     private static final int HEDGE_HEADROOM_LATENCIES = 2;
-    // An attempt that is cut off for a retry gets at least so many usual latencies
+    // The least time-out of an attempt that leaves time for a retry, in usual latencies
     private static final int MIN_TIMEOUT_LATENCIES = 3;
 
     private final RoutingSettings settings;
@@ -139,7 +139,7 @@
                 && now < retryDeadlineMicros(request) - tickMicros;
     }
 
-    // A late answer to a request that its client will not repeat earns little.
+    // A late response to a request that its client will not repeat is worth little.
     private static long retryDeadlineMicros(PendingRequest request) {
         return request.requestClass().idempotency() == Idempotency.IDEMPOTENT
                 ? request.deadlineMicros()
@@ -154,9 +154,9 @@
     }
 
     /**
-     * Whether to send a second copy of a request that has waited longer than nearly all of its kind
-     * do, whatever the cause: a lost answer, a stall, a connection dropped unseen. Where all
-     * endpoints slow down at once this costs at most the budget.
+     * Whether to send a hedged request: the request has waited longer than nearly all of its class
+     * do, whatever the cause, such as a lost response, a stall or a connection that was dropped
+     * without notice. Where all endpoints slow down at once this costs at most the budget.
      */
     boolean shouldHedge(PendingRequest request, long now) {
         if (request.attemptsInFlight() != 1
@@ -172,7 +172,7 @@
         return now - lastAttempt.sentAtMicros() >= hedgeDelayMicros(request);
     }
 
-    // As late as leaves the copy time to be answered within the latency objective.
+    // As late as leaves the hedged request time to be served within the latency objective.
     private double hedgeDelayMicros(PendingRequest request) {
         double expectedLatencyMicros =
                 latencyTracker.usualMicros(request.classIndex()) * request.expectedLatencyRatio();
@@ -195,10 +195,10 @@
     /**
      * The time-out of an attempt that is sent now, µs; 0: the request's deadline.
      *
-     * <p>A request that is not idempotent is given up at its latency objective if a late answer
-     * earns little: its client will not repeat it, and dropping it makes room for requests that can
-     * be answered in time. An idempotent one would be repeated, so it is cut off only where hedging
-     * is forbidden, to leave time for a retry. Streamed answers are not cut off.
+     * <p>A request that is not idempotent times out at its latency objective if a late response is
+     * worth little: its client will not repeat it, and ending it frees capacity for requests that
+     * can be served in time. An idempotent one would be repeated, so it has a time-out only where
+     * hedging is forbidden, to leave time for a retry. Streamed responses have none.
      */
     long attemptTimeoutMicros(PendingRequest request, long now) {
         RequestClass requestClass = request.requestClass();
--- a/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
@@ -45,7 +45,7 @@
     private static final long MAX_TICK_MICROS = 20_000;
     // Timer events in the shortest latency objective, at least
     private static final int MIN_TICKS_PER_OBJECTIVE = 16;
-    // Between looks at all endpoints that are not steady
+    // Interval of the scans of all endpoints that are not steady
     private static final long REFRESH_INTERVAL_MICROS = 100_000;
     // No hedged requests while a larger part of the attempts is rejected
     private static final double MAX_REJECTED_FRACTION_FOR_HEDGING = 0.02;
@@ -358,7 +358,7 @@
     @Override
     public void onTimer(long now, RoutingActions actions) {
         if (now < timerAtMicros) {
-            // Asked for before an earlier one was
+            // Superseded: an earlier timer event was scheduled after this one
             return;
         }
         timerAtMicros = NO_TIMER;
@@ -434,8 +434,8 @@
     }
 
     /**
-     * Updates what needs a look at all endpoints. Only the active ones are looked at, the others
-     * are steady: else the work of each timer event would grow with the fleet.
+     * Updates what depends on all endpoints. Only the active ones are scanned, the others are
+     * steady: otherwise the work of each timer event would grow with the fleet.
      */
     private void refresh(long now, RoutingActions actions) {
         Predicate<EndpointState> isWarm = endpoint -> slowStart.rampFraction(endpoint, now) >= 1;
@@ -461,7 +461,7 @@
         refreshAtMicros = now + REFRESH_INTERVAL_MICROS;
     }
 
-    // The part of its full speed that this balancer may ask of an endpoint.
+    // Part of an endpoint's full capacity that this balancer may use now.
     private double usableFraction(EndpointState endpoint, long now) {
         if (outlierEjection.isUnavailable(endpoint, now)) {
             return 0;
--- a/balancer/src/main/java/loadbalancer/routing/admission/LoadShedder.java
+++ b/balancer/src/main/java/loadbalancer/routing/admission/LoadShedder.java
@@ -16,8 +16,8 @@
  * FleetCapacity} bounds it from both sides.
  *
  * <p>It sheds a fraction of the arrivals. A limit on attempts in flight, which is about one for
- * most balancers of a large fleet, would reject most requests of a calm day. Confined to the thread
- * of the routing policy.
+ * most balancers of a large fleet, would reject most requests under normal load. Confined to the
+ * thread of the routing policy.
  */
 public final class LoadShedder {
     // Thresholds of the overload ratio
@@ -32,7 +32,7 @@
     private static final double MIN_TIER_FRACTION = 0.1;
     // Of the highest value, below which over-quota requests are shed from the start
     private static final double LOW_VALUE_RATIO = 0.3;
-    // The highest tier is never shed whole
+    // The part of the highest tier that is never shed
     private static final double MIN_ADMITTED_TIERS = 0.05;
     private static final double HEDGING_LEVEL_MARGIN = 0.05;
 
@@ -200,7 +200,7 @@
         return step > 0 ? step : step * readmissionFactor(relativeValue);
     }
 
-    // Requests of low value are admitted again slowly: the crowding costs more than they earn.
+    // Requests of low value are readmitted slowly: the load costs more than they are worth.
     private static double readmissionFactor(double relativeValue) {
         return relativeValue < LOW_VALUE_RATIO ? relativeValue : READMISSION_GAIN_FACTOR;
     }
--- a/balancer/src/main/java/loadbalancer/routing/admission/TenantQuotas.java
+++ b/balancer/src/main/java/loadbalancer/routing/admission/TenantQuotas.java
@@ -16,9 +16,9 @@
 public final class TenantQuotas {
     private static final double MICROS_PER_SECOND = 1e6;
     private static final double DEMAND_DECAY_MICROS = 1e6;
-    // Added to actual and to even demand, so that a few requests prove little
+    // Added to actual and to even demand, so that a few requests have little effect
     private static final double DEMAND_PSEUDO_COUNT = 3;
-    // Requests of a small tenant that come together by chance
+    // Burst that a small tenant is allowed: a few requests may arrive together by chance
     private static final double MIN_BURST_REQUESTS = 4;
     private static final double BURST_SECONDS = 1;
 
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/ActiveEndpoints.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ActiveEndpoints.java
@@ -5,10 +5,10 @@
 import java.util.function.Predicate;
 
 /**
- * The listed endpoints that may be out of the ordinary: warming up, with recent attempts, ejected
- * or unreachable. All others are warm, idle and healthy, so periodic looks at the fleet need only
- * these. An endpoint is added by the event itself, before that can matter, and removed when a look
- * finds it steady. Confined to the thread of the routing policy.
+ * The listed endpoints that may not be in the steady state: warming up, with recent attempts,
+ * ejected or unreachable. All others are warm, idle and healthy, so periodic scans of the fleet
+ * need only these. An endpoint is added by the event that ends its steady state, and removed when a
+ * scan finds it steady again. Confined to the thread of the routing policy.
  */
 final class ActiveEndpoints {
     // Older successes have decayed to nothing
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointListEntry.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointListEntry.java
@@ -11,7 +11,7 @@
  */
 abstract class EndpointListEntry {
     private final long listPosition;
-    // The one that totals and ring were last updated with; null while the endpoint is not listed
+    // Null while the endpoint is not listed
     private Endpoint listedDescriptor;
     private boolean isActive;
     private int lastListGeneration;
@@ -34,7 +34,7 @@
         return listedDescriptor != null;
     }
 
-    /** The descriptor that sums and ring were last updated with; null while not listed. */
+    /** The descriptor that totals and ring were last updated with; null while not listed. */
     Endpoint listedDescriptor() {
         return listedDescriptor;
     }
@@ -74,7 +74,7 @@
         return Hashing.mix(idHash() + --ringPointCount);
     }
 
-    /** Marks the endpoint as met by a walk of the subset; false where that walk met it before. */
+    /** Marks the endpoint as visited by a walk of the subset; false if it was already. */
     boolean markSubsetVisited(int generation) {
         boolean isFirstVisit = subsetVisitGeneration != generation;
         subsetVisitGeneration = generation;
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointRegistry.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointRegistry.java
@@ -60,7 +60,7 @@
         this.ringPoints = new RingPointAllocator(ring);
     }
 
-    // Balancers stand at even distances on the ring, by their rank.
+    // Balancers are spaced evenly on the ring, by their rank.
     private static long subsetStart(RoutingSettings settings) {
         double ringFraction = (settings.rank() + 0.5) / settings.balancerCount();
         return (long) (ringFraction * 0x1p64 - 0x1p63);
@@ -233,7 +233,7 @@
     }
 
     /**
-     * The listed endpoints that may be out of the ordinary (warming up, with recent attempts,
+     * The listed endpoints that may not be in the steady state (warming up, with recent attempts,
      * ejected, unreachable), in list order; not to be modified by the caller.
      */
     public List<EndpointState> activeEndpoints() {
@@ -251,7 +251,7 @@
         return ring;
     }
 
-    // ---------------------------------------------------------------- sums over the fleet
+    // ---------------------------------------------------------------- totals of the fleet
 
     /** Mean weight of the listed endpoints; 1 without any. */
     public double meanWeight() {
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointSnapshots.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointSnapshots.java
@@ -66,6 +66,7 @@
         for (int classIndex = 0; classIndex < classCount; classIndex++) {
             long ejectedForMicros = classEjectedForMicros.get(classIndex);
             if (ejectedForMicros > ageMicros) {
+                // As one by another balancer: neither its backoff nor its failure ratio is stored
                 endpoint.classHealth(classIndex)
                         .onRemoteEjection(now + ejectedForMicros - ageMicros);
             }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointState.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointState.java
@@ -111,11 +111,11 @@
         descriptor = newDescriptor;
     }
 
-    // ---------------------------------------------------------------- looks and searches
+    // ---------------------------------------------------------------- scans and searches
 
     /**
-     * Registers the endpoint as active: something is out of the ordinary, or is about to be, so
-     * periodic looks at all endpoints must include it.
+     * Registers the endpoint as active: it has left its steady state, or is about to, so periodic
+     * scans must include it.
      */
     public void markActive() {
         activeEndpoints.add(this);
@@ -150,7 +150,7 @@
         return nextOfSameWeight;
     }
 
-    /** Marks the endpoint as met by a search for candidates; false where it was met before. */
+    /** Marks the endpoint as visited by a search for candidates; false if it was already. */
     public boolean markVisited(int generation) {
         boolean isFirstVisit = visitGeneration != generation;
         visitGeneration = generation;
@@ -203,7 +203,7 @@
         }
     }
 
-    /** Counts a slot as occupied until then, since the failed attempt did not free it for sure. */
+    /** Counts a slot as occupied until then: the endpoint may still run the failed attempt. */
     public void addPenalty(long untilMicros) {
         if (penaltyExpiriesMicros == null) {
             penaltyExpiriesMicros = new ArrayDeque<>(1);
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/KeyQueue.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/KeyQueue.java
@@ -21,13 +21,13 @@
         requests.remove(request);
     }
 
-    /** Whether a request may be sent: it is the head, and the cooldown is over or was not its. */
+    /** Whether a request may be sent: it is the head, and has attempts or no cooldown to await. */
     public boolean allowsAttempt(PendingRequest request, long now) {
         return requests.peekFirst() == request
                 && (now >= cooldownUntilMicros || request.hasAttempts());
     }
 
-    /** An attempt may still be running: no other request is sent before then. */
+    /** An attempt may still be running: no other request is sent until then. */
     public void extendCooldown(long untilMicros) {
         cooldownUntilMicros = Math.max(cooldownUntilMicros, untilMicros);
     }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/LatencyTracker.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/LatencyTracker.java
@@ -5,8 +5,8 @@
 import loadbalancer.routing.api.RequestClass;
 
 /**
- * What is usual of each request class: the latency of its successes, its work hints, and the time
- * that first attempts of clients have. Confined to the thread of the routing policy.
+ * Usual values of each request class: the latency of its successes, its work hints, and the time
+ * that clients give their first attempts. Confined to the thread of the routing policy.
  */
 public final class LatencyTracker {
     // Weight of one sample in the moving means
@@ -47,7 +47,7 @@
         return shortestUsualMicros;
     }
 
-    /** Computes {@link #shortestUsualMicros} anew. */
+    /** Recomputes {@link #shortestUsualMicros}. */
     public void updateShortest() {
         shortestUsualMicros = Arrays.stream(usualMicros).min().getAsDouble();
     }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/RingPointAllocator.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/RingPointAllocator.java
@@ -3,10 +3,10 @@
 import java.util.TreeMap;
 
 /**
- * Decides how many points of the ring each listed endpoint has: in proportion to its weight against
- * the mean weight. A change of the list moves the mean a little, by which few weights come to
- * another number of points; only these are looked up and their endpoints updated. Confined to the
- * thread of the routing policy.
+ * Decides how many points of the ring each listed endpoint has: in proportion to its weight over
+ * the mean weight. A change of the list moves the mean a little, which changes the number of points
+ * of few weights; only these are looked up and their endpoints updated. Confined to the thread of
+ * the routing policy.
  */
 final class RingPointAllocator {
     private static final int POINTS_AT_MEAN_WEIGHT = 8;
@@ -74,7 +74,7 @@
         double lowerScale = lowerMean / POINTS_AT_MEAN_WEIGHT;
         double upperScale = upperMean / POINTS_AT_MEAN_WEIGHT;
         meanWeight = newMeanWeight;
-        // From one number of points to the next it goes at a half
+        // The number of points is rounded, so it changes where its exact value ends in .5
         for (int pointCount = 1; pointCount < MAX_POINTS; pointCount++) {
             updateGroups((pointCount + 0.5) * lowerScale, (pointCount + 0.5) * upperScale);
         }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/SubsetOrder.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/SubsetOrder.java
@@ -7,7 +7,7 @@
 /**
  * The endpoints of a {@link HashRing} in the order of their first points from the start of this
  * balancer's subset on. Caches the order as far as walks have gone; a changed point invalidates it
- * only if it lies on that stretch. Confined to the thread of the routing policy.
+ * only if it lies on the cached arc. Confined to the thread of the routing policy.
  */
 final class SubsetOrder {
     // Endpoints that a walk is extended by, at least
@@ -17,7 +17,7 @@
     private final long start;
     private EndpointState[] endpoints = new EndpointState[MIN_LOOKAHEAD];
     private int size;
-    // Length of the stretch that is cached, from the start on; unsigned
+    // Length of the cached arc, from the start on; unsigned
     private long coveredDistance;
     private boolean coversRing;
     // Distinguishes the marks of this walk from those of walks before
@@ -48,7 +48,7 @@
         };
     }
 
-    // Continues the walk by half of its length; false where it has been round the ring.
+    // Extends the cached arc by half of its endpoints; false if it covers the whole ring.
     private boolean extend() {
         if (coversRing) {
             return false;
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/TrafficCounters.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/TrafficCounters.java
@@ -67,8 +67,8 @@
         requestsByKey.merge(keyHash, scale, Double::sum);
     }
 
-    /** Counts attempts that no endpoint accepted. */
-    public void rejections(int attempts) {
+    /** Counts attempts that an endpoint rejected or that could not be sent. */
+    public void recordRejections(int attempts) {
         rejections += attempts;
     }
 
@@ -82,7 +82,7 @@
         return arrivals / DECAY_MICROS * MICROS_PER_SECOND;
     }
 
-    /** Whether the attempts that no endpoint accepted exceed a fraction of the requests. */
+    /** Whether the attempts of {@link #recordRejections} exceed a fraction of the requests. */
     public boolean isRejectedFractionAbove(double fraction) {
         return rejections > fraction * arrivals;
     }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/ZoneTally.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ZoneTally.java
@@ -4,8 +4,8 @@
  * What is known of the listed endpoints of one zone.
  *
  * @param endpoints number that are listed
- * @param unresponsive number that nothing answers at
- * @param responding number that have answered lately; disjoint from {@code unresponsive}
+ * @param unresponsive number that do not respond: connects fail, or attempts stall
+ * @param responding number that have responded recently; disjoint from {@code unresponsive}
  */
 public record ZoneTally(int endpoints, int unresponsive, int responding) {
     /**
--- a/balancer/src/main/java/loadbalancer/routing/health/OutlierEjection.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/OutlierEjection.java
@@ -116,7 +116,7 @@
         return isUnreachable(endpoint) || (endpoint.isEjected(now) && !panicMode);
     }
 
-    // ---------------------------------------------------------------- periodic look
+    // ---------------------------------------------------------------- periodic scan
 
     /**
      * Decides on panic mode. It counts only endpoints that can be connected to: a lost zone of more
