--- a/balancer/src/test/java/loadbalancer/dispatch/RecordingPolicy.java
+++ b/balancer/src/test/java/loadbalancer/dispatch/RecordingPolicy.java
@@ -10,14 +10,14 @@
 import loadbalancer.routing.api.RoutingPolicy;
 
 /** A routing policy that records its events and asks for nothing by itself. */
-final class RecordingPolicy implements RoutingPolicy {
+public final class RecordingPolicy implements RoutingPolicy {
     private final List<String> events = new ArrayList<>();
     private Runnable timerHandler = () -> {};
     private RoutingActions actions;
     private String requestId;
 
     /** What the policy was called with, in order. */
-    List<String> events() {
+    public List<String> events() {
         return events;
     }
 
@@ -27,12 +27,12 @@
     }
 
     /** The actions that came with the last request. */
-    RoutingActions actions() {
+    public RoutingActions actions() {
         return actions;
     }
 
     /** The id of the last request. */
-    String requestId() {
+    public String requestId() {
         return requestId;
     }
 
@@ -77,6 +77,17 @@
         events.add("stream");
     }
 
+    @Override
+    public void onUploadStarted(long now, String uploadedRequestId) {
+        events.add("upload started");
+    }
+
+    @Override
+    public void onUploadCompleted(
+            long now, String uploadedRequestId, long remainingMicros, RoutingActions sink) {
+        events.add("upload completed");
+    }
+
     @Override
     public void onClientDisconnected(long now, String leftRequestId, RoutingActions sink) {
         events.add("disconnected");
--- a/balancer/src/test/java/loadbalancer/upstream/UpstreamPoolTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamPoolTest.java
@@ -4,8 +4,6 @@
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
-import io.netty.handler.codec.http.DefaultHttpHeaders;
-import io.netty.handler.codec.http.HttpMethod;
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
@@ -22,7 +20,7 @@
 import loadbalancer.config.SocketAddressParser;
 import loadbalancer.proxy.BodyRelay;
 import loadbalancer.proxy.FileDescriptorBudget;
-import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.proxy.ProxyRequestFixtures;
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointStatus;
 import loadbalancer.server.BalancerServerTest;
@@ -81,24 +79,12 @@
 
     private FakeHttpServer.ReceivedRequest sendRequest(String requestId)
             throws InterruptedException {
-        ProxyRequest proxyRequest =
-                new ProxyRequest(
-                        HttpMethod.GET,
-                        "/",
-                        new DefaultHttpHeaders().set("Req-Id", requestId),
-                        new byte[0],
-                        0,
-                        0,
-                        null,
-                        20_000_000,
-                        -1,
-                        false);
         eventLoop.execute(
                 () ->
                         upstreamPool.send(
                                 "s1",
-                                proxyRequest,
-                                20_000_000,
+                                ProxyRequestFixtures.getRequest(requestId),
+                                ProxyRequestFixtures.TIME_LEFT_MICROS,
                                 (outcome, response, load) ->
                                         outcomes.add(requestId + " " + outcome)));
         FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
