--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancerConfig.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancerConfig.java
@@ -3,14 +3,23 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.stream.IntStream;
 import loadbalancer.routing.api.Idempotency;
+import loadbalancer.routing.api.RequestClass;
+import loadbalancer.routing.api.RoutingBounds;
+import loadbalancer.routing.api.RoutingLimits;
 import loadbalancer.routing.api.RoutingSettings;
+import loadbalancer.testbed.emulation.BalancerSettingsBuilder;
 
-/** What a real balancer of a site is told at its start, in the platform's words. */
+/**
+ * The configuration and the endpoint list of a real balancer in a fleet, with the platform's keys
+ * and units. Stateless.
+ */
 final class RealBalancerConfig {
     private static final int MAX_SOCKETS = 1_024;
     private static final int MEMORY_MB = 160;
+    private static final int MACHINE_TYPE_COUNT = 2;
+    // All request classes have the same name.
+    private static final String CLASS_NAME = "c";
 
     private RealBalancerConfig() {}
 
@@ -71,105 +80,55 @@
         return configuration;
     }
 
-    /** {@link FleetSpec#settings} in these words. */
+    /** {@link FleetSpec#settings} with the platform's keys. */
     private static Map<String, Object> settings(FleetSpec fleetSpec, int balancer) {
         RoutingSettings policySettings = fleetSpec.settings(balancer);
-        Map<String, Object> settings = new LinkedHashMap<>();
-        settings.put(
-                "Areas",
-                IntStream.range(0, fleetSpec.zones()).mapToObj(zone -> "z" + zone).toList());
-        settings.put("Balancers", policySettings.balancerCount());
-        settings.put("Rank", policySettings.rank());
-        settings.put("Locality", policySettings.zone());
-        settings.put("Kinds", List.of("k0", "k1"));
-        settings.put("Classes", classes(policySettings));
-        settings.put("MembershipMode", "push");
-        settings.put("Quantum", policySettings.clockTickMicros());
-        settings.put("OverShareWorth", policySettings.overQuotaWeightFactor());
-        settings.put("Blend", objectiveWeights(policySettings));
-        settings.put(
-                "Prices",
-                Map.of(
-                        "CrossZone",
-                        policySettings.costs().crossZone(),
-                        "Peer",
-                        policySettings.costs().gossip()));
-        settings.put("Limits", limits(policySettings));
-        settings.put("Rules", rules(policySettings));
-        return settings;
-    }
-
-    private static List<Map<String, Object>> classes(RoutingSettings policySettings) {
-        return policySettings.requestClasses().stream()
-                .map(
-                        requestClass ->
-                                Map.<String, Object>of(
-                                        "Name",
-                                        "c",
-                                        "Idempotency",
-                                        settingsWord(requestClass.idempotency()),
-                                        "GoalTime",
-                                        requestClass.latencyObjectiveMicros(),
-                                        "GiveUp",
-                                        requestClass.deadlineMicros(),
-                                        "Gain",
-                                        requestClass.priorityWeight(),
-                                        "LateShare",
-                                        requestClass.lateWeightFactor(),
-                                        "Stream",
-                                        false))
-                .toList();
+        RoutingLimits limits = policySettings.limits();
+        return new BalancerSettingsBuilder()
+                .tier(
+                        BalancerSettingsBuilder.numberedNames("z", fleetSpec.zones()),
+                        policySettings.balancerCount(),
+                        policySettings.rank(),
+                        policySettings.zone())
+                .machineTypes(BalancerSettingsBuilder.numberedNames("k", MACHINE_TYPE_COUNT))
+                .requestClasses(
+                        policySettings.requestClasses().stream()
+                                .map(RealBalancerConfig::classSettings)
+                                .toList())
+                .objective(
+                        policySettings.overQuotaWeightFactor(), policySettings.objectiveWeights())
+                .costs(policySettings.costs().crossZone(), policySettings.costs().gossip())
+                .limitsWithoutIdleTimeout(
+                        limits.maxAttempts(),
+                        limits.connectTimeoutMicros(),
+                        limits.maxRetryAfterMicros())
+                .bounds(bounds(policySettings.bounds()))
+                .build();
     }
 
-    private static Map<String, Object> objectiveWeights(RoutingSettings policySettings) {
-        return Map.of(
-                "Whole",
-                policySettings.objectiveWeights().overall(),
-                "WorstClass",
-                policySettings.objectiveWeights().worstClass(),
-                "WorstTenant",
-                policySettings.objectiveWeights().worstTenant(),
-                "WorstWindow",
-                policySettings.objectiveWeights().worstWindow());
-    }
-
-    private static Map<String, Object> limits(RoutingSettings policySettings) {
-        return Map.of(
-                "TryLimit",
-                policySettings.limits().maxAttempts(),
-                "MayDuplicate",
-                true,
-                "Cancel",
-                true,
-                "Probes",
-                true,
-                "PeerMessages",
-                true,
-                "DialTimeout",
-                policySettings.limits().connectTimeoutMicros(),
-                "RetryAfter",
-                true,
-                "MaxRetryAfter",
-                policySettings.limits().maxRetryAfterMicros());
+    private static Map<String, Object> classSettings(RequestClass requestClass) {
+        Map<String, Object> settings =
+                BalancerSettingsBuilder.requestClass(
+                        CLASS_NAME,
+                        platformTerm(requestClass.idempotency()),
+                        requestClass.latencyObjectiveMicros(),
+                        requestClass.deadlineMicros());
+        BalancerSettingsBuilder.putPriority(
+                settings, requestClass.priorityWeight(), requestClass.lateWeightFactor());
+        return settings;
     }
 
-    private static Map<String, Object> rules(RoutingSettings policySettings) {
-        return Map.of(
-                "AnswerSlack",
-                policySettings.bounds().responseSlackMicros(),
-                "DrainGrace",
-                policySettings.bounds().drainGraceMicros(),
-                "ColdFrom",
-                policySettings.bounds().initialCapacityFraction(),
-                "RampTime",
-                policySettings.bounds().slowStartMicros(),
-                "OverloadFactor",
-                policySettings.bounds().overloadFactor(),
-                "Fall",
-                policySettings.bounds().overloadWindowMicros());
+    private static BalancerSettingsBuilder.Bounds bounds(RoutingBounds bounds) {
+        return new BalancerSettingsBuilder.Bounds(
+                bounds.responseSlackMicros(),
+                bounds.drainGraceMicros(),
+                bounds.initialCapacityFraction(),
+                bounds.slowStartMicros(),
+                bounds.overloadFactor(),
+                bounds.overloadWindowMicros());
     }
 
-    private static String settingsWord(Idempotency idempotency) {
+    private static String platformTerm(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> "safe";
             case IDEMPOTENCY_KEY -> "keyed";
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintCase.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintCase.java
@@ -5,6 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.IntStream;
+import loadbalancer.testbed.emulation.BalancerSettingsBuilder;
 
 /**
  * One size at which a process is measured: upstreams in its list, tenants in its settings,
@@ -15,8 +16,14 @@
         int servers, int tenants, int balancers, int requestsPerSecond, int reportingPeers) {
     private static final int ZONE_COUNT = 30;
     private static final int MODEL_COUNT = 2;
-    // Requests a second that each is promised
     private static final double TENANT_REQUESTS_PER_SECOND = 4;
+    private static final long LATENCY_OBJECTIVE_MICROS = 250_000;
+    private static final long DEADLINE_MICROS = 1_000_000;
+    private static final double GOSSIP_COST = 0.03;
+    private static final double INITIAL_CAPACITY_FRACTION = 0.1;
+    private static final long SLOW_START_MICROS = 10_000_000;
+    private static final double OVERLOAD_FACTOR = 3.0;
+    private static final long OVERLOAD_WINDOW_MICROS = 3_000_000;
 
     public FootprintCase {
         if (servers < 1
@@ -106,84 +113,37 @@
         return entry;
     }
 
-    /** The settings, nested as in a configuration; limits and prices are the first customer's. */
+    /**
+     * The settings of the measured balancer, nested as in its configuration; limits and costs are
+     * the first site's.
+     */
     Map<String, Object> settings() {
-        Map<String, Object> settings = new LinkedHashMap<>();
-        settings.put("Areas", IntStream.range(0, ZONE_COUNT).mapToObj(zone -> "z" + zone).toList());
-        settings.put("Balancers", balancers);
-        settings.put("Rank", 0);
-        settings.put("Locality", 0);
-        settings.put(
-                "Kinds", IntStream.range(0, MODEL_COUNT).mapToObj(model -> "m" + model).toList());
-        settings.put(
-                "Classes",
-                List.of(
-                        Map.of(
-                                "Name",
-                                "safe",
-                                "Idempotency",
-                                "safe",
-                                "GoalTime",
-                                250_000,
-                                "GiveUp",
-                                1_000_000)));
-        settings.put("MembershipMode", "push");
-        settings.put("Quantum", 5000);
-        settings.put("Prices", Map.of("Peer", 0.03));
-        settings.put("Limits", limits());
-        settings.put("Rules", rules());
-        if (tenants > 0) {
-            settings.put(
-                    "Realms",
-                    IntStream.range(0, tenants)
-                            .mapToObj(
-                                    tenant ->
-                                            Map.of(
-                                                    "Name",
-                                                    tenantName(tenant),
-                                                    "AllowancePerS",
-                                                    TENANT_REQUESTS_PER_SECOND))
-                            .toList());
-        }
-        return settings;
-    }
-
-    private static Map<String, Object> limits() {
-        return Map.of(
-                "TryLimit",
-                4,
-                "MayDuplicate",
-                true,
-                "Cancel",
-                true,
-                "Probes",
-                true,
-                "PeerMessages",
-                true,
-                "DialTimeout",
-                150_000,
-                "IdleClose",
-                5_000_000,
-                "RetryAfter",
-                true,
-                "MaxRetryAfter",
-                2_500_000);
+        return new BalancerSettingsBuilder()
+                .tier(BalancerSettingsBuilder.numberedNames("z", ZONE_COUNT), balancers, 0, 0)
+                .machineTypes(BalancerSettingsBuilder.numberedNames("m", MODEL_COUNT))
+                .requestClasses(
+                        List.of(
+                                BalancerSettingsBuilder.requestClass(
+                                        "safe", "safe", LATENCY_OBJECTIVE_MICROS, DEADLINE_MICROS)))
+                .gossipCost(GOSSIP_COST)
+                .siteLimits()
+                .bounds(
+                        BalancerSettingsBuilder.Bounds.ofSite(
+                                INITIAL_CAPACITY_FRACTION,
+                                SLOW_START_MICROS,
+                                OVERLOAD_FACTOR,
+                                OVERLOAD_WINDOW_MICROS))
+                .tenants(tenantSettings())
+                .build();
     }
 
-    private static Map<String, Object> rules() {
-        return Map.of(
-                "AnswerSlack",
-                20_000,
-                "DrainGrace",
-                2_500_000,
-                "ColdFrom",
-                0.1,
-                "RampTime",
-                10_000_000,
-                "OverloadFactor",
-                3.0,
-                "Fall",
-                3_000_000);
+    private List<Map<String, Object>> tenantSettings() {
+        return IntStream.range(0, tenants)
+                .mapToObj(
+                        tenant ->
+                                BalancerSettingsBuilder.tenant(
+                                        tenantName(tenant), TENANT_REQUESTS_PER_SECOND))
+                .toList();
     }
 
     /** The name of a tenant. */
