--- a/testbed/src/main/java/loadbalancer/testbed/CapacityCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/CapacityCommand.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.concurrent.Callable;
 import loadbalancer.testbed.capacity.CapacityOptions;
 import loadbalancer.testbed.capacity.CapacityRun;
@@ -11,30 +12,30 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Measures what the control of a fleet costs, with hollow balancers. */
+/** Measures what the control plane of a fleet costs, with balancers that have no data path. */
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
         description =
-                "Fleets of hollow balancers (module, membership and duties without a data path): "
-                        + "datagrams, CPU, heap and how soon news are known, by the "
-                        + "fleet's size. Exit: 0, 2 wrong use, "
-                        + "3 where the machine was too busy for real time.")
+                "Measures the control plane of a fleet by its size: datagrams, CPU, heap and how soon"
+                        + " updates are known. Its balancers are hollow: routing policy, membership"
+                        + " and leases without a data path.",
+        exitCodeListHeading = ExitCodes.HEADING,
+        exitCodeList = {ExitCodes.OK_HELP, ExitCodes.USAGE_HELP, ExitCodes.UNTRUSTED_HELP})
 final class CapacityCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
     @Mixin private CapacityOptions options;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "Where the figures go, as JSON.")
+    @Option(
+            names = "--out",
+            paramLabel = "FILE",
+            description = "A JSON file to which all measurements are written (default: none).")
     private Path outputFile;
 
     @Override
     public Integer call() throws IOException {
-        return CapacityRun.run(
-                        options,
-                        spec.commandLine().getParseResult().originalArgs(),
-                        outputFile,
-                        System.out::println)
-                ? TestbedCommand.EXIT_OK
-                : TestbedCommand.EXIT_UNTRUSTED;
+        List<String> arguments = spec.commandLine().getParseResult().originalArgs();
+        boolean trusted = CapacityRun.run(options, arguments, outputFile, System.out::println);
+        return trusted ? ExitCodes.OK : ExitCodes.UNTRUSTED;
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/CompareCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/CompareCommand.java
@@ -16,25 +16,33 @@
 import loadbalancer.testbed.statistics.RunResult;
 import loadbalancer.testbed.workload.WorkloadPlan;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Plays two builds in turns on the same seeds and says which figures differ beyond chance. */
+/** Plays two builds alternately on the same seeds and says which metrics differ significantly. */
 @Command(
         name = "compare",
         mixinStandardHelpOptions = true,
         description =
-                "Plays two builds in turns on the same seeds: by figure the mean of B less A, with a "
-                        + "95%% interval "
-                        + "by bootstrap. Exit: 0, 1 a rule was broken, 2 wrong use, 3 a "
-                        + "run could not be trusted.")
+                "Plays two builds alternately on the same seeds, and prints for each metric the mean"
+                        + " of B minus A with a 95%% bootstrap interval.",
+        exitCodeListHeading = ExitCodes.HEADING,
+        exitCodeList = {
+            ExitCodes.OK_INVARIANTS_HELP,
+            ExitCodes.VIOLATION_HELP,
+            ExitCodes.USAGE_HELP,
+            ExitCodes.UNTRUSTED_HELP
+        })
 final class CompareCommand implements Callable<Integer> {
     private static final int MIN_SEEDS = 10;
+    private static final int BUILD_COUNT = 2;
+    private static final List<String> DIRECTORY_SUFFIXES = List.of("a", "b");
 
     @Parameters(index = "0", paramLabel = "A", description = "A balancer's jar.")
     private Path baselineJar;
 
-    @Parameters(index = "1", paramLabel = "B", description = "Another, or the same.")
+    @Parameters(index = "1", paramLabel = "B", description = "Another balancer's jar, or the same.")
     private Path candidateJar;
 
     @Parameters(index = "2", paramLabel = "SCENARIO", description = "A scenario file (TOML).")
@@ -44,78 +52,50 @@
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "20",
-            description = "How many seeds (default: ${DEFAULT-VALUE}).")
+            description = "The number of seeds (default: ${DEFAULT-VALUE}).")
     private int seedCount;
 
     @Option(
             names = "--first",
             paramLabel = "N",
             defaultValue = "1",
-            description = "The first of them (default: ${DEFAULT-VALUE}).")
+            description = "The first seed (default: ${DEFAULT-VALUE}).")
     private long firstSeed;
 
     @Option(
             names = "--again",
-            description = "Plays nothing: weighs the results that --out holds already.")
+            description = "Plays nothing, and compares the results that --out holds already.")
     private boolean reuseResults;
 
-    @Option(
-            names = "--out",
-            paramLabel = "DIR",
-            description = "Where logs and results go (default: a new folder below logs/).")
-    private Path outputDirectory;
+    @Mixin private OutputDirectoryOption outputDirectory;
+
+    private final SortedMap<String, List<Double>> differences = new TreeMap<>();
+    private final SortedMap<String, List<Double>> baselines = new TreeMap<>();
+
+    /** The results of both builds with one seed. */
+    private record ResultPair(RunResult baseline, RunResult candidate) {
+        boolean trusted() {
+            return baseline.trusted() && candidate.trusted();
+        }
+
+        int exitCode() {
+            return Math.max(ExitCodes.of(baseline), ExitCodes.of(candidate));
+        }
+    }
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         Scenario scenario = ScenarioReader.read(scenarioFile, false);
         List<LaunchCommand> launches =
-                List.of(
-                        TestbedCommand.balancerLaunch(baselineJar),
-                        TestbedCommand.balancerLaunch(candidateJar));
-        Path directory = TestbedCommand.createOutputDirectory(outputDirectory, "compare");
-        SortedMap<String, List<Double>> differences = new TreeMap<>();
-        SortedMap<String, List<Double>> baselines = new TreeMap<>();
-        int exitCode = TestbedCommand.EXIT_OK;
+                List.of(LaunchCommand.forJar(baselineJar), LaunchCommand.forJar(candidateJar));
+        Path directory = outputDirectory.create("compare");
+        int exitCode = ExitCodes.OK;
         for (long seed = firstSeed; seed < firstSeed + seedCount; seed++) {
-            // In turns, and which goes first changes with the seed: neither always finds the
-            // machine warm.
-            int firstBuild = (int) Math.floorMod(seed, 2L);
-            RunResult[] pair = new RunResult[2];
-            for (int i : new int[] {firstBuild, 1 - firstBuild}) {
-                Path runDirectory = directory.resolve(seed + (i == 0 ? "a" : "b"));
-                pair[i] =
-                        reuseResults
-                                ? RunResult.read(runDirectory)
-                                : new ScenarioRunner(
-                                                WorkloadPlan.generate(scenario, seed),
-                                                launches.get(i),
-                                                TestbedCommand.createOutputDirectory(
-                                                        runDirectory, ""),
-                                                line -> {})
-                                        .run();
-                exitCode = Math.max(exitCode, TestbedCommand.exitCode(pair[i]));
-            }
-            boolean bothTrusted = pair[0].trusted() && pair[1].trusted();
-            System.out.printf(
-                    Locale.ROOT,
-                    "seed %d: service %.4f and %.4f, rules broken %d and %d%s%n",
-                    seed,
-                    pair[0].metrics().get("service"),
-                    pair[1].metrics().get("service"),
-                    pair[0].violationCount(),
-                    pair[1].violationCount(),
-                    bothTrusted ? "" : "; the testbed was too busy, left out");
-            if (bothTrusted) {
-                pair[0].metrics()
-                        .forEach(
-                                (metric, value) -> {
-                                    differences
-                                            .computeIfAbsent(metric, k -> new ArrayList<>())
-                                            .add(pair[1].metrics().get(metric) - value);
-                                    baselines
-                                            .computeIfAbsent(metric, k -> new ArrayList<>())
-                                            .add(value);
-                                });
+            ResultPair pair = play(scenario, launches, seed, directory);
+            exitCode = Math.max(exitCode, pair.exitCode());
+            printPair(seed, pair);
+            if (pair.trusted()) {
+                addMetrics(pair);
             }
         }
         printDifferences(differences, baselines);
@@ -123,6 +103,52 @@
         return exitCode;
     }
 
+    private ResultPair play(
+            Scenario scenario, List<LaunchCommand> launches, long seed, Path directory)
+            throws IOException, InterruptedException {
+        RunResult[] results = new RunResult[BUILD_COUNT];
+        // Which build is played first changes with the seed: neither always finds the machine warm.
+        int firstBuild = (int) Math.floorMod(seed, (long) BUILD_COUNT);
+        for (int build : new int[] {firstBuild, 1 - firstBuild}) {
+            Path runDirectory = directory.resolve(seed + DIRECTORY_SUFFIXES.get(build));
+            results[build] =
+                    reuseResults
+                            ? RunResult.read(runDirectory)
+                            : new ScenarioRunner(
+                                            WorkloadPlan.generate(scenario, seed),
+                                            launches.get(build),
+                                            OutputDirectoryOption.create(runDirectory),
+                                            line -> {})
+                                    .run();
+        }
+        return new ResultPair(results[0], results[1]);
+    }
+
+    private static void printPair(long seed, ResultPair pair) {
+        System.out.printf(
+                Locale.ROOT,
+                "seed %d: service %.4f and %.4f, rules broken %d and %d%s%n",
+                seed,
+                pair.baseline.metrics().get("service"),
+                pair.candidate.metrics().get("service"),
+                pair.baseline.violationCount(),
+                pair.candidate.violationCount(),
+                pair.trusted() ? "" : "; the testbed was too busy, left out");
+    }
+
+    private void addMetrics(ResultPair pair) {
+        pair.baseline
+                .metrics()
+                .forEach(
+                        (metric, value) -> {
+                            double difference = pair.candidate.metrics().get(metric) - value;
+                            differences
+                                    .computeIfAbsent(metric, k -> new ArrayList<>())
+                                    .add(difference);
+                            baselines.computeIfAbsent(metric, k -> new ArrayList<>()).add(value);
+                        });
+    }
+
     static void printDifferences(
             SortedMap<String, List<Double>> differences,
             SortedMap<String, List<Double>> baselines) {
@@ -131,7 +157,7 @@
             return;
         }
         if (differences.get(differences.firstKey()).size() < MIN_SEEDS) {
-            // Resampling can't leave the range of what was seen, and so few rarely see all of it.
+            // Resampling can't leave the range of the samples, and so few rarely cover all of it.
             System.out.println("fewer than " + MIN_SEEDS + " seeds: 'differs' says little here");
         }
         differences.forEach(
--- a/testbed/src/main/java/loadbalancer/testbed/DocFiguresCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/DocFiguresCommand.java
@@ -7,16 +7,20 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Holds a page's figures to the files that they stand on. */
+/** Checks the figures of a page against the measurement files that they refer to. */
 @Command(
         name = "figures",
         mixinStandardHelpOptions = true,
         description =
-                "Holds the figures of a page to the files of runs that it refers to. Exit: 0, 1 where one "
-                        + "differs by more than the rounding shown or has nothing to "
-                        + "stand on, 2 where there is no page.")
+                "Checks the figures of a page against the measurement files that it refers to.",
+        exitCodeListHeading = ExitCodes.HEADING,
+        exitCodeList = {
+            "0:Every figure agrees with its file.",
+            "1:A figure differs by more than the rounding shown, or refers to no measurement.",
+            ExitCodes.USAGE_HELP
+        })
 final class DocFiguresCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "PAGE", description = "A page of Markdown, as docs/CAPACITY.md.")
+    @Parameters(paramLabel = "PAGE", description = "A page of Markdown, such as docs/CAPACITY.md.")
     private Path page;
 
     @Override
@@ -25,6 +29,6 @@
         result.errors().forEach(System.out::println);
         System.out.println(
                 result.figureCount() + " figures, " + result.errors().size() + " faults");
-        return result.errors().isEmpty() ? TestbedCommand.EXIT_OK : TestbedCommand.EXIT_VIOLATION;
+        return result.errors().isEmpty() ? ExitCodes.OK : ExitCodes.VIOLATION;
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/FootprintCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/FootprintCommand.java
@@ -1,110 +1,101 @@
 package loadbalancer.testbed;
 
 import java.io.IOException;
-import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.stream.LongStream;
-import loadbalancer.testbed.docfigures.MeasurementFile;
 import loadbalancer.testbed.docfigures.RepeatedMeasurements;
 import loadbalancer.testbed.footprint.FootprintBenchmark;
 import loadbalancer.testbed.footprint.FootprintCase;
 import loadbalancer.testbed.process.LaunchCommand;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Measures what one real process costs at the sizes asked for. */
+/** Measures what one real balancer process costs at each of the given sizes. */
 @Command(
         name = "cost",
         mixinStandardHelpOptions = true,
         description =
-                "One real balancer: CPU at rest and by change of the list, memory, time until ready. "
-                        + "Exit: 0, 2 wrong use. Sizes whose process did not last are in "
-                        + "the figures as such.")
+                "Measures one real balancer: CPU when idle and per change of the list, memory, time"
+                        + " until ready. A size whose process does not last is measured as such.",
+        exitCodeListHeading = ExitCodes.HEADING,
+        exitCodeList = {ExitCodes.OK_HELP, ExitCodes.USAGE_HELP})
 final class FootprintCommand implements Callable<Integer> {
+    private static final int MS_PER_SECOND = 1_000;
+
     @Spec private CommandSpec spec;
 
     @Parameters(
             paramLabel = "SIZE",
             arity = "1..*",
-            description = "As servers=14000,tenants=38000,balancers=1600,rate=62.")
+            description = "A size, such as servers=14000,tenants=38000,balancers=1600,rate=62.")
     private List<String> sizes;
 
     @Option(
             names = "--repeats",
             paramLabel = "N",
             defaultValue = "3",
-            description = "Default: ${DEFAULT-VALUE}.")
+            description = "How often each size is measured (default: ${DEFAULT-VALUE}).")
     private int repeatCount;
 
     @Option(
             names = "--seconds",
             paramLabel = "S",
             defaultValue = "8",
-            description = "Of rest that are watched (default: ${DEFAULT-VALUE}).")
+            description = "How long the idle process is measured (default: ${DEFAULT-VALUE}).")
     private int idleSeconds;
 
     @Option(
             names = "--environment",
             paramLabel = "NAME=VALUE",
             description =
-                    "Of the process, as TANSYFERRY_STATE_DIR=own: then a folder is made for it.")
+                    "Environment variables of the process; TANSYFERRY_STATE_DIR=own gives it a"
+                            + " directory of its own.")
     private Map<String, String> environment = Map.of();
 
-    @Option(
-            names = "--build",
-            paramLabel = "JAR",
-            description = "The balancer (default: balancer/target/load-balancer.jar).")
-    private Path balancerJar;
-
-    @Option(
-            names = "--json",
-            paramLabel = "FILE",
-            description = "Where the figures are written, too.")
-    private Path jsonFile;
-
-    @Option(
-            names = "--out",
-            paramLabel = "DIR",
-            description = "Where logs go (default: a new folder below logs/).")
-    private Path outputDirectory;
+    @Mixin private BalancerJarOption balancerJar;
+    @Mixin private MeasurementFileOption measurementFile;
+    @Mixin private OutputDirectoryOption outputDirectory;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        List<FootprintCase> cases;
-        try {
-            cases = sizes.stream().map(FootprintCase::parse).toList();
-        } catch (IllegalArgumentException e) {
-            throw new ParameterException(spec.commandLine(), e.getMessage(), e);
-        }
-        LaunchCommand launchCommand = TestbedCommand.balancerLaunch(balancerJar);
+        List<FootprintCase> cases = parseSizes();
+        LaunchCommand launchCommand = balancerJar.launchCommand();
         RepeatedMeasurements measurements = new RepeatedMeasurements();
         FootprintBenchmark benchmark =
                 new FootprintBenchmark(
                         launchCommand,
-                        TestbedCommand.createOutputDirectory(outputDirectory, "cost"),
-                        idleSeconds * 1000,
+                        outputDirectory.create("cost"),
+                        idleSeconds * MS_PER_SECOND,
                         environment,
                         measurements,
                         System.out::println);
         for (int repeat = 1; repeat <= repeatCount; repeat++) {
             for (FootprintCase footprintCase : cases) {
                 benchmark.measure(footprintCase, repeat);
-                if (jsonFile != null) {
-                    new MeasurementFile(
-                                    TestbedCommand.commandLine(spec),
-                                    LongStream.rangeClosed(1, repeat).boxed().toList(),
-                                    measurements.summary())
-                            .write(jsonFile);
-                }
+                measurementFile.write(repeatNumbers(repeat), measurements);
             }
         }
         measurements.summary().forEach((key, value) -> System.out.println(key + " " + value));
-        return TestbedCommand.EXIT_OK;
+        return ExitCodes.OK;
+    }
+
+    private List<FootprintCase> parseSizes() {
+        try {
+            return sizes.stream().map(FootprintCase::parse).toList();
+        } catch (IllegalArgumentException e) {
+            throw new ParameterException(spec.commandLine(), e.getMessage(), e);
+        }
+    }
+
+    // A measurement without random draws names its repeats in place of seeds.
+    private static List<Long> repeatNumbers(int lastRepeat) {
+        return LongStream.rangeClosed(1, lastRepeat).boxed().toList();
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/LeaseCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/LeaseCommand.java
@@ -1,7 +1,6 @@
 package loadbalancer.testbed;
 
 import java.io.IOException;
-import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
@@ -9,59 +8,57 @@
 import loadbalancer.testbed.simulation.LeaseSimulation;
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.Spec;
 
-/** Measures duties in simulated time. */
+/** Measures leases in simulated time. */
 @Command(
         name = "duties",
         mixinStandardHelpOptions = true,
         description =
-                "Duties in simulated time: cost, how soon they are passed on. "
-                        + "Exit: 0, 1 where two held one at once.")
+                "Measures leases in simulated time: their cost, and how soon they are transferred.",
+        exitCodeListHeading = ExitCodes.HEADING,
+        exitCodeList = {
+            "0:No lease had two holders at once.",
+            "1:A lease had two holders at once.",
+            ExitCodes.USAGE_HELP
+        })
 final class LeaseCommand implements Callable<Integer> {
-    @Spec private CommandSpec spec;
+    private static final long WARM_UP_MICROS = 15_000_000;
+    private static final int QUIET_SECONDS = 30;
+    // How long an ended member stays down, and how long the cluster settles after its restart
+    private static final long DOWNTIME_MICROS = 6_000_000;
+    private static final long SETTLE_MICROS = 9_000_000;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     @Option(
             names = "--members",
             paramLabel = "N",
             defaultValue = "10",
             split = ",",
-            description =
-                    "Each after the other where there are several (default: ${DEFAULT-VALUE}).")
+            description = "The cluster sizes, one after another (default: ${DEFAULT-VALUE}).")
     private List<Integer> memberCounts;
 
     @Option(
             names = "--loss",
             paramLabel = "PART",
             defaultValue = "0",
-            description = "Of the datagrams (default: ${DEFAULT-VALUE}).")
+            description = "The fraction of lost datagrams (default: ${DEFAULT-VALUE}).")
     private double lossRate;
 
     @Option(
             names = "--ends",
             paramLabel = "N",
             defaultValue = "20",
-            description = "Holders that end, of each kind (default: ${DEFAULT-VALUE}).")
+            description =
+                    "How many holders are killed, and how many leave (default: ${DEFAULT-VALUE}).")
     private int terminationCount;
 
-    @Option(names = "--forgetful", description = "Promises don't outlive a process.")
+    @Option(names = "--forgetful", description = "Promises are lost when a process ends.")
     private boolean volatilePromises;
 
-    @Option(
-            names = "--seed",
-            paramLabel = "N",
-            defaultValue = "1",
-            split = ",",
-            description = "The same (default: ${DEFAULT-VALUE}).")
-    private List<Long> seeds;
-
-    @Option(
-            names = "--json",
-            paramLabel = "FILE",
-            description = "Where all figures are written, too.")
-    private Path jsonFile;
+    @Mixin private SeedListOption seedOption;
+    @Mixin private MeasurementFileOption measurementFile;
 
     private final SeededMeasurements measurements = new SeededMeasurements();
 
@@ -69,20 +66,21 @@
     public Integer call() throws IOException {
         int doublyHeldSlots = 0;
         for (int memberCount : memberCounts) {
-            for (long seed : seeds) {
+            for (long seed : seedOption.seeds) {
                 doublyHeldSlots += measure(memberCount, seed);
-                measurements.completeSeed(seed, jsonFile, spec);
+                measurements.completeSeed(seed, measurementFile);
             }
         }
-        return doublyHeldSlots == 0 ? TestbedCommand.EXIT_OK : TestbedCommand.EXIT_VIOLATION;
+        return doublyHeldSlots == 0 ? ExitCodes.OK : ExitCodes.VIOLATION;
     }
 
+    /** Simulates one cluster, and returns how many slots had two holders at once. */
     private int measure(int memberCount, long seed) {
-        String keyPrefix = String.format(Locale.ROOT, "n%d.loss%.0f.", memberCount, lossRate * 100);
+        String keyPrefix = SeededMeasurements.keyPrefix(memberCount, lossRate);
         LeaseSimulation cluster =
                 new LeaseSimulation(
                         memberCount, lossRate, !volatilePromises, LeaseTiming.DEFAULT, seed);
-        cluster.runFor(15_000_000);
+        cluster.runFor(WARM_UP_MICROS);
         System.out.printf(
                 Locale.ROOT,
                 "%d members, loss %.2f: %d of %d slots held after 15 s%n",
@@ -104,52 +102,55 @@
         return cluster.doubleHolders().size();
     }
 
-    /** What the leases cost while nobody ends. */
+    /** Measures what the leases cost while no member ends. */
     private void measureQuiet(LeaseSimulation cluster, int memberCount, String keyPrefix) {
         long bytesBefore = cluster.bytesSent();
         long datagramsBefore = cluster.datagramsSent();
         long acquisitionsBefore = cluster.acquisitions();
-        cluster.runFor(30_000_000);
+        cluster.runFor(QUIET_SECONDS * 1_000_000L);
+        double datagramRate =
+                (cluster.datagramsSent() - datagramsBefore) / (double) QUIET_SECONDS / memberCount;
+        double byteRate =
+                (cluster.bytesSent() - bytesBefore) / (double) QUIET_SECONDS / memberCount;
         measurements.add(keyPrefix + "held", (double) cluster.heldSlots());
-        measurements.add(
-                keyPrefix + "datagrams",
-                (cluster.datagramsSent() - datagramsBefore) / 30.0 / memberCount);
-        measurements.add(
-                keyPrefix + "bytes", (cluster.bytesSent() - bytesBefore) / 30.0 / memberCount);
+        measurements.add(keyPrefix + "datagrams", datagramRate);
+        measurements.add(keyPrefix + "bytes", byteRate);
         System.out.printf(
                 Locale.ROOT,
                 "while quiet, a second and member: %.1f datagrams, %.0f bytes; %d slots changed "
                         + "hands in 30 s%n",
-                (cluster.datagramsSent() - datagramsBefore) / 30.0 / memberCount,
-                (cluster.bytesSent() - bytesBefore) / 30.0 / memberCount,
+                datagramRate,
+                byteRate,
                 cluster.acquisitions() - acquisitionsBefore);
     }
 
-    /** How soon another member has a slot after its holder was killed or has ended gracefully. */
+    /** Measures how soon another member holds a slot after its holder was killed or has left. */
     private void measureHandovers(LeaseSimulation cluster, boolean graceful, String keyPrefix) {
         cluster.transferTimes().reset();
         for (int i = 0; i < terminationCount; i++) {
             int member = cluster.busiestMember();
             cluster.endProcess(member, graceful);
-            cluster.runFor(6_000_000);
+            cluster.runFor(DOWNTIME_MICROS);
             cluster.restart(member);
-            cluster.runFor(9_000_000);
+            cluster.runFor(SETTLE_MICROS);
         }
         Histogram handoverTimes = cluster.transferTimes();
+        double medianSeconds = handoverTimes.getValueAtPercentile(50) / MICROS_PER_SECOND;
+        double p99Seconds = handoverTimes.getValueAtPercentile(99) / MICROS_PER_SECOND;
+        double maxSeconds = handoverTimes.getMaxValue() / MICROS_PER_SECOND;
         System.out.printf(
                 Locale.ROOT,
                 "%s: passed on after %.3f s (median), %.3f s (99 in 100), %.3f s (most), %d "
                         + "slots%n",
                 graceful ? "in order" : "killed",
-                handoverTimes.getValueAtPercentile(50) / 1e6,
-                handoverTimes.getValueAtPercentile(99) / 1e6,
-                handoverTimes.getMaxValue() / 1e6,
+                medianSeconds,
+                p99Seconds,
+                maxSeconds,
                 handoverTimes.getTotalCount());
         if (handoverTimes.getTotalCount() > 0) {
             String handoverKeyPrefix = keyPrefix + (graceful ? "in_order_s." : "killed_s.");
-            measurements.add(
-                    handoverKeyPrefix + "p99", handoverTimes.getValueAtPercentile(99) / 1e6);
-            measurements.add(handoverKeyPrefix + "max", handoverTimes.getMaxValue() / 1e6);
+            measurements.add(handoverKeyPrefix + "p99", p99Seconds);
+            measurements.add(handoverKeyPrefix + "max", maxSeconds);
         }
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/MembershipCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/MembershipCommand.java
@@ -2,34 +2,46 @@
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
-import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import loadbalancer.testbed.simulation.MembershipSimulation;
+import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.Spec;
 
 /** Measures membership in simulated time. */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
         description =
-                "Membership in simulated time: cost, how soon a killed member is known, cuts healed. "
-                        + "Exit: 0, "
-                        + "1 where a live member with whole paths was held dead.")
+                "Measures membership in simulated time: its cost, how soon a killed member is"
+                        + " detected, and how soon a partition heals.",
+        exitCodeListHeading = ExitCodes.HEADING,
+        exitCodeList = {
+            "0:No live, reachable member was considered dead.",
+            "1:A live, reachable member was considered dead.",
+            ExitCodes.USAGE_HELP
+        })
 final class MembershipCommand implements Callable<Integer> {
-    @Spec private CommandSpec spec;
+    private static final long WARM_UP_MICROS = 10_000_000;
+    // How long a killed member stays down, and how long the cluster settles after its restart
+    private static final int DOWNTIME_SECONDS = 4;
+    private static final int SETTLE_SECONDS = 3;
+    private static final long PARTITION_MICROS = 8_000_000;
+    private static final long MAX_HEALING_MICROS = 30_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    // Members are killed in a fixed order that visits all of them.
+    private static final long KILL_STRIDE = 7919;
+    private static final int FIRST_KILL = 3;
 
     @Option(
             names = "--members",
             paramLabel = "N",
             defaultValue = "100",
             split = ",",
-            description =
-                    "Each after the other where there are several (default: ${DEFAULT-VALUE}).")
+            description = "The cluster sizes, one after another (default: ${DEFAULT-VALUE}).")
     private List<Integer> memberCounts;
 
     @Option(
@@ -37,41 +49,32 @@
             paramLabel = "PART",
             defaultValue = "0",
             split = ",",
-            description = "Of the datagrams; the same (default: ${DEFAULT-VALUE}).")
+            description =
+                    "The fractions of lost datagrams, one after another"
+                            + " (default: ${DEFAULT-VALUE}).")
     private List<Double> lossRates;
 
     @Option(
             names = "--seconds",
             paramLabel = "S",
             defaultValue = "30",
-            description = "Of quiet, before anything happens (default: ${DEFAULT-VALUE}).")
+            description = "Quiet seconds before the first kill (default: ${DEFAULT-VALUE}).")
     private int quietSeconds;
 
     @Option(
             names = "--kills",
             paramLabel = "N",
             defaultValue = "20",
-            description = "Default: ${DEFAULT-VALUE}.")
+            description = "How many members are killed (default: ${DEFAULT-VALUE}).")
     private int killCount;
 
     @Option(
             names = "--uncut",
-            description = "Ends before the cut into halves, which costs most at a large size.")
+            description = "Ends before the partition into halves, which is slow at a large size.")
     private boolean skipPartition;
 
-    @Option(
-            names = "--seed",
-            paramLabel = "N",
-            defaultValue = "1",
-            split = ",",
-            description = "The same (default: ${DEFAULT-VALUE}).")
-    private List<Long> seeds;
-
-    @Option(
-            names = "--json",
-            paramLabel = "FILE",
-            description = "Where all figures are written, too.")
-    private Path jsonFile;
+    @Mixin private SeedListOption seedOption;
+    @Mixin private MeasurementFileOption measurementFile;
 
     private final SeededMeasurements measurements = new SeededMeasurements();
 
@@ -80,19 +83,20 @@
         int falseDeaths = 0;
         for (int memberCount : memberCounts) {
             for (double lossRate : lossRates) {
-                for (long seed : seeds) {
+                for (long seed : seedOption.seeds) {
                     falseDeaths += measure(memberCount, lossRate, seed);
-                    measurements.completeSeed(seed, jsonFile, spec);
+                    measurements.completeSeed(seed, measurementFile);
                 }
             }
         }
-        return falseDeaths == 0 ? TestbedCommand.EXIT_OK : TestbedCommand.EXIT_VIOLATION;
+        return falseDeaths == 0 ? ExitCodes.OK : ExitCodes.VIOLATION;
     }
 
+    /** Simulates one cluster, and returns how often a live member was considered dead. */
     private int measure(int memberCount, double lossRate, long seed) {
         MembershipSimulation cluster = new MembershipSimulation(memberCount, lossRate, seed);
-        String keyPrefix = String.format(Locale.ROOT, "n%d.loss%.0f.", memberCount, lossRate * 100);
-        cluster.runFor(10_000_000);
+        String keyPrefix = SeededMeasurements.keyPrefix(memberCount, lossRate);
+        cluster.runFor(WARM_UP_MICROS);
         double quietBytesPerSecond = measureQuiet(cluster, memberCount, lossRate, keyPrefix);
         measureDetection(cluster, memberCount, quietBytesPerSecond, keyPrefix);
         System.out.printf(
@@ -110,18 +114,18 @@
         return falseDeaths;
     }
 
-    /** What membership costs while nobody ends: returns bytes a second and member. */
+    /** Measures what membership costs while no member ends; returns bytes a second and member. */
     private double measureQuiet(
             MembershipSimulation cluster, int memberCount, double lossRate, String keyPrefix) {
         double bytesBefore = cluster.meanBytesSent();
         long datagramsBefore = cluster.datagramsSent();
         long cpuBeforeNanos = threadCpuNanos();
-        cluster.runFor(quietSeconds * 1_000_000L);
+        cluster.runFor(quietSeconds * MICROS_PER_SECOND);
         double memberSeconds = (double) quietSeconds * memberCount;
+        double byteRate = (cluster.meanBytesSent() - bytesBefore) / quietSeconds;
         measurements.add(
                 keyPrefix + "cpu_us", (threadCpuNanos() - cpuBeforeNanos) / 1e3 / memberSeconds);
-        measurements.add(
-                keyPrefix + "bytes", (cluster.meanBytesSent() - bytesBefore) / quietSeconds);
+        measurements.add(keyPrefix + "bytes", byteRate);
         measurements.add(
                 keyPrefix + "datagrams",
                 (cluster.datagramsSent() - datagramsBefore) / memberSeconds);
@@ -130,73 +134,79 @@
                 "%d members, loss %.2f: %.0f bytes a second and member while quiet%n",
                 memberCount,
                 lossRate,
-                (cluster.meanBytesSent() - bytesBefore) / quietSeconds);
-        return (cluster.meanBytesSent() - bytesBefore) / quietSeconds;
+                byteRate);
+        return byteRate;
     }
 
-    /** How soon the others know of a killed member, and what that costs beyond the quiet. */
+    /** Measures how soon a killed member is detected, and what that costs beyond the quiet rate. */
     private void measureDetection(
             MembershipSimulation cluster,
             int memberCount,
             double quietBytesPerSecond,
             String keyPrefix) {
+        if (killCount == 0) {
+            return;
+        }
         double bytesBefore = cluster.meanBytesSent();
         for (int i = 0; i < killCount; i++) {
-            int member = (int) ((i * 7919L + 3) % memberCount);
+            int member = (int) ((i * KILL_STRIDE + FIRST_KILL) % memberCount);
             cluster.kill(member);
-            cluster.runFor(4_000_000);
+            cluster.runFor(DOWNTIME_SECONDS * MICROS_PER_SECOND);
             cluster.restart(member);
-            cluster.runFor(3_000_000);
-        }
-        if (killCount > 0) {
-            measurements.add(
-                    keyPrefix + "kill_bytes",
-                    (cluster.meanBytesSent() - bytesBefore) / killCount - 7 * quietBytesPerSecond);
-            measurements.add(
-                    keyPrefix + "known_part",
-                    cluster.detectionTimes().getTotalCount()
-                            / (double) killCount
-                            / (memberCount - 1));
-            measurements.add(
-                    keyPrefix + "known_s.p50",
-                    cluster.detectionTimes().getValueAtPercentile(50) / 1e6);
-            measurements.add(
-                    keyPrefix + "known_s.p99",
-                    cluster.detectionTimes().getValueAtPercentile(99) / 1e6);
-            measurements.add(
-                    keyPrefix + "known_s.max", cluster.detectionTimes().getMaxValue() / 1e6);
-            System.out.printf(
-                    Locale.ROOT,
-                    "a killed member known after %.2f s (median), %.2f s (99 in "
-                            + "100), %.2f s "
-                            + "(most), %d notices%n",
-                    cluster.detectionTimes().getValueAtPercentile(50) / 1e6,
-                    cluster.detectionTimes().getValueAtPercentile(99) / 1e6,
-                    cluster.detectionTimes().getMaxValue() / 1e6,
-                    cluster.detectionTimes().getTotalCount());
+            cluster.runFor(SETTLE_SECONDS * MICROS_PER_SECOND);
         }
+        double quietBytes = (DOWNTIME_SECONDS + SETTLE_SECONDS) * quietBytesPerSecond;
+        measurements.add(
+                keyPrefix + "kill_bytes",
+                (cluster.meanBytesSent() - bytesBefore) / killCount - quietBytes);
+        recordDetectionTimes(cluster.detectionTimes(), memberCount, keyPrefix);
     }
 
+    private void recordDetectionTimes(Histogram detectionTimes, int memberCount, String keyPrefix) {
+        double medianSeconds = toSeconds(detectionTimes.getValueAtPercentile(50));
+        double p99Seconds = toSeconds(detectionTimes.getValueAtPercentile(99));
+        double maxSeconds = toSeconds(detectionTimes.getMaxValue());
+        measurements.add(
+                keyPrefix + "known_part",
+                detectionTimes.getTotalCount() / (double) killCount / (memberCount - 1));
+        measurements.add(keyPrefix + "known_s.p50", medianSeconds);
+        measurements.add(keyPrefix + "known_s.p99", p99Seconds);
+        measurements.add(keyPrefix + "known_s.max", maxSeconds);
+        System.out.printf(
+                Locale.ROOT,
+                "a killed member known after %.2f s (median), %.2f s (99 in 100), %.2f s (most),"
+                        + " %d notices%n",
+                medianSeconds,
+                p99Seconds,
+                maxSeconds,
+                detectionTimes.getTotalCount());
+    }
+
+    /** Measures how soon the views agree again after a partition into halves. */
     private void measurePartition(MembershipSimulation cluster, int memberCount, String keyPrefix) {
         cluster.partition(member -> member < memberCount / 2);
-        cluster.runFor(8_000_000);
+        cluster.runFor(PARTITION_MICROS);
         double bytesBefore = cluster.meanBytesSent();
         cluster.heal();
-        long agreedAfterMicros = cluster.microsUntilConverged(30_000_000);
+        long agreedAfterMicros = cluster.microsUntilConverged(MAX_HEALING_MICROS);
+        double agreedAfterSeconds = toSeconds(agreedAfterMicros);
         System.out.printf(
                 Locale.ROOT,
                 "views agree %.2f s after halves were joined again%n",
-                agreedAfterMicros / 1e6);
-        measurements.add(
-                keyPrefix + "healed_s", agreedAfterMicros < 0 ? -1 : agreedAfterMicros / 1e6);
+                agreedAfterSeconds);
+        measurements.add(keyPrefix + "healed_s", agreedAfterMicros < 0 ? -1 : agreedAfterSeconds);
         measurements.add(
                 keyPrefix + "heal_bytes_a_second",
                 agreedAfterMicros <= 0
                         ? 0
-                        : (cluster.meanBytesSent() - bytesBefore) / (agreedAfterMicros / 1e6));
+                        : (cluster.meanBytesSent() - bytesBefore) / agreedAfterSeconds);
+    }
+
+    private static double toSeconds(long micros) {
+        return micros / (double) MICROS_PER_SECOND;
     }
 
-    // The simulation's own share is in it: an upper bound of what the state machine takes.
+    // Includes the simulation itself: an upper bound of what the state machine takes.
     private static long threadCpuNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/PaperCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/PaperCommand.java
@@ -4,68 +4,70 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import loadbalancer.testbed.simulation.JsqDasExperiment;
+import loadbalancer.testbed.simulation.JsqDasExperiment.DispatchPolicy;
+import loadbalancer.testbed.simulation.JsqDasExperiment.ExperimentResult;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Plays the paper's main result again. */
+/** Reproduces the main result of the paper on JSQ-DAS. */
 @Command(
         name = "paper",
         mixinStandardHelpOptions = true,
         description =
-                "Mean response time by load, of the paper's policies and of the module as one dispatcher.")
+                "Reproduces the paper's mean response time by load, for its policies and for the"
+                        + " routing policy as a single dispatcher.",
+        exitCodeListHeading = ExitCodes.HEADING,
+        exitCodeList = {ExitCodes.OK_HELP, ExitCodes.USAGE_HELP})
 final class PaperCommand implements Callable<Integer> {
     @Option(
             names = "--servers",
             paramLabel = "K",
             defaultValue = "1000",
-            description = "Default: ${DEFAULT-VALUE}.")
+            description = "The number of servers (default: ${DEFAULT-VALUE}).")
     private int serverCount;
 
     @Option(
             names = "--jobs",
             paramLabel = "N",
             defaultValue = "300000",
-            description = "Default: ${DEFAULT-VALUE}.")
+            description = "The number of jobs of each simulation (default: ${DEFAULT-VALUE}).")
     private int jobCount;
 
     @Option(
             names = "--loads",
             split = ",",
             defaultValue = "0.2,0.4,0.6,0.8,0.9,0.95",
-            description = "λ of the paper (default: ${DEFAULT-VALUE}).")
+            description = "The loads, λ in the paper (default: ${DEFAULT-VALUE}).")
     private List<Double> loads;
 
-    @Option(
-            names = "--seed",
-            paramLabel = "N",
-            defaultValue = "1",
-            description = "Default: ${DEFAULT-VALUE}.")
-    private long seed;
+    @Mixin private SeedOption seedOption;
 
     @Override
     public Integer call() {
         for (double load : loads) {
-            StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "load %.2f", load));
-            for (JsqDasExperiment.DispatchPolicy policy :
-                    JsqDasExperiment.DispatchPolicy.values()) {
-                JsqDasExperiment.ExperimentResult outcome =
-                        new JsqDasExperiment(serverCount, load, jobCount, seed).run(policy);
-                line.append(
-                        String.format(
-                                Locale.ROOT,
-                                "  %s %.3f",
-                                policy.name().toLowerCase(Locale.ROOT),
-                                outcome.meanResponseTime()));
-                if (policy == JsqDasExperiment.DispatchPolicy.JSQ_DAS) {
-                    line.append(
-                            String.format(
-                                    Locale.ROOT,
-                                    " (%.1f%% found)",
-                                    100 * outcome.foundFastFraction()));
-                }
-            }
-            System.out.println(line);
+            System.out.println(measure(load));
+        }
+        return ExitCodes.OK;
+    }
+
+    private String measure(double load) {
+        StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "load %.2f", load));
+        for (DispatchPolicy policy : DispatchPolicy.values()) {
+            JsqDasExperiment experiment =
+                    new JsqDasExperiment(serverCount, load, jobCount, seedOption.seed);
+            line.append(format(policy, experiment.run(policy)));
+        }
+        return line.toString();
+    }
+
+    private static String format(DispatchPolicy policy, ExperimentResult result) {
+        String name = policy.name().toLowerCase(Locale.ROOT);
+        String text = String.format(Locale.ROOT, "  %s %.3f", name, result.meanResponseTime());
+        if (policy != DispatchPolicy.JSQ_DAS) {
+            return text;
         }
-        return TestbedCommand.EXIT_OK;
+        return text
+                + String.format(Locale.ROOT, " (%.1f%% found)", 100 * result.foundFastFraction());
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/ReportCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/ReportCommand.java
@@ -8,19 +8,22 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Makes a page of a run. */
+/** Writes an HTML page about a completed run. */
 @Command(
         name = "report",
         mixinStandardHelpOptions = true,
-        description = "Writes report.html, one page without network, into a run's folder.")
+        description =
+                "Writes report.html, a page without external resources, into a run's directory.",
+        exitCodeListHeading = ExitCodes.HEADING,
+        exitCodeList = {ExitCodes.OK_HELP, ExitCodes.USAGE_HELP})
 final class ReportCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "DIR", description = "The folder of a run.")
+    @Parameters(paramLabel = "DIR", description = "The directory of a run.")
     private Path runDirectory;
 
     @Override
     public Integer call() throws IOException {
         System.setProperty("java.awt.headless", "true");
         System.out.println(new HtmlReport(RunResult.read(runDirectory)).write(runDirectory));
-        return TestbedCommand.EXIT_OK;
+        return ExitCodes.OK;
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/RunCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/RunCommand.java
@@ -8,53 +8,40 @@
 import loadbalancer.testbed.statistics.RunResult;
 import loadbalancer.testbed.workload.WorkloadPlan;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Mixin;
 
-/** Plays one scenario once, with real processes. */
+/** Plays one scenario once, with real balancer processes. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
-        description =
-                "Plays a scenario with real processes. Exit: 0 every rule was kept, 1 one was broken, "
-                        + "2 wrong use, 3 the testbed was too busy to be trusted.")
+        description = "Plays a scenario with real balancer processes.",
+        exitCodeListHeading = ExitCodes.HEADING,
+        exitCodeList = {
+            ExitCodes.OK_INVARIANTS_HELP,
+            ExitCodes.VIOLATION_HELP,
+            ExitCodes.USAGE_HELP,
+            ExitCodes.UNTRUSTED_HELP
+        })
 final class RunCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "SCENARIO", description = "A scenario file (TOML).")
-    private Path scenarioFile;
-
-    @Option(
-            names = "--seed",
-            paramLabel = "N",
-            defaultValue = "1",
-            description = "Draws arrivals and faults (default: ${DEFAULT-VALUE}).")
-    private long seed;
-
-    @Option(
-            names = "--build",
-            paramLabel = "JAR",
-            description = "The balancer to play (default: balancer/target/load-balancer.jar).")
-    private Path balancerJar;
-
-    @Option(
-            names = "--out",
-            paramLabel = "DIR",
-            description = "Where logs and the result go (default: a new folder below logs/).")
-    private Path outputDirectory;
+    @Mixin private ScenarioOptions scenarioOptions;
+    @Mixin private BalancerJarOption balancerJar;
+    @Mixin private OutputDirectoryOption outputDirectory;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         WorkloadPlan workload =
-                WorkloadPlan.generate(ScenarioReader.read(scenarioFile, false), seed);
-        Path directory = TestbedCommand.createOutputDirectory(outputDirectory, "lab");
+                WorkloadPlan.generate(
+                        ScenarioReader.read(scenarioOptions.file, false), scenarioOptions.seed);
+        Path directory = outputDirectory.create("lab");
         RunResult result =
                 new ScenarioRunner(
                                 workload,
-                                TestbedCommand.balancerLaunch(balancerJar),
+                                balancerJar.launchCommand(),
                                 directory,
                                 System.out::println)
                         .run();
-        TestbedCommand.printResult(result);
+        ResultPrinter.print(result, System.out);
         System.out.println("result in " + directory);
-        return TestbedCommand.exitCode(result);
+        return ExitCodes.of(result);
     }
 }
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/ScenarioOptions.java
@@ -0,0 +1,18 @@
+package loadbalancer.testbed;
+
+import java.nio.file.Path;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/** The scenario and the seed of a command that plays one scenario. */
+final class ScenarioOptions {
+    @Parameters(index = "0", paramLabel = "SCENARIO", description = "A scenario file (TOML).")
+    Path file;
+
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "The seed of arrivals and faults (default: ${DEFAULT-VALUE}).")
+    long seed;
+}
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/SeedListOption.java
@@ -0,0 +1,15 @@
+package loadbalancer.testbed;
+
+import java.util.List;
+import picocli.CommandLine.Option;
+
+/** The seeds of a command that repeats its measurement for each of them. */
+final class SeedListOption {
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            split = ",",
+            description = "The seeds, simulated one after another (default: ${DEFAULT-VALUE}).")
+    List<Long> seeds;
+}
--- a/testbed/src/main/java/loadbalancer/testbed/SeededMeasurements.java
+++ b/testbed/src/main/java/loadbalancer/testbed/SeededMeasurements.java
@@ -1,22 +1,26 @@
 package loadbalancer.testbed;
 
 import java.io.IOException;
-import java.nio.file.Path;
 import java.util.List;
+import java.util.Locale;
 import java.util.Set;
 import java.util.TreeSet;
-import loadbalancer.testbed.docfigures.MeasurementFile;
 import loadbalancer.testbed.docfigures.RepeatedMeasurements;
-import picocli.CommandLine.Model.CommandSpec;
 
 /**
- * What a command measured, seed by seed, and the file that it goes to. The file is written after
- * each seed, so that a long call that is ended early leaves what it has. One thread.
+ * The measurements of a simulated cluster, seed by seed. The file is written after each seed, so
+ * that a long call that is interrupted leaves what it has. Not thread-safe.
  */
 final class SeededMeasurements {
     private final RepeatedMeasurements measurements = new RepeatedMeasurements();
     private final Set<Long> completedSeeds = new TreeSet<>();
 
+    /** The prefix of the keys of a cluster of that size at that loss rate of datagrams. */
+    static String keyPrefix(int memberCount, double lossRate) {
+        return String.format(Locale.ROOT, "n%d.loss%.0f.", memberCount, lossRate * 100);
+    }
+
+    /** Adds one value, in the unit that its key names. */
     void add(String key, double value) {
         measurements.add(key, value);
     }
@@ -24,17 +28,10 @@
     /**
      * Notes that a seed is done, and writes all that was measured so far.
      *
-     * @param jsonFile the file, or null where none is asked for
-     * @param commandSpec of the command, which the file names
+     * @throws IOException if the file can't be written
      */
-    void completeSeed(long seed, Path jsonFile, CommandSpec commandSpec) throws IOException {
+    void completeSeed(long seed, MeasurementFileOption file) throws IOException {
         completedSeeds.add(seed);
-        if (jsonFile != null) {
-            new MeasurementFile(
-                            TestbedCommand.commandLine(commandSpec),
-                            List.copyOf(completedSeeds),
-                            measurements.summary())
-                    .write(jsonFile);
-        }
+        file.write(List.copyOf(completedSeeds), measurements);
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/SimulationCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/SimulationCommand.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
+import java.util.function.Consumer;
 import loadbalancer.routing.RoutingEngine;
 import loadbalancer.testbed.scenario.Scenario;
 import loadbalancer.testbed.scenario.ScenarioReader;
@@ -14,107 +14,109 @@
 import loadbalancer.testbed.statistics.RunResult;
 import loadbalancer.testbed.workload.WorkloadPlan;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
 
-/** Plays one scenario in simulated time, with the module alone or with baselines beside it. */
+/** Plays one scenario in simulated time with the routing policy, and with baselines beside it. */
 @Command(
         name = "sim",
         mixinStandardHelpOptions = true,
-        description =
-                "Plays a scenario in simulated time, with the module alone. Exit: 0 every rule was kept "
-                        + "by the "
-                        + "module, 1 one was broken, 2 wrong use.")
+        description = "Plays a scenario in simulated time, with the routing policy alone.",
+        exitCodeListHeading = ExitCodes.HEADING,
+        exitCodeList = {
+            ExitCodes.OK_INVARIANTS_HELP,
+            ExitCodes.VIOLATION_HELP,
+            ExitCodes.USAGE_HELP
+        })
 final class SimulationCommand implements Callable<Integer> {
-    // The paper's p, where nothing says more
+    // The paper's p; scenarios do not set it.
     private static final double FAST_SERVER_FRACTION = 0.5;
+    // The variable by which a scenario enables zone failover in its balancers
+    private static final String ZONE_FAILOVER_VARIABLE = "TANSYFERRY_ZONES";
+    private static final String ENABLED = "on";
 
-    @Parameters(paramLabel = "SCENARIO", description = "A scenario file (TOML).")
-    private Path scenarioFile;
-
-    @Option(
-            names = "--seed",
-            paramLabel = "N",
-            defaultValue = "1",
-            description = "Draws arrivals and faults (default: ${DEFAULT-VALUE}).")
-    private long seed;
+    @Mixin private ScenarioOptions scenarioOptions;
 
     @Option(
             names = "--with-baselines",
             description =
-                    "Also plays random choice, round robin, two choices, "
-                            + "least queue and the paper's JSQ-DAS.")
+                    "Also simulates random choice, round robin, the power of two choices,"
+                            + " least queue and the paper's JSQ-DAS.")
     private boolean withBaselines;
 
     @Option(
             names = "--zones",
             description =
-                    "The modules leave zones and meet them again as wholes; else as the "
-                            + "scenario's environment says.")
+                    "Enables zone failover; otherwise the scenario's environment decides on it.")
     private boolean zoneFailover;
 
-    @Option(names = "--remarks", description = "Prints the modules' log lines.")
+    @Option(names = "--remarks", description = "Prints the log lines of the routing policies.")
     private boolean printPolicyLog;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
-            description = "Where the result goes (default: nowhere).")
+            description = "The directory of the result (default: none).")
     private Path outputDirectory;
 
     @Override
     public Integer call() throws IOException {
         ResourceUsage processUsage = new ResourceUsage();
-        Scenario scenario = ScenarioReader.read(scenarioFile, true);
-        WorkloadPlan workload = WorkloadPlan.generate(scenario, seed);
-        boolean zoneFailoverEnabled =
-                zoneFailover || "on".equals(scenario.fleet().environment().get("TANSYFERRY_ZONES"));
+        Scenario scenario = ScenarioReader.read(scenarioOptions.file, true);
+        WorkloadPlan workload = WorkloadPlan.generate(scenario, scenarioOptions.seed);
         long startNanos = System.nanoTime();
-        FleetSimulation fleet =
-                new FleetSimulation(
-                        workload,
-                        (settings, policySeed) ->
-                                new RoutingEngine(settings, policySeed, zoneFailoverEnabled),
-                        printPolicyLog ? System.out::println : line -> {});
+        FleetSimulation fleet = createSimulation(scenario, workload);
         RunResult result = fleet.run();
         System.out.printf(
                 Locale.ROOT,
                 "%s: seed %d, %d requests, simulated in %.1f s%n",
                 scenario.name(),
-                seed,
+                scenarioOptions.seed,
                 workload.arrivals().size(),
                 (System.nanoTime() - startNanos) / 1e9);
-        TestbedCommand.printResult(result);
+        ResultPrinter.print(result, System.out);
         System.out.println(
                 processUsage.simulationSummary(fleet.simulatedSeconds(), fleet.processedEvents()));
         if (withBaselines) {
             printRow("module", result);
-            List.of(BaselinePolicy.Algorithm.values())
-                    .forEach(
-                            rule ->
-                                    printRow(
-                                            rule.name().toLowerCase(Locale.ROOT),
-                                            new FleetSimulation(
-                                                            workload,
-                                                            (settings, policySeed) ->
-                                                                    new BaselinePolicy(
-                                                                            rule,
-                                                                            FAST_SERVER_FRACTION,
-                                                                            settings,
-                                                                            policySeed),
-                                                            line -> {})
-                                                    .run()));
+            simulateBaselines(workload);
         }
         if (outputDirectory != null) {
-            result.write(TestbedCommand.createOutputDirectory(outputDirectory, "sim"));
+            result.write(OutputDirectoryOption.create(outputDirectory));
+        }
+        return ExitCodes.of(result);
+    }
+
+    private FleetSimulation createSimulation(Scenario scenario, WorkloadPlan workload) {
+        boolean zoneFailoverEnabled =
+                zoneFailover
+                        || ENABLED.equals(
+                                scenario.fleet().environment().get(ZONE_FAILOVER_VARIABLE));
+        Consumer<String> policyLog = printPolicyLog ? System.out::println : line -> {};
+        return new FleetSimulation(
+                workload,
+                (settings, policySeed) ->
+                        new RoutingEngine(settings, policySeed, zoneFailoverEnabled),
+                policyLog);
+    }
+
+    private static void simulateBaselines(WorkloadPlan workload) {
+        for (BaselinePolicy.Algorithm algorithm : BaselinePolicy.Algorithm.values()) {
+            FleetSimulation baseline =
+                    new FleetSimulation(
+                            workload,
+                            (settings, policySeed) ->
+                                    new BaselinePolicy(
+                                            algorithm, FAST_SERVER_FRACTION, settings, policySeed),
+                            line -> {});
+            printRow(algorithm.name().toLowerCase(Locale.ROOT), baseline.run());
         }
-        return TestbedCommand.exitCode(result);
     }
 
     private static void printRow(String name, RunResult result) {
         System.out.printf(
                 Locale.ROOT,
-                "%-12s service %.4f, served in time %.4f, unserved %.0f, rules " + "broken %d%n",
+                "%-12s service %.4f, served in time %.4f, unserved %.0f, rules broken %d%n",
                 name,
                 result.metrics().get("service"),
                 result.metrics().get("served_share"),
--- a/testbed/src/main/java/loadbalancer/testbed/SlowStartCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/SlowStartCommand.java
@@ -7,17 +7,22 @@
 import loadbalancer.testbed.simulation.ResourceUsage;
 import loadbalancer.testbed.slowstart.SlowStartSimulation;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Counts what cold servers get from all balancers together. */
+/** Measures how many requests servers in slow start get from all balancers together. */
 @Command(
         name = "cold",
         mixinStandardHelpOptions = true,
         description =
-                "What cold servers get from many balancers together, in simulated time: under steady "
-                        + "traffic, and in a burst after a quiet time. Exit: 0, 1 where "
-                        + "one got more than N + 2 root(N) + 2 "
-                        + "in a window.")
+                "Simulates the requests that servers in slow start get from many balancers together:"
+                        + " under steady traffic, and in a burst after a quiet time.",
+        exitCodeListHeading = ExitCodes.HEADING,
+        exitCodeList = {
+            "0:No server was overloaded.",
+            "1:A server got more than N + 2 root(N) + 2 requests in a window.",
+            ExitCodes.USAGE_HELP
+        })
 final class SlowStartCommand implements Callable<Integer> {
     private static final double STEADY_SECONDS = 12;
 
@@ -26,7 +31,7 @@
             paramLabel = "N,..",
             split = ",",
             defaultValue = "20,30,100,1000",
-            description = "Default: ${DEFAULT-VALUE}.")
+            description = "The numbers of balancers (default: ${DEFAULT-VALUE}).")
     private List<Integer> balancerCounts;
 
     @Option(
@@ -34,7 +39,8 @@
             paramLabel = "N,..",
             split = ",",
             defaultValue = "4,12,100",
-            description = "Requests that a warm server can do (default: ${DEFAULT-VALUE}).")
+            description =
+                    "Requests a second that a server can do after slow start (default: ${DEFAULT-VALUE}).")
     private List<Double> warmRates;
 
     @Option(
@@ -42,29 +48,26 @@
             paramLabel = "S,..",
             split = ",",
             defaultValue = "5,14,18",
-            description = "Before the burst (default: ${DEFAULT-VALUE}).")
+            description = "Quiet seconds before the burst (default: ${DEFAULT-VALUE}).")
     private List<Double> quietSeconds;
 
     @Option(
             names = "--load",
             paramLabel = "PART",
             defaultValue = "0.9",
-            description = "Of what all servers can do when warm (default: ${DEFAULT-VALUE}).")
+            description =
+                    "The load as a fraction of the capacity of all servers (default: ${DEFAULT-VALUE}).")
     private double loadFactor;
 
     @Option(
             names = "--loss",
             paramLabel = "PART",
             defaultValue = "0",
-            description = "Of the balancers' messages (default: ${DEFAULT-VALUE}).")
+            description =
+                    "The fraction of lost messages between balancers (default: ${DEFAULT-VALUE}).")
     private double lossRate;
 
-    @Option(
-            names = "--seed",
-            paramLabel = "N",
-            defaultValue = "1",
-            description = "Default: ${DEFAULT-VALUE}.")
-    private long seed;
+    @Mixin private SeedOption seedOption;
 
     @Override
     public Integer call() {
@@ -74,21 +77,27 @@
         boolean anyOverloaded = false;
         for (double warmRate : warmRates) {
             for (int balancerCount : balancerCounts) {
-                SlowStartSimulation simulation =
-                        new SlowStartSimulation(
-                                new SlowStartSimulation.Parameters(
-                                        balancerCount, warmRate, loadFactor, lossRate),
-                                RoutingEngine::new,
-                                seed);
-                anyOverloaded |= printRow(simulation.runSteady(STEADY_SECONDS));
-                for (double seconds : quietSeconds) {
-                    anyOverloaded |= printRow(simulation.runBurst(seconds, false));
-                    anyOverloaded |= printRow(simulation.runBurst(seconds, true));
-                }
+                anyOverloaded |= measure(balancerCount, warmRate);
             }
         }
         System.out.println(processUsage.summary());
-        return anyOverloaded ? TestbedCommand.EXIT_VIOLATION : TestbedCommand.EXIT_OK;
+        return anyOverloaded ? ExitCodes.VIOLATION : ExitCodes.OK;
+    }
+
+    /** Simulates all traffic at one size, and returns whether a server was overloaded. */
+    private boolean measure(int balancerCount, double warmRate) {
+        SlowStartSimulation simulation =
+                new SlowStartSimulation(
+                        new SlowStartSimulation.Parameters(
+                                balancerCount, warmRate, loadFactor, lossRate),
+                        RoutingEngine::new,
+                        seedOption.seed);
+        boolean overloaded = printRow(simulation.runSteady(STEADY_SECONDS));
+        for (double seconds : quietSeconds) {
+            overloaded |= printRow(simulation.runBurst(seconds, false));
+            overloaded |= printRow(simulation.runBurst(seconds, true));
+        }
+        return overloaded;
     }
 
     private static boolean printRow(SlowStartSimulation.Result result) {
--- a/testbed/src/main/java/loadbalancer/testbed/SweepCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/SweepCommand.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
+import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import loadbalancer.routing.RoutingEngine;
 import loadbalancer.testbed.process.ScenarioRunner;
@@ -16,17 +17,23 @@
 import loadbalancer.testbed.statistics.RunResult;
 import loadbalancer.testbed.workload.WorkloadPlan;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
 
-/** Plays a scenario once for each value of one field. */
+/** Plays a scenario once for each value of one of its fields. */
 @Command(
         name = "sweep",
         mixinStandardHelpOptions = true,
-        description = "Plays a scenario once for each value of one of its fields. Exit as of run.")
+        description = "Plays a scenario once for each value of one of its fields.",
+        exitCodeListHeading = ExitCodes.HEADING,
+        exitCodeList = {
+            ExitCodes.OK_INVARIANTS_HELP,
+            ExitCodes.VIOLATION_HELP,
+            ExitCodes.USAGE_HELP,
+            ExitCodes.UNTRUSTED_HELP
+        })
 final class SweepCommand implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "SCENARIO", description = "A scenario file (TOML).")
-    private Path scenarioFile;
+    @Mixin private ScenarioOptions scenarioOptions;
 
     @Option(
             names = "--field",
@@ -40,70 +47,68 @@
             required = true,
             split = ",",
             paramLabel = "V",
-            description = "What it is to be.")
+            description = "The values that the field gets, one after another.")
     private List<String> values;
 
-    @Option(
-            names = "--seed",
-            paramLabel = "N",
-            defaultValue = "1",
-            description = "Draws arrivals and faults (default: ${DEFAULT-VALUE}).")
-    private long seed;
-
-    @Option(names = "--sim", description = "In simulated time.")
+    @Option(names = "--sim", description = "Simulates instead of starting processes.")
     private boolean simulated;
 
-    @Option(names = "--build", paramLabel = "JAR", description = "The balancer to play.")
-    private Path balancerJar;
-
-    @Option(names = "--out", paramLabel = "DIR", description = "Where logs and results go.")
-    private Path outputDirectory;
+    @Mixin private BalancerJarOption balancerJar;
+    @Mixin private OutputDirectoryOption outputDirectory;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        String scenarioText;
-        try {
-            scenarioText = Files.readString(scenarioFile);
-        } catch (IOException e) {
-            throw new InvalidScenarioException(
-                    scenarioFile.toString(), "", "can't be read: " + e.getMessage());
-        }
-        Path directory = TestbedCommand.createOutputDirectory(outputDirectory, "sweep");
-        int exitCode = TestbedCommand.EXIT_OK;
+        String scenarioText = readScenarioText();
+        Path directory = outputDirectory.create("sweep");
+        int exitCode = ExitCodes.OK;
         for (String value : values) {
-            Scenario scenario =
-                    ScenarioReader.parse(
-                            scenarioFile + " with " + field + " = " + value,
-                            withFieldSet(scenarioText, value),
-                            simulated);
-            WorkloadPlan workload = WorkloadPlan.generate(scenario, seed);
-            RunResult result =
-                    simulated
-                            ? new FleetSimulation(workload, RoutingEngine::new, line -> {}).run()
-                            : new ScenarioRunner(
-                                            workload,
-                                            TestbedCommand.balancerLaunch(balancerJar),
-                                            TestbedCommand.createOutputDirectory(
-                                                    directory.resolve(value), ""),
-                                            line -> {})
-                                    .run();
-            result.write(TestbedCommand.createOutputDirectory(directory.resolve(value), ""));
-            exitCode = Math.max(exitCode, TestbedCommand.exitCode(result));
+            RunResult result = play(withFieldSet(scenarioText, value), value, directory);
+            result.write(OutputDirectoryOption.create(directory.resolve(value)));
+            exitCode = Math.max(exitCode, ExitCodes.of(result));
             System.out.printf(
-                    Locale.ROOT,
-                    "%s = %s: %s%s%n",
-                    field,
-                    value,
-                    result.metrics(),
-                    result.violationCount() > 0
-                            ? ", " + result.violationCount() + " rules broken"
-                            : result.trusted() ? "" : ", not to be trusted");
+                    Locale.ROOT, "%s = %s: %s%s%n", field, value, result.metrics(), remark(result));
         }
         System.out.println("results in " + directory);
         return exitCode;
     }
 
-    // The field's first line in its table; what the file does not set can't be swept.
+    private String readScenarioText() {
+        try {
+            return Files.readString(scenarioOptions.file);
+        } catch (IOException e) {
+            throw new InvalidScenarioException(
+                    scenarioOptions.file.toString(), "", "can't be read: " + e.getMessage());
+        }
+    }
+
+    private RunResult play(String scenarioText, String value, Path directory)
+            throws IOException, InterruptedException {
+        String origin = scenarioOptions.file + " with " + field + " = " + value;
+        Scenario scenario = ScenarioReader.parse(origin, scenarioText, simulated);
+        WorkloadPlan workload = WorkloadPlan.generate(scenario, scenarioOptions.seed);
+        if (simulated) {
+            return new FleetSimulation(workload, RoutingEngine::new, line -> {}).run();
+        }
+        return new ScenarioRunner(
+                        workload,
+                        balancerJar.launchCommand(),
+                        OutputDirectoryOption.create(directory.resolve(value)),
+                        line -> {})
+                .run();
+    }
+
+    private static String remark(RunResult result) {
+        if (result.violationCount() > 0) {
+            return ", " + result.violationCount() + " rules broken";
+        }
+        return result.trusted() ? "" : ", not to be trusted";
+    }
+
+    /**
+     * The scenario's text with another value on the first line of the field in its table.
+     *
+     * @throws InvalidScenarioException if the file does not set the field
+     */
     private String withFieldSet(String scenarioText, String value) {
         int lastDot = field.lastIndexOf('.');
         String tablePattern =
@@ -117,10 +122,10 @@
                                 + "^"
                                 + Pattern.quote(field.substring(lastDot + 1))
                                 + "\\s*=\\s*)[^\\n]*");
-        var matcher = linePattern.matcher(scenarioText);
+        Matcher matcher = linePattern.matcher(scenarioText);
         if (!matcher.find()) {
             throw new InvalidScenarioException(
-                    scenarioFile.toString(), field, "the file does not set it");
+                    scenarioOptions.file.toString(), field, "the file does not set it");
         }
         return scenarioText.substring(0, matcher.end(1))
                 + value
--- a/testbed/src/main/java/loadbalancer/testbed/TestbedCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/TestbedCommand.java
@@ -1,24 +1,23 @@
 package loadbalancer.testbed;
 
 import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.time.LocalDateTime;
-import java.time.ZoneId;
-import java.time.format.DateTimeFormatter;
-import java.util.Locale;
-import loadbalancer.testbed.process.LaunchCommand;
 import loadbalancer.testbed.scenario.InvalidScenarioException;
-import loadbalancer.testbed.statistics.RunResult;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.ParseResult;
 
-/** The proving ground's command line. */
+/**
+ * The command line of the testbed. An {@link IOException} or {@link InvalidScenarioException} of a
+ * command is printed as one line and ends the program with {@link ExitCodes#USAGE}; any other
+ * exception is a bug and printed with its stack trace.
+ */
 @Command(
-        name = "testbed",
+        name = TestbedCommand.NAME,
         mixinStandardHelpOptions = true,
         version = "0.1.0",
-        description = "Plays fleets of real balancers against stand-ins, with faults between them.",
+        description =
+                "Plays fleets of real or simulated balancers against emulated clients and upstreams,"
+                        + " with faults between them.",
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
             RunCommand.class,
@@ -35,113 +34,29 @@
             DocFiguresCommand.class
         })
 public final class TestbedCommand {
-    /** What a command ends with: all was kept. */
-    static final int EXIT_OK = 0;
-
-    /** A rule was broken. */
-    static final int EXIT_VIOLATION = 1;
-
-    /** Wrong arguments, or a file that can't be used. */
-    static final int EXIT_USAGE = 2;
-
-    /** The machine was too busy for the result to be trusted. */
-    static final int EXIT_UNTRUSTED = 3;
+    static final String NAME = "testbed";
 
     private TestbedCommand() {}
 
+    /** Runs one command and exits with its {@linkplain ExitCodes code}. */
     public static void main(String[] arguments) {
         System.exit(run(arguments));
     }
 
     static int run(String... arguments) {
         return new CommandLine(new TestbedCommand())
-                .setExecutionExceptionHandler(
-                        (failure, commandLine, parseResult) -> {
-                            if (!(failure instanceof InvalidScenarioException)
-                                    && !(failure instanceof IOException)) {
-                                throw failure;
-                            }
-                            commandLine.getErr().println("testbed: " + failure.getMessage());
-                            return EXIT_USAGE;
-                        })
+                .setExecutionExceptionHandler(TestbedCommand::handleException)
                 .execute(arguments);
     }
 
-    /** The command as it was called, for whoever wants to call it again. */
-    static String commandLine(CommandLine.Model.CommandSpec commandSpec) {
-        return "testbed "
-                + String.join(
-                        " ", commandSpec.root().commandLine().getParseResult().originalArgs());
-    }
-
-    /** How the balancers of that jar are started; null: the jar that the build leaves. */
-    static LaunchCommand balancerLaunch(Path jar) throws IOException {
-        Path deployFile = LaunchCommand.findDeployFile();
-        Path projectRoot = deployFile.getParent().getParent();
-        return LaunchCommand.fromDeployFile(
-                deployFile,
-                jar != null ? jar : projectRoot.resolve("balancer/target/load-balancer.jar"));
-    }
-
-    /** The requested directory, or a new one below {@code logs/} named after the time; created. */
-    static Path createOutputDirectory(Path requested, String prefix) throws IOException {
-        Path directory =
-                requested != null
-                        ? requested
-                        : Path.of(
-                                "logs",
-                                prefix
-                                        + "-"
-                                        + DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmssSSS")
-                                                .format(LocalDateTime.now(ZoneId.systemDefault())));
-        return Files.createDirectories(directory).toAbsolutePath();
-    }
-
-    static int exitCode(RunResult result) {
-        return result.violationCount() > 0
-                ? EXIT_VIOLATION
-                : result.trusted() ? EXIT_OK : EXIT_UNTRUSTED;
-    }
-
-    static void printResult(RunResult result) {
-        result.latencies()
-                .forEach(
-                        (name, latency) ->
-                                System.out.printf(
-                                        Locale.ROOT,
-                                        "%-20s %7d served, median %.1f ms, 99th "
-                                                + "percentile %.1f ms, most %.1f ms%n",
-                                        name,
-                                        latency.count(),
-                                        latency.p50Ms(),
-                                        latency.p99Ms(),
-                                        latency.maxMs()));
-        result.faults()
-                .forEach(
-                        fault ->
-                                System.out.printf(
-                                        Locale.ROOT,
-                                        "%-40s at %.1f s: %s, %d unserved in 10 s%n",
-                                        fault.description(),
-                                        fault.startSeconds(),
-                                        fault.recoverySeconds() < 0
-                                                ? "not back"
-                                                : String.format(
-                                                        Locale.ROOT,
-                                                        "back after %.1f s",
-                                                        fault.recoverySeconds()),
-                                        fault.unservedCount()));
-        result.metrics()
-                .forEach(
-                        (name, value) ->
-                                System.out.printf(Locale.ROOT, "%-24s %.4f%n", name, value));
-        result.violations().stream().limit(5).forEach(System.out::println);
-        System.out.println(
-                result.violationCount() == 0
-                        ? "every rule was kept"
-                        : result.violationCount() + " rules broken");
-        if (!result.trusted()) {
-            System.out.println("this run counts for nothing: " + result.untrustedReason());
+    private static int handleException(
+            Exception exception, CommandLine commandLine, ParseResult parseResult)
+            throws Exception {
+        if (!(exception instanceof InvalidScenarioException)
+                && !(exception instanceof IOException)) {
+            throw exception;
         }
+        commandLine.getErr().println(NAME + ": " + exception.getMessage());
+        return ExitCodes.USAGE;
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancers.java
@@ -1,20 +1,26 @@
 package loadbalancer.testbed.capacity;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
+import java.util.function.ToLongBiFunction;
 import java.util.function.ToLongFunction;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import loadbalancer.testbed.emulation.Json;
+import loadbalancer.testbed.emulation.LoopbackAddresses;
+import loadbalancer.testbed.process.BalancerEnvironment;
 import loadbalancer.testbed.process.LaunchCommand;
 import loadbalancer.testbed.workload.RandomStreams;
 
@@ -46,11 +52,7 @@
             throws IOException {
         this.fleet = fleet;
         firstBalancer = fleetSpec.balancers() - count;
-        Path projectRoot = LaunchCommand.findDeployFile().getParent().getParent();
-        LaunchCommand launchCommand =
-                LaunchCommand.fromDeployFile(
-                        LaunchCommand.findDeployFile(),
-                        projectRoot.resolve("balancer/target/load-balancer.jar"));
+        LaunchCommand launchCommand = LaunchCommand.forProjectBuild();
         directory = Files.createTempDirectory("capacity");
         discovery =
                 new StaticDiscoveryServer(Json.write(RealBalancerConfig.endpointList(fleetSpec)));
@@ -68,7 +70,7 @@
                 IntStream.range(0, fleetSpec.balancers())
                         .mapToObj(
                                 peer ->
-                                        formatAddress(
+                                        LoopbackAddresses.format(
                                                 peer == balancer
                                                         ? peerListenAddress
                                                         : fleet.relay().relayAddress(peer)))
@@ -81,20 +83,18 @@
                                 fleetSpec,
                                 balancer,
                                 RandomStreams.seedFor(seed, "real " + balancer),
-                                formatAddress(findFreeTcpPort()),
-                                formatAddress(discovery.address()),
-                                formatAddress(peerListenAddress),
+                                LoopbackAddresses.format(findFreeTcpPort()),
+                                LoopbackAddresses.format(discovery.address()),
+                                LoopbackAddresses.format(peerListenAddress),
                                 peers,
-                                formatAddress(fleet.relay().broadcastAddress()))));
+                                LoopbackAddresses.format(fleet.relay().broadcastAddress()))));
         ProcessBuilder processBuilder =
                 new ProcessBuilder(launchCommand.command())
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .redirectError(directory.resolve("n" + balancer + ".log").toFile());
-        Map<String, String> environment = processBuilder.environment();
-        environment.keySet().retainAll(List.of("PATH", "HOME", "LANG", "JAVA_HOME"));
-        environment.put("ROUTER_NAME", "n" + balancer);
-        environment.put("ROUTER_CONFIG", configFile.toString());
-        environment.put("TMPDIR", directory.toString());
+        Map<String, String> environment =
+                BalancerEnvironment.configure(
+                        processBuilder, "n" + balancer, configFile, directory);
         environment.put(
                 "TANSYFERRY_MEMBERSHIP",
                 fleetSpec.components().contains(BalancerComponent.MEMBERSHIP) ? "on" : "off");
@@ -104,10 +104,6 @@
         processes.add(processBuilder.start());
     }
 
-    private static String formatAddress(InetSocketAddress address) {
-        return address.getAddress().getHostAddress() + ":" + address.getPort();
-    }
-
     private static InetSocketAddress findFreeTcpPort() throws IOException {
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return (InetSocketAddress) probe.getLocalSocketAddress();
@@ -141,7 +137,7 @@
                 IntStream.range(firstBalancer, firstBalancer + processes.size())
                         .mapToObj(fleet.relay()::counters)
                         .toList();
-        Map<String, Double> metrics = new java.util.TreeMap<>();
+        Map<String, Double> metrics = new TreeMap<>();
         metrics.put("real.count", (double) processes.size());
         metrics.put(
                 "real.cpu.shareOfCore.total",
@@ -151,44 +147,33 @@
                 meanIncrease(loopCpuBaselineNanos, RealBalancers::loopCpuNanos) / 1e9 / seconds);
         for (CostCategory category :
                 List.of(CostCategory.GOSSIP, CostCategory.MEMBERSHIP, CostCategory.LEASES)) {
-            metrics.put(
-                    "real.sent.bytesPerSecond." + category.key(),
-                    counters.stream()
-                                    .mapToDouble(
-                                            balancerCounters ->
-                                                    balancerCounters.sentBytes(category))
-                                    .average()
-                                    .orElse(0)
-                            / seconds);
-            metrics.put(
-                    "real.received.bytesPerSecond." + category.key(),
-                    counters.stream()
-                                    .mapToDouble(
-                                            balancerCounters ->
-                                                    balancerCounters.receivedBytes(category))
-                                    .average()
-                                    .orElse(0)
-                            / seconds);
-            metrics.put(
-                    "real.sent.datagramsPerSecond." + category.key(),
-                    counters.stream()
-                                    .mapToDouble(
-                                            balancerCounters -> balancerCounters.sent(category))
-                                    .average()
-                                    .orElse(0)
-                            / seconds);
-            metrics.put(
-                    "real.received.datagramsPerSecond." + category.key(),
-                    counters.stream()
-                                    .mapToDouble(
-                                            balancerCounters -> balancerCounters.received(category))
-                                    .average()
-                                    .orElse(0)
-                            / seconds);
+            Rates rates = new Rates(counters, category, seconds, metrics);
+            rates.put("sent.bytesPerSecond", CostCounters::sentBytes);
+            rates.put("received.bytesPerSecond", CostCounters::receivedBytes);
+            rates.put("sent.datagramsPerSecond", CostCounters::sent);
+            rates.put("received.datagramsPerSecond", CostCounters::received);
         }
         return metrics;
     }
 
+    /** Adds mean rates of one category of datagrams to {@code metrics}. */
+    private record Rates(
+            List<CostCounters> counters,
+            CostCategory category,
+            double seconds,
+            Map<String, Double> metrics) {
+        void put(String name, ToLongBiFunction<CostCounters, CostCategory> counter) {
+            double mean =
+                    counters.stream()
+                            .mapToDouble(
+                                    balancerCounters ->
+                                            counter.applyAsLong(balancerCounters, category))
+                            .average()
+                            .orElse(0);
+            metrics.put("real." + name + "." + category.key(), mean / seconds);
+        }
+    }
+
     private double meanIncrease(long[] baselineNanos, ToLongFunction<Process> currentNanos) {
         return IntStream.range(0, baselineNanos.length)
                 .mapToDouble(i -> currentNanos.applyAsLong(processes.get(i)) - baselineNanos[i])
@@ -198,7 +183,7 @@
 
     // ns, in hundredths of a second; threads that have ended, as compilers do, count.
     private static long cpuNanos(Process process) {
-        return process.info().totalCpuDuration().map(java.time.Duration::toNanos).orElse(0L);
+        return process.info().totalCpuDuration().map(Duration::toNanos).orElse(0L);
     }
 
     // ns that its event loop had a core.
@@ -238,7 +223,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
+            throw new UncheckedIOException(e);
         }
         Runtime.getRuntime().removeShutdownHook(shutdownHook);
         discovery.close();
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
@@ -17,6 +17,7 @@
 import java.util.regex.Pattern;
 import loadbalancer.testbed.emulation.Json;
 import loadbalancer.testbed.emulation.LoopbackAddresses;
+import loadbalancer.testbed.process.BalancerEnvironment;
 import loadbalancer.testbed.process.LaunchCommand;
 import loadbalancer.testbed.process.ProcessMetrics;
 import loadbalancer.testbed.process.ProcessSpawner;
@@ -33,8 +34,6 @@
     private static final Pattern HEAP_USED_PATTERN =
             Pattern.compile("(?:new|tenured) generation\\s+total \\d+K, used (\\d+)K");
 
-    private static final String STATE_DIR_VARIABLE = "TANSYFERRY_STATE_DIR";
-
     private final Process process;
     private final long startNanos = System.nanoTime();
     private final InetSocketAddress listenAddress;
@@ -87,15 +86,18 @@
                 new ProcessBuilder()
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .redirectError(logFile.toFile());
-        Map<String, String> environment = processBuilder.environment();
-        environment.keySet().retainAll(List.of("PATH", "HOME", "LANG", "JAVA_HOME"));
-        environment.put("ROUTER_NAME", "n0");
-        environment.put("ROUTER_CONFIG", configFile.toString());
-        environment.put("TMPDIR", Files.createDirectories(directory.resolve("tmp")).toString());
+        Map<String, String> environment =
+                BalancerEnvironment.configure(
+                        processBuilder,
+                        "n0",
+                        configFile,
+                        Files.createDirectories(directory.resolve("tmp")));
         environment.putAll(ownEnvironment);
         stateDirectory = directory.resolve("state");
-        if (ownEnvironment.containsKey(STATE_DIR_VARIABLE)) {
-            environment.put(STATE_DIR_VARIABLE, Files.createDirectories(stateDirectory).toString());
+        if (ownEnvironment.containsKey(BalancerEnvironment.STATE_DIRECTORY_VARIABLE)) {
+            environment.put(
+                    BalancerEnvironment.STATE_DIRECTORY_VARIABLE,
+                    Files.createDirectories(stateDirectory).toString());
         }
         List<String> command = new ArrayList<>(launchCommand.command());
         int jarOption = command.indexOf("-jar");
--- a/testbed/src/main/java/loadbalancer/testbed/process/LaunchCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/LaunchCommand.java
@@ -14,6 +14,9 @@
  * is one.
  */
 public record LaunchCommand(List<String> command) {
+    /** The jar of the project's build, relative to the project's root. */
+    public static final String DEFAULT_JAR = "balancer/target/load-balancer.jar";
+
     private static final String ARCHIVE_OPTION = "-XX:SharedArchiveFile=";
 
     public LaunchCommand {
@@ -21,11 +24,30 @@
     }
 
     /**
-     * Reads the deploy file.
+     * The command that starts a balancer from the jar of the project's build.
+     *
+     * @throws IOException if the deploy file or the jar can't be read
+     */
+    public static LaunchCommand forProjectBuild() throws IOException {
+        Path projectRoot = findDeployFile().getParent().getParent();
+        return forJar(projectRoot.resolve(DEFAULT_JAR));
+    }
+
+    /**
+     * The command that starts a balancer from {@code jar}, by the deploy file of this project.
+     *
+     * @throws IOException if the deploy file or the jar can't be read
+     */
+    public static LaunchCommand forJar(Path jar) throws IOException {
+        return fromDeployFile(findDeployFile(), jar);
+    }
+
+    /**
+     * Reads the command from a deploy file and puts {@code jar} into it.
      *
-     * @throws IOException where it or the jar can't be read, with a message that says which
+     * @throws IOException if the deploy file or the jar can't be read, with a message that names it
      */
-    public static LaunchCommand fromDeployFile(Path deployFile, Path jar) throws IOException {
+    static LaunchCommand fromDeployFile(Path deployFile, Path jar) throws IOException {
         JsonNode runNode = new TomlMapper().readTree(Files.readString(deployFile)).get("run");
         if (runNode == null || !runNode.isTextual()) {
             throw new IOException(deployFile + " has no run");
@@ -54,8 +76,8 @@
         return new LaunchCommand(command);
     }
 
-    /** The deploy file of the tree that holds this folder. */
-    public static Path findDeployFile() throws IOException {
+    /** The deploy file in the working directory or the nearest directory above that has one. */
+    static Path findDeployFile() throws IOException {
         for (Path directory = Path.of("").toAbsolutePath();
                 directory != null;
                 directory = directory.getParent()) {
--- a/testbed/src/main/java/loadbalancer/testbed/process/ProcessFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ProcessFleet.java
@@ -1,12 +1,12 @@
 package loadbalancer.testbed.process;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.Callable;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
@@ -15,6 +15,7 @@
 import java.util.function.ObjIntConsumer;
 import loadbalancer.testbed.emulation.EmulatedEnvironment;
 import loadbalancer.testbed.emulation.Emulation;
+import loadbalancer.testbed.emulation.Json;
 import loadbalancer.testbed.invariant.RunInvariant;
 import loadbalancer.testbed.scenario.FaultKind;
 import loadbalancer.testbed.scenario.Scenario;
@@ -30,7 +31,10 @@
     private static final long SAMPLE_INTERVAL_MS = 250;
     // From SIGTERM: the longest deadline and 0.7 s
     private static final long SHUTDOWN_TIMEOUT_MS = 3_700;
-    private static final String STATE_DIR_VARIABLE = "TANSYFERRY_STATE_DIR";
+    private static final long EVENT_LOOP_TIMEOUT_SECONDS = 10;
+    private static final String SHUTDOWN_INVARIANT = "an orderly end";
+    private static final String ENDED_AS_EXPECTED = "ended as asked";
+    private static final String CRASHED = "crashed";
 
     private final Emulation emulation;
     private final EmulatedEnvironment environment;
@@ -38,7 +42,7 @@
     private final Path outputDirectory;
     private final Scenario scenario;
     private final StateDirectories stateDirectories;
-    private final List<RunInvariant> properties;
+    private final List<RunInvariant> invariants;
     private final ProcessSpawner spawner = new ProcessSpawner();
     private final ScheduledExecutorService executor =
             Executors.newSingleThreadScheduledExecutor(
@@ -52,15 +56,18 @@
     private boolean limitExceeded;
 
     /**
-     * Creates a fleet without processes; {@code properties} are notified of events and log lines.
+     * Creates a fleet without processes.
+     *
+     * @param outputDirectory for configurations, logs, temporary files and state directories
+     * @param invariants are notified of events and log lines, on the emulation's event loop
      */
     public ProcessFleet(
             Emulation emulation,
             EmulatedEnvironment environment,
             LaunchCommand launchCommand,
             Path outputDirectory,
-            List<RunInvariant> properties) {
-        this.properties = List.copyOf(properties);
+            List<RunInvariant> invariants) {
+        this.invariants = List.copyOf(invariants);
         this.emulation = emulation;
         this.environment = environment;
         this.launchCommand = launchCommand;
@@ -68,33 +75,39 @@
         this.scenario = emulation.scenario();
         this.stateDirectories = new StateDirectories(outputDirectory.resolve("state"));
         for (int balancer = 0; balancer < scenario.fleet().balancers(); balancer++) {
-            int balancerNumber = balancer;
+            int number = balancer;
             balancers.add(
                     new BalancerProcess(
-                            balancer,
-                            outputDirectory.resolve("n" + balancer + ".log"),
+                            number,
+                            outputDirectory.resolve("n" + number + ".log"),
                             emulation::nowMicros,
-                            (atMicros, line) ->
-                                    emulation
-                                            .eventLoop()
-                                            .execute(
-                                                    () ->
-                                                            properties.forEach(
-                                                                    property ->
-                                                                            property.onLogLine(
-                                                                                    balancerNumber,
-                                                                                    atMicros,
-                                                                                    line)))));
+                            (atMicros, line) -> onLogLine(number, atMicros, line)));
         }
         startCounts = new int[balancers.size()];
     }
 
+    /** Called on the threads that read logs; invariants are notified on the event loop. */
+    private void onLogLine(int balancer, long atMicros, String line) {
+        emulation
+                .eventLoop()
+                .execute(
+                        () ->
+                                invariants.forEach(
+                                        invariant ->
+                                                invariant.onLogLine(balancer, atMicros, line)));
+    }
+
     /** The balancers by number. */
     public List<BalancerProcess> balancers() {
         return balancers;
     }
 
-    /** Starts all, together or in step; returns once they run, before they are ready. */
+    /**
+     * Starts all processes, together or one after another as the scenario says, and begins to
+     * sample their resource usage. Returns when they run, before they are ready.
+     *
+     * @throws IOException if a process can't be started
+     */
     public void startAll() throws IOException, InterruptedException {
         for (BalancerProcess balancer : balancers) {
             start(balancer);
@@ -120,20 +133,17 @@
                         "balancer " + number + " start " + startCounts[number]++);
         Files.writeString(
                 configFile,
-                new ObjectMapper()
-                        .writeValueAsString(
-                                callOnEventLoop(() -> environment.configuration(number, seed))));
+                Json.write(callOnEventLoop(() -> environment.configuration(number, seed))));
         ProcessBuilder builder =
                 new ProcessBuilder().redirectOutput(ProcessBuilder.Redirect.DISCARD);
-        Map<String, String> variables = builder.environment();
-        variables.keySet().retainAll(List.of("PATH", "HOME", "LANG", "JAVA_HOME"));
-        variables.put("ROUTER_NAME", "n" + number);
-        variables.put("ROUTER_CONFIG", configFile.toString());
-        variables.put("TMPDIR", tempDirectory.toString());
+        Map<String, String> variables =
+                BalancerEnvironment.configure(builder, "n" + number, configFile, tempDirectory);
         variables.putAll(scenario.fleet().environment());
         if (scenario.fleet().stateDir()) {
             stateDirectories.backUp(number);
-            variables.put(STATE_DIR_VARIABLE, stateDirectories.directoryOf(number).toString());
+            variables.put(
+                    BalancerEnvironment.STATE_DIRECTORY_VARIABLE,
+                    stateDirectories.directoryOf(number).toString());
         }
         Process process =
                 spawner.start(launchCommand.command(), scenario.fleet().sockets(), builder);
@@ -141,21 +151,21 @@
         process.onExit().thenAccept(ended -> onEnded(balancer, ended));
     }
 
-    // Later, on the event loop that the invariants belong to
+    /** Records a violation on the emulation's event loop, after this method has returned. */
+    private void recordViolationLater(String rule, String description) {
+        emulation.eventLoop().execute(() -> recordViolation(rule, description));
+    }
+
     private void recordViolation(String rule, String description) {
-        emulation
-                .eventLoop()
-                .execute(
-                        () ->
-                                emulation
-                                        .invariants()
-                                        .recordViolation(
-                                                rule, emulation.nowMicros(), null, description));
+        emulation.invariants().recordViolation(rule, emulation.nowMicros(), null, description);
     }
 
-    private <T> T callOnEventLoop(java.util.concurrent.Callable<T> work) throws IOException {
+    private <T> T callOnEventLoop(Callable<T> work) throws IOException {
         try {
-            return emulation.eventLoop().submit(work).get(10, TimeUnit.SECONDS);
+            return emulation
+                    .eventLoop()
+                    .submit(work)
+                    .get(EVENT_LOOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException(e);
@@ -164,6 +174,10 @@
         }
     }
 
+    private void runOnEventLoop(Runnable work) throws IOException {
+        callOnEventLoop(Executors.callable(work));
+    }
+
     private static Path createEmptyDirectory(Path directory) throws IOException {
         Files.createDirectories(directory);
         try (var files = Files.list(directory)) {
@@ -177,15 +191,15 @@
     private void onEnded(BalancerProcess balancer, Process process) {
         boolean expected = balancer.expectedToEnd();
         int exitCode = process.exitValue();
-        balancer.onEnded(expected ? "ended as asked" : "crashed");
+        balancer.onEnded(expected ? ENDED_AS_EXPECTED : CRASHED);
         if (!expected) {
-            recordViolation(
+            recordViolationLater(
                     "no crash",
                     "n" + balancer.number() + " ended by itself with exit code " + exitCode);
         }
     }
 
-    /** Schedules the begin and the end of each fault of the plan that concerns processes. */
+    /** Schedules the start and the end of each fault of the plan that concerns processes. */
     public void scheduleFaults() {
         for (WorkloadPlan.Fault fault : emulation.plan().faults()) {
             if (fault.kind() != FaultKind.KILL
@@ -210,7 +224,7 @@
                     try {
                         action.run();
                     } catch (IOException | RuntimeException e) {
-                        recordViolation("testbed", "a fault could not be played: " + e);
+                        recordViolationLater("testbed", "a fault could not be played: " + e);
                     }
                 },
                 Math.max(0, atMicros - emulation.nowMicros()),
@@ -222,34 +236,26 @@
         List<Process> processes = targets.stream().map(BalancerProcess::process).toList();
         if (fault.kind() == FaultKind.TERM) {
             targets.forEach(BalancerProcess::expectEnd);
-            callOnEventLoop(
-                    () ->
-                            notifyProperties(
-                                    targets,
-                                    (property, balancer) ->
-                                            property.onProcessStopped(
-                                                    balancer, emulation.nowMicros(), true)));
+            notifyInvariants(
+                    targets,
+                    (invariant, balancer) ->
+                            invariant.onProcessStopped(balancer, emulation.nowMicros(), true));
             ProcessSpawner.signal("TERM", processes);
             processes.forEach(this::enforceShutdownTimeout);
             return;
         }
         // Before the signal, since the balancer is excused from what happens after it.
-        callOnEventLoop(
+        boolean paused = fault.kind() == FaultKind.PAUSE;
+        runOnEventLoop(
                 () -> {
-                    targets.forEach(
-                            balancer ->
-                                    emulation
-                                            .invariants()
-                                            .outageStarted(
-                                                    balancer.number(), emulation.nowMicros()));
-                    boolean paused = fault.kind() == FaultKind.PAUSE;
-                    return notifyProperties(
+                    startOutages(targets);
+                    notifyInvariantsNow(
                             targets,
-                            (property, balancer) -> {
+                            (invariant, balancer) -> {
                                 if (paused) {
-                                    property.onPauseChanged(balancer, emulation.nowMicros(), true);
+                                    invariant.onPauseChanged(balancer, emulation.nowMicros(), true);
                                 } else {
-                                    property.onProcessStopped(
+                                    invariant.onProcessStopped(
                                             balancer, emulation.nowMicros(), false);
                                 }
                             });
@@ -266,41 +272,40 @@
         List<BalancerProcess> targets = fault.balancers().stream().map(balancers::get).toList();
         if (fault.kind() == FaultKind.PAUSE) {
             ProcessSpawner.signal("CONT", targets.stream().map(BalancerProcess::process).toList());
-            callOnEventLoop(
-                    () ->
-                            notifyProperties(
-                                    targets,
-                                    (property, balancer) ->
-                                            property.onPauseChanged(
-                                                    balancer, emulation.nowMicros(), false)));
+            notifyInvariants(
+                    targets,
+                    (invariant, balancer) ->
+                            invariant.onPauseChanged(balancer, emulation.nowMicros(), false));
         } else {
             for (BalancerProcess balancer : targets) {
-                awaitEnd(balancer);
-                if (scenario.fleet().stateDir()) {
-                    stateDirectories.applyStateChange(
-                            balancer.number(),
-                            fault.spec().stateChange(),
-                            fault.spec().byteOffset());
-                }
-                callOnEventLoop(
-                        () ->
-                                notifyProperties(
-                                        List.of(balancer),
-                                        (property, number) ->
-                                                property.onProcessStarted(
-                                                        number, emulation.nowMicros())));
-                start(balancer);
+                restart(balancer, fault);
             }
         }
-        callOnEventLoop(
-                () -> {
-                    targets.forEach(
-                            balancer ->
-                                    emulation
-                                            .invariants()
-                                            .outageEnded(balancer.number(), emulation.nowMicros()));
-                    return null;
-                });
+        runOnEventLoop(() -> endOutages(targets));
+    }
+
+    private void restart(BalancerProcess balancer, WorkloadPlan.Fault fault) throws IOException {
+        awaitEnd(balancer);
+        if (scenario.fleet().stateDir()) {
+            stateDirectories.applyStateChange(
+                    balancer.number(), fault.spec().stateChange(), fault.spec().byteOffset());
+        }
+        notifyInvariants(
+                List.of(balancer),
+                (invariant, number) -> invariant.onProcessStarted(number, emulation.nowMicros()));
+        start(balancer);
+    }
+
+    private void startOutages(List<BalancerProcess> targets) {
+        for (BalancerProcess balancer : targets) {
+            emulation.invariants().outageStarted(balancer.number(), emulation.nowMicros());
+        }
+    }
+
+    private void endOutages(List<BalancerProcess> targets) {
+        for (BalancerProcess balancer : targets) {
+            emulation.invariants().outageEnded(balancer.number(), emulation.nowMicros());
+        }
     }
 
     // On a busy machine a killed process ends some time after the signal.
@@ -316,13 +321,20 @@
         }
     }
 
-    private Void notifyProperties(
+    /** Notifies every invariant of each target, on the event loop, and waits until it is done. */
+    private void notifyInvariants(
+            List<BalancerProcess> targets, ObjIntConsumer<RunInvariant> notification)
+            throws IOException {
+        runOnEventLoop(() -> notifyInvariantsNow(targets, notification));
+    }
+
+    private void notifyInvariantsNow(
             List<BalancerProcess> targets, ObjIntConsumer<RunInvariant> notification) {
-        targets.forEach(
-                balancer ->
-                        properties.forEach(
-                                property -> notification.accept(property, balancer.number())));
-        return null;
+        for (BalancerProcess balancer : targets) {
+            for (RunInvariant invariant : invariants) {
+                notification.accept(invariant, balancer.number());
+            }
+        }
     }
 
     private void enforceShutdownTimeout(Process process) {
@@ -330,8 +342,8 @@
                 () -> {
                     if (process.isAlive()) {
                         process.destroyForcibly();
-                        recordViolation(
-                                "an orderly end",
+                        recordViolationLater(
+                                SHUTDOWN_INVARIANT,
                                 "a process still ran " + SHUTDOWN_TIMEOUT_MS + " ms after SIGTERM");
                     }
                 },
@@ -347,7 +359,7 @@
                     && (memoryMb > scenario.fleet().memoryMb()
                             || balancer.peakDescriptors() > scenario.fleet().sockets())) {
                 limitExceeded = true;
-                recordViolation(
+                recordViolationLater(
                         "limits",
                         "n"
                                 + balancer.number()
@@ -361,7 +373,10 @@
     }
 
     /**
-     * Sends SIGTERM to all that run; returns when all have ended, killed if they did not in time.
+     * Sends SIGTERM to all processes that run, and returns when all have ended. Those that exceed
+     * the timeout are killed, which is a violation.
+     *
+     * @throws IOException if the signal can't be sent
      */
     public void stopAll() throws IOException, InterruptedException {
         List<BalancerProcess> running =
@@ -379,32 +394,24 @@
             if (!process.waitFor(
                     Math.max(0, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS)) {
                 process.destroyForcibly().waitFor();
-                emulation
-                        .invariants()
-                        .recordViolation(
-                                "an orderly end",
-                                emulation.nowMicros(),
-                                null,
-                                "n"
-                                        + balancer.number()
-                                        + " still ran "
-                                        + SHUTDOWN_TIMEOUT_MS
-                                        + " ms after SIGTERM");
+                recordViolation(
+                        SHUTDOWN_INVARIANT,
+                        "n"
+                                + balancer.number()
+                                + " still ran "
+                                + SHUTDOWN_TIMEOUT_MS
+                                + " ms after SIGTERM");
             } else if (process.exitValue() != 0) {
-                emulation
-                        .invariants()
-                        .recordViolation(
-                                "an orderly end",
-                                emulation.nowMicros(),
-                                null,
-                                "n"
-                                        + balancer.number()
-                                        + " ended with exit code "
-                                        + process.exitValue()
-                                        + " after SIGTERM");
+                recordViolation(
+                        SHUTDOWN_INVARIANT,
+                        "n"
+                                + balancer.number()
+                                + " ended with exit code "
+                                + process.exitValue()
+                                + " after SIGTERM");
             }
             // The notification of the system comes later, on another thread.
-            balancer.onEnded("ended as asked");
+            balancer.onEnded(ENDED_AS_EXPECTED);
         }
     }
 
--- a/testbed/src/test/java/loadbalancer/testbed/DocFiguresCommandTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/DocFiguresCommandTest.java
@@ -21,7 +21,7 @@
     void membershipCommandWritesItsFigures() throws IOException {
         Path jsonFile = directory.resolve("capacity/members.json");
         assertEquals(
-                TestbedCommand.EXIT_OK,
+                ExitCodes.OK,
                 TestbedCommand.run(
                         "members",
                         "--members",
@@ -57,7 +57,7 @@
     void leaseCommandWritesItsFigures() throws IOException {
         Path jsonFile = directory.resolve("capacity/duties.json");
         assertEquals(
-                TestbedCommand.EXIT_OK,
+                ExitCodes.OK,
                 TestbedCommand.run(
                         "duties", "--members", "5", "--ends", "1", "--json", jsonFile.toString()));
         MeasurementFile measured = MeasurementFile.read(jsonFile);
@@ -72,12 +72,12 @@
                 .write(directory.resolve("m.json"));
         Path page = directory.resolve("page.md");
         Files.writeString(page, "[394 m][b]\n\n[b]: m.json \"bytes\"\n");
-        assertEquals(TestbedCommand.EXIT_OK, TestbedCommand.run("figures", page.toString()));
+        assertEquals(ExitCodes.OK, TestbedCommand.run("figures", page.toString()));
         Files.writeString(page, "[391 m][b]\n\n[b]: m.json \"bytes\"\n");
-        assertEquals(TestbedCommand.EXIT_VIOLATION, TestbedCommand.run("figures", page.toString()));
+        assertEquals(ExitCodes.VIOLATION, TestbedCommand.run("figures", page.toString()));
         assertEquals(
-                TestbedCommand.EXIT_USAGE,
+                ExitCodes.USAGE,
                 TestbedCommand.run("figures", directory.resolve("nowhere.md").toString()));
-        assertEquals(TestbedCommand.EXIT_USAGE, TestbedCommand.run("cost", "servers=many"));
+        assertEquals(ExitCodes.USAGE, TestbedCommand.run("cost", "servers=many"));
     }
 }
