--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityBenchmark.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityBenchmark.java
@@ -1,28 +1,41 @@
 package loadbalancer.testbed.capacity;
 
 import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
+import java.util.OptionalDouble;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import java.util.stream.Collectors;
+import java.util.function.IntFunction;
+import java.util.stream.DoubleStream;
 
-/** Plays all trials of a plan, one after another. */
+/**
+ * Measures all cases of a plan, one after another. A case is a number of balancers, a number of
+ * upstreams and a condition; its metrics are means over the seeds, and maxima of worst cases.
+ */
 final class CapacityBenchmark {
     private static final List<String> WORST_CASE_METRICS =
             List.of("most", "worst", "last", "unknownPairs", "overtakenPairs");
+    private static final String HEAP_METRIC = "heap.bytesPerBalancer";
     private static final int CLASS_LOADING_BALANCERS = 3;
-    // µs
     private static final long CLASS_LOADING_MICROS = 4_000_000;
-    // Of heap for an upstream of a balancer, about
+    // Approximate heap of one upstream in one balancer
     private static final long ENDPOINT_HEAP_BYTES = 1_300;
 
     private final CapacityPlan plan;
     private final FleetFactory fleetFactory;
     private final Consumer<String> progress;
 
-    /** Makes the fleet of one trial. */
+    /** Creates the fleet of one case and seed. */
     interface FleetFactory {
+        /**
+         * Creates a fleet.
+         *
+         * @throws IOException if it needs too many descriptors, or a process can't be started
+         */
         HollowFleet create(FleetSpec fleetSpec, long seed) throws IOException;
     }
 
@@ -32,7 +45,12 @@
         this.progress = progress;
     }
 
-    /** Figures by name. */
+    /**
+     * Measures all cases of the plan.
+     *
+     * @return the metrics by name
+     * @throws IOException if a fleet can't be created, or a real balancer has ended
+     */
     Map<String, Double> run() throws IOException {
         loadClasses();
         Map<String, Double> metrics = new TreeMap<>();
@@ -40,26 +58,7 @@
             for (int upstreamCount : plan.upstreams()) {
                 checkHeapFits(balancerCount, upstreamCount);
                 for (FleetCondition condition : plan.conditions()) {
-                    String caseName =
-                            "n" + balancerCount + ".u" + upstreamCount + "." + condition.key();
-                    List<Map<String, Double>> metricsBySeed = new java.util.ArrayList<>();
-                    for (long seed : plan.seeds()) {
-                        metricsBySeed.add(
-                                runOnce(
-                                        new FleetSpec(
-                                                balancerCount,
-                                                upstreamCount,
-                                                plan.zones(),
-                                                plan.classes(),
-                                                plan.requestsPerSecond(),
-                                                plan.components()),
-                                        condition,
-                                        seed));
-                    }
-                    Map<String, Double> aggregated = aggregateSeeds(metricsBySeed);
-                    aggregated.forEach(
-                            (metric, value) -> metrics.put(caseName + "." + metric, value));
-                    progress.accept(caseName + ": " + summaryLine(aggregated));
+                    measureCase(balancerCount, upstreamCount, condition, metrics);
                 }
             }
         }
@@ -67,17 +66,42 @@
         return metrics;
     }
 
-    // What the program itself keeps must not count as the first fleet's: with 3 balancers that was
-    // a third.
+    private void measureCase(
+            int balancerCount,
+            int upstreamCount,
+            FleetCondition condition,
+            Map<String, Double> metrics)
+            throws IOException {
+        FleetSpec fleetSpec = fleetSpec(balancerCount, upstreamCount, plan.zones());
+        List<Map<String, Double>> metricsBySeed = new ArrayList<>();
+        for (long seed : plan.seeds()) {
+            metricsBySeed.add(runOnce(fleetSpec, condition, seed));
+        }
+        Map<String, Double> aggregated = aggregateSeeds(metricsBySeed);
+        String caseName = caseName(balancerCount, upstreamCount, condition);
+        aggregated.forEach((metric, value) -> metrics.put(caseName + "." + metric, value));
+        progress.accept(caseName + ": " + summaryLine(aggregated));
+    }
+
+    private FleetSpec fleetSpec(int balancerCount, int upstreamCount, int zoneCount) {
+        return new FleetSpec(
+                balancerCount,
+                upstreamCount,
+                zoneCount,
+                plan.classes(),
+                plan.requestsPerSecond(),
+                plan.components());
+    }
+
+    private static String caseName(int balancerCount, int upstreamCount, FleetCondition condition) {
+        return "n" + balancerCount + ".u" + upstreamCount + "." + condition.key();
+    }
+
+    // Otherwise the heap of the program itself would count as the first fleet's: a third of it,
+    // with
+    // 3 balancers.
     private void loadClasses() throws IOException {
-        FleetSpec fleetSpec =
-                new FleetSpec(
-                        CLASS_LOADING_BALANCERS,
-                        1,
-                        1,
-                        plan.classes(),
-                        plan.requestsPerSecond(),
-                        plan.components());
+        FleetSpec fleetSpec = fleetSpec(CLASS_LOADING_BALANCERS, 1, 1);
         try (HollowFleet fleet = new SimulatedHollowFleet(fleetSpec, 1)) {
             CapacityExperiment experiment =
                     new CapacityExperiment(fleetSpec, fleet, CLASS_LOADING_MICROS);
@@ -111,93 +135,76 @@
             experiment.start(plan.warmUpMicros(), seed);
             Map<String, Double> metrics = experiment.measure(condition);
             metrics.put(
-                    "heap.bytesPerBalancer",
+                    HEAP_METRIC,
                     (double) (HeapUsage.liveBytes() - heapBeforeBytes) / fleetSpec.balancers());
             return metrics;
         }
     }
 
     private static Map<String, Double> aggregateSeeds(List<Map<String, Double>> metricsBySeed) {
-        return metricsBySeed.stream()
-                .flatMap(metrics -> metrics.entrySet().stream())
-                .collect(
-                        Collectors.groupingBy(
-                                Map.Entry::getKey,
-                                TreeMap::new,
-                                Collectors.collectingAndThen(
-                                        Collectors.toList(),
-                                        sameMetric -> {
-                                            String name = sameMetric.get(0).getKey();
-                                            var values =
-                                                    sameMetric.stream()
-                                                            .mapToDouble(Map.Entry::getValue);
-                                            return (WORST_CASE_METRICS.contains(
-                                                                    name.substring(
-                                                                            name.lastIndexOf('.')
-                                                                                    + 1))
-                                                            ? values.max()
-                                                            : values.average())
-                                                    .orElseThrow();
-                                        })));
+        Map<String, List<Double>> valuesByMetric = new TreeMap<>();
+        for (Map<String, Double> metrics : metricsBySeed) {
+            metrics.forEach(
+                    (metric, value) ->
+                            valuesByMetric
+                                    .computeIfAbsent(metric, k -> new ArrayList<>())
+                                    .add(value));
+        }
+        Map<String, Double> aggregated = new TreeMap<>();
+        valuesByMetric.forEach(
+                (metric, values) -> aggregated.put(metric, aggregate(metric, values)));
+        return aggregated;
+    }
+
+    private static double aggregate(String metric, List<Double> values) {
+        String lastPart = metric.substring(metric.lastIndexOf('.') + 1);
+        DoubleStream stream = values.stream().mapToDouble(Double::doubleValue);
+        OptionalDouble result =
+                WORST_CASE_METRICS.contains(lastPart) ? stream.max() : stream.average();
+        return result.orElseThrow();
     }
 
-    // Of live heap, what one more upstream takes in a balancer, and one more balancer in each of
-    // the others.
+    /**
+     * Adds, by condition, how much live heap one more upstream takes in a balancer, and one more
+     * balancer in each of the others.
+     */
     private void addHeapSlopes(Map<String, Double> metrics) {
         for (FleetCondition condition : plan.conditions()) {
-            List<Integer> upstreamCounts = plan.upstreams().stream().sorted().toList();
-            List<Integer> balancerCounts = plan.balancers().stream().sorted().toList();
-            int minUpstreams = upstreamCounts.get(0);
-            int maxUpstreams = upstreamCounts.get(upstreamCounts.size() - 1);
-            for (int balancerCount : balancerCounts) {
-                if (minUpstreams < maxUpstreams) {
-                    metrics.put(
-                            "n" + balancerCount + "." + condition.key() + ".heap.bytesPerUpstream",
-                            (heapBytesPerBalancer(metrics, balancerCount, maxUpstreams, condition)
-                                            - heapBytesPerBalancer(
-                                                    metrics,
-                                                    balancerCount,
-                                                    minUpstreams,
-                                                    condition))
-                                    / (maxUpstreams - minUpstreams));
-                }
+            for (int balancerCount : plan.balancers()) {
+                addSlope(
+                        metrics,
+                        "n" + balancerCount + "." + condition.key() + ".heap.bytesPerUpstream",
+                        plan.upstreams(),
+                        upstreamCount -> caseName(balancerCount, upstreamCount, condition));
             }
-            int minBalancers = balancerCounts.get(0);
-            int maxBalancers = balancerCounts.get(balancerCounts.size() - 1);
-            for (int upstreamCount : upstreamCounts) {
-                if (minBalancers < maxBalancers) {
-                    metrics.put(
-                            "u" + upstreamCount + "." + condition.key() + ".heap.bytesPerPeer",
-                            (heapBytesPerBalancer(metrics, maxBalancers, upstreamCount, condition)
-                                            - heapBytesPerBalancer(
-                                                    metrics,
-                                                    minBalancers,
-                                                    upstreamCount,
-                                                    condition))
-                                    / (maxBalancers - minBalancers));
-                }
+            for (int upstreamCount : plan.upstreams()) {
+                addSlope(
+                        metrics,
+                        "u" + upstreamCount + "." + condition.key() + ".heap.bytesPerPeer",
+                        plan.balancers(),
+                        balancerCount -> caseName(balancerCount, upstreamCount, condition));
             }
         }
     }
 
-    private static double heapBytesPerBalancer(
+    /** Adds the slope of the heap between the smallest and the largest size, if they differ. */
+    private static void addSlope(
             Map<String, Double> metrics,
-            int balancerCount,
-            int upstreamCount,
-            FleetCondition condition) {
-        return metrics.get(
-                "n"
-                        + balancerCount
-                        + ".u"
-                        + upstreamCount
-                        + "."
-                        + condition.key()
-                        + ".heap.bytesPerBalancer");
+            String slopeName,
+            List<Integer> sizes,
+            IntFunction<String> caseNameOfSize) {
+        int minSize = Collections.min(sizes);
+        int maxSize = Collections.max(sizes);
+        if (minSize < maxSize) {
+            double minHeapBytes = metrics.get(caseNameOfSize.apply(minSize) + "." + HEAP_METRIC);
+            double maxHeapBytes = metrics.get(caseNameOfSize.apply(maxSize) + "." + HEAP_METRIC);
+            metrics.put(slopeName, (maxHeapBytes - minHeapBytes) / (maxSize - minSize));
+        }
     }
 
     private static String summaryLine(Map<String, Double> metrics) {
         return String.format(
-                java.util.Locale.ROOT,
+                Locale.ROOT,
                 "sent %.1f datagrams/s, %.0f bytes/s; received %.1f, "
                         + "%.0f; %.5f of a core; %.2f MB live",
                 metrics.get("sent.datagramsPerSecond.mean"),
@@ -205,6 +212,6 @@
                 metrics.get("received.datagramsPerSecond.mean"),
                 metrics.get("received.bytesPerSecond.mean"),
                 metrics.get("cpu.shareOfCore.total"),
-                metrics.get("heap.bytesPerBalancer") / 1e6);
+                metrics.get(HEAP_METRIC) / 1e6);
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/SimulatedHollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/SimulatedHollowFleet.java
@@ -13,31 +13,26 @@
 import org.HdrHistogram.Histogram;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Simulated time, one thread: what happens is the same by seed, only what it cost is measured. */
-final class SimulatedHollowFleet implements HollowFleet {
-    // µs one way
+/**
+ * A fleet in simulated time on one thread. Events depend on the seed only; what they cost in CPU
+ * and memory is measured. Not thread-safe.
+ */
+final class SimulatedHollowFleet extends AbstractHollowFleet {
+    // Delay of a datagram, one way
     private static final long MIN_DELAY_MICROS = 1_200;
     private static final long MAX_DELAY_MICROS = 10_000;
-    // µs that timers come late at most
     private static final long MAX_TIMER_LATENESS_MICROS = 1_000;
-    // µs until discovery's news come
-    private static final long MIN_UPDATE_DELAY_MICROS = 200_000;
-    private static final long MAX_UPDATE_DELAY_MICROS = 1_500_000;
-    // µs of a balancer's clock at time 0
+    // The balancers' monotonic clock and the wall clock when the simulation starts
     private static final long START_MICROS = 1_000_000_000;
-    // ms of the wall clock then
     private static final long START_WALL_CLOCK_MS = 1_700_000_000_000L;
 
-    private final FleetSpec fleetSpec;
     private final long seed;
     private final UniformRandomProvider random;
     private final PriorityQueue<ScheduledEvent> eventQueue = new PriorityQueue<>(1 << 14);
     private final SimulatedProcess[] processes;
-    // Which balancers had a process before
+    // Whether a balancer had a process before
     private final boolean[] ranBefore;
     private final CostCounters[] counters;
-    private final DetectionTracker detections;
-    private final Histogram listPropagationMicros = new Histogram(3);
     private final ThreadMXBean threadBean = ManagementFactory.getThreadMXBean();
     private IntPredicate partitionSide = b -> true;
     private double loss;
@@ -57,7 +52,7 @@
         }
     }
 
-    /** One process of a balancer on this time. */
+    /** One process of a balancer. */
     private final class SimulatedProcess implements BalancerHost {
         private final int rank;
         private final HollowBalancer balancer;
@@ -67,11 +62,10 @@
             this.balancer =
                     new HollowBalancer(
                             this,
-                            fleetSpec,
+                            fleetSpec(),
                             rank,
                             START_WALL_CLOCK_MS + now / 1000,
-                            RandomStreams.seedFor(
-                                    seed, "hollow " + rank + " start " + startCount++),
+                            RandomStreams.seedFor(seed, processStreamName(rank, startCount++)),
                             counters[rank]);
         }
 
@@ -102,19 +96,18 @@
 
         @Override
         public void onMemberUpdate(MemberUpdate update) {
-            detections.onMemberUpdate(rank, update, now);
+            detections().onMemberUpdate(rank, update, now);
         }
     }
 
     SimulatedHollowFleet(FleetSpec fleetSpec, long seed) {
-        this.fleetSpec = fleetSpec;
+        super(fleetSpec, new Histogram(3));
         this.seed = seed;
         random = RandomStreams.stream(seed, "capacity");
         processes = new SimulatedProcess[fleetSpec.balancers()];
         ranBefore = new boolean[fleetSpec.balancers()];
         counters = new CostCounters[fleetSpec.balancers()];
         Arrays.setAll(counters, balancer -> new CostCounters());
-        detections = new DetectionTracker(fleetSpec.balancers());
     }
 
     private void schedule(long timeMicros, Runnable task) {
@@ -146,10 +139,11 @@
     @Override
     public void start(int balancer) {
         processes[balancer] = new SimulatedProcess(balancer);
-        detections.observerStarted(balancer, now);
+        detections().observerStarted(balancer, now);
         if (ranBefore[balancer]) {
-            detections.memberReturned(
-                    balancer, now, START_WALL_CLOCK_MS + now / 1000, this::isRunning);
+            detections()
+                    .memberReturned(
+                            balancer, now, START_WALL_CLOCK_MS + now / 1000, this::isRunning);
         }
         ranBefore[balancer] = true;
         processes[balancer].balancer.start();
@@ -169,8 +163,8 @@
 
     private void processEnded(int balancer) {
         processes[balancer] = null;
-        detections.observerStopped(balancer);
-        detections.memberDied(balancer, now, this::isRunning);
+        detections().observerStopped(balancer);
+        detections().memberDied(balancer, now, this::isRunning);
     }
 
     @Override
@@ -189,12 +183,8 @@
     }
 
     @Override
-    public void publishUpdate(Supplier<List<Endpoint>> changes) {
+    void scheduleUpdates(Supplier<List<Endpoint>> changes) {
         long publishedMicros = now;
-        if (!fleetSpec.components().contains(BalancerComponent.ROUTING)) {
-            // Nobody has a list
-            return;
-        }
         for (SimulatedProcess process : processes) {
             if (process != null) {
                 schedule(
@@ -209,10 +199,11 @@
                             long startNanos = System.nanoTime();
                             process.balancer.onListUpdate(ownChanges);
                             if (process.balancer.isRunning()) {
-                                listPropagationMicros.recordValue(
-                                        now
-                                                - publishedMicros
-                                                + (System.nanoTime() - startNanos) / 1000);
+                                listPropagationMicros()
+                                        .recordValue(
+                                                now
+                                                        - publishedMicros
+                                                        + (System.nanoTime() - startNanos) / 1000);
                             }
                         });
             }
@@ -264,16 +255,6 @@
                 .toArray();
     }
 
-    @Override
-    public Histogram listPropagationMicros() {
-        return listPropagationMicros;
-    }
-
-    @Override
-    public DetectionTracker detections() {
-        return detections;
-    }
-
     @Override
     public void close() {
         eventQueue.clear();
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/SocketHollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/SocketHollowFleet.java
@@ -19,6 +19,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntPredicate;
 import java.util.function.Supplier;
@@ -29,41 +30,36 @@
 import org.HdrHistogram.SynchronizedHistogram;
 
 /**
- * Real time over loopback: a socket a hollow balancer, some threads for all of them and one for
- * what lies between. The last balancers of the site may be real processes.
+ * A fleet in real time over loopback: each hollow balancer has a socket, all share some threads,
+ * and one more thread relays datagrams. The last balancers of the fleet may be real processes. The
+ * methods of the fleet are called on the thread of the experiment.
  */
-final class SocketHollowFleet implements HollowFleet {
-    // µs until discovery's news come
-    private static final long MIN_UPDATE_DELAY_MICROS = 200_000;
-    private static final long MAX_UPDATE_DELAY_MICROS = 1_500_000;
+final class SocketHollowFleet extends AbstractHollowFleet {
     private static final int SPARE_DESCRIPTORS = 200;
 
     /**
-     * How late timers came, s, of 99 in 100: what a machine too busy makes of a fleet is not the
-     * fleet's.
+     * The metric of the 99th percentile of how late timers were, in seconds. Late timers mean that
+     * the machine was too busy for the fleet.
      */
     static final String TIMER_LATENESS_METRIC = "timersLate.seconds.p99";
 
-    private final FleetSpec fleetSpec;
     private final long seed;
     private final NioEventLoopGroup eventLoopGroup;
     private final Histogram timerLatenessMicros = new SynchronizedHistogram(3);
     private final DatagramRelay relay;
     private final List<SocketHost> hosts = new ArrayList<>();
-    // Filled before any is started
+    // Complete before any balancer is started
     private final Map<InetSocketAddress, Integer> balancersByRelayAddress = new HashMap<>();
-    private final DetectionTracker detections;
-    private final Histogram listPropagationMicros = new SynchronizedHistogram(3);
     private final List<Long> threadIds = new ArrayList<>();
     private final ThreadMXBean threadBean = ManagementFactory.getThreadMXBean();
     private final SplittableRandom random;
-    // Null: none
+    // Null if there are none
     private final RealBalancers realBalancers;
     private long cpuBaselineNanos;
 
     /**
-     * One balancer over all its processes: its socket, its thread and its costs. On that thread
-     * only.
+     * One balancer over all its processes: its socket, its event loop and its costs. Confined to
+     * that event loop.
      */
     private final class SocketHost extends SimpleChannelInboundHandler<DatagramPacket>
             implements BalancerHost {
@@ -71,7 +67,7 @@
         private final CostCounters counters = new CostCounters();
         private final Channel channel;
         private final EventLoop eventLoop;
-        // Null: none runs
+        // Null while no process runs
         private HollowBalancer balancer;
         private int startCount;
 
@@ -121,24 +117,24 @@
 
         @Override
         public void onMemberUpdate(MemberUpdate update) {
-            detections.onMemberUpdate(rank, update, now());
+            detections().onMemberUpdate(rank, update, now());
         }
 
         void start() {
             long incarnation = System.currentTimeMillis();
-            detections.observerStarted(rank, now());
+            detections().observerStarted(rank, now());
             if (startCount > 0) {
-                detections.memberReturned(
-                        rank, now(), incarnation, SocketHollowFleet.this::isRunning);
+                detections()
+                        .memberReturned(
+                                rank, now(), incarnation, SocketHollowFleet.this::isRunning);
             }
             balancer =
                     new HollowBalancer(
                             this,
-                            fleetSpec,
+                            fleetSpec(),
                             rank,
                             incarnation,
-                            RandomStreams.seedFor(
-                                    seed, "hollow " + rank + " start " + startCount++),
+                            RandomStreams.seedFor(seed, processStreamName(rank, startCount++)),
                             counters);
             balancer.start();
         }
@@ -150,11 +146,11 @@
                 balancer.kill();
             }
             balancer = null;
-            detections.observerStopped(rank);
-            detections.memberDied(rank, now(), SocketHollowFleet.this::isRunning);
+            detections().observerStopped(rank);
+            detections().memberDied(rank, now(), SocketHollowFleet.this::isRunning);
         }
 
-        <T> T callOnEventLoop(java.util.concurrent.Callable<T> task) {
+        <T> T callOnEventLoop(Callable<T> task) {
             return eventLoop.submit(task).syncUninterruptibly().getNow();
         }
 
@@ -163,19 +159,18 @@
         }
     }
 
-    // As the player of conditions has asked for
+    // Whether the experiment has last started or ended a balancer
     private final boolean[] requestedRunning;
 
     /**
      * Opens all sockets and starts the real balancers.
      *
-     * @param threadCount for all hollow balancers; 0: one for each, as real ones have
-     * @throws IOException where the system allows too few descriptors, or a process can't be
-     *     started
+     * @param threadCount threads for all hollow balancers; 0: one for each, as real ones have
+     * @throws IOException if the system allows too few descriptors, or a process can't be started
      */
     SocketHollowFleet(FleetSpec fleetSpec, long seed, int threadCount, int realBalancerCount)
             throws IOException {
-        this.fleetSpec = fleetSpec;
+        super(fleetSpec, new SynchronizedHistogram(3));
         this.seed = seed;
         int requiredDescriptors = 2 * fleetSpec.balancers() + SPARE_DESCRIPTORS;
         if (ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system
@@ -193,7 +188,6 @@
                         threadCount > 0 ? threadCount : fleetSpec.balancers() - realBalancerCount);
         random = new SplittableRandom(seed);
         requestedRunning = new boolean[fleetSpec.balancers()];
-        detections = new DetectionTracker(fleetSpec.balancers());
         relay = new DatagramRelay(fleetSpec.balancers(), seed);
         for (int balancer = 0; balancer < fleetSpec.balancers(); balancer++) {
             balancersByRelayAddress.put(relay.relayAddress(balancer), balancer);
@@ -216,7 +210,7 @@
                         : new RealBalancers(fleetSpec, this, realBalancerCount, seed);
     }
 
-    /** What lies between the balancers. */
+    /** The network between the balancers. */
     DatagramRelay relay() {
         return relay;
     }
@@ -265,11 +259,7 @@
     }
 
     @Override
-    public void publishUpdate(Supplier<List<Endpoint>> changes) {
-        if (!fleetSpec.components().contains(BalancerComponent.ROUTING)) {
-            // Nobody has a list
-            return;
-        }
+    void scheduleUpdates(Supplier<List<Endpoint>> changes) {
         long publishedMicros = now();
         for (SocketHost host : hosts) {
             long delayMicros = random.nextLong(MIN_UPDATE_DELAY_MICROS, MAX_UPDATE_DELAY_MICROS);
@@ -278,7 +268,7 @@
                     () -> {
                         if (host.balancer != null) {
                             host.balancer.onListUpdate(changes.get());
-                            listPropagationMicros.recordValue(now() - publishedMicros);
+                            listPropagationMicros().recordValue(now() - publishedMicros);
                         }
                     });
         }
@@ -319,8 +309,8 @@
         return threadCpuNanos() - cpuBaselineNanos;
     }
 
-    // Threads that rest most of the time are seldom kept waiting; what they are counts as the
-    // balancers' own.
+    // Threads that are idle most of the time rarely wait for a core; when they do, that counts as
+    // time of the balancers.
     @Override
     public double cpuFraction() {
         return 1;
@@ -339,16 +329,6 @@
                 .toArray();
     }
 
-    @Override
-    public Histogram listPropagationMicros() {
-        return listPropagationMicros;
-    }
-
-    @Override
-    public DetectionTracker detections() {
-        return detections;
-    }
-
     @Override
     public Map<String, Double> additionalMetrics(double seconds) throws IOException {
         Map<String, Double> metrics =
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/ClientEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/ClientEmulator.java
@@ -33,13 +33,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The clients, open loop: each request is sent when the plan says, whatever became of those before
- * it. A connection carries one request at a time, stays open, and goes to one balancer, which the
- * front chooses.
+ * The clients, as an open loop: each request is sent when the plan says, whatever became of earlier
+ * ones. A connection carries one request at a time, is kept open, and leads to one balancer, which
+ * the frontend chooses. Confined to the emulation's event loop.
  */
 public final class ClientEmulator {
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    // Of a balancer's descriptors that clients hold
+    // Clients open at most this fraction of a balancer's descriptors.
     private static final int CLIENT_DESCRIPTOR_DIVISOR = 3;
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Sends what the plan holds; {@code newOnComplete} is called when all of it has ended. */
+    /** Sends the requests of the plan; {@code newOnComplete} is called when all have ended. */
     void start(Runnable newOnComplete) {
         onComplete = newOnComplete;
         sendDueArrivals();
@@ -107,7 +107,7 @@
         pools.get(balancer).send(attempt, false);
     }
 
-    /** How late requests were sent, in µs. */
+    /** How much later than planned requests were sent, in µs. */
     public Histogram lateness() {
         return lateness;
     }
@@ -116,8 +116,8 @@
     private final class ConnectionPool {
         private final int balancer;
         private final Deque<ClientConnection> idle = new ArrayDeque<>();
-        // For room; each ends by its time
-        private final Deque<ClientAttempt> pendingCalls = new ArrayDeque<>();
+        // Attempts that wait for a connection, each until its deadline
+        private final Deque<ClientAttempt> pendingAttempts = new ArrayDeque<>();
         private int connectionCount;
 
         ConnectionPool(int balancer) {
@@ -137,12 +137,12 @@
             } else {
                 clientAttempt.addTraceEvent(
                         emulation.nowMicros(), "client", "waits for a connection");
-                pendingCalls.add(clientAttempt);
+                pendingAttempts.add(clientAttempt);
                 emulation.schedule(
                         clientAttempt.request().arrival().atMicros()
                                 + clientAttempt.timeoutMicros(),
                         () -> {
-                            if (pendingCalls.remove(clientAttempt)) {
+                            if (pendingAttempts.remove(clientAttempt)) {
                                 lifecycle.end(
                                         clientAttempt.request(), ClientRequest.Outcome.FAILED);
                             }
@@ -194,7 +194,7 @@
         }
 
         void sendNextPending() {
-            ClientAttempt clientAttempt = pendingCalls.pollFirst();
+            ClientAttempt clientAttempt = pendingAttempts.pollFirst();
             if (clientAttempt != null) {
                 send(clientAttempt, false);
             }
@@ -206,11 +206,12 @@
         private final ConnectionPool pool;
         private Channel channel;
         private boolean used;
-        // Nothing was answered on it yet
+        // Whether the present request is the first of this connection
         private boolean firstRequest = true;
-        private ClientAttempt call;
+        // The attempt without a complete response, or null
+        private ClientAttempt pendingAttempt;
         private ScheduledFuture<?> deadlineTimer;
-        // Bytes of an answer to the call have come
+        // Whether bytes of a response to the present request have arrived
         private boolean responseStarted;
         private final ChannelInboundHandlerAdapter firstByteHandler =
                 new ChannelInboundHandlerAdapter() {
@@ -225,24 +226,40 @@
             this.pool = pool;
         }
 
-        void writeRequest(ClientAttempt newCall) {
-            call = newCall;
+        void writeRequest(ClientAttempt attempt) {
+            pendingAttempt = attempt;
             firstRequest = !used;
             used = true;
-            WorkloadPlan.Arrival arrival = newCall.request().arrival();
+            WorkloadPlan.Arrival arrival = attempt.request().arrival();
+            emulation.invariants().accepted(attempt, pool.balancer, emulation.nowMicros());
+            responseStarted = false;
+            channel.writeAndFlush(
+                    Unpooled.copiedBuffer(formatRequest(attempt), StandardCharsets.US_ASCII));
+            long deadlineMicros = emulation.nowMicros() + attempt.timeoutMicros();
+            deadlineTimer =
+                    emulation.scheduleTimer(
+                            arrival.impatient()
+                                    ? deadlineMicros
+                                    : deadlineMicros
+                                            + ClientRequestLifecycle.LATE_RESPONSE_SLACK_MICROS,
+                            this::onDeadline);
+        }
+
+        private CharSequence formatRequest(ClientAttempt attempt) {
+            WorkloadPlan.Arrival arrival = attempt.request().arrival();
             Scenario.RequestClass requestClass =
                     emulation.scenario().classes().get(arrival.requestClass());
             boolean isGet = requestClass.idempotency().equals("safe");
-            String body = isGet ? "" : "order of " + newCall.id();
+            String body = isGet ? "" : "order of " + attempt.id();
             StringBuilder header =
                     new StringBuilder(256)
                             .append(isGet ? "GET" : "POST")
                             .append(" /api HTTP/1.1\r\nHost: backend.local\r\nReq-Id: ")
-                            .append(newCall.id())
+                            .append(attempt.id())
                             .append("\r\nReq-Kind: ")
                             .append(requestClass.name())
                             .append("\r\nReq-Deadline-Ms: ")
-                            .append(Math.max(1, newCall.timeoutMicros() / 1000))
+                            .append(Math.max(1, attempt.timeoutMicros() / 1000))
                             .append("\r\n");
             if (!emulation.scenario().tenants().isEmpty()) {
                 header.append("Req-Owner: ")
@@ -251,45 +268,34 @@
             }
             if (requestClass.idempotency().equals("keyed")) {
                 header.append("Idempotency-Key: ")
-                        .append(newCall.id())
-                        .append(newCall.id())
+                        .append(attempt.id())
+                        .append(attempt.id())
                         .append("\r\n");
             }
             if (!isGet) {
                 header.append("Content-Length: ").append(body.length()).append("\r\n");
             }
-            header.append("\r\n").append(body);
-            emulation.invariants().accepted(newCall, pool.balancer, emulation.nowMicros());
-            responseStarted = false;
-            channel.writeAndFlush(Unpooled.copiedBuffer(header, StandardCharsets.US_ASCII));
-            long deadlineMicros = emulation.nowMicros() + newCall.timeoutMicros();
-            deadlineTimer =
-                    emulation.scheduleTimer(
-                            arrival.impatient()
-                                    ? deadlineMicros
-                                    : deadlineMicros
-                                            + ClientRequestLifecycle.LATE_RESPONSE_SLACK_MICROS,
-                            this::onDeadline);
+            return header.append("\r\n").append(body);
         }
 
         private void onDeadline() {
-            if (call.request().arrival().impatient()) {
-                ClientAttempt abandoned = call;
-                call = null;
+            if (pendingAttempt.request().arrival().impatient()) {
+                ClientAttempt abandoned = pendingAttempt;
+                pendingAttempt = null;
                 emulation.invariants().clientDisconnected(abandoned, emulation.nowMicros());
                 channel.close();
                 lifecycle.end(abandoned.request(), ClientRequest.Outcome.FAILED);
                 return;
             }
-            lifecycle.end(call.request(), ClientRequest.Outcome.FAILED);
+            lifecycle.end(pendingAttempt.request(), ClientRequest.Outcome.FAILED);
             deadlineTimer =
                     emulation.scheduleTimer(
                             emulation.nowMicros()
                                     + RequestInvariants.LOST_AFTER_MICROS
                                     - ClientRequestLifecycle.LATE_RESPONSE_SLACK_MICROS,
                             () -> {
-                                ClientAttempt unanswered = call;
-                                call = null;
+                                ClientAttempt unanswered = pendingAttempt;
+                                pendingAttempt = null;
                                 emulation
                                         .invariants()
                                         .responseOverdue(unanswered, emulation.nowMicros());
@@ -299,7 +305,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            ClientAttempt answered = call;
+            ClientAttempt answered = pendingAttempt;
             if (answered == null) {
                 emulation
                         .invariants()
@@ -311,7 +317,7 @@
                 channel.close();
                 return;
             }
-            call = null;
+            pendingAttempt = null;
             deadlineTimer.cancel(false);
             int status = response.status().code();
             String body = response.content().toString(StandardCharsets.US_ASCII);
@@ -351,11 +357,11 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             pool.idle.remove(this);
-            ClientAttempt interrupted = call;
+            ClientAttempt interrupted = pendingAttempt;
             if (interrupted == null) {
                 return;
             }
-            call = null;
+            pendingAttempt = null;
             deadlineTimer.cancel(false);
             if (!firstRequest
                     && !responseStarted
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/ControllableListener.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/ControllableListener.java
@@ -16,18 +16,22 @@
 import java.util.function.Consumer;
 
 /**
- * The address of one party as one balancer reaches it. Open, it takes connections; shut, the system
- * refuses them; silent, they neither come up nor end: its backlog is full, and the system drops
- * what comes.
+ * The address at which one balancer reaches an emulated party. It accepts connections, refuses them
+ * or leaves them without a response, as its state says. Confined to the emulation's event loop,
+ * except for {@link #open}.
  */
 final class ControllableListener {
     private static final int LISTEN_BACKLOG = 256;
-    private static final int RETRY_INTERVAL_MS = 20;
+    private static final int SILENT_BACKLOG = 1;
+    private static final long RETRY_INTERVAL_MICROS = 20_000;
 
-    /** What happens to who connects. */
+    /** What happens to attempts to connect. */
     enum State {
+        /** They are accepted. */
         OPEN,
+        /** The system refuses them, since nothing listens. */
         REFUSING,
+        /** They neither succeed nor fail: the backlog is full, and the system drops packets. */
         SILENT
     }
 
@@ -37,7 +41,7 @@
     private State state = State.REFUSING;
     private Channel listener;
     private ServerSocketChannel silentSocket;
-    private final List<java.nio.channels.SocketChannel> backlogFillers = new ArrayList<>(2);
+    private final List<java.nio.channels.SocketChannel> backlogFillers = new ArrayList<>();
 
     ControllableListener(
             Emulation emulation, InetAddress host, Consumer<SocketChannel> acceptHandler) {
@@ -46,7 +50,12 @@
         this.address = new InetSocketAddress(host, 0);
     }
 
-    /** Finds its port; stays open. Called before the run, off the loop. */
+    /**
+     * Binds the listener to a free port, which it keeps, and accepts connections. Called before the
+     * run, outside the event loop.
+     *
+     * @throws IOException if the address can't be bound
+     */
     void open() throws IOException {
         try {
             listener = bootstrap().bind(address).sync().channel();
@@ -78,7 +87,7 @@
                         });
     }
 
-    /** On the loop. */
+    /** Changes the state; until the address is bound again, connections are refused. */
     void setState(State newState) {
         if (state == newState) {
             return;
@@ -103,18 +112,16 @@
                         done -> {
                             if (!done.isSuccess()) {
                                 listener = null;
-                                emulation.schedule(
-                                        emulation.nowMicros() + RETRY_INTERVAL_MS * 1000L,
-                                        this::applyState);
+                                retryLater();
                             }
                         });
             } else if (state == State.SILENT && silentSocket == null) {
                 silentSocket =
                         ServerSocketChannel.open()
                                 .setOption(StandardSocketOptions.SO_REUSEADDR, true)
-                                .bind(address, 1);
-                for (int i = 0; i < 2; i++) {
-                    // The system takes one more than the backlog
+                                .bind(address, SILENT_BACKLOG);
+                // The system accepts one connection more than the backlog.
+                for (int i = 0; i <= SILENT_BACKLOG; i++) {
                     java.nio.channels.SocketChannel filler = java.nio.channels.SocketChannel.open();
                     filler.configureBlocking(false);
                     filler.connect(address);
@@ -123,10 +130,14 @@
             }
         } catch (IOException e) {
             closeSilentSocket();
-            emulation.schedule(emulation.nowMicros() + RETRY_INTERVAL_MS * 1000L, this::applyState);
+            retryLater();
         }
     }
 
+    private void retryLater() {
+        emulation.schedule(emulation.nowMicros() + RETRY_INTERVAL_MICROS, this::applyState);
+    }
+
     private void closeSilentSocket() {
         try {
             for (java.nio.channels.SocketChannel filler : backlogFillers) {
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEmulator.java
@@ -3,7 +3,6 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.DefaultHttpContent;
@@ -24,18 +23,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import loadbalancer.testbed.fault.FaultableDiscoveryAgent;
 import loadbalancer.testbed.workload.RandomStreams;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Discovery's agent on the machine of one balancer: the whole list, watches, and the ways in which
- * news don't come. What it has been told comes late, by the scenario; what it has, it answers at
- * once.
+ * The discovery agent on the machine of one balancer: it serves the complete list and watches, and
+ * its faults withhold them. Changes reach the agent after a delay that the scenario sets; what it
+ * has, it serves at once. Confined to the emulation's event loop, except for {@link #open}.
  */
 public final class DiscoveryEmulator implements FaultableDiscoveryAgent {
-    // µs between empty lines of a watch
+    private static final long FIRST_REVISION = 1;
+    private static final long NO_WATCH = -1;
+    private static final String LIST_URI = "/api/targets";
+    private static final String WATCH_URI_PREFIX = "/api/targets?watch=1&from=";
+    // Time between the empty lines of a watch
     private static final long HEARTBEAT_INTERVAL_MICROS = 2_000_000;
     private static final int MAX_REQUEST_BYTES = 4 << 10;
 
@@ -44,8 +48,9 @@
     private final UniformRandomProvider random;
     private final Function<DiscoveryEntry, Map<String, Object>> entryWriter;
     private final Map<Integer, DiscoveryEntry> entriesByUpstream = new LinkedHashMap<>();
-    // Change i has revision FIRST + i + 1
+    // The change at index i has the revision FIRST_REVISION + i + 1.
     private final List<DiscoveryEntry> changes = new ArrayList<>();
+    // Changes that the agent gets when it is no longer stale
     private final List<DiscoveryEntry> withheld = new ArrayList<>();
     private final Set<DiscoveryConnection> connections = new LinkedHashSet<>();
     private ControllableListener listener;
@@ -56,9 +61,12 @@
     private int denyCount;
     private long requestCount;
 
-    private static final long FIRST_REVISION = 1;
-
-    /** {@code entryWriter} writes a listing as this balancer is to see it. */
+    /**
+     * Creates an agent.
+     *
+     * @param random draws the delays of changes
+     * @param entryWriter writes an entry as this balancer is to see it
+     */
     DiscoveryEmulator(
             Emulation emulation,
             int balancer,
@@ -72,6 +80,12 @@
         initialEntries.forEach(entry -> entriesByUpstream.put(entry.upstreamNumber(), entry));
     }
 
+    /**
+     * Opens the address and starts the heartbeats of watches. Called before the run, outside the
+     * event loop.
+     *
+     * @throws IOException if the address can't be bound
+     */
     void open(LoopbackAddresses addresses) throws IOException {
         listener =
                 new ControllableListener(
@@ -88,7 +102,7 @@
         return FIRST_REVISION + changes.size();
     }
 
-    /** Something has changed: the agent hears of it after the delay of news. */
+    /** Announces a change, which the agent gets after the delay of updates. */
     void onChange(DiscoveryEntry entry) {
         double delayMs =
                 RandomStreams.drawUniform(
@@ -142,7 +156,7 @@
                         ? ControllableListener.State.REFUSING
                         : ControllableListener.State.OPEN);
         if (denyCount > 0) {
-            new ArrayList<>(connections).forEach(connection -> connection.channel.close());
+            new ArrayList<>(connections).forEach(connection -> connection.channel().close());
         }
     }
 
@@ -150,13 +164,10 @@
         connections.forEach(DiscoveryConnection::sendHeartbeat);
         emulation
                 .eventLoop()
-                .schedule(
-                        this::sendHeartbeats,
-                        HEARTBEAT_INTERVAL_MICROS,
-                        java.util.concurrent.TimeUnit.MICROSECONDS);
+                .schedule(this::sendHeartbeats, HEARTBEAT_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
     }
 
-    /** The list in discovery's form, as this balancer last could have it. */
+    /** The complete list in discovery's form, as the agent has it now. */
     Map<String, Object> completeList() {
         return message(revision(), true, new ArrayList<>(entriesByUpstream.values()));
     }
@@ -184,7 +195,7 @@
                                         emulation.nowMicros()));
     }
 
-    /** Calls for the list, watches included. */
+    /** The number of requests for the list, watches included. */
     public long requestCount() {
         return requestCount;
     }
@@ -197,33 +208,27 @@
                         new DiscoveryConnection(channel));
     }
 
-    /** One connection: whole lists on demand, or a watch from then on. */
-    private final class DiscoveryConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final SocketChannel channel;
-        // Not answered yet, or null
+    /** One connection, on which a balancer polls the list or watches its changes. */
+    private final class DiscoveryConnection extends ServerConnection {
+        // The URI of a request without a response, or null
         private String pendingUri;
-        // Of a watch: the last revision written
-        private long sentRevision = -1;
+        // The last revision that was sent on a watch, or NO_WATCH
+        private long sentRevision = NO_WATCH;
 
         DiscoveryConnection(SocketChannel channel) {
-            this.channel = channel;
+            super(channel);
         }
 
         @Override
-        public void channelActive(ChannelHandlerContext context) {
+        void onOpened() {
             connections.add(this);
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext context) {
+        void onClosed() {
             connections.remove(this);
         }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            channel.close();
-        }
-
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             requestCount++;
@@ -238,13 +243,13 @@
             if (pendingUri != null) {
                 String uri = pendingUri;
                 pendingUri = null;
-                if (uri.startsWith("/api/targets?watch=1&from=")) {
+                if (uri.startsWith(WATCH_URI_PREFIX)) {
                     startWatch(uri.substring(uri.lastIndexOf('=') + 1));
                 } else {
-                    sendCompleteList(uri.equals("/api/targets"));
+                    sendCompleteList(uri.equals(LIST_URI));
                 }
             }
-            if (sentRevision >= 0 && sentRevision < revision()) {
+            if (sentRevision != NO_WATCH && sentRevision < revision()) {
                 List<DiscoveryEntry> newChanges =
                         changes.subList((int) (sentRevision - FIRST_REVISION), changes.size());
                 sendMessage(message(revision(), false, newChanges));
@@ -263,7 +268,7 @@
                             found ? HttpResponseStatus.OK : HttpResponseStatus.NOT_FOUND,
                             body);
             HttpUtil.setContentLength(response, body.readableBytes());
-            channel.writeAndFlush(response);
+            channel().writeAndFlush(response);
             recordNotified(new ArrayList<>(entriesByUpstream.values()));
             recordRemovals();
         }
@@ -272,7 +277,7 @@
             DefaultHttpResponse response =
                     new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, "chunked");
-            channel.write(response);
+            channel().write(response);
             long fromRevision =
                     requestedRevision.matches("\\d{1,18}") ? Long.parseLong(requestedRevision) : -1;
             if (fromRevision >= FIRST_REVISION && fromRevision <= revision()) {
@@ -288,7 +293,7 @@
             sentRevision = revision();
         }
 
-        // A whole list tells of what has gone by leaving it out.
+        // A complete list announces the removal of an upstream by its absence.
         private void recordRemovals() {
             changes.stream()
                     .filter(entry -> !entriesByUpstream.containsKey(entry.upstreamNumber()))
@@ -304,7 +309,7 @@
         }
 
         void sendHeartbeat() {
-            if (sentRevision >= 0 && silentCount == 0) {
+            if (sentRevision != NO_WATCH && silentCount == 0) {
                 write("\n");
             }
         }
@@ -314,8 +319,10 @@
         }
 
         private void write(String text) {
-            channel.writeAndFlush(
-                    new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
+            channel()
+                    .writeAndFlush(
+                            new DefaultHttpContent(
+                                    Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
         }
     }
 
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEntry.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEntry.java
@@ -3,8 +3,11 @@
 import loadbalancer.routing.api.EndpointStatus;
 
 /**
- * A server as discovery lists it: {@code status} in discovery's word, {@code startedAtMs} in Unix
- * time or 0.
+ * An upstream as discovery lists it. Immutable.
+ *
+ * @param upstreamNumber its number in the plan
+ * @param status its status, in discovery's terms
+ * @param startedAtMs when it was started, in ms of Unix time, or 0 if that is unknown
  */
 public record DiscoveryEntry(int upstreamNumber, String status, long startedAtMs) {
     static final String UP = "in_service";
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/EmulatedEnvironment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/EmulatedEnvironment.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.HexFormat;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -17,15 +18,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * All that balancers talk to, and what lies between: built before the run, then changed on the
- * world's loop.
+ * All parties that balancers communicate with, and the network between them. It is built before the
+ * run; during the run it is confined to the emulation's event loop.
  */
 public final class EmulatedEnvironment
         implements FaultableEnvironment<UpstreamEmulator>, AutoCloseable {
     private final Emulation emulation;
     private final LoopbackAddresses addresses = new LoopbackAddresses();
     private final InetSocketAddress[] balancerAddresses;
-    // By server, by balancer
+    // Indexed by upstream, then by balancer
     private final List<List<NetworkPath>> pathsByUpstream = new ArrayList<>();
     private final List<UpstreamEmulator> upstreams = new ArrayList<>();
     private final List<DiscoveryEmulator> discoveryAgents = new ArrayList<>();
@@ -33,7 +34,11 @@
     private final FrontendEmulator frontend;
     private final ClientEmulator clients;
 
-    /** Opens every address; nothing happens yet. */
+    /**
+     * Opens all addresses. No requests or faults occur before {@link #start}.
+     *
+     * @throws IOException if an address can't be bound
+     */
     public EmulatedEnvironment(Emulation emulation) throws IOException {
         this.emulation = emulation;
         Scenario scenario = emulation.scenario();
@@ -117,7 +122,7 @@
                 entry.startedAtMs());
     }
 
-    /** The configuration of a balancer that starts now; on the loop. */
+    /** The configuration of a balancer that starts now. Called on the event loop. */
     public Map<String, Object> configuration(int balancer, long seed) {
         Scenario scenario = emulation.scenario();
         Map<String, Object> configuration = new LinkedHashMap<>();
@@ -125,7 +130,7 @@
         configuration.put("listen", LoopbackAddresses.format(balancerAddresses[balancer]));
         configuration.put(
                 "discovery", LoopbackAddresses.format(discoveryAgents.get(balancer).address()));
-        configuration.put("seed", java.util.HexFormat.of().toHexDigits(seed));
+        configuration.put("seed", HexFormat.of().toHexDigits(seed));
         configuration.put(
                 "limits",
                 Map.of(
@@ -146,21 +151,22 @@
         return configuration;
     }
 
-    /** The front begins to ask balancers whether they are ready. */
+    /** Starts to poll the balancers' readiness. */
     public void startReadinessPolling() {
         emulation.eventLoop().execute(frontend::start);
     }
 
     /**
-     * Clients begin at the run's time 0; {@code onComplete} follows the end of the last request, on
-     * the loop.
+     * Schedules the clients' requests, from the run's time 0 on, and the faults of the plan.
+     *
+     * @param onComplete is called on the event loop when the last request has ended
      */
     public void start(Runnable onComplete) {
         emulation.schedule(0, () -> clients.start(onComplete));
         new FaultInjector<>(emulation.plan(), this).scheduleFaults(emulation);
     }
 
-    /** Whether the front sends clients to that balancer; on the loop. */
+    /** Whether clients are sent to that balancer. Called on the event loop. */
     public boolean isInRotation(int balancer) {
         return frontend.rotation().isInRotation(balancer);
     }
@@ -240,22 +246,27 @@
     @Override
     public void setProcessesPaused(WorkloadPlan.Fault fault, boolean active) {}
 
+    /** The upstreams by number. */
     public List<UpstreamEmulator> upstreams() {
         return upstreams;
     }
 
+    /** The discovery agents by balancer. */
     public List<DiscoveryEmulator> discoveryAgents() {
         return discoveryAgents;
     }
 
+    /** The network between balancers. */
     public PeerNetworkEmulator peerNetwork() {
         return peerNetwork;
     }
 
+    /** The clients. */
     public ClientEmulator clients() {
         return clients;
     }
 
+    /** Closes the addresses of upstreams and discovery agents. */
     @Override
     public void close() {
         emulation
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/Emulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/Emulation.java
@@ -12,15 +12,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The loop on which all stand-ins live, its clock, and whether it kept up with it. Everything that
- * a run changes is changed on this loop, so that no order of events depends on locks.
+ * The event loop of all emulated parties, its clock, and how late it was. All state of a run is
+ * changed on this loop, so that no order of events depends on locks.
  */
 public final class Emulation implements RunClock, AutoCloseable {
-    // µs between two looks at how late the loop is
+    // Time between two samples of the event loop's lag
     private static final long LAG_SAMPLE_INTERVAL_MICROS = 5_000;
 
-    // ns: until the run's begin is known its time is this far away, so that all before it is
-    // negative.
+    // Until the start of the run is known, it is assumed to be this far away, so that times before
+    // it are negative.
     private static final long PRE_RUN_OFFSET_NANOS = 3_600_000_000_000L;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
@@ -31,44 +31,50 @@
     private final Histogram eventLoopLag = new Histogram(3);
     private volatile long originNanos = System.nanoTime() + PRE_RUN_OFFSET_NANOS;
 
+    /** Creates an emulation whose event loop runs, and whose run has not started. */
     public Emulation(WorkloadPlan plan, RequestInvariants invariants) {
         this.plan = plan;
         this.invariants = invariants;
         this.windows = new ServiceWindows(plan.scenario());
     }
 
+    /** The only event loop of the emulation. */
     public EventLoop eventLoop() {
         return eventLoop;
     }
 
+    /** The plan of the run. */
     public WorkloadPlan plan() {
         return plan;
     }
 
+    /** The scenario of the plan. */
     public Scenario scenario() {
         return plan.scenario();
     }
 
+    /** The invariants of requests, which collect the violations of all invariants. */
     public RequestInvariants invariants() {
         return invariants;
     }
 
+    /** The outcomes of requests by time. */
     public ServiceWindows windows() {
         return windows;
     }
 
-    /** Time of the run in µs; negative before it begins. */
+    /** The time of the run in µs; negative before its start. */
     @Override
     public long nowMicros() {
         return toRunMicros(System.nanoTime());
     }
 
-    /** The time of the run at that reading of {@link System#nanoTime}. */
+    /** The time of the run in µs at that value of {@link System#nanoTime}. */
     public long toRunMicros(long nanoTime) {
         return Math.floorDiv(nanoTime - originNanos, 1000);
     }
 
-    /** The run begins after so many µs, at its time 0. */
+    /** Starts the run after so many µs, which is its time 0. */
     public void startIn(long delayMicros) {
         originNanos = System.nanoTime() + delayMicros * 1000;
         eventLoop.schedule(() -> sampleLag(nowMicros()), delayMicros, TimeUnit.MICROSECONDS);
@@ -95,11 +101,12 @@
                 task, Math.max(0, timeMicros - nowMicros()), TimeUnit.MICROSECONDS);
     }
 
-    /** How late the loop was, in µs, looked at every 5 ms. */
+    /** How late tasks of the event loop ran, in µs, sampled every 5 ms during the run. */
     public Histogram eventLoopLag() {
         return eventLoopLag;
     }
 
+    /** Ends the event loop; waits up to 5 s for it. */
     @Override
     public void close() {
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).awaitUninterruptibly(5, TimeUnit.SECONDS);
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/FrontendEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/FrontendEmulator.java
@@ -3,6 +3,7 @@
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
@@ -19,14 +20,19 @@
 import loadbalancer.testbed.client.FrontendRotation;
 
 /**
- * Spreads clients over the balancers of their zone. It takes one in once that says that it is
- * ready, and leaves one that says no; one that refuses connections it notices only after a while.
+ * Distributes clients over the balancers of their zone, by polling the balancers' readiness. A
+ * balancer that refuses connections is removed only after a delay that the scenario sets. Confined
+ * to the emulation's event loop.
  */
 public final class FrontendEmulator {
     private static final int READINESS_POLL_INTERVAL_MS = 100;
-    // One that is in is asked each fifth time
+    // A balancer in rotation is polled every so many intervals only.
     private static final int READY_POLL_DIVISOR = 5;
     private static final int MAX_RESPONSE_BYTES = 64 << 10;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int READ_TIMEOUT_SECONDS = 1;
+    private static final String READINESS_REQUEST =
+            "GET /-/ready HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n";
 
     private final Emulation emulation;
     private final InetSocketAddress[] addresses;
@@ -43,6 +49,7 @@
         pollInFlight = new boolean[addresses.length];
     }
 
+    /** Starts to poll the readiness of all balancers. */
     void start() {
         emulation
                 .eventLoop()
@@ -67,14 +74,14 @@
         new Bootstrap()
                 .group(emulation.eventLoop())
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_000)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(
                         new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel channel) {
                                 channel.pipeline()
                                         .addLast(
-                                                new ReadTimeoutHandler(1),
+                                                new ReadTimeoutHandler(READ_TIMEOUT_SECONDS),
                                                 new HttpResponseDecoder(),
                                                 new HttpObjectAggregator(MAX_RESPONSE_BYTES),
                                                 new ReadinessHandler(balancer));
@@ -82,7 +89,7 @@
                         })
                 .connect(addresses[balancer])
                 .addListener(
-                        (io.netty.channel.ChannelFuture connected) -> {
+                        (ChannelFuture connected) -> {
                             if (connected.isSuccess()) {
                                 connected
                                         .channel()
@@ -92,9 +99,7 @@
                                         .channel()
                                         .writeAndFlush(
                                                 Unpooled.copiedBuffer(
-                                                        "GET /-/ready HTTP/1.1\r\n"
-                                                                + "Host: front\r\n"
-                                                                + "Connection: close\r\n\r\n",
+                                                        READINESS_REQUEST,
                                                         StandardCharsets.US_ASCII));
                             } else {
                                 pollInFlight[balancer] = false;
@@ -103,6 +108,7 @@
                         });
     }
 
+    /** Reads the response of one readiness poll. */
     private final class ReadinessHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int balancer;
 
@@ -118,17 +124,17 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // Slow to answer is not a no
+            // A timeout does not mean that the balancer is not ready.
             context.close();
         }
     }
 
-    /** A connection to the balancer was refused. */
+    /** Called when a connection to the balancer was refused. */
     void onUnreachable(int balancer) {
         rotation.onUnreachable(balancer, TimeUnit.NANOSECONDS.toMicros(System.nanoTime()));
     }
 
-    /** Which balancers clients are sent to. */
+    /** The balancers to which clients are sent. */
     FrontendRotation rotation() {
         return rotation;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/LoopbackAddresses.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/LoopbackAddresses.java
@@ -6,8 +6,8 @@
 import java.net.ServerSocket;
 
 /**
- * Loopback addresses of one run: a network of its own below 127, by the process that plays it, and
- * in it a /24 for each balancer. Ports are whatever the system gives.
+ * The loopback addresses of one run: a /16 network below 127.0.0.0/8 that depends on the id of this
+ * process, and in it a /24 network for each balancer. Ports are chosen by the system. Immutable.
  */
 public final class LoopbackAddresses {
     private static final int FIRST_NETWORK = 64;
@@ -23,29 +23,33 @@
         return InetAddress.getByName("127." + network + "." + (balancer + 1) + "." + lastOctet);
     }
 
-    /** Where the balancer listens for clients and operators. */
+    /** The address at which the balancer listens for clients and operators. */
     public InetAddress clientAddress(int balancer) throws IOException {
         return host(balancer, CLIENT_HOST);
     }
 
-    /** Where it reaches discovery and the upstreams. */
+    /** The address at which the balancer reaches discovery and the upstreams. */
     public InetAddress backendAddress(int balancer) throws IOException {
         return host(balancer, BACKEND_HOST);
     }
 
-    /** Where it reaches its peers. */
+    /** The address at which the balancer reaches its peers. */
     public InetAddress peerAddress(int balancer) throws IOException {
         return host(balancer, PEER_HOST);
     }
 
-    /** A port that nothing uses on that address; only this run looks for ports there. */
+    /**
+     * An unused TCP port on that address. It stays unused, since only this run uses the address.
+     *
+     * @throws IOException if the address can't be bound
+     */
     public InetSocketAddress findFreePort(InetAddress host) throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, host)) {
             return new InetSocketAddress(host, socket.getLocalPort());
         }
     }
 
-    /** As configurations write it. */
+    /** The address in the form of configurations, {@code host:port}. */
     public static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPathHandler.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPathHandler.java
@@ -12,11 +12,11 @@
 import loadbalancer.testbed.network.NetworkLink;
 
 /**
- * Next to the socket of a stand-in: lets bytes pass as the path does now, in order, and never loses
- * any.
+ * The channel handler next to the socket of an emulated party: it delays bytes as the links of its
+ * path do at the time, in order and without loss. Confined to the emulation's event loop.
  */
 final class NetworkPathHandler extends ChannelDuplexHandler {
-    // Bytes; past that nothing more is read
+    // With more than this in one direction, the socket is no longer read.
     private static final int MAX_BUFFERED_BYTES = 256 << 10;
 
     private final Emulation emulation;
@@ -35,7 +35,7 @@
 
     private record DelayedBytes(ByteBuf bytes, ChannelPromise promise, long releaseAtMicros) {}
 
-    /** One direction of this connection: what waits, oldest first. */
+    /** One direction of this connection, with the bytes that are delayed, oldest first. */
     private final class Lane {
         private final NetworkLink link;
         private final Deque<DelayedBytes> queue = new ArrayDeque<>();
@@ -107,19 +107,20 @@
         }
     }
 
-    /** When the first byte since the last call came; -1: none has. */
+    /** When the first byte since the last call of this method arrived, in µs; -1: none has. */
     long takeFirstByteMicros() {
         long timeMicros = firstByteAtMicros;
         firstByteAtMicros = -1;
         return timeMicros;
     }
 
-    /** The path has changed. */
+    /** Called when the links of the path have changed. */
     void onPathChanged() {
         forwardLane.drain();
         reverseLane.drain();
     }
 
+    /** Closes the connection with a TCP reset. */
     void resetConnection() {
         context.channel().config().setOption(ChannelOption.SO_LINGER, 0);
         context.channel().close();
@@ -145,7 +146,7 @@
     public void channelInactive(ChannelHandlerContext ignored) {
         path.connections().remove(this);
         while (!forwardLane.queue.isEmpty()) {
-            // What came before the end comes before it here
+            // Bytes that arrived before the end are delivered before it.
             forwardLane.deliver(forwardLane.queue.poll().bytes, null);
         }
         reverseLane.releaseAll();
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/PeerNetworkEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/PeerNetworkEmulator.java
@@ -31,12 +31,12 @@
     private final Emulation emulation;
     private final LoopbackAddresses addresses;
     private final int balancerCount;
-    // Where each balancer listens
+    // The addresses at which the balancers listen
     private final InetSocketAddress[] balancerAddresses;
-    // [i][j]: j, as i sees it
+    // [i][j]: the socket that balancer i takes for balancer j
     private final Channel[][] peerSockets;
     private final Channel[] broadcast;
-    // [i][j]: from i to j
+    // [i][j]: the link from balancer i to balancer j
     private final NetworkLink[][] links;
     private final long[] datagramsSent;
     private final long[] bytesSent;
@@ -62,6 +62,7 @@
         }
     }
 
+    /** Opens all sockets. Called before the run, outside the event loop. */
     void open() throws IOException {
         for (int balancer = 0; balancer < balancerCount; balancer++) {
             balancerAddresses[balancer] = addresses.findFreePort(addresses.clientAddress(balancer));
@@ -147,10 +148,12 @@
         }
     }
 
+    /** The link from one balancer to another. */
     NetworkLink link(int from, int to) {
         return links[from][to];
     }
 
+    /** The address at which a balancer listens for datagrams. */
     InetSocketAddress balancerAddress(int balancer) {
         return balancerAddresses[balancer];
     }
@@ -169,6 +172,7 @@
         return peers;
     }
 
+    /** The address whose datagrams go from that balancer to all others. */
     String broadcast(int balancer) {
         return LoopbackAddresses.format((InetSocketAddress) broadcast[balancer].localAddress());
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
@@ -3,7 +3,6 @@
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelOption;
-import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -31,11 +30,14 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * An upstream: {@link EndpointModel} behind sockets, one address for each balancer, and what is
- * wrong with it.
+ * An emulated upstream: an {@link EndpointModel} behind sockets, with one address for each balancer
+ * and with its faults. Confined to the emulation's event loop, except for {@link #open}.
  */
 public final class UpstreamEmulator implements FaultableUpstream {
     private static final int MAX_BODY_BYTES = 64 << 10;
+    private static final String REQUEST_ID_HEADER = "Req-Id";
+    private static final String REJECTED_HEADER = "Srv-Declined";
+    private static final String HEALTH_CHECK_URI = "/-/healthy";
     private static final NetworkLink.LinkFault VANISHED = NetworkLink.LinkFault.cutOff();
 
     private final Emulation emulation;
@@ -57,7 +59,7 @@
     private long jobCount;
     private long connectionsAccepted;
 
-    /** {@code paths}: by balancer. */
+    /** Creates an upstream; {@code paths} are indexed by balancer. */
     UpstreamEmulator(Emulation emulation, WorkloadPlan.UpstreamSpec spec, List<NetworkPath> paths) {
         this.emulation = emulation;
         this.spec = spec;
@@ -67,7 +69,11 @@
         this.alive = spec.replaces() < 0;
     }
 
-    /** Opens its addresses, before the run and off the loop. */
+    /**
+     * Opens the addresses. Called before the run, outside the event loop.
+     *
+     * @throws IOException if an address can't be bound
+     */
     void open(LoopbackAddresses addresses) throws IOException {
         for (int balancer = 0; balancer < paths.size(); balancer++) {
             int balancerNumber = balancer;
@@ -91,21 +97,23 @@
         return spec;
     }
 
-    /** The paths or the server have changed. */
+    /** Opens or closes the addresses after a change of the paths or the process. */
     void updateListeners() {
         for (int balancer = 0; balancer < listeners.size(); balancer++) {
             NetworkPath path = paths.get(balancer);
-            listeners
-                    .get(balancer)
-                    .setState(
-                            vanishCount > 0 || (alive && path.isSilent())
-                                    ? ControllableListener.State.SILENT
-                                    : !alive || path.refusesConnections()
-                                            ? ControllableListener.State.REFUSING
-                                            : ControllableListener.State.OPEN);
+            listeners.get(balancer).setState(listenerState(path));
         }
     }
 
+    private ControllableListener.State listenerState(NetworkPath path) {
+        if (vanishCount > 0 || (alive && path.isSilent())) {
+            return ControllableListener.State.SILENT;
+        }
+        return !alive || path.refusesConnections()
+                ? ControllableListener.State.REFUSING
+                : ControllableListener.State.OPEN;
+    }
+
     private void onAccepted(SocketChannel channel, int balancer) {
         NetworkPathHandler pathHandler = new NetworkPathHandler(emulation, paths.get(balancer));
         connectionsAccepted++;
@@ -117,55 +125,50 @@
                         new Connection(channel, pathHandler, balancer));
     }
 
-    /** One connection: a request at a time. */
-    private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final SocketChannel channel;
+    /** One connection of a balancer, which carries one request at a time. */
+    private final class Connection extends ServerConnection {
         private final NetworkPathHandler pathHandler;
         private final int balancer;
         private boolean newConnection = true;
-        private Job job;
-        private ClientAttempt call;
+        // The attempt that is being executed and its job, or null
+        private ClientAttempt runningAttempt;
+        private Job runningJob;
 
         Connection(SocketChannel channel, NetworkPathHandler pathHandler, int balancer) {
-            this.channel = channel;
+            super(channel);
             this.pathHandler = pathHandler;
             this.balancer = balancer;
         }
 
         @Override
-        public void channelActive(ChannelHandlerContext context) {
+        void onOpened() {
             connections.add(this);
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext context) {
+        void onClosed() {
             connections.remove(this);
-            if (job != null) {
-                runningJobs.remove(job);
-                model.cancel(emulation.nowMicros(), job);
-                call.addTraceEvent(
+            if (runningJob != null) {
+                runningJobs.remove(runningJob);
+                model.cancel(emulation.nowMicros(), runningJob);
+                runningAttempt.addTraceEvent(
                         emulation.nowMicros(),
                         "s" + spec.number(),
                         "n" + balancer + " ended the connection");
-                job = null;
+                runningJob = null;
                 scheduleCompletion();
             }
         }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            channel.close();
-        }
-
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             long firstByteMicros = pathHandler.takeFirstByteMicros();
-            String requestId = request.headers().get("Req-Id");
-            if (request.uri().equals("/-/healthy")) {
+            String requestId = request.headers().get(REQUEST_ID_HEADER);
+            if (request.uri().equals(HEALTH_CHECK_URI)) {
                 respond(draining ? 503 : 200, false, "");
             } else if (requestId == null) {
                 respond(404, false, "");
-            } else if (job != null) {
+            } else if (runningJob != null) {
                 emulation
                         .invariants()
                         .recordViolation(
@@ -183,17 +186,17 @@
         }
 
         private void handleAttempt(String requestId, long firstByteMicros, long nowMicros) {
-            ClientAttempt knownCall =
+            ClientAttempt receivedAttempt =
                     emulation
                             .invariants()
                             .upstreamAttemptReceived(
                                     requestId, balancer, spec.number(), firstByteMicros, nowMicros);
-            if (knownCall == null) {
+            if (receivedAttempt == null) {
                 respond(400, false, "");
                 return;
             }
             long workMicros =
-                    knownCall.request().arrival().workMicros()
+                    receivedAttempt.request().arrival().workMicros()
                             + (newConnection
                                     ? Math.round(
                                             emulation.scenario().upstreams().handshakeMs() * 1e3)
@@ -201,21 +204,24 @@
             newConnection = false;
             checkSlowStartBudget(workMicros, nowMicros);
             Job newJob =
-                    new Job(knownCall.request().arrival().requestClass(), workMicros, jobCount++);
+                    new Job(
+                            receivedAttempt.request().arrival().requestClass(),
+                            workMicros,
+                            jobCount++);
             if (draining
                     || connections.size() > emulation.scenario().upstreams().maxConnections()
                     || !alive
                     || !model.tryAccept(nowMicros, newJob)) {
-                knownCall.addTraceEvent(nowMicros, "s" + spec.number(), "turned away");
+                receivedAttempt.addTraceEvent(nowMicros, "s" + spec.number(), "turned away");
                 respond(503, true, "");
                 return;
             }
-            job = newJob;
-            call = knownCall;
-            runningJobs.put(job, this);
+            runningJob = newJob;
+            runningAttempt = receivedAttempt;
+            runningJobs.put(runningJob, this);
             emulation
                     .invariants()
-                    .executionStarted(knownCall, spec.number(), spec.zone(), nowMicros);
+                    .executionStarted(receivedAttempt, spec.number(), spec.zone(), nowMicros);
             scheduleCompletion();
         }
 
@@ -251,15 +257,16 @@
         }
 
         void completeJob(long nowMicros) {
-            boolean fails = failures.affects(job.requestClass());
-            call.addTraceEvent(nowMicros, "s" + spec.number(), fails ? "fails it" : "answers");
-            ClientAttempt completedCall = call;
-            job = null;
-            call = null;
+            boolean fails = failures.affects(runningJob.requestClass());
+            runningAttempt.addTraceEvent(
+                    nowMicros, "s" + spec.number(), fails ? "fails it" : "answers");
+            ClientAttempt completedAttempt = runningAttempt;
+            runningJob = null;
+            runningAttempt = null;
             respond(
                     fails ? 500 : 200,
                     false,
-                    fails ? "" : responseBody(spec.number(), completedCall.id()));
+                    fails ? "" : responseBody(spec.number(), completedAttempt.id()));
         }
 
         private void respond(int status, boolean rejected, String body) {
@@ -271,13 +278,13 @@
             response.headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
             if (rejected) {
-                response.headers().set("Srv-Declined", "1");
+                response.headers().set(REJECTED_HEADER, "1");
             }
-            channel.writeAndFlush(response);
+            channel().writeAndFlush(response);
         }
     }
 
-    /** What a server answers to a request: nobody else writes this. */
+    /** The body of the response to a request, which only this upstream writes. */
     static String responseBody(int upstream, String requestId) {
         return "s" + upstream + " made this for " + requestId;
     }
@@ -311,15 +318,15 @@
         scheduleCompletion();
     }
 
-    /** The process dies: its connections are reset, new ones refused. */
+    /** Ends the process: its connections are reset, and new ones are refused. */
     void crash() {
         alive = false;
         updateListeners();
         new ArrayList<>(connections)
                 .forEach(
                         connection -> {
-                            connection.channel.config().setOption(ChannelOption.SO_LINGER, 0);
-                            connection.channel.close();
+                            connection.channel().config().setOption(ChannelOption.SO_LINGER, 0);
+                            connection.channel().close();
                         });
     }
 
@@ -364,12 +371,12 @@
         failures.setFailing(requestClass, active);
     }
 
-    /** The largest part of its cold budget that was ever used. */
+    /** The largest fraction of the slow-start budget that was ever used. */
     public double peakSlowStartUtilization() {
         return peakSlowStartUtilization;
     }
 
-    /** Connections that came up. */
+    /** The number of connections that were established. */
     public long connectionsAccepted() {
         return connectionsAccepted;
     }
