--- a/testbed/src/main/java/loadbalancer/testbed/FootprintCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/FootprintCommand.java
@@ -8,6 +8,7 @@
 import loadbalancer.testbed.docfigures.RepeatedMeasurements;
 import loadbalancer.testbed.footprint.FootprintBenchmark;
 import loadbalancer.testbed.footprint.FootprintCase;
+import loadbalancer.testbed.footprint.InvalidSizeException;
 import loadbalancer.testbed.process.LaunchCommand;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -89,7 +90,7 @@
     private List<FootprintCase> parseSizes() {
         try {
             return sizes.stream().map(FootprintCase::parse).toList();
-        } catch (IllegalArgumentException e) {
+        } catch (InvalidSizeException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage(), e);
         }
     }
--- a/testbed/src/main/java/loadbalancer/testbed/TestbedCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/TestbedCommand.java
@@ -1,15 +1,16 @@
 package loadbalancer.testbed;
 
 import java.io.IOException;
+import loadbalancer.testbed.error.InvalidInputException;
 import loadbalancer.testbed.scenario.InvalidScenarioException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ParseResult;
 
 /**
- * The command line of the testbed. An {@link IOException} or {@link InvalidScenarioException} of a
- * command is printed as one line and ends the program with {@link ExitCodes#USAGE}; any other
- * exception is a bug and printed with its stack trace.
+ * The command line of the testbed. An {@link IOException}, {@link InvalidInputException} or {@link
+ * InvalidScenarioException} of a command is printed as one line and ends the program with {@link
+ * ExitCodes#USAGE}; any other exception is a bug and printed with its stack trace.
  */
 @Command(
         name = TestbedCommand.NAME,
@@ -44,15 +45,19 @@
     }
 
     static int run(String... arguments) {
+        return commandLine().execute(arguments);
+    }
+
+    static CommandLine commandLine() {
         return new CommandLine(new TestbedCommand())
-                .setExecutionExceptionHandler(TestbedCommand::handleException)
-                .execute(arguments);
+                .setExecutionExceptionHandler(TestbedCommand::handleException);
     }
 
     private static int handleException(
             Exception exception, CommandLine commandLine, ParseResult parseResult)
             throws Exception {
         if (!(exception instanceof InvalidScenarioException)
+                && !(exception instanceof InvalidInputException)
                 && !(exception instanceof IOException)) {
             throw exception;
         }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityBenchmark.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityBenchmark.java
@@ -11,6 +11,7 @@
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
 import java.util.stream.DoubleStream;
+import loadbalancer.testbed.error.InsufficientResourcesException;
 
 /**
  * Measures all cases of a plan, one after another. A case is a number of balancers, a number of
@@ -116,7 +117,7 @@
                         ? ENDPOINT_HEAP_BYTES * balancerCount * upstreamCount
                         : 0;
         if (requiredBytes > Runtime.getRuntime().maxMemory()) {
-            throw new IOException(
+            throw new InsufficientResourcesException(
                     balancerCount
                             + " balancers with "
                             + upstreamCount
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityPlan.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityPlan.java
@@ -1,6 +1,5 @@
 package loadbalancer.testbed.capacity;
 
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.LinkedHashMap;
@@ -10,10 +9,20 @@
 import java.util.function.Function;
 
 /**
- * What a call of the command asks for, checked.
+ * The cases that a call of the command measures, and how. Immutable.
  *
- * @param lengthMicros µs that each condition lasts
- * @param warmUpMicros µs before it
+ * @param balancers the sizes of the fleet
+ * @param upstreams the sizes of the endpoint list
+ * @param conditions the conditions of each size
+ * @param lengthMicros how long a condition lasts, µs
+ * @param warmUpMicros how long a fleet runs before the condition, not measured, µs
+ * @param seeds the seeds of each case
+ * @param zones the number of zones
+ * @param classes the number of request classes
+ * @param requestsPerSecond requests a second of a balancer, on average
+ * @param components what the hollow balancers consist of
+ * @param threads the number of threads of all hollow balancers on sockets; 0: one for each
+ * @param realBalancers the number of real balancers in a fleet on sockets
  */
 record CapacityPlan(
         List<Integer> balancers,
@@ -31,8 +40,12 @@
     private static final int MAX_BALANCERS = 4_000;
     private static final int MAX_UPSTREAMS = 65_536;
 
-    /** Reads words as the command line has them; what is wrong is told in one line. */
-    static CapacityPlan of(CapacityOptions options) throws IOException {
+    /**
+     * Parses and checks the options of the command line.
+     *
+     * @throws InvalidOptionException if an option is invalid
+     */
+    static CapacityPlan of(CapacityOptions options) {
         CapacityPlan plan =
                 new CapacityPlan(
                         parseIntegers("--balancers", options.balancers, 2, MAX_BALANCERS),
@@ -60,57 +73,54 @@
                         parseInteger("--real", options.realBalancers, 0, 10));
         if (plan.components.contains(BalancerComponent.LEASES)
                 && !plan.components.contains(BalancerComponent.MEMBERSHIP)) {
-            throw new IOException("--parts: duties go by membership");
+            throw new InvalidOptionException("--parts", "duties go by membership");
         }
         if (plan.realBalancers > 0 && !options.useSockets) {
-            throw new IOException("--real: real balancers need --sockets");
+            throw new InvalidOptionException("--real", "real balancers need --sockets");
         }
         if (plan.realBalancers > 0
                 && !EnumSet.of(FleetCondition.QUIET, FleetCondition.LOSS10)
                         .containsAll(plan.conditions)) {
-            throw new IOException("--real: only with quiet and loss10");
+            throw new InvalidOptionException("--real", "only with quiet and loss10");
         }
         if (plan.realBalancers > 0
                 && plan.balancers.stream()
                         .anyMatch(balancerCount -> balancerCount <= plan.realBalancers)) {
-            throw new IOException("--real: there must be more balancers than real ones");
+            throw new InvalidOptionException(
+                    "--real", "there must be more balancers than real ones");
         }
         return plan;
     }
 
-    private static long parseSecondsAsMicros(String option, String text, double min)
-            throws IOException {
+    private static long parseSecondsAsMicros(String option, String text, double min) {
         return Math.round(1e6 * parseDecimal(option, text, min, 3600));
     }
 
-    private static int parseInteger(String option, String text, int min, int max)
-            throws IOException {
+    private static int parseInteger(String option, String text, int min, int max) {
         try {
             int number = Integer.parseInt(text);
             if (number >= min && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            throw new IOException(option + ": not a whole number: '" + text + "'");
+            throw new InvalidOptionException(option, "not a whole number: '" + text + "'");
         }
-        throw new IOException(option + ": not from " + min + " to " + max + ": " + text);
+        throw new InvalidOptionException(option, "not from " + min + " to " + max + ": " + text);
     }
 
-    private static double parseDecimal(String option, String text, double min, double max)
-            throws IOException {
+    private static double parseDecimal(String option, String text, double min, double max) {
         try {
             double number = Double.parseDouble(text);
             if (number >= min && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            throw new IOException(option + ": not a number: '" + text + "'");
+            throw new InvalidOptionException(option, "not a number: '" + text + "'");
         }
-        throw new IOException(option + ": not from " + min + " to " + max + ": " + text);
+        throw new InvalidOptionException(option, "not from " + min + " to " + max + ": " + text);
     }
 
-    private static List<Integer> parseIntegers(String option, String text, int min, int max)
-            throws IOException {
+    private static List<Integer> parseIntegers(String option, String text, int min, int max) {
         List<Integer> numbers = new ArrayList<>();
         for (String item : text.split(",", -1)) {
             numbers.add(parseInteger(option, item, min, max));
@@ -119,8 +129,7 @@
     }
 
     private static <E extends Enum<E>> List<E> parseConstants(
-            String option, String text, Class<E> type, Function<E, String> keyOf)
-            throws IOException {
+            String option, String text, Class<E> type, Function<E, String> keyOf) {
         Map<String, E> constantByKey = new LinkedHashMap<>();
         for (E constant : type.getEnumConstants()) {
             constantByKey.put(keyOf.apply(constant), constant);
@@ -130,7 +139,7 @@
             E constant = constantByKey.get(key);
             if (constant == null) {
                 String allowed = String.join(", ", constantByKey.keySet());
-                throw new IOException(option + ": no " + key + ", only " + allowed);
+                throw new InvalidOptionException(option, "no " + key + ", only " + allowed);
             }
             constants.add(constant);
         }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityReport.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityReport.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import loadbalancer.testbed.error.InvalidFileException;
 
 /**
  * What a call of the command measured, as its file holds it.
@@ -36,7 +37,7 @@
         try {
             Files.createDirectories(directory);
         } catch (IOException e) {
-            throw new IOException(
+            throw new InvalidFileException(
                     "can't make the folder " + directory + " for " + file.getFileName(), e);
         }
     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancers.java
@@ -20,6 +20,7 @@
 import java.util.stream.Stream;
 import loadbalancer.testbed.emulation.Json;
 import loadbalancer.testbed.emulation.LoopbackAddresses;
+import loadbalancer.testbed.error.ProcessFailedException;
 import loadbalancer.testbed.process.BalancerEnvironment;
 import loadbalancer.testbed.process.LaunchCommand;
 import loadbalancer.testbed.workload.RandomStreams;
@@ -130,7 +131,8 @@
     Map<String, Double> metrics(double seconds) throws IOException {
         for (Process process : processes) {
             if (!process.isAlive()) {
-                throw new IOException("a real balancer has ended; its log is in " + directory);
+                throw new ProcessFailedException(
+                        "a real balancer has ended; its log is in " + directory);
             }
         }
         List<CostCounters> counters =
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/SocketHollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/SocketHollowFleet.java
@@ -25,6 +25,7 @@
 import java.util.function.Supplier;
 import loadbalancer.membership.MemberUpdate;
 import loadbalancer.routing.api.Endpoint;
+import loadbalancer.testbed.error.InsufficientResourcesException;
 import loadbalancer.testbed.workload.RandomStreams;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.SynchronizedHistogram;
@@ -175,7 +176,7 @@
         int requiredDescriptors = 2 * fleetSpec.balancers() + SPARE_DESCRIPTORS;
         if (ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system
                 && system.getMaxFileDescriptorCount() < requiredDescriptors) {
-            throw new IOException(
+            throw new InsufficientResourcesException(
                     fleetSpec.balancers()
                             + " balancers want "
                             + requiredDescriptors
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/FigureExpression.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/FigureExpression.java
@@ -15,8 +15,13 @@
             Pattern.compile(
                     "\\s*(?:(\\d[\\d.]*(?:[eE]-?\\d+)?)|((?:[a-z][a-z0-9-]*:)?[A-Za-z][\\w.]*)|([-+*/()]))");
 
-    /** What a key stands for; throws IllegalArgumentException where there is no such figure. */
+    /** Gives the values of keys. */
     interface MetricLookup {
+        /**
+         * The value of a key.
+         *
+         * @throws InvalidFigureException if there is none
+         */
         double lookUp(String key);
     }
 
@@ -32,21 +37,20 @@
             tokenMatcher.region(tokenMatcher.end(), tokenMatcher.regionEnd());
         }
         if (tokenMatcher.regionStart() < tokenMatcher.regionEnd() || tokens.isEmpty()) {
-            throw new IllegalArgumentException("no expression: '" + text + "'");
+            throw new InvalidFigureException("no expression: '" + text + "'");
         }
     }
 
     /**
-     * Its value.
+     * The value of an expression.
      *
-     * @throws IllegalArgumentException where it is no expression, or a figure is missing, with what
-     *     is wrong
+     * @throws InvalidFigureException if the text is not an expression, or a key has no value
      */
     static double evaluate(String text, MetricLookup metrics) {
         FigureExpression expression = new FigureExpression(text, metrics);
         double value = expression.parseSum();
         if (expression.position < expression.tokens.size()) {
-            throw new IllegalArgumentException("no expression: '" + text + "'");
+            throw new InvalidFigureException("no expression: '" + text + "'");
         }
         return value;
     }
@@ -57,6 +61,14 @@
         return matches;
     }
 
+    private static double parseNumber(String token) {
+        try {
+            return Double.parseDouble(token);
+        } catch (NumberFormatException e) {
+            throw new InvalidFigureException(e.getMessage());
+        }
+    }
+
     private double parseSum() {
         double value = parseProduct();
         while (position < tokens.size()) {
@@ -89,17 +101,17 @@
         if (acceptToken("(")) {
             double value = parseSum();
             if (!acceptToken(")")) {
-                throw new IllegalArgumentException("a parenthesis is not closed");
+                throw new InvalidFigureException("a parenthesis is not closed");
             }
             return value;
         }
         String token = position < tokens.size() ? tokens.get(position++) : "";
         if (token.matches("\\d.*")) {
-            return Double.parseDouble(token);
+            return parseNumber(token);
         }
         if (token.matches("[A-Za-z].*")) {
             return metrics.lookUp(token);
         }
-        throw new IllegalArgumentException("a figure was expected, not '" + token + "'");
+        throw new InvalidFigureException("a figure was expected, not '" + token + "'");
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/FigurePageChecker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/FigurePageChecker.java
@@ -129,7 +129,7 @@
                                     reference.file,
                                     reference.expression));
                 }
-            } catch (IllegalArgumentException e) {
+            } catch (InvalidFigureException e) {
                 addError(line, name + ": " + e.getMessage());
             }
         }
@@ -147,12 +147,12 @@
             try {
                 measurementFiles.put(path, MeasurementFile.read(path));
             } catch (IOException e) {
-                throw new IllegalArgumentException("no file " + path);
+                throw new InvalidFigureException("no file " + path);
             }
         }
         Double value = measurementFiles.get(path).metrics().get(key.substring(colon + 1));
         if (value == null) {
-            throw new IllegalArgumentException(
+            throw new InvalidFigureException(
                     "no figure " + key.substring(colon + 1) + " in " + path);
         }
         return value;
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/MeasurementFile.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/MeasurementFile.java
@@ -13,6 +13,7 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import loadbalancer.testbed.error.InvalidFileException;
 
 /**
  * What a run measured, as it lies in a file that pages refer to: the command line, the seeds it was
@@ -36,7 +37,7 @@
     public static MeasurementFile read(Path file) throws IOException {
         JsonNode json = MAPPER.readTree(Files.readString(file));
         if (json == null || !json.path("figures").isObject()) {
-            throw new IOException(file + " holds no figures");
+            throw new InvalidFileException(file + " holds no figures");
         }
         List<Long> seeds = new ArrayList<>();
         json.path("seeds").forEach(seed -> seeds.add(seed.asLong()));
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintCase.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintCase.java
@@ -32,7 +32,7 @@
                 || requestsPerSecond < 0
                 || reportingPeers < 0
                 || reportingPeers >= balancers) {
-            throw new IllegalArgumentException(
+            throw new InvalidSizeException(
                     "no such size: "
                             + servers
                             + " servers, "
@@ -51,7 +51,7 @@
      * Reads {@code servers=40,tenants=1000}; what is left out is 40 for servers, 1 for balancers,
      * all peers for speakers and 0 for the rest.
      *
-     * @throws IllegalArgumentException where it is no such text, with what is wrong
+     * @throws InvalidSizeException if the text is not a size
      */
     public static FootprintCase parse(String text) {
         Map<String, Integer> sizes =
@@ -72,7 +72,7 @@
             if (keyAndValue.length < 2
                     || !keyAndValue[1].matches("\\d{1,9}")
                     || sizes.replace(keyAndValue[0], Integer.valueOf(keyAndValue[1])) == null) {
-                throw new IllegalArgumentException("not a size, as servers=40: '" + field + "'");
+                throw new InvalidSizeException("not a size, as servers=40: '" + field + "'");
             }
         }
         int peers = sizes.get("balancers") - 1;
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/InvalidSizeException.java
@@ -0,0 +1,12 @@
+package loadbalancer.testbed.footprint;
+
+import loadbalancer.testbed.error.InvalidInputException;
+
+/** A size at which a process is to be measured is invalid. */
+public final class InvalidSizeException extends InvalidInputException {
+    private static final long serialVersionUID = 1L;
+
+    InvalidSizeException(String message) {
+        super(message);
+    }
+}
--- a/testbed/src/main/java/loadbalancer/testbed/process/BalancerProcess.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/BalancerProcess.java
@@ -16,11 +16,11 @@
 
 /**
  * One balancer over all its processes: the present process, the log with the testbed's timestamps,
- * and resource usage. The fleet's thread starts and ends processes; a thread per process reads its
- * log. Thread-safe.
+ * and resource usage. The fleet's thread starts and ends processes; one thread for each process
+ * reads its log. Thread-safe.
  */
 public final class BalancerProcess {
-    // Stored per balancer and run; read and dropped beyond that
+    // Beyond this size of the log of a run, lines are read and dropped.
     private static final long MAX_LOG_BYTES = 32L << 20;
 
     private final int number;
@@ -37,12 +37,21 @@
     private boolean expectedToEnd;
 
     /**
-     * One process: from its start until its end, by {@link System#nanoTime}; {@code exitReason}
-     * null: it runs.
+     * One process of a balancer.
+     *
+     * @param startNanos its start, by {@link System#nanoTime}
+     * @param endNanos its end, by the same clock, or 0 while it runs
+     * @param exitReason why it has ended, or null while it runs
      */
     public record Incarnation(long startNanos, long endNanos, String exitReason) {}
 
-    /** {@code lineListener} hears each line of its log with the time, on the reader's thread. */
+    /**
+     * Creates a balancer without a process.
+     *
+     * @param clock the time of the run, µs
+     * @param lineListener is called for each line of the log with its time in µs, on the thread
+     *     that reads the log
+     */
     BalancerProcess(
             int number, Path logFile, LongSupplier clock, BiConsumer<Long, String> lineListener) {
         this.number = number;
@@ -51,6 +60,7 @@
         this.lineListener = lineListener;
     }
 
+    /** Notes that a process was started, and starts the thread that reads its log. */
     synchronized void onStarted(Process newProcess) {
         process = newProcess;
         expectedToEnd = false;
@@ -72,26 +82,29 @@
                 String timestamped =
                         String.format(Locale.ROOT, "%.6f n%d %s%n", nowMicros / 1e6, number, line);
                 loggedBytes += timestamped.length();
-                // read on past it: a full pipe would stop the balancer
+                // Reading continues beyond the limit, since a full pipe would block the balancer.
                 if (loggedBytes < MAX_LOG_BYTES) {
                     writer.write(timestamped);
                     writer.flush();
                 }
             }
         } catch (IOException | UncheckedIOException e) {
-            // Killed in the midst of a line
+            // The process was killed while it wrote a line.
             return;
         }
     }
 
+    /** Notes that the present process is about to be ended by the testbed. */
     synchronized void expectEnd() {
         expectedToEnd = true;
     }
 
+    /** Whether the present process is ended by the testbed. */
     synchronized boolean expectedToEnd() {
         return expectedToEnd;
     }
 
+    /** Notes the end of the present process; a second call for the same process has no effect. */
     synchronized void onEnded(String reason) {
         Incarnation latest = incarnations.get(incarnations.size() - 1);
         if (latest.exitReason == null) {
@@ -101,6 +114,7 @@
         }
     }
 
+    /** Reads the resource usage of the present process, if it runs. */
     synchronized void sampleUsage() {
         if (process == null || !process.isAlive()) {
             return;
@@ -113,34 +127,37 @@
         }
     }
 
+    /** The number of the balancer, from 0. */
     public int number() {
         return number;
     }
 
+    /** The present or last process, or null before the first start. */
     synchronized Process process() {
         return process;
     }
 
+    /** The file of the log, with lines of all processes. */
     Path logFile() {
         return logFile;
     }
 
-    /** In order of time. */
+    /** The processes so far, in order of time. */
     public synchronized List<Incarnation> incarnations() {
         return List.copyOf(incarnations);
     }
 
-    /** CPU of all its processes, in ms. */
+    /** The CPU time of all processes so far, ms, as of the last sample. */
     public synchronized long cpuMs() {
         return cpuMs;
     }
 
-    /** Its largest resident memory, in kB. */
+    /** The largest resident memory of any sample, kB. */
     public synchronized long peakResidentKb() {
         return peakResidentKb;
     }
 
-    /** The most descriptors that it had open. */
+    /** The largest number of open file descriptors of any sample. */
     public synchronized int peakDescriptors() {
         return peakDescriptors;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/process/LaunchCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/LaunchCommand.java
@@ -7,11 +7,14 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.testbed.error.InvalidFileException;
 
 /**
- * How a balancer is started: the command of {@code run} in the deploy file, with the jar that is to
- * be tried in place of the deployed one and the class archive that lies beside that jar, if there
- * is one.
+ * The command that starts a balancer: that of {@code run} in the deploy file, with the jar under
+ * test in place of the deployed one, and with the class archive beside that jar, if there is one.
+ * Immutable.
+ *
+ * @param command the program and its arguments
  */
 public record LaunchCommand(List<String> command) {
     /** The jar of the project's build, relative to the project's root. */
@@ -19,6 +22,7 @@
 
     private static final String ARCHIVE_OPTION = "-XX:SharedArchiveFile=";
 
+    /** Creates a command from a program and its arguments. */
     public LaunchCommand {
         command = List.copyOf(command);
     }
@@ -26,7 +30,7 @@
     /**
      * The command that starts a balancer from the jar of the project's build.
      *
-     * @throws IOException if the deploy file or the jar can't be read
+     * @throws IOException if the deploy file or the jar can't be used
      */
     public static LaunchCommand forProjectBuild() throws IOException {
         Path projectRoot = findDeployFile().getParent().getParent();
@@ -36,7 +40,7 @@
     /**
      * The command that starts a balancer from {@code jar}, by the deploy file of this project.
      *
-     * @throws IOException if the deploy file or the jar can't be read
+     * @throws IOException if the deploy file or the jar can't be used
      */
     public static LaunchCommand forJar(Path jar) throws IOException {
         return fromDeployFile(findDeployFile(), jar);
@@ -45,16 +49,16 @@
     /**
      * Reads the command from a deploy file and puts {@code jar} into it.
      *
-     * @throws IOException if the deploy file or the jar can't be read, with a message that names it
+     * @throws IOException if the deploy file or the jar can't be used, with a message that names it
      */
     static LaunchCommand fromDeployFile(Path deployFile, Path jar) throws IOException {
         JsonNode runNode = new TomlMapper().readTree(Files.readString(deployFile)).get("run");
         if (runNode == null || !runNode.isTextual()) {
-            throw new IOException(deployFile + " has no run");
+            throw new InvalidFileException(deployFile + " has no run");
         }
         Path absoluteJar = jar.toAbsolutePath().normalize();
         if (!Files.isReadable(absoluteJar)) {
-            throw new IOException(
+            throw new InvalidFileException(
                     "no jar " + absoluteJar + ": build it first, or name one with --build");
         }
         Path classArchive =
@@ -86,6 +90,6 @@
                 return file;
             }
         }
-        throw new IOException("no deploy/balancer.toml here or above");
+        throw new InvalidFileException("no deploy/balancer.toml here or above");
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/process/ProcessFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ProcessFleet.java
@@ -16,6 +16,8 @@
 import loadbalancer.testbed.emulation.EmulatedEnvironment;
 import loadbalancer.testbed.emulation.Emulation;
 import loadbalancer.testbed.emulation.Json;
+import loadbalancer.testbed.error.EventLoopException;
+import loadbalancer.testbed.error.ProcessFailedException;
 import loadbalancer.testbed.invariant.RunInvariant;
 import loadbalancer.testbed.scenario.FaultKind;
 import loadbalancer.testbed.scenario.Scenario;
@@ -24,8 +26,8 @@
 
 /**
  * The balancers' processes: starts, ends, pauses and restarts them as the plan says, and checks
- * that they stay within their limits. All of it runs on the fleet's own thread; invariants are
- * notified on the emulation's event loop. {@link #close} ends the thread and every process.
+ * that they stay within their limits. Faults and samples run on the fleet's own thread; invariants
+ * are notified on the emulation's event loop. {@link #close} ends the thread and every process.
  */
 public final class ProcessFleet implements AutoCloseable {
     private static final long SAMPLE_INTERVAL_MS = 250;
@@ -168,9 +170,9 @@
                     .get(EVENT_LOOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException(e);
+            throw new EventLoopException(e);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IOException(e);
+            throw new EventLoopException(e);
         }
     }
 
@@ -308,16 +310,16 @@
         }
     }
 
-    // On a busy machine a killed process ends some time after the signal.
+    // On a busy machine, a killed process ends some time after the signal.
     private static void awaitEnd(BalancerProcess balancer) throws IOException {
         try {
             if (!balancer.process().waitFor(SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
-                throw new IOException(
+                throw new ProcessFailedException(
                         "n" + balancer.number() + " is to start again and has not ended");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException(e);
+            throw new ProcessFailedException(e);
         }
     }
 
@@ -410,7 +412,7 @@
                                 + process.exitValue()
                                 + " after SIGTERM");
             }
-            // The notification of the system comes later, on another thread.
+            // The notification of Process.onExit comes later, on another thread.
             balancer.onEnded(ENDED_AS_EXPECTED);
         }
     }
--- a/testbed/src/main/java/loadbalancer/testbed/process/ProcessMetrics.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ProcessMetrics.java
@@ -5,15 +5,21 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the system tells of a process; -1 where it has ended. */
+/**
+ * The resource usage of a process as the system reports it. Immutable.
+ *
+ * @param cpuMs CPU time since its start, ms
+ * @param residentKb resident memory, kB
+ * @param descriptors open file descriptors
+ */
 public record ProcessMetrics(long cpuMs, long residentKb, int descriptors) {
-    // Linux counts in hundredths of a second
+    // Linux counts CPU time in hundredths of a second.
     private static final long CLOCK_TICK_MS = 10;
-    // Fields of stat behind the command's name
+    // Positions of fields in /proc/PID/stat, counted after the command's name
     private static final int USER_TIME_FIELD = 11;
     private static final int SYSTEM_TIME_FIELD = 12;
 
-    /** As it is now. */
+    /** The present usage of a process; all values are -1 if it has ended. */
     public static ProcessMetrics read(long pid) {
         Path proc = Path.of("/proc", Long.toString(pid));
         try {
@@ -34,7 +40,7 @@
                     rssKb,
                     openDescriptors == null ? -1 : openDescriptors.length);
         } catch (IOException e) {
-            // It has ended
+            // The process has ended.
             return new ProcessMetrics(-1, -1, -1);
         }
     }
--- a/testbed/src/main/java/loadbalancer/testbed/process/ProcessSpawner.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ProcessSpawner.java
@@ -12,11 +12,12 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.stream.Collectors;
+import loadbalancer.testbed.error.ProcessFailedException;
 
 /**
- * Starts processes and sends signals to them. All are started by one thread that lives as long as
- * the testbed: the system ends a process with the thread that started it, so that none outlives a
- * testbed that was itself killed. Thread-safe.
+ * Starts processes and sends signals to them. All processes are started by one thread that lives as
+ * long as the spawner: the system kills a process when the thread that started it ends, so that no
+ * process outlives a testbed that was itself killed. Thread-safe.
  */
 public final class ProcessSpawner implements AutoCloseable {
     private static final Path SETPRIV = Path.of("/usr/bin/setpriv");
@@ -32,18 +33,20 @@
     private final Thread shutdownHook =
             new Thread(() -> liveProcesses.forEach(Process::destroyForcibly), "end of processes");
 
-    /** Processes that it starts end with this one, however this one ends. */
+    /** Creates a spawner whose processes end with this program, however it ends. */
     public ProcessSpawner() {
         Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     /**
-     * Starts a command with a limit on descriptors.
+     * Starts a command.
      *
-     * @throws IOException where it can't be started
+     * @param descriptors the limit of the process on open file descriptors
+     * @param builder has the environment and the redirections of the process
+     * @throws ProcessFailedException if it can't be started
      */
     public Process start(List<String> command, int descriptors, ProcessBuilder builder)
-            throws IOException {
+            throws ProcessFailedException {
         List<String> arguments =
                 new ArrayList<>(
                         List.of(
@@ -62,13 +65,18 @@
             return process;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException(e);
+            throw new ProcessFailedException(e);
         } catch (ExecutionException e) {
-            throw new IOException(e.getCause());
+            throw new ProcessFailedException(e.getCause());
         }
     }
 
-    /** One signal to many at one moment; those that have ended are passed over. */
+    /**
+     * Sends a signal to several processes at once. Processes that have ended are ignored.
+     *
+     * @param name the signal's name without its prefix, such as {@code TERM}
+     * @throws IOException if the signal can't be sent
+     */
     static void signal(String name, Collection<Process> processes) throws IOException {
         String pids =
                 processes.stream()
@@ -77,7 +85,7 @@
                         .collect(Collectors.joining(" "));
         if (!pids.isEmpty()) {
             try {
-                // Of a process that ends meanwhile kill only complains.
+                // For a process that has ended meanwhile, kill only prints an error.
                 new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + pids + " 2>/dev/null")
                         .start()
                         .waitFor();
@@ -87,6 +95,7 @@
         }
     }
 
+    /** Kills the processes that still run. */
     @Override
     public void close() {
         liveProcesses.forEach(Process::destroyForcibly);
--- a/testbed/src/main/java/loadbalancer/testbed/process/ScenarioRunner.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ScenarioRunner.java
@@ -4,7 +4,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
 import java.util.SortedMap;
@@ -15,11 +14,10 @@
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
 import java.util.stream.IntStream;
-import java.util.stream.Stream;
 import loadbalancer.testbed.emulation.EmulatedEnvironment;
 import loadbalancer.testbed.emulation.Emulation;
 import loadbalancer.testbed.emulation.UpstreamEmulator;
-import loadbalancer.testbed.invariant.ClientAttempt;
+import loadbalancer.testbed.error.EventLoopException;
 import loadbalancer.testbed.invariant.LeaseEpochOrderInvariant;
 import loadbalancer.testbed.invariant.MembershipAgreementInvariant;
 import loadbalancer.testbed.invariant.MutualExclusionInvariant;
@@ -33,16 +31,19 @@
 import loadbalancer.testbed.statistics.RunResultBuilder;
 import loadbalancer.testbed.workload.WorkloadPlan;
 
-/** One run of a scenario with real processes, from the first start to the written result. */
+/**
+ * One run of a scenario with real processes, from the first start to the written result. Used by
+ * one thread; progress is also reported from the emulation's event loop.
+ */
 public final class ScenarioRunner {
     private static final long READY_TIMEOUT_S = 30;
-    // µs between readiness and the first client
+    // Time between readiness and the first request
     private static final long LEAD_TIME_MICROS = 300_000;
-    // Past its length a run is ended by force
+    // A run that is longer than planned by this is ended.
     private static final long MAX_OVERRUN_S = 90;
-    // 99th percentile of the testbed's own lateness
+    // Limit of the 99th percentile of the testbed's own lateness
     private static final double MAX_LATENESS_MICROS = 25e3;
-    private static final int MAX_TRACES = 3;
+    private static final int MAX_REPORTED_VIOLATIONS = 3;
 
     private final WorkloadPlan plan;
     private final LaunchCommand launchCommand;
@@ -54,7 +55,7 @@
      * Creates a runner.
      *
      * @param outputDirectory for logs, state directories and the result; created if missing
-     * @param progressListener is notified of each line of progress
+     * @param progressListener is called for each line of progress
      */
     public ScenarioRunner(
             WorkloadPlan plan,
@@ -71,12 +72,12 @@
      * Plays the plan and writes its result. Returns within a bounded time, without leaving a
      * process.
      *
-     * @throws IOException if a process or file of the run can't be handled
+     * @throws IOException if a process can't be started or signalled, or a file can't be written
      */
     public RunResult run() throws IOException, InterruptedException {
         Files.createDirectories(outputDirectory);
         RequestInvariants invariants = new RequestInvariants(plan.scenario(), this::onViolation);
-        List<RunInvariant> properties = createProperties();
+        List<RunInvariant> runInvariants = createRunInvariants();
         try (Emulation emulation = new Emulation(plan, invariants);
                 EmulatedEnvironment environment = new EmulatedEnvironment(emulation);
                 ProcessFleet fleet =
@@ -85,7 +86,7 @@
                                 environment,
                                 launchCommand,
                                 outputDirectory,
-                                properties)) {
+                                runInvariants)) {
             if (startFleet(emulation, environment, fleet)) {
                 CountDownLatch done = new CountDownLatch(1);
                 emulation.startIn(LEAD_TIME_MICROS);
@@ -101,7 +102,7 @@
                                 + READY_TIMEOUT_S
                                 + " s; nothing was played");
             }
-            SortedMap<String, Double> metrics = endInvariants(emulation, properties);
+            SortedMap<String, Double> metrics = endInvariants(emulation, runInvariants);
             fleet.stopAll();
             RunResult result =
                     emulation
@@ -109,10 +110,10 @@
                             .submit(() -> buildResult(emulation, environment, fleet, metrics))
                             .get();
             result.write(outputDirectory);
-            printTraces(invariants, fleet);
+            new RequestTracePrinter(progressListener).print(invariants, fleet.balancers());
             return result;
         } catch (ExecutionException e) {
-            throw new IOException(e.getCause());
+            throw new EventLoopException(e.getCause());
         }
     }
 
@@ -144,7 +145,7 @@
     }
 
     private static SortedMap<String, Double> endInvariants(
-            Emulation emulation, List<RunInvariant> properties) {
+            Emulation emulation, List<RunInvariant> runInvariants) {
         RequestInvariants invariants = emulation.invariants();
         SortedMap<String, Double> metrics = new TreeMap<>();
         emulation
@@ -155,9 +156,9 @@
                 .eventLoop()
                 .submit(
                         () ->
-                                properties.forEach(
-                                        property ->
-                                                property.onRunEnd(
+                                runInvariants.forEach(
+                                        invariant ->
+                                                invariant.onRunEnd(
                                                         emulation.nowMicros(),
                                                         invariants,
                                                         metrics)))
@@ -168,7 +169,7 @@
     private void onViolation(Violation violation) {
         synchronized (reportedViolations) {
             reportedViolations.add(violation);
-            if (reportedViolations.size() <= MAX_TRACES) {
+            if (reportedViolations.size() <= MAX_REPORTED_VIOLATIONS) {
                 progressListener.accept(violation.toString());
             }
         }
@@ -190,7 +191,7 @@
                     return true;
                 }
             } catch (ExecutionException e) {
-                throw new IOException(e.getCause());
+                throw new EventLoopException(e.getCause());
             }
         }
         return false;
@@ -226,19 +227,19 @@
         }
     }
 
-    private List<RunInvariant> createProperties() {
+    private List<RunInvariant> createRunInvariants() {
         Scenario scenario = plan.scenario();
-        List<RunInvariant> properties = new ArrayList<>();
+        List<RunInvariant> runInvariants = new ArrayList<>();
         Double detectionS = scenario.expectations().memberDetectionWithinS();
         if (detectionS != null) {
-            properties.add(
+            runInvariants.add(
                     new MembershipAgreementInvariant(
                             scenario.fleet().balancers(),
                             Math.round(detectionS * 1e6),
                             plan.faults().stream().noneMatch(fault -> fault.kind().affectsPath())));
         }
         if (scenario.expectations().maxLeaseGapS() != null) {
-            properties.add(new LeaseEpochOrderInvariant(scenario.expectations().maxLeaseGapS()));
+            runInvariants.add(new LeaseEpochOrderInvariant(scenario.expectations().maxLeaseGapS()));
         }
         Double failoverS = scenario.expectations().zoneFailoverWithinS();
         if (failoverS != null) {
@@ -250,7 +251,7 @@
                                                     || fault.kind() == FaultKind.VANISH)
                             .findFirst()
                             .orElseThrow();
-            properties.add(
+            runInvariants.add(
                     new ZoneFailoverInvariant(
                             scenario.fleet().balancers(),
                             scenario.zoneOfUpstream(zoneFault.upstreams().first()),
@@ -261,12 +262,12 @@
                 .singleHolders()
                 .forEach(
                         singleHolder ->
-                                properties.add(
+                                runInvariants.add(
                                         new MutualExclusionInvariant(
                                                 singleHolder.resource(),
                                                 Pattern.compile(singleHolder.acquirePattern()),
                                                 Pattern.compile(singleHolder.releasePattern()))));
-        return properties;
+        return runInvariants;
     }
 
     private RunResult buildResult(
@@ -335,58 +336,4 @@
                 environment.peerNetwork().bytesSent(number),
                 environment.discoveryAgents().get(number).requestCount());
     }
-
-    // For the first violations that concern a request: what its parties observed and what balancers
-    // logged.
-    private void printTraces(RequestInvariants invariants, ProcessFleet fleet) throws IOException {
-        List<String> requestIds =
-                invariants.violations().stream()
-                        .map(Violation::requestId)
-                        .filter(requestId -> requestId != null)
-                        .distinct()
-                        .limit(MAX_TRACES)
-                        .toList();
-        for (String requestId : requestIds) {
-            List<TraceLine> trace = new ArrayList<>();
-            ClientAttempt clientAttempt = invariants.clientAttempt(requestId);
-            if (clientAttempt != null) {
-                clientAttempt
-                        .traceEvents()
-                        .forEach(
-                                note ->
-                                        trace.add(
-                                                new TraceLine(
-                                                        note.timeMicros() / 1e6,
-                                                        note.observer()
-                                                                + ": "
-                                                                + note.description())));
-            }
-            for (BalancerProcess balancer : fleet.balancers()) {
-                if (Files.exists(balancer.logFile())) {
-                    try (Stream<String> lines = Files.lines(balancer.logFile())) {
-                        lines.filter(line -> line.contains(requestId))
-                                .forEach(
-                                        line ->
-                                                trace.add(
-                                                        new TraceLine(
-                                                                Double.parseDouble(
-                                                                        line.substring(
-                                                                                0,
-                                                                                line.indexOf(' '))),
-                                                                line.substring(
-                                                                        line.indexOf(' ') + 1))));
-                    }
-                }
-            }
-            trace.sort(Comparator.comparingDouble(TraceLine::atS));
-            progressListener.accept("the story of " + requestId + ":");
-            trace.forEach(
-                    line ->
-                            progressListener.accept(
-                                    String.format(
-                                            Locale.ROOT, "  %11.6f %s", line.atS, line.text)));
-        }
-    }
-
-    private record TraceLine(double atS, String text) {}
 }
--- a/testbed/src/main/java/loadbalancer/testbed/process/StateDirectories.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/StateDirectories.java
@@ -13,18 +13,19 @@
 import java.util.stream.Stream;
 
 /**
- * The directories that outlive balancers, one each, and what may become of one while its process is
- * down: kept, emptied, its newest file cut short at a byte or with a bit flipped there, or put back
- * to the copy that was taken before the process that has just ended.
+ * The directories of the balancers' persistent state, and the changes that faults make to one while
+ * its process is down: it is kept, emptied, its newest file is truncated or gets a flipped bit, or
+ * it is replaced by the copy that was taken before the last start. Used by the fleet's thread.
  */
 final class StateDirectories {
     private final Path root;
 
+    /** Uses directories below {@code root}, which are created when they are needed. */
     StateDirectories(Path root) {
         this.root = root;
     }
 
-    /** A balancer's directory, made where it does not exist. */
+    /** The directory of a balancer, created if it does not exist. */
     Path directoryOf(int balancer) throws IOException {
         return Files.createDirectories(root.resolve("n" + balancer));
     }
@@ -33,14 +34,16 @@
         return root.resolve("n" + balancer + ".older");
     }
 
-    /** Keeps a copy of it as it is now, in place of an earlier one. */
+    /** Copies the directory of a balancer, in place of an earlier copy. */
     void backUp(int balancer) throws IOException {
         replaceDirectory(directoryOf(balancer), backupOf(balancer));
     }
 
     /**
-     * Does to it what a fault's {@code stateChange} says; {@code byteOffset} is a byte of the
-     * newest file, from 0.
+     * Changes the directory of a balancer.
+     *
+     * @param stateChange the change, in the scenario's terms
+     * @param byteOffset the byte of the newest file at which it is truncated or changed, from 0
      */
     void applyStateChange(int balancer, String stateChange, int byteOffset) throws IOException {
         Path directory = directoryOf(balancer);
@@ -56,6 +59,7 @@
         directoryOf(balancer);
     }
 
+    /** A change of one open file. */
     private interface FileModification {
         void apply(FileChannel file) throws IOException;
     }
@@ -94,7 +98,7 @@
         }
         List<Path> paths;
         try (Stream<Path> files = Files.walk(source)) {
-            // Parents come first
+            // Parents come before their files.
             paths = files.toList();
         }
         for (Path file : paths) {
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityPlanTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityPlanTest.java
@@ -66,7 +66,8 @@
 
     private static void assertRejected(String option, String value, String expectedName) {
         String message =
-                assertThrows(IOException.class, () -> parsePlan(option, value)).getMessage();
+                assertThrows(InvalidOptionException.class, () -> parsePlan(option, value))
+                        .getMessage();
         assertTrue(message.contains(expectedName) && message.lines().count() == 1, message);
     }
 
--- a/testbed/src/test/java/loadbalancer/testbed/docfigures/FigurePageCheckerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/docfigures/FigurePageCheckerTest.java
@@ -71,6 +71,7 @@
                 "\"n1600.bytes\"; \"n1600.bytes *\"; a figure was expected",
                 "\"n1600.bytes\"; \"(n1600.bytes\"; a parenthesis is not closed",
                 "\"n1600.bytes\"; \"n1600.bytes ? 2\"; no expression",
+                "\"n1600.bytes\"; \"n1600.bytes * 1.2.3\"; multiple points",
                 "capacity/members.json \"n1600.bytes\"; capacity/member.json \"n1600.bytes\"; no file",
                 "serve-now:s40; serve-then:s40; no file",
                 "[394 m]; [some m]; no number in [some m][quiet]",
--- a/testbed/src/test/java/loadbalancer/testbed/footprint/FootprintBenchmarkTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/footprint/FootprintBenchmarkTest.java
@@ -60,7 +60,7 @@
                 "rate=-1"
             })
     void invalidCaseIsRejected(String text) {
-        assertThrows(IllegalArgumentException.class, () -> FootprintCase.parse(text));
+        assertThrows(InvalidSizeException.class, () -> FootprintCase.parse(text));
     }
 
     private static String readUntil(Socket socket, String expected) throws IOException {
