--- a/testbed/src/main/java/loadbalancer/testbed/capacity/BalancerComponent.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/BalancerComponent.java
@@ -1,9 +1,12 @@
 package loadbalancer.testbed.capacity;
 
-/** What hollow balancers consist of. */
+/** A component of hollow balancers. */
 enum BalancerComponent {
+    /** The routing policy. */
     ROUTING("module"),
+    /** Membership of the fleet. */
     MEMBERSHIP("membership"),
+    /** Leases by majority of the members. */
     LEASES("duties");
 
     private final String key;
@@ -12,7 +15,7 @@
         this.key = key;
     }
 
-    /** As {@code --parts} names it. */
+    /** The name in the option {@code --parts}. */
     String key() {
         return key;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/BalancerHost.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/BalancerHost.java
@@ -2,17 +2,20 @@
 
 import loadbalancer.membership.MemberUpdate;
 
-/** What a hollow balancer lives on: a clock, timers and datagrams, simulated or real. */
+/**
+ * What a hollow balancer runs on: a clock, timers and a network of datagrams, simulated or real.
+ * Used on the balancer's thread.
+ */
 interface BalancerHost {
-    /** µs; never goes back. */
+    /** The monotonic time in µs. */
     long now();
 
-    /** Calls {@code task} after so many µs, never at once, on the balancer's own thread. */
+    /** Calls {@code task} on the balancer's thread after so many µs, never within this call. */
     void after(long delayMicros, Runnable task);
 
-    /** Sends a datagram to the balancer of that number, or to all others where it is negative. */
+    /** Sends a datagram to the balancer {@code peer}, or to all others if that is negative. */
     void send(int peer, byte[] data);
 
-    /** The balancer's view has changed. */
+    /** Called when the balancer's view of the membership has changed. */
     void onMemberUpdate(MemberUpdate update);
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
@@ -2,19 +2,25 @@
 
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.Random;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
 
-/** One fleet under one condition: started, left to settle, played and measured. */
+/**
+ * Measures one fleet under one condition: starts it, lets it settle, plays the condition and
+ * computes the metrics. Not thread-safe.
+ */
 final class CapacityExperiment {
-    // µs between two looks at what modules know
+    // Time between two samples of the rates that routing policies know
     private static final long SAMPLE_INTERVAL_MICROS = 200_000;
-    // µs in which balancers start, so as not in step
+    // Balancers start at random times within this period, so that they are not in step.
     private static final long START_SPREAD_MICROS = 200_000;
     private static final List<CostCategory> DATAGRAM_CATEGORIES =
             List.of(CostCategory.GOSSIP, CostCategory.MEMBERSHIP, CostCategory.LEASES);
@@ -25,29 +31,31 @@
     private final List<Double> rateErrors = new ArrayList<>();
     private boolean measuring;
 
-    /** {@code lengthMicros} in µs. */
+    /** Creates an experiment; {@code lengthMicros} is how long the condition lasts, in µs. */
     CapacityExperiment(FleetSpec fleetSpec, HollowFleet fleet, long lengthMicros) {
         this.fleetSpec = fleetSpec;
         this.fleet = fleet;
         this.lengthMicros = lengthMicros;
     }
 
+    /** The size and the settings of the fleet. */
     FleetSpec fleetSpec() {
         return fleetSpec;
     }
 
+    /** The fleet that is measured. */
     HollowFleet fleet() {
         return fleet;
     }
 
-    /** µs that the condition lasts. */
+    /** How long the condition lasts, µs. */
     long lengthMicros() {
         return lengthMicros;
     }
 
     /**
-     * Starts all balancers within a period of membership, and lets the rest of {@code warmUpMicros}
-     * µs pass.
+     * Starts all balancers within a short period, in an order that {@code seed} determines, and
+     * waits until {@code warmUpMicros} µs have passed since the first start.
      */
     void start(long warmUpMicros, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -58,7 +66,7 @@
                         .toArray();
         List<Integer> startOrder =
                 new ArrayList<>(IntStream.range(0, fleetSpec.balancers()).boxed().toList());
-        java.util.Collections.shuffle(startOrder, new java.util.Random(seed));
+        Collections.shuffle(startOrder, new Random(seed));
         long startMicros = fleet.now();
         for (int i = 0; i < startOffsetsMicros.length; i++) {
             advance(startMicros + startOffsetsMicros[i] - fleet.now());
@@ -67,7 +75,7 @@
         advance(Math.max(0, startMicros + warmUpMicros - fleet.now()));
     }
 
-    /** Lets time pass, and looks now and then at what modules know. */
+    /** Lets so many µs pass; while the condition is measured, samples what policies know. */
     void advance(long durationMicros) {
         long remainingMicros = durationMicros;
         while (remainingMicros > 0) {
@@ -98,9 +106,10 @@
     }
 
     /**
-     * Plays the condition; figures by name, those of a second by simulated or real seconds.
+     * Plays the condition and returns the metrics by name. Rates are per second of the fleet's
+     * time, simulated or real.
      *
-     * @throws IOException where a real balancer of the fleet has ended
+     * @throws IOException if a real balancer of the fleet has ended
      */
     Map<String, Double> measure(FleetCondition condition) throws IOException {
         fleet.resetCounters();
@@ -185,7 +194,9 @@
         return DATAGRAM_CATEGORIES.stream().mapToDouble(counter).sum();
     }
 
-    // The balancers' own code is timed by the wall; what the system took meanwhile is not its.
+    // The balancers' own code is timed by elapsed time, of which only a fraction was CPU time of
+    // the
+    // thread.
     private void addCpu(List<CostCounters> counters, double seconds, Map<String, Double> metrics) {
         double cpuFraction = fleet.cpuFraction();
         double totalShare = 0;
@@ -276,12 +287,12 @@
                         .map(value -> value / seconds)
                         .sorted()
                         .toArray();
-        metrics.put(name + ".mean", java.util.Arrays.stream(sorted).average().orElse(0));
+        metrics.put(name + ".mean", Arrays.stream(sorted).average().orElse(0));
         metrics.put(name + ".p99", quantile(sorted, 0.99));
         metrics.put(name + ".most", sorted[sorted.length - 1]);
     }
 
-    /** The least value that so large a part of all is not above. */
+    /** The smallest value that at least this fraction of all values does not exceed. */
     static double quantile(double[] sorted, double fraction) {
         return sorted[Math.max(0, (int) Math.ceil(fraction * sorted.length) - 1)];
     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityReport.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityReport.java
@@ -7,6 +7,7 @@
 import java.math.MathContext;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -14,23 +15,25 @@
 import loadbalancer.testbed.error.InvalidFileException;
 
 /**
- * What a call of the command measured, as its file holds it.
+ * The measurements of one call of the command, as its file holds them. Immutable.
  *
- * @param command the line that gave it
- * @param metrics by name
+ * @param command the command line that reproduces them
+ * @param seeds the seeds of each case
+ * @param metrics the metrics by name
  */
 public record CapacityReport(String command, List<Long> seeds, Map<String, Double> metrics) {
     private static final MathContext PRECISION = new MathContext(5);
 
+    /** Copies the arguments. */
     public CapacityReport {
         seeds = List.copyOf(seeds);
-        metrics = java.util.Collections.unmodifiableMap(new TreeMap<>(metrics));
+        metrics = Collections.unmodifiableMap(new TreeMap<>(metrics));
     }
 
     /**
-     * Makes the folder of a file.
+     * Creates the directory of a file.
      *
-     * @throws IOException where it can't be made
+     * @throws IOException if it can't be created
      */
     static void createParentDirectory(Path file) throws IOException {
         Path directory = file.toAbsolutePath().getParent();
@@ -43,9 +46,9 @@
     }
 
     /**
-     * Writes it, five digits a figure.
+     * Writes the report, with five significant digits of each metric.
      *
-     * @throws IOException where the file can't be written
+     * @throws IOException if the file can't be written
      */
     void write(Path file) throws IOException {
         Map<String, Object> rounded = new LinkedHashMap<>();
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityRun.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityRun.java
@@ -8,22 +8,23 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** One call of the command, from its words to its file. */
+/** One call of the command, from its options to its report. Stateless. */
 public final class CapacityRun {
-    // s, as for runs of real fleets
+    // The limit of runs of real fleets
     private static final double MAX_TIMER_LATENESS_SECONDS = 0.025;
     private static final String JAR_PATH = "testbed/target/load-balancer-testbed.jar";
 
     private CapacityRun() {}
 
     /**
-     * Plays what is asked for; {@code progress} hears a line for each trial.
+     * Measures all cases that the options ask for.
      *
-     * @param arguments of the command line, after the command
-     * @param outputFile null: the figures go nowhere
-     * @return false where the machine was too busy for real time: then the figures count for
-     *     nothing
-     * @throws IOException where the words are wrong or the file can't be written, in one line
+     * @param arguments the arguments of the command line
+     * @param outputFile the file of the report, or null if none is wanted
+     * @param progress is called with a line for each case
+     * @return false if the machine was too busy for real time, so that the metrics are not valid
+     * @throws InvalidOptionException if an option is invalid
+     * @throws IOException if a fleet can't be created or the report can't be written
      */
     public static boolean run(
             CapacityOptions options,
@@ -33,7 +34,7 @@
             throws IOException {
         CapacityPlan plan = CapacityPlan.of(options);
         if (outputFile != null) {
-            // Before it takes its time
+            // Before the measurement, so that an unusable path is reported early.
             CapacityReport.createParentDirectory(outputFile);
         }
         CapacityBenchmark.FleetFactory fleetFactory =
@@ -65,7 +66,7 @@
         return latenessSeconds <= MAX_TIMER_LATENESS_SECONDS;
     }
 
-    // With what changes its figures; folders of the machine are left out.
+    // Includes the JVM options that change the metrics, but no paths of this machine.
     private static String reproducingCommand(List<String> arguments) {
         List<String> commandLine = new ArrayList<>(List.of("java"));
         ManagementFactory.getRuntimeMXBean().getInputArguments().stream()
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CostCategory.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CostCategory.java
@@ -3,17 +3,17 @@
 import loadbalancer.lease.LeaseMessage;
 import loadbalancer.membership.MembershipMessage;
 
-/**
- * What the control of a balancer costs something for. The first three are kinds of datagrams too.
- */
+/** A part of the control plane whose cost is measured. The first three are kinds of datagrams. */
 enum CostCategory {
-    /** What modules tell one another; as CPU, the taking in of it. */
+    /** Load reports between routing policies; their CPU is that of receiving them. */
     GOSSIP("word"),
+    /** Messages and timers of membership. */
     MEMBERSHIP("membership"),
+    /** Messages and timers of leases. */
     LEASES("duties"),
-    /** Lists of servers and changes of them. */
+    /** Endpoint lists and their updates. */
     ENDPOINT_LIST("list"),
-    /** The module's own wakes, in which its word is written, and its requests. */
+    /** Timers of the routing policy, in which it writes load reports, and its requests. */
     ROUTING("module");
 
     private final String key;
@@ -22,14 +22,14 @@
         this.key = key;
     }
 
-    /** The kind of a datagram. */
+    /** The category of a datagram. */
     static CostCategory ofDatagram(byte[] datagram) {
         return MembershipMessage.matchesFormat(datagram)
                 ? MEMBERSHIP
                 : LeaseMessage.matchesFormat(datagram) ? LEASES : GOSSIP;
     }
 
-    /** As figures are named. */
+    /** The name in keys of metrics. */
     String key() {
         return key;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CostCounters.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CostCounters.java
@@ -1,8 +1,10 @@
 package loadbalancer.testbed.capacity;
 
+import java.util.Arrays;
+
 /**
- * What one hollow balancer sent, received and spent since it was last cleared. Owned by the thread
- * that runs the balancer.
+ * What one balancer sent, received and spent since the last reset, by category. Confined to the
+ * thread that runs the balancer.
  */
 final class CostCounters {
     private final long[] sent = new long[CostCategory.values().length];
@@ -15,7 +17,7 @@
     private long requests;
     private long unservedRequests;
 
-    /** The same figures, for another thread. */
+    /** A copy, for use by another thread. */
     CostCounters copy() {
         CostCounters copy = new CostCounters();
         copy.add(this);
@@ -36,10 +38,11 @@
         unservedRequests += other.unservedRequests;
     }
 
+    /** Sets all counters to 0. */
     void reset() {
         for (long[] counters :
                 new long[][] {sent, sentBytes, received, receivedBytes, elapsedNanos}) {
-            java.util.Arrays.fill(counters, 0);
+            Arrays.fill(counters, 0);
         }
         listChanges = 0;
         maxListChangeNanos = 0;
@@ -47,17 +50,19 @@
         unservedRequests = 0;
     }
 
-    /** Each of the {@code copies} counts: a fan-out path has to carry them all. */
+    /** Counts a sent datagram once for each of the {@code copies}, since each has a receiver. */
     void sent(CostCategory category, int bytes, int copies) {
         sent[category.ordinal()] += copies;
         sentBytes[category.ordinal()] += (long) bytes * copies;
     }
 
+    /** Counts a received datagram. */
     void received(CostCategory category, int bytes) {
         received[category.ordinal()]++;
         receivedBytes[category.ordinal()] += bytes;
     }
 
+    /** Adds elapsed time of the balancer's own code, ns. */
     void addElapsed(CostCategory category, long nanos) {
         elapsedNanos[category.ordinal()] += nanos;
         if (category == CostCategory.ENDPOINT_LIST) {
@@ -66,50 +71,57 @@
         }
     }
 
+    /** Counts a request that has ended. */
     void countRequest() {
         requests++;
     }
 
-    void unservedRequests() {
+    /** Counts a request that was rejected or has failed. */
+    void countUnservedRequest() {
         unservedRequests++;
     }
 
+    /** Sent datagrams. */
     long sent(CostCategory category) {
         return sent[category.ordinal()];
     }
 
+    /** Bytes of sent datagrams. */
     long sentBytes(CostCategory category) {
         return sentBytes[category.ordinal()];
     }
 
+    /** Received datagrams. */
     long received(CostCategory category) {
         return received[category.ordinal()];
     }
 
+    /** Bytes of received datagrams. */
     long receivedBytes(CostCategory category) {
         return receivedBytes[category.ordinal()];
     }
 
-    /** ns of elapsed time in the balancer's own code. */
+    /** Elapsed time of the balancer's own code, ns. */
     long elapsedNanos(CostCategory category) {
         return elapsedNanos[category.ordinal()];
     }
 
-    /** Lists and changes taken in. */
+    /** Endpoint lists and updates that were processed. */
     long listChanges() {
         return listChanges;
     }
 
-    /** ns that the longest of these took. */
+    /** The longest time that one of these took, ns. */
     long maxListChangeNanos() {
         return maxListChangeNanos;
     }
 
+    /** Requests that have ended. */
     long requests() {
         return requests;
     }
 
-    /** Requests that were refused or failed. */
+    /** Requests that were rejected or have failed. */
     long unservedRequestCount() {
         return unservedRequests;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/DatagramRelay.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/DatagramRelay.java
@@ -18,30 +18,37 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
 import java.util.function.IntPredicate;
 
 /**
- * The datagram paths between balancers on loopback, and the platform's path from one to all.
- * Everybody knows balancer i by one address, i's face: what comes to a face goes on to its
- * balancer, and comes from the sender's face; what comes to {@link #broadcastAddress} goes on to
- * all others. So a fleet takes two sockets a balancer and one. All of it is on one thread.
+ * Relays datagrams between balancers on loopback, with loss and partitions. Each balancer has one
+ * relay socket, whose address all others take for the balancer's own: a datagram that arrives there
+ * is forwarded to the balancer, from the relay socket of its sender. A datagram that arrives at
+ * {@link #broadcastAddress} is forwarded to all others. State is confined to one event loop; the
+ * methods may be called on any other thread.
  */
 final class DatagramRelay implements AutoCloseable {
+    private static final int ALL_OTHERS = -1;
     private static final int MAX_DATAGRAM_BYTES = 256;
-    // Bytes that the system may hold for a socket
     private static final int RECEIVE_BUFFER_BYTES = 4 << 20;
 
     private final NioEventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
-    // Where each listens; known before it is heard
+    // The addresses at which the balancers listen; null until they are registered
     private final InetSocketAddress[] balancerAddresses;
     private final Map<InetSocketAddress, Integer> balancersByAddress = new HashMap<>();
     private final Channel[] relayChannels;
-    private final Channel broadcastAddress;
+    private final Channel broadcastChannel;
     private final CostCounters[] countersByBalancer;
     private final SplittableRandom random;
     private IntPredicate partitionSide = b -> true;
     private double lossRate;
 
+    /**
+     * Opens the relay sockets.
+     *
+     * @param seed the seed of lost datagrams
+     */
     DatagramRelay(int balancerCount, long seed) {
         balancerAddresses = new InetSocketAddress[balancerCount];
         relayChannels = new Channel[balancerCount];
@@ -51,7 +58,7 @@
             relayChannels[balancer] = bindRelay(balancer);
             countersByBalancer[balancer] = new CostCounters();
         }
-        broadcastAddress = bindRelay(-1);
+        broadcastChannel = bindRelay(ALL_OTHERS);
     }
 
     private Channel bindRelay(int destination) {
@@ -66,12 +73,12 @@
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                        // One that is not there makes the system report an unreachable port.
+                        // The system reports the port of an ended balancer as unreachable.
                     }
                 });
     }
 
-    /** A socket on a free port of loopback. */
+    /** Opens a socket on a free port of the loopback address. */
     static Channel openSocket(
             NioEventLoopGroup group, SimpleChannelInboundHandler<DatagramPacket> handler) {
         return new Bootstrap()
@@ -87,7 +94,7 @@
                 .channel();
     }
 
-    /** A balancer listens there. */
+    /** Sets the address at which a balancer listens. */
     void register(int balancer, InetSocketAddress address) {
         runOnEventLoop(
                 () -> {
@@ -96,14 +103,14 @@
                 });
     }
 
-    /** Where others send what is for that balancer. */
+    /** The address to which others send datagrams for that balancer. */
     InetSocketAddress relayAddress(int balancer) {
         return (InetSocketAddress) relayChannels[balancer].localAddress();
     }
 
-    /** Where a balancer sends what is for all others. */
+    /** The address to which a balancer sends datagrams for all others. */
     InetSocketAddress broadcastAddress() {
-        return (InetSocketAddress) broadcastAddress.localAddress();
+        return (InetSocketAddress) broadcastChannel.localAddress();
     }
 
     private void relay(int destination, DatagramPacket packet) {
@@ -115,9 +122,9 @@
         countersByBalancer[sender].sent(
                 CostCategory.ofDatagram(data),
                 data.length,
-                destination < 0 ? relayChannels.length - 1 : 1);
+                destination == ALL_OTHERS ? relayChannels.length - 1 : 1);
         for (int balancer = 0; balancer < relayChannels.length; balancer++) {
-            if (balancer != sender && (destination < 0 || destination == balancer)) {
+            if (balancer != sender && (destination == ALL_OTHERS || destination == balancer)) {
                 forward(sender, balancer, data);
             }
         }
@@ -137,19 +144,22 @@
         eventLoopGroup.next().submit(task).syncUninterruptibly();
     }
 
+    /** Sets the fraction of datagrams that is lost from now on. */
     void lossRate(double rate) {
         runOnEventLoop(() -> lossRate = rate);
     }
 
+    /** From now on, forwards datagrams only between balancers on the same side. */
     void partition(IntPredicate side) {
         runOnEventLoop(() -> partitionSide = side);
     }
 
+    /** Sets the counters of all balancers to 0. */
     void resetCounters() {
         runOnEventLoop(() -> Arrays.stream(countersByBalancer).forEach(CostCounters::reset));
     }
 
-    /** What passed here, by balancer. */
+    /** The datagrams that a balancer has sent and received through this relay. */
     CostCounters counters(int balancer) {
         return eventLoopGroup
                 .next()
@@ -160,8 +170,6 @@
 
     @Override
     public void close() {
-        eventLoopGroup
-                .shutdownGracefully(0, 2, java.util.concurrent.TimeUnit.SECONDS)
-                .awaitUninterruptibly(5_000);
+        eventLoopGroup.shutdownGracefully(0, 2, TimeUnit.SECONDS).awaitUninterruptibly(5_000);
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/DeadlineTimer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/DeadlineTimer.java
@@ -1,17 +1,25 @@
 package loadbalancer.testbed.capacity;
 
-/** One timer: rings at the earliest time that it was set to since it last rang. */
+/**
+ * A timer that calls back at the earliest time for which it was scheduled since its last callback.
+ * Confined to the thread of its host.
+ */
 final class DeadlineTimer {
     private final BalancerHost host;
     private final Runnable callback;
     private long deadlineMicros = Long.MAX_VALUE;
 
+    /** Creates a timer that is not scheduled. */
     DeadlineTimer(BalancerHost host, Runnable callback) {
         this.host = host;
         this.callback = callback;
     }
 
-    /** {@code whenMicros} in µs of the host's clock; {@link Long#MAX_VALUE}: not wanted. */
+    /**
+     * Schedules a callback, unless an earlier one is scheduled.
+     *
+     * @param whenMicros the time by the host's clock, µs; {@link Long#MAX_VALUE}: never
+     */
     void schedule(long whenMicros) {
         if (whenMicros >= deadlineMicros) {
             return;
@@ -20,8 +28,8 @@
         host.after(
                 Math.max(0, whenMicros - host.now()),
                 () -> {
+                    // Otherwise an earlier callback has replaced this one.
                     if (deadlineMicros == whenMicros) {
-                        // Else an earlier one has rung in its place
                         deadlineMicros = Long.MAX_VALUE;
                         callback.run();
                     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/DetectionTracker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/DetectionTracker.java
@@ -8,25 +8,26 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How soon each balancer that should know of a death or a return does. Safe for use by several
- * threads, as balancers on sockets have theirs.
+ * Records how soon each balancer detects the death or the return of each other one. Thread-safe,
+ * since balancers on sockets run on several threads.
  */
 final class DetectionTracker {
     private final PendingDetection[] deaths;
     private final PendingDetection[] returns;
-    // Of each observer's present process
+    // Start of the present process of each balancer
     private final long[] startedAtMicros;
     private long supersededDeaths;
     private final Histogram deathDetectionMicros = new Histogram(3);
     private final Histogram returnDetectionMicros = new Histogram(3);
 
-    /** Who of the others has not yet seen what happened to one at {@code at}. */
+    /** The observers that have not yet detected the last event of one member. */
     private static final class PendingDetection {
         private BitSet pendingObservers = new BitSet();
         private long eventMicros;
         private long incarnation;
     }
 
+    /** Creates a tracker of balancers without processes. */
     DetectionTracker(int balancerCount) {
         deaths = new PendingDetection[balancerCount];
         returns = new PendingDetection[balancerCount];
@@ -35,7 +36,7 @@
         Arrays.setAll(returns, i -> new PendingDetection());
     }
 
-    /** One is gone, or out of reach, for those that {@code observers} accepts. */
+    /** Notes that a member has ended, or is unreachable, for the given observers. */
     synchronized void memberDied(int member, long nowMicros, IntPredicate observers) {
         returns[member].pendingObservers.clear();
         PendingDetection death = deaths[member];
@@ -45,12 +46,12 @@
         }
     }
 
-    /** A process of an observer starts: what happened before, it has nothing to learn of. */
+    /** Notes the start of an observer's process, which need not detect earlier events. */
     synchronized void observerStarted(int observer, long nowMicros) {
         startedAtMicros[observer] = nowMicros;
     }
 
-    /** One that ended no longer looks at others. */
+    /** Notes the end of an observer's process, which detects nothing more. */
     synchronized void observerStopped(int observer) {
         for (int member = 0; member < deaths.length; member++) {
             deaths[member].pendingObservers.clear(observer);
@@ -58,9 +59,7 @@
         }
     }
 
-    /**
-     * One is back, for those of {@code observers} that knew that it was gone; others learn nothing.
-     */
+    /** Notes that a member has returned, for those observers that had detected its death. */
     synchronized void memberReturned(
             int member, long nowMicros, long incarnation, IntPredicate observers) {
         PendingDetection memberReturn = returns[member];
@@ -78,6 +77,7 @@
         deaths[member].pendingObservers.clear();
     }
 
+    /** Notes an update of an observer's view, which may be the detection of an event. */
     synchronized void onMemberUpdate(int observer, MemberUpdate update, long nowMicros) {
         if (update.status() == MemberStatus.DEAD || update.status() == MemberStatus.LEFT) {
             recordDetection(deaths[update.member()], observer, nowMicros, deathDetectionMicros);
@@ -95,30 +95,31 @@
         }
     }
 
-    /** Pairs of one that is gone and one that does not know it yet. */
+    /** The number of pairs of a dead member and an observer that has not detected its death. */
     synchronized long undetectedDeaths() {
         return Arrays.stream(deaths)
                 .mapToLong(pending -> pending.pendingObservers.cardinality())
                 .sum();
     }
 
-    /** Pairs of one that was back before the other knew that it was gone. */
+    /** The number of pairs whose member returned before the observer had detected its death. */
     synchronized long supersededDeaths() {
         return supersededDeaths;
     }
 
-    /** Pairs of one that is back and one that knew it gone and does not know that it is back. */
+    /** The number of pairs of a returned member and an observer that considers it dead. */
     synchronized long undetectedReturns() {
         return Arrays.stream(returns)
                 .mapToLong(pending -> pending.pendingObservers.cardinality())
                 .sum();
     }
 
-    /** µs, of pairs. */
+    /** The times from deaths until their detection by one observer, µs. */
     synchronized Histogram deathDetectionMicros() {
         return deathDetectionMicros.copy();
     }
 
+    /** The times from returns until their detection by one observer, µs. */
     synchronized Histogram returnDetectionMicros() {
         return returnDetectionMicros.copy();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/FleetCondition.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/FleetCondition.java
@@ -6,16 +6,16 @@
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointStatus;
 
-/** What happens to a fleet while it is measured. Each plays a trial for its whole length. */
+/** What happens to a fleet while it is measured. */
 enum FleetCondition {
-    /** Nothing but one entry of the list that drains and comes back. */
+    /** Nothing happens, except that one upstream starts to drain at half of the time. */
     QUIET {
         @Override
         void run(CapacityExperiment experiment) {
             drainOneUpstream(experiment);
         }
     },
-    /** The same while a tenth of the datagrams is lost. */
+    /** Like {@link #QUIET}, while a tenth of the datagrams is lost. */
     LOSS10 {
         @Override
         void run(CapacityExperiment experiment) {
@@ -23,7 +23,7 @@
             drainOneUpstream(experiment);
         }
     },
-    /** A zone's balancers and upstreams are lost at once, and come back after half the time. */
+    /** The balancers and upstreams of a zone are lost at once, and return at half of the time. */
     ZONE {
         @Override
         void run(CapacityExperiment experiment) {
@@ -55,8 +55,8 @@
         }
     },
     /**
-     * All leave in order, a tenth at a time, and are back after half of the time until the next
-     * tenth.
+     * A rolling restart: a tenth of the balancers at a time leaves gracefully, and is started again
+     * at half of the time until the next tenth.
      */
     RESTARTS {
         @Override
@@ -75,7 +75,7 @@
             }
         }
     },
-    /** The two halves hear nothing of each other for half the time. */
+    /** A partition into halves, which heals at half of the time. */
     HALVES {
         @Override
         void run(CapacityExperiment experiment) {
@@ -109,10 +109,10 @@
 
     private static final int RESTART_WAVES = 10;
 
-    /** Plays exactly the trial's length. */
+    /** Plays the condition, which lasts exactly as long as the experiment. */
     abstract void run(CapacityExperiment experiment);
 
-    /** As the command line and figures name it. */
+    /** The name on the command line and in keys of metrics. */
     String key() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/FleetSpec.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/FleetSpec.java
@@ -17,9 +17,14 @@
 import loadbalancer.routing.api.RoutingSettings;
 
 /**
- * The size of a fleet and what its balancers are told.
+ * The size of a fleet, its endpoint list and its balancers' settings. Immutable.
  *
- * @param requestsPerSecond requests a second that a balancer gets on average; 0: none
+ * @param balancers the number of balancers
+ * @param upstreams the number of upstreams
+ * @param zones the number of zones, over which balancers and upstreams are spread evenly
+ * @param classes the number of request classes
+ * @param requestsPerSecond requests a second of a balancer, on average; 0: none
+ * @param components what the balancers consist of
  */
 record FleetSpec(
         int balancers,
@@ -28,29 +33,30 @@
         int classes,
         double requestsPerSecond,
         Set<BalancerComponent> components) {
-    // Upstreams of a cell
     private static final int UPSTREAMS_PER_CELL = 50;
-    // Balancers differ in what they get
+    // The number of different request rates of balancers
     private static final int DISTINCT_RATES = 5;
 
     FleetSpec {
         components = Set.copyOf(components);
     }
 
+    /** The zone of a balancer. */
     int zoneOfBalancer(int balancer) {
         return balancer % zones;
     }
 
+    /** The zone of an upstream. */
     int zoneOfUpstream(int upstream) {
         return upstream % zones;
     }
 
-    /** Requests a second at one balancer: from half to one and a half times the mean. */
+    /** Requests a second of one balancer, from 0.5 to 1.5 times the mean. */
     double requestsPerSecond(int balancer) {
         return requestsPerSecond * (0.5 + (balancer % DISTINCT_RATES) / (DISTINCT_RATES - 1.0));
     }
 
-    /** An entry of the list; each call makes its own, as each process has its own. */
+    /** A new entry of the endpoint list. Each process has entries of its own. */
     Endpoint server(int upstream, EndpointStatus status, long startedAtMicros) {
         String id =
                 "10."
@@ -70,14 +76,14 @@
                 zoneOfUpstream(upstream));
     }
 
-    /** The whole list. */
+    /** The complete endpoint list. */
     List<Endpoint> servers() {
         return IntStream.range(0, upstreams)
                 .mapToObj(upstream -> server(upstream, EndpointStatus.UP, 0))
                 .toList();
     }
 
-    /** The module's settings; prices and limits are those of the proving ground's fleets. */
+    /** The settings of a routing policy, with the costs and limits of the testbed's fleets. */
     RoutingSettings settings(int balancer) {
         List<RequestClass> requestClasses =
                 IntStream.range(0, classes)
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/HeapUsage.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/HeapUsage.java
@@ -2,14 +2,14 @@
 
 import java.lang.management.ManagementFactory;
 
-/** What is live on the heap. */
+/** The live part of this JVM's heap. Stateless. */
 final class HeapUsage {
-    // What the first one frees may free more
+    // What one collection frees may make further objects collectable.
     private static final int COLLECTION_COUNT = 3;
 
     private HeapUsage() {}
 
-    /** Bytes, after full collections. */
+    /** The live bytes, after full collections. */
     static long liveBytes() {
         for (int i = 0; i < COLLECTION_COUNT; i++) {
             System.gc();
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/HollowBalancer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/HollowBalancer.java
@@ -19,12 +19,12 @@
 import loadbalancer.routing.api.RoutingPolicy;
 
 /**
- * A balancer without a data path: the module, membership and duties as balancers run them, with no
- * sockets of clients or upstreams. One process of it; a restarted one is a new object. Used by one
- * thread.
+ * One process of a hollow balancer: the routing policy, membership and leases as real balancers run
+ * them, without a data path. A restarted balancer is a new object. Confined to the thread of its
+ * host.
  */
 final class HollowBalancer implements RoutingActions {
-    // µs until an asked list comes
+    // Time until a requested endpoint list or health check is complete
     private static final long LIST_FETCH_MICROS = 5_000;
     private static final long HEALTH_CHECK_MICROS = 2_000;
 
@@ -32,10 +32,9 @@
     private final FleetSpec fleetSpec;
     private final int rank;
     private final CostCounters counters;
-    // Null: none of it
+    // Each is null if the balancer does not have that component.
     private final RoutingPolicy routingPolicy;
     private final RequestGenerator requestGenerator;
-    // Likewise
     private final Membership membership;
     private final LeaseManager leaseManager;
     private final DeadlineTimer membershipTimer;
@@ -45,7 +44,14 @@
 
     private record OutgoingDatagram(int peer, byte[] data) {}
 
-    /** {@code incarnation}: the wall clock in ms at its start; {@code counters} has its costs. */
+    /**
+     * Creates a process that is not started.
+     *
+     * @param rank the number of the balancer
+     * @param incarnation the wall clock at the start, ms
+     * @param seed the seed of the policy's random numbers
+     * @param counters count the costs of all processes of this balancer
+     */
     HollowBalancer(
             BalancerHost host,
             FleetSpec fleetSpec,
@@ -105,7 +111,7 @@
                                         () -> applyLeaseActions(leaseManager.tick(host.now()))));
     }
 
-    /** Begins: takes the list that it has and asks who is there. */
+    /** Starts with a cached endpoint list, and joins membership and leases. */
     void start() {
         if (routingPolicy != null) {
             List<Endpoint> servers = fleetSpec.servers();
@@ -131,12 +137,12 @@
         }
     }
 
-    /** Ends without a word. */
+    /** Ends without notice to the others. */
     void kill() {
         stopped = true;
     }
 
-    /** Says that it leaves, and ends. */
+    /** Tells the others that it leaves, and ends. */
     void leave() {
         if (leaseManager != null) {
             runCharged(
@@ -150,22 +156,24 @@
         stopped = true;
     }
 
+    /** Whether the process has not ended. */
     boolean isRunning() {
         return !stopped;
     }
 
+    /** The costs of all processes of this balancer. */
     CostCounters counters() {
         return counters;
     }
 
-    /** Requests a second that the others get, as the module knows; NaN where it doesn't. */
+    /** Requests a second of the other balancers as the routing policy knows them, or NaN. */
     double remoteRate() {
         return routingPolicy == null || stopped
                 ? Double.NaN
                 : routingPolicy.remoteRequestsPerSecond();
     }
 
-    /** A datagram has come. */
+    /** Called when a datagram has arrived. */
     void onDatagram(int sender, byte[] data) {
         if (stopped) {
             return;
@@ -193,7 +201,7 @@
                 });
     }
 
-    /** News of the list has come. */
+    /** Called when an update of the endpoint list has arrived. */
     void onListUpdate(List<Endpoint> changes) {
         if (routingPolicy != null) {
             runCharged(
@@ -205,8 +213,8 @@
     }
 
     /**
-     * Does some of the balancer's work, unless it has ended: its time counts, that of sending
-     * doesn't.
+     * Runs some work of this balancer, unless it has ended, then sends the datagrams that the work
+     * has produced. The elapsed time of the work is counted, that of sending is not.
      */
     private void runCharged(CostCategory category, Runnable work) {
         if (stopped) {
@@ -226,15 +234,16 @@
         }
     }
 
-    /** Work of the module, from its requests. */
+    /** Runs work of the routing policy that its requests cause. */
     void runRouting(Runnable work) {
         runCharged(CostCategory.ROUTING, work);
     }
 
+    /** Counts a request that has ended. */
     void countRequest(boolean served) {
         counters.countRequest();
         if (!served) {
-            counters.unservedRequests();
+            counters.countUnservedRequest();
         }
     }
 
@@ -261,14 +270,13 @@
             if (action instanceof LeaseManager.Send send) {
                 outbox.add(new OutgoingDatagram(send.to(), send.message().encode()));
             } else if (action instanceof LeaseManager.Persist) {
-                throw new IllegalStateException("nothing is kept here: n" + rank);
+                throw new IllegalStateException(
+                        "a hollow balancer can't persist promises: n" + rank);
             }
         }
         leaseTimer.schedule(leaseManager.nextTickMicros());
     }
 
-    // ------------------------------------------------------------ what the module asks for
-
     @Override
     public void sendToPeer(int peer, byte[] data) {
         outbox.add(new OutgoingDatagram(peer, data));
@@ -337,16 +345,16 @@
 
     @Override
     public void watchEndpoints(boolean enabled) {
-        // Lists are pushed here.
+        // Updates are always delivered.
     }
 
     @Override
     public void closeIdleConnections(String endpointId) {
-        // No connection is open here.
+        // A hollow balancer has no connections.
     }
 
     @Override
     public void log(String line) {
-        // Nobody reads them: what they tell of is counted.
+        // Metrics take the place of log lines.
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancers.java
@@ -26,12 +26,12 @@
 import loadbalancer.testbed.workload.RandomStreams;
 
 /**
- * The last balancers of a fleet on sockets, as processes of the real program; nobody sends them
- * requests.
+ * The real balancers of a fleet on sockets: its last ones, as processes of the program. They get no
+ * requests. Used by the thread of the fleet.
  */
 final class RealBalancers implements AutoCloseable {
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
-    // How the system shows the loop's thread
+    // The name of the event loop's thread as the system truncates it
     private static final String EVENT_LOOP_THREAD_PREFIX = "nioEventLoop";
 
     private final List<Process> processes = new ArrayList<>();
@@ -45,9 +45,9 @@
     private long[] loopCpuBaselineNanos = {};
 
     /**
-     * Starts {@code count} of them.
+     * Starts {@code count} balancers.
      *
-     * @throws IOException where one can't be started, or its jar is not there
+     * @throws IOException if one can't be started, or the jar is missing
      */
     RealBalancers(FleetSpec fleetSpec, SocketHollowFleet fleet, int count, long seed)
             throws IOException {
@@ -117,16 +117,17 @@
         }
     }
 
-    /** Forgets what was spent so far. */
+    /** Starts a measurement: metrics refer to the time since the last call. */
     void resetCounters() {
         cpuBaselineNanos = processes.stream().mapToLong(RealBalancers::cpuNanos).toArray();
         loopCpuBaselineNanos = processes.stream().mapToLong(RealBalancers::loopCpuNanos).toArray();
     }
 
     /**
-     * What they spent and what passed between them and the others since then, means.
+     * The means over the real balancers of their CPU and of their datagrams since the last reset.
      *
-     * @throws IOException where one has ended
+     * @param seconds how long the measurement lasted
+     * @throws ProcessFailedException if a balancer has ended
      */
     Map<String, Double> metrics(double seconds) throws IOException {
         for (Process process : processes) {
@@ -183,12 +184,12 @@
                 .orElse(0);
     }
 
-    // ns, in hundredths of a second; threads that have ended, as compilers do, count.
+    // Has a resolution of 10 ms, and includes threads that have ended.
     private static long cpuNanos(Process process) {
         return process.info().totalCpuDuration().map(Duration::toNanos).orElse(0L);
     }
 
-    // ns that its event loop had a core.
+    // The CPU time of the event loop.
     private static long loopCpuNanos(Process process) {
         long totalNanos = 0;
         try (Stream<Path> tasks =
@@ -201,7 +202,7 @@
                 }
             }
         } catch (IOException e) {
-            // It has ended, which figures() tells
+            // The process has ended, which metrics() reports.
             return 0;
         }
         return totalNanos;
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RequestGenerator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RequestGenerator.java
@@ -9,12 +9,11 @@
 import loadbalancer.routing.api.RoutingPolicy;
 
 /**
- * The requests of one hollow balancer: they come at random, and each attempt is served after a
- * plain time that knows no queue. What is wanted is the rate that modules tell of, and the cost of
- * deciding.
+ * Generates the requests of one hollow balancer. They arrive as a Poisson process, and each attempt
+ * succeeds after a random time without queueing: requests are generated only for the rates that
+ * policies report and for the CPU of their decisions. Confined to the thread of the host.
  */
 final class RequestGenerator {
-    // µs
     private static final long REQUEST_TIMEOUT_MICROS = 1_500_000;
     private static final long MIN_SERVICE_MICROS = 10_000;
     private static final long MAX_SERVICE_MICROS = 30_000;
@@ -25,18 +24,19 @@
     private final int classCount;
     private final double requestsPerSecond;
     private final SplittableRandom random;
-    // Those with attempts that have not ended
+    // Requests without a final response, or with attempts that have not ended
     private final Map<String, OpenRequest> openRequests = new HashMap<>();
     private long nextRequestNumber;
-    // µs, when the next one comes
     private long nextArrivalMicros;
 
+    /** A request without a final response, or with running attempts. */
     private static final class OpenRequest {
         private final Set<Integer> runningAttempts = new TreeSet<>();
         private int attemptCount;
         private boolean closed;
     }
 
+    /** Creates a generator that is not started. */
     RequestGenerator(
             RoutingPolicy routingPolicy,
             HollowBalancer balancer,
@@ -52,12 +52,13 @@
         this.random = random;
     }
 
+    /** Starts to generate requests, until the balancer ends. */
     void start() {
         nextArrivalMicros = host.now();
         scheduleNextArrival();
     }
 
-    // Counted from the last one's own time: a timer that comes late must not make the rate lower.
+    // Relative to the planned time of the last arrival, so that late timers do not lower the rate.
     private void scheduleNextArrival() {
         nextArrivalMicros +=
                 1 + (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e6);
@@ -84,6 +85,7 @@
                 });
     }
 
+    /** Starts an attempt, as the routing policy demands. */
     void startAttempt(String requestId) {
         OpenRequest openRequest = openRequests.get(requestId);
         if (openRequest == null) {
@@ -122,10 +124,12 @@
                                 balancer));
     }
 
+    /** Cancels an attempt, as the routing policy demands. */
     void cancelAttempt(String requestId, int attempt) {
         host.after(1, () -> endAttempt(requestId, attempt, AttemptOutcome.CANCELLED, 1));
     }
 
+    /** Ends a request without success, as the routing policy demands. */
     void rejectRequest(String requestId) {
         OpenRequest openRequest = openRequests.get(requestId);
         if (openRequest != null && !openRequest.closed) {
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/StaticDiscoveryServer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/StaticDiscoveryServer.java
@@ -25,8 +25,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery for real balancers of a quiet fleet: one list that never changes, and watches that only
- * beat.
+ * The discovery server of real balancers in a fleet: one endpoint list that never changes, and
+ * watches with heartbeats only. Has an event loop of its own.
  */
 final class StaticDiscoveryServer implements AutoCloseable {
     private static final long HEARTBEAT_INTERVAL_MS = 2_000;
@@ -36,7 +36,7 @@
     private final String listJson;
     private final Channel listener;
 
-    /** {@code listJson} in discovery's form. */
+    /** Starts a server on a free port of the loopback address; {@code listJson} is its list. */
     StaticDiscoveryServer(String listJson) {
         this.listJson = listJson;
         listener =
@@ -59,10 +59,12 @@
                         .channel();
     }
 
+    /** The address at which the server listens. */
     InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
+    /** Serves the list or a watch on one connection. */
     private final class DiscoveryHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/package-info.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What the control plane of a fleet costs by its size: hollow balancers, which run the routing
- * policy, membership and leases without a data path, in simulated time ({@code
- * SimulatedHollowFleet}) or over loopback sockets ({@code SocketHollowFleet}). Each fleet belongs
- * to one thread.
+ * Measures what the control plane of a fleet costs by the fleet's size. Its balancers are hollow:
+ * they run the routing policy, membership and leases, but have no data path, so that thousands of
+ * them fit into one JVM. A fleet runs in simulated time ({@code SimulatedHollowFleet}) or over
+ * loopback sockets ({@code SocketHollowFleet}), there also with real balancers. Each fleet is used
+ * by one thread.
  */
 package loadbalancer.testbed.capacity;
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/FigureExpression.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/FigureExpression.java
@@ -6,9 +6,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Arithmetic over figures: numbers, keys, {@code + - * /} and parentheses. A key is dotted and
- * begins with a letter; one of another file has that file's name before it and a colon, as {@code
- * serve-before:s40.cpu}. An operator stands between spaces, as file names hold hyphens.
+ * An arithmetic expression over metrics: numbers, keys, {@code + - * /} and parentheses. A key is
+ * dotted and begins with a letter; a key of another file is preceded by that file's name and a
+ * colon, as in {@code serve-before:s40.cpu}. Operators need spaces around them, since file names
+ * contain hyphens. Parsed and evaluated in one pass by recursive descent.
  */
 final class FigureExpression {
     private static final Pattern TOKEN =
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/FigurePageChecker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/FigurePageChecker.java
@@ -15,12 +15,12 @@
 import java.util.regex.Pattern;
 
 /**
- * A page of Markdown whose figures stand on files. A figure is a link, {@code [394 m][quiet]}: the
- * first number of its text is held against what its label says, {@code [quiet]:
- * capacity/members.json "n1600.bytes * 8"}, a file beside the page and an {@link FigureExpression}
- * over its keys. A figure agrees if what the file gives, rounded to as many decimals as are shown,
- * is what is shown. A number that says of itself to be measured, {@code m}, and is no such link is
- * a fault, as is a label that nothing refers to.
+ * Checks the figures of a Markdown page against measurement files. A figure is a link, {@code [394
+ * m][quiet]}; its label, {@code [quiet]: capacity/members.json "n1600.bytes * 8"}, names a file
+ * relative to the page and a {@link FigureExpression} over the file's keys. The figure agrees if
+ * the value of the expression, rounded to the decimals of the first number in the link's text,
+ * equals that number. A number that is marked as measured, with {@code m}, and is not such a link
+ * is an error, and so is a label to which nothing refers. Not thread-safe.
  */
 public final class FigurePageChecker {
     private static final Pattern REFERENCE_PATTERN =
@@ -32,6 +32,7 @@
             Pattern.compile("\\d[^|]{0,30}? m(?![\\w-])");
     private static final Pattern CODE_SPAN_PATTERN = Pattern.compile("`[^`]*`");
 
+    /** The label of figures, and what it refers to. */
     private record FigureReference(String name, String file, String expression, int line) {}
 
     private final Path page;
@@ -44,13 +45,18 @@
         this.page = page;
     }
 
-    /** How many figures agreed or not, and a line for each fault. */
+    /**
+     * The result of a check.
+     *
+     * @param figureCount the number of figures on the page
+     * @param errors one line for each error, with the page and the line number
+     */
     public record Result(int figureCount, List<String> errors) {}
 
     /**
-     * Holds a page to its files.
+     * Checks a page. Measurement files that can't be read are errors of the page.
      *
-     * @throws IOException where the page itself can't be read
+     * @throws IOException if the page itself can't be read
      */
     public static Result check(Path page) throws IOException {
         FigurePageChecker checker = new FigurePageChecker(page);
@@ -116,8 +122,8 @@
                                 reference.expression, key -> metric(reference.file, key));
                 int decimals = number.group(1) == null ? 0 : number.group(1).length();
                 double stated = Double.parseDouble(number.group().replace(",", ""));
-                // a hair more than half of the last digit: what lies just between may be rounded
-                // either way
+                // Slightly more than half of the last digit, since a value in the middle may be
+                // rounded either way.
                 if (!(Math.abs(actual - stated) <= 0.5 * Math.pow(10, -decimals) * (1 + 1e-6))) {
                     addError(
                             line,
@@ -135,7 +141,7 @@
         }
     }
 
-    // A key of the label's file, or one of another that lies beside it.
+    // The key belongs to the label's file, or to another file in the same directory.
     private double metric(String file, String key) {
         int colon = key.indexOf(':');
         Path measurementPath = page.resolveSibling(file);
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/MeasurementFile.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/MeasurementFile.java
@@ -16,23 +16,27 @@
 import loadbalancer.testbed.error.InvalidFileException;
 
 /**
- * What a run measured, as it lies in a file that pages refer to: the command line, the seeds it was
- * played with, and figures by dotted keys, each in the unit that its key or the page names.
+ * The measurements of one call of a command, as stored in a JSON file to which pages refer.
+ * Immutable.
+ *
+ * @param command the command line
+ * @param seeds the seeds or numbers of repeats
+ * @param metrics the values by dotted key, each in the unit that its key or the page names
  */
 public record MeasurementFile(String command, List<Long> seeds, SortedMap<String, Double> metrics) {
     private static final ObjectMapper MAPPER =
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
+    /** Copies the arguments. */
     public MeasurementFile {
         seeds = List.copyOf(seeds);
         metrics = Collections.unmodifiableSortedMap(new TreeMap<>(metrics));
     }
 
     /**
-     * Reads what {@link #write} wrote.
+     * Reads a file that {@link #write} has written.
      *
-     * @throws IOException where the file can't be read or has no figures, with a message that names
-     *     it
+     * @throws IOException if the file can't be read or contains no measurements
      */
     public static MeasurementFile read(Path file) throws IOException {
         JsonNode json = MAPPER.readTree(Files.readString(file));
@@ -53,7 +57,11 @@
         return new MeasurementFile(json.path("command").asText(), seeds, metrics);
     }
 
-    /** Writes it to a file, whose folder is made where there is none. */
+    /**
+     * Writes the measurements to a file, and creates its directory if it does not exist.
+     *
+     * @throws IOException if the file can't be written
+     */
     public void write(Path file) throws IOException {
         Files.createDirectories(file.toAbsolutePath().getParent());
         Map<String, Object> content = new LinkedHashMap<>();
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/RepeatedMeasurements.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/RepeatedMeasurements.java
@@ -1,5 +1,7 @@
 package loadbalancer.testbed.docfigures;
 
+import java.math.BigDecimal;
+import java.math.MathContext;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -8,18 +10,21 @@
 import java.util.TreeMap;
 
 /**
- * Collects what repeats of one measurement gave: of each key the median stands under the key
- * itself, the least and the most under {@code .least} and {@code .most}, where there was more than
- * one.
+ * Collects the values of a repeated measurement and summarizes them: the median of a key has the
+ * key itself; the minimum and the maximum have the suffixes {@code .least} and {@code .most}, if
+ * there is more than one value. Not thread-safe.
  */
 public final class RepeatedMeasurements {
+    private static final MathContext PRECISION = new MathContext(4);
+
     private final Map<String, List<Double>> valuesByKey = new LinkedHashMap<>();
 
+    /** Adds the value of one repeat. */
     public void add(String key, double value) {
         valuesByKey.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
     }
 
-    /** All keys so far, rounded to four significant digits: more of them no repeat bears out. */
+    /** The summary of all values so far, rounded to four significant digits. */
     public SortedMap<String, Double> summary() {
         SortedMap<String, Double> summary = new TreeMap<>();
         valuesByKey.forEach(
@@ -28,22 +33,21 @@
                     int middle = sorted.size() / 2;
                     summary.put(
                             key,
-                            roundToFourDigits(
+                            round(
                                     sorted.size() % 2 == 1
                                             ? sorted.get(middle)
                                             : (sorted.get(middle - 1) + sorted.get(middle)) / 2));
                     if (sorted.size() > 1) {
-                        summary.put(key + ".least", roundToFourDigits(sorted.get(0)));
-                        summary.put(
-                                key + ".most", roundToFourDigits(sorted.get(sorted.size() - 1)));
+                        summary.put(key + ".least", round(sorted.get(0)));
+                        summary.put(key + ".most", round(sorted.get(sorted.size() - 1)));
                     }
                 });
         return summary;
     }
 
-    private static double roundToFourDigits(double value) {
+    private static double round(double value) {
         return Double.isFinite(value)
-                ? new java.math.BigDecimal(value).round(new java.math.MathContext(4)).doubleValue()
+                ? new BigDecimal(value).round(PRECISION).doubleValue()
                 : value;
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/package-info.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/package-info.java
@@ -1,2 +1,5 @@
-/** Holds the figures of Markdown pages to the measurement files that they refer to. */
+/**
+ * Measurement files, and the check that the figures of Markdown pages agree with the measurement
+ * files that they refer to.
+ */
 package loadbalancer.testbed.docfigures;
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/EmulatedBackend.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/EmulatedBackend.java
@@ -34,11 +34,11 @@
 import loadbalancer.testbed.emulation.LoopbackAddresses;
 
 /**
- * What one measured process talks to: discovery with a list of any length, and the one upstream
- * that all entries of it lead to, which answers at once. Both live on a loop of their own.
+ * The emulated backend of a measured process: discovery with an endpoint list of any length, and
+ * the one upstream to which all its entries lead, which responds at once. Both run on an event loop
+ * of their own; the methods may be called on any thread.
  */
 final class EmulatedBackend implements AutoCloseable {
-    // Between empty lines of a watch
     private static final long HEARTBEAT_SECONDS = 2;
     private static final int MAX_REQUEST_BYTES = 4 << 10;
 
@@ -49,9 +49,14 @@
     private final InetSocketAddress upstreamAddress;
     private final InetSocketAddress discoveryAddress;
     private long revision = 1;
-    // Whose entry changes next
+    // The number of single changes so far
     private int nextChange;
 
+    /**
+     * Opens both servers on free ports of {@code address}.
+     *
+     * @throws IOException if an address can't be bound, or the thread is interrupted
+     */
     EmulatedBackend(FootprintCase footprintCase, InetAddress address) throws IOException {
         this.footprintCase = footprintCase;
         draining = new boolean[footprintCase.servers()];
@@ -97,15 +102,17 @@
         }
     }
 
+    /** The address of the upstream. */
     InetSocketAddress upstreamAddress() {
         return upstreamAddress;
     }
 
+    /** The address of discovery. */
     InetSocketAddress discoveryAddress() {
         return discoveryAddress;
     }
 
-    /** The whole list in discovery's form. */
+    /** The complete endpoint list in discovery's form. */
     Map<String, Object> endpointList() {
         return listMessage(true, IntStream.range(0, footprintCase.servers()).boxed().toList());
     }
@@ -129,9 +136,7 @@
                         .toList());
     }
 
-    /**
-     * Tells of so many entries that have changed, in one line: some begin to drain, some are back.
-     */
+    /** Publishes so many changed entries in one message: they drain or return by turns. */
     void publishChanges(int count) {
         eventLoopGroup
                 .next()
@@ -139,8 +144,8 @@
                         () -> {
                             List<Integer> changed = new ArrayList<>();
                             for (int i = 0; i < count; i++) {
-                                // by turns one that drains and the one before it that is back: the
-                                // list stays as long
+                                // An entry drains, and returns with the next change: the size of
+                                // the list remains the same.
                                 int entry = nextChange++ / 2 % footprintCase.servers();
                                 draining[entry] = !draining[entry];
                                 changed.add(entry);
@@ -150,7 +155,7 @@
                         });
     }
 
-    /** Has a run of neighbours drain, or come back, in one line. */
+    /** Publishes that the first {@code count} entries drain, or return, in one message. */
     void setDraining(int count, boolean drain) {
         eventLoopGroup
                 .next()
@@ -165,7 +170,7 @@
                         });
     }
 
-    /** Tells the whole list again. */
+    /** Publishes the complete list again. */
     void publishCompleteList() {
         eventLoopGroup
                 .next()
@@ -186,7 +191,7 @@
                 new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
     }
 
-    /** Whole lists on demand, or a watch. */
+    /** Serves the complete list or a watch on one connection. */
     private final class DiscoveryHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
@@ -214,7 +219,7 @@
         }
     }
 
-    /** An upstream whose work takes no time. */
+    /** Responds to requests at once. */
     private static final class UpstreamHandler
             extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/EmulatedPeers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/EmulatedPeers.java
@@ -13,15 +13,14 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * The other balancers of a tier as one of them hears them: each has an address of its own, says
- * once a second how many requests it gets and where three of its attempts are, and counts what it
- * is told.
+ * The peers of one balancer: each has an address of its own, sends a load report once a second, and
+ * counts the datagrams that it receives. Two threads of its own send and receive; the methods may
+ * be called on any thread.
  */
 final class EmulatedPeers implements AutoCloseable {
-    // Format 3 of balancers' messages: zone 0, 62 requests a second, three queues of one, nothing
-    // else.
+    // Format 3 of load reports: zone 0, 62 requests a second, three queues with one request each
     private static final byte[] LOAD_REPORT = {3, 0, 0, 62, 3, 0, 0x10, 1, 0x20, 1, 0x30, 1};
-    // Of one /24
+    // Addresses that are used of one /24 network
     private static final int HOSTS_PER_SUBNET = 250;
     private static final int MAX_MESSAGE_BYTES = 1024;
     private static final long NANOS_PER_SECOND = 1_000_000_000;
@@ -34,13 +33,16 @@
     private final int reportingPeers;
     private final List<Thread> threads =
             List.of(
-                    new Thread(this::sendReports, "peers speak"),
-                    new Thread(this::receiveReports, "peers hear"));
+                    new Thread(this::sendReports, "peer reports"),
+                    new Thread(this::receiveReports, "peer receiver"));
     private volatile boolean closed;
 
     /**
-     * So many peers, of one that listens at {@code target}, at addresses of its network; {@code
-     * speakers} of them speak: the first ones and the last ones.
+     * Opens the sockets of {@code count} peers and starts to send reports.
+     *
+     * @param reportingPeers peers that send reports: half of them the first, half the last ones
+     * @param target the address of the balancer; the peers' addresses are in its network
+     * @throws IOException if a socket can't be opened
      */
     EmulatedPeers(int count, int reportingPeers, InetSocketAddress target) throws IOException {
         this.target = target;
@@ -67,7 +69,7 @@
                 });
     }
 
-    /** Their addresses in order. */
+    /** The addresses of the peers, in order. */
     List<InetSocketAddress> addresses() throws IOException {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (DatagramChannel peer : peers) {
@@ -76,12 +78,12 @@
         return addresses;
     }
 
-    /** Datagrams told to all of them so far. */
+    /** Datagrams that all peers have received so far. */
     long receivedDatagrams() {
         return receivedDatagrams.get();
     }
 
-    /** Their bytes, without headers. */
+    /** Bytes of these datagrams, without headers. */
     long receivedBytes() {
         return receivedBytes.get();
     }
@@ -99,7 +101,7 @@
                         .send(ByteBuffer.wrap(LOAD_REPORT), target);
             }
         } catch (IOException e) {
-            // Closed
+            // The sockets were closed.
             return;
         }
     }
@@ -123,7 +125,7 @@
                         100);
             }
         } catch (IOException e) {
-            // Closed
+            // The sockets were closed.
             return;
         }
     }
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintBenchmark.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintBenchmark.java
@@ -18,21 +18,32 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures one real process at a size: its start, its rest, single changes of its list, a zone's
- * worth of changes in one line, the whole list again, and what it holds. Figures: {@code ready_s},
- * {@code start_cpu_s}, {@code rest_cpu} (part of a core), {@code change_cpu_ms} (an entry), {@code
- * zone_cpu_ms} and {@code whole_cpu_ms} (a line), {@code resident_mb}, {@code live_mb} (of the
- * heap), {@code collections.*} (ms), {@code told.*} (a second), {@code list_bytes}, {@code
- * kept_bytes} (of the newest snapshot); with requests {@code direct_ms.*}, {@code rest_ms.*},
- * {@code change_ms.*}, {@code zone_ms.*}, {@code whole_ms.*}, from when a request was due until its
- * answer; {@code ended} where the process did not last.
+ * Measures one real process at a size: its start, its idle time, single changes of the endpoint
+ * list, the changes of a zone in one message, the complete list sent again, and its memory. Not
+ * thread-safe. The keys of the measurements, after the size's prefix, are:
+ *
+ * <ul>
+ *   <li>{@code ready_s}, {@code start_cpu_s}: time and CPU time until the process was ready
+ *   <li>{@code rest_cpu}: fraction of a core when idle
+ *   <li>{@code change_cpu_ms}: CPU time per changed entry; {@code zone_cpu_ms}, {@code
+ *       whole_cpu_ms}: per message with a zone or the complete list
+ *   <li>{@code resident_mb}, {@code live_mb}: resident memory and live heap
+ *   <li>{@code collections.*}: garbage collections, their pauses in ms
+ *   <li>{@code told.*}: datagrams and bytes to the peers, per second
+ *   <li>{@code list_bytes}, {@code kept_bytes}: size of the endpoint list and of the newest
+ *       snapshot
+ *   <li>{@code direct_ms.*}, {@code rest_ms.*}, {@code change_ms.*}, {@code zone_ms.*}, {@code
+ *       whole_ms.*}: latencies without the balancer and in each phase, from the time at which a
+ *       request was due; only with requests
+ *   <li>{@code ended}: 1 if the process has ended before the end of the measurement
+ * </ul>
  */
 public final class FootprintBenchmark {
     private static final int SETTLE_MS = 5_000;
     private static final int CHANGE_COUNT = 100;
     private static final int CHANGE_INTERVAL_MS = 50;
     private static final int WARM_UP_CHANGE_COUNT = 20;
-    // A change's work may last
+    // Time after a change in which the process works on it
     private static final int CHANGE_SETTLE_MS = 2_000;
     private static final int DIRECT_LOAD_MS = 3_000;
     private static final int ZONE_COUNT = 30;
@@ -45,9 +56,14 @@
     private final Consumer<String> progress;
 
     /**
-     * {@code outputDirectory}: a folder for logs; {@code idleMs}: how long its rest is watched;
-     * {@code environment}: variables of the process, of which a state's folder is made here; {@code
-     * measurements} takes all that is measured.
+     * Creates a benchmark.
+     *
+     * @param outputDirectory for configurations and logs
+     * @param idleMs how long the idle process is measured, ms
+     * @param environment further variables of the process; if the variable of the state directory
+     *     is among them, the process gets one below {@code outputDirectory}
+     * @param measurements collects all that is measured
+     * @param progress is called with a line for each measured size
      */
     public FootprintBenchmark(
             LaunchCommand launchCommand,
@@ -64,7 +80,12 @@
         this.progress = progress;
     }
 
-    /** Measures one size once; a process that ends is a figure, too. */
+    /**
+     * Measures one size once. A process that ends early is not an error, but measured as such.
+     *
+     * @param repeat the number of the repeat, for the names of directories
+     * @throws IOException if the process can't be started, or a file or socket can't be used
+     */
     public void measure(FootprintCase footprintCase, int repeat)
             throws IOException, InterruptedException {
         LoopbackAddresses addresses = new LoopbackAddresses();
@@ -242,11 +263,12 @@
         }
     }
 
+    /** What the process is measured under. */
     private interface Work {
         void run() throws InterruptedException;
     }
 
-    // s of CPU from before the work until so many ms after it
+    // CPU time in seconds, from the start of the work until settleMs after its end
     private static double cpuSecondsOf(MeasuredProcess process, int settleMs, Work work)
             throws IOException, InterruptedException {
         double cpuBefore = process.cpuSeconds();
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintCase.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintCase.java
@@ -8,9 +8,14 @@
 import loadbalancer.testbed.emulation.BalancerSettingsBuilder;
 
 /**
- * One size at which a process is measured: upstreams in its list, tenants in its settings,
- * balancers of its tier (1: it has no peers), requests a second that it gets, and how many of its
- * peers speak to it: half of them next above it by number, half next below.
+ * A size at which a process is measured. Immutable.
+ *
+ * @param servers upstreams in its endpoint list
+ * @param tenants tenants in its settings
+ * @param balancers balancers of its tier; 1: it has no peers
+ * @param requestsPerSecond requests a second that it gets
+ * @param reportingPeers peers that send it load reports: half of them next above it by number, half
+ *     next below
  */
 public record FootprintCase(
         int servers, int tenants, int balancers, int requestsPerSecond, int reportingPeers) {
@@ -25,6 +30,11 @@
     private static final double OVERLOAD_FACTOR = 3.0;
     private static final long OVERLOAD_WINDOW_MICROS = 3_000_000;
 
+    /**
+     * Checks the values.
+     *
+     * @throws InvalidSizeException if one is out of its range
+     */
     public FootprintCase {
         if (servers < 1
                 || tenants < 0
@@ -48,8 +58,8 @@
     }
 
     /**
-     * Reads {@code servers=40,tenants=1000}; what is left out is 40 for servers, 1 for balancers,
-     * all peers for speakers and 0 for the rest.
+     * Parses a size, such as {@code servers=40,tenants=1000}. Defaults are 40 servers, 1 balancer,
+     * all peers as speakers, and 0 for the other values.
      *
      * @throws InvalidSizeException if the text is not a size
      */
@@ -85,7 +95,7 @@
                 reportingPeers);
     }
 
-    /** What keys of its figures begin with. */
+    /** The prefix of the keys of its measurements. */
     String keyPrefix() {
         return String.format(
                         Locale.ROOT,
@@ -97,7 +107,7 @@
                 + (reportingPeers == balancers - 1 ? "" : "k" + reportingPeers + ".");
     }
 
-    /** One upstream in discovery's form. */
+    /** An entry of the endpoint list in discovery's form. */
     Map<String, Object> discoveryEntry(int number, String state, String endpoint, long bootMs) {
         Map<String, Object> entry = new LinkedHashMap<>();
         entry.put(
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
@@ -22,13 +22,15 @@
 import loadbalancer.testbed.process.ProcessMetrics;
 import loadbalancer.testbed.process.ProcessSpawner;
 
-/** One real balancer, started as it is deployed, and what the system tells of it. */
+/**
+ * One real balancer process, started like a deployed one, and its measurements by the system. Not
+ * thread-safe.
+ */
 final class MeasuredProcess implements AutoCloseable {
     private static final int MAX_SOCKETS = 1024;
     private static final int MEMORY_MB = 192;
     private static final long READY_TIMEOUT_SECONDS = 60;
     private static final long READY_POLL_INTERVAL_MS = 10;
-    // After SIGTERM
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
     private static final Path JCMD = Path.of(System.getProperty("java.home"), "bin", "jcmd");
     private static final Pattern HEAP_USED_PATTERN =
@@ -41,12 +43,16 @@
     private final Path logFile;
     private final Path gcLogFile;
     private final Path stateDirectory;
-    // Ns of each, by its number
+    // CPU time by thread id, also of threads that have ended
     private final Map<String, Long> cpuNanosByThread = new HashMap<>();
 
     /**
-     * Starts it in a folder of its own; {@code peers} is null where it has none; {@code
-     * ownEnvironment}: variables that switch on parts of the program.
+     * Starts the process.
+     *
+     * @param directory for its configuration, logs, temporary files and state
+     * @param peers the addresses of its peers, or null if it has none
+     * @param ownEnvironment further variables of the process
+     * @throws IOException if it can't be started
      */
     MeasuredProcess(
             ProcessSpawner spawner,
@@ -107,18 +113,17 @@
         process = spawner.start(command, MAX_SOCKETS, processBuilder);
     }
 
+    /** The address at which the process listens for clients. */
     InetSocketAddress listenAddress() {
         return listenAddress;
     }
 
+    /** Whether the process has not ended. */
     boolean isRunning() {
         return process.isAlive();
     }
 
-    /**
-     * s from its start until it says that it is ready; -1 where it has ended, or is not within a
-     * minute.
-     */
+    /** Waits until the process is ready; returns the seconds since its start, or -1 if it isn't. */
     double awaitReadySeconds() throws InterruptedException {
         while (process.isAlive()
                 && System.nanoTime() - startNanos
@@ -137,12 +142,12 @@
             socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         } catch (IOException e) {
-            // Not up yet, or busy
+            // The process does not listen yet, or is busy.
             return "";
         }
     }
 
-    /** CPU of all its threads so far, s; of those that have ended, what the last call saw. */
+    /** The CPU seconds of all threads so far; of ended threads, as of the last call. */
     double cpuSeconds() throws IOException {
         try (var tasks = Files.list(Path.of("/proc", Long.toString(process.pid()), "task"))) {
             for (Path task : tasks.toList()) {
@@ -152,19 +157,19 @@
                             Long.parseLong(
                                     Files.readString(task.resolve("schedstat")).split(" ")[0]));
                 } catch (NoSuchFileException e) {
-                    // The thread has ended since it was listed; what it used is no longer known.
+                    // The thread has ended since it was listed.
                 }
             }
         }
         return cpuNanosByThread.values().stream().mapToLong(nanos -> nanos).sum() / 1e9;
     }
 
-    /** Resident memory, MB of 1,024 kB. */
+    /** The resident memory, MB of 1,024 kB. */
     double residentMb() {
         return ProcessMetrics.read(process.pid()).residentKb() / 1024.0;
     }
 
-    /** What lives in its heap after a full collection, MB; -1 where that can't be asked. */
+    /** The heap after a full collection, MB, or -1 if jcmd does not work. */
     double liveHeapMb() throws IOException, InterruptedException {
         String pid = Long.toString(process.pid());
         if (!Files.isExecutable(JCMD) || runJcmd(pid, "GC.run").isEmpty()) {
@@ -187,8 +192,9 @@
     }
 
     /**
-     * Its pauses for collections so far, in order, ms; {@code fullCollections}: those of the whole
-     * heap.
+     * The pauses of the garbage collector so far, ms, in order.
+     *
+     * @param fullCollections whether those of full collections are wanted, or of young ones
      */
     List<Double> gcPausesMs(boolean fullCollections) throws IOException {
         Pattern pausePattern =
@@ -201,9 +207,7 @@
                 .toList();
     }
 
-    /**
-     * Bytes of the newest snapshot of its state; 0 where none is kept, -1 where none is asked for.
-     */
+    /** The bytes of the largest snapshot; 0 if there is none, -1 without a state directory. */
     long snapshotBytes() throws IOException {
         if (!Files.exists(stateDirectory)) {
             return -1;
@@ -216,7 +220,7 @@
         }
     }
 
-    /** The last line of its log. */
+    /** The last line of the log, or an empty string. */
     String lastLogLine() throws IOException {
         List<String> lines = Files.readAllLines(logFile);
         return lines.isEmpty() ? "" : lines.get(lines.size() - 1);
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/PacedLoadGenerator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/PacedLoadGenerator.java
@@ -1,6 +1,7 @@
 package loadbalancer.testbed.footprint;
 
 import java.io.BufferedInputStream;
+import java.io.EOFException;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -12,8 +13,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * One client that asks at an even pace over one connection and notes how long answers take, from
- * when each request was due: what a stall keeps waiting counts.
+ * A client that sends requests at a constant rate over one connection. Latencies are measured from
+ * the time at which a request was due, so that a stall counts for all requests that it delays.
+ * Requests are sent on a thread of its own; the methods may be called on any thread.
  */
 final class PacedLoadGenerator implements AutoCloseable {
     private static final long NANOS_PER_SECOND = 1_000_000_000;
@@ -25,12 +27,16 @@
     private final IntFunction<String> tenantOfRequest;
     private final int requestsPerSecond;
     private final Thread thread = new Thread(this::sendRequests, "client");
-    // µs
     private Histogram latenciesMicros = new Histogram(3);
     private long failedRequests;
     private volatile boolean closed;
 
-    /** {@code tenantOfRequest} names the owner of each request, or is null. */
+    /**
+     * Connects and starts to send.
+     *
+     * @param tenantOfRequest gives the tenant of each request by its number, or is null
+     * @throws IOException if it can't connect
+     */
     PacedLoadGenerator(
             InetSocketAddress target, int requestsPerSecond, IntFunction<String> tenantOfRequest)
             throws IOException {
@@ -49,14 +55,14 @@
         input = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** The times since the last call, µs. */
+    /** The latencies since the last call of this method, µs. */
     synchronized Histogram takeLatencies() {
         Histogram latencies = latenciesMicros;
         latenciesMicros = new Histogram(3);
         return latencies;
     }
 
-    /** Answers other than 200, and requests that got none. */
+    /** Requests with a status other than 200 or without a response. */
     synchronized long failedRequests() {
         return failedRequests;
     }
@@ -83,7 +89,7 @@
         }
     }
 
-    // A connection may be closed for what was before it: the next request then takes a new one.
+    // The balancer may close the connection after a response; the next request opens a new one.
     private boolean sendRequest(int number) throws IOException {
         String request =
                 "GET /api HTTP/1.1\r\nHost: backend.local\r\nReq-Id: "
@@ -121,7 +127,7 @@
         StringBuilder line = new StringBuilder();
         for (int character = input.read(); character != '\n'; character = input.read()) {
             if (character < 0) {
-                throw new IOException("the connection ended");
+                throw new EOFException("the connection ended");
             }
             if (character != '\r') {
                 line.append((char) character);
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/package-info.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What one real balancer process costs at a given size: CPU at rest and by change of the endpoint
- * list, memory, time until ready. The process under test runs beside emulated discovery, peers and
- * upstreams.
+ * Measures what one real balancer process costs at a given size: CPU when idle and per change of
+ * the endpoint list, memory, time until ready. The process runs beside emulated discovery, peers
+ * and upstreams.
  */
 package loadbalancer.testbed.footprint;
--- a/testbed/src/test/java/loadbalancer/testbed/DocFiguresCommandTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/DocFiguresCommandTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Commands leave files of figures, and one holds pages to them, by its exit code. */
+/** Commands write measurement files, and the command figures checks pages against them. */
 class DocFiguresCommandTest {
     @TempDir private Path directory;
 
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityExperiments.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityExperiments.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Short trials in simulated time. */
+/** Runs short experiments in simulated time. */
 final class CapacityExperiments {
     private static final int ZONE_COUNT = 10;
     private static final int CLASS_COUNT = 2;
 
     private CapacityExperiments() {}
 
-    /** Figures of one trial; seconds are simulated. */
+    /** Returns the metrics of one experiment; seconds are simulated. */
     static Map<String, Double> run(
             int balancerCount,
             int upstreamCount,
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityPlanTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityPlanTest.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** What the command line may say, and the file that it leaves. */
+/** The options of the command line are parsed and checked, and the report is written. */
 class CapacityPlanTest {
     @Command
     private static final class TestCommand {
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityRunTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityRunTest.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** A whole call: each size and condition has its figures, and the file says how it came about. */
+/** A call of the command measures each case, and its report names the command line. */
 class CapacityRunTest {
     @Command
     private static final class TestCommand {
@@ -45,7 +45,7 @@
             assertTrue(
                     metrics.get(prefix + ".quiet.sent.bytesPerSecond.mean").asDouble() > 0, prefix);
         }
-        // Two servers' books at least; the heap of so small a fleet is no more exact than that.
+        // At least the state of two upstreams; the heap of so small a fleet is not more exact.
         assertTrue(
                 metrics.get("n4.quiet.heap.bytesPerUpstream").asDouble() > 200, metrics::toString);
         assertTrue(metrics.has("u1.quiet.heap.bytesPerPeer"));
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/DatagramRelayTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/DatagramRelayTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams on loopback: to one, to all, from whom they seem to come, and what is between. */
+/** Datagrams on loopback: unicast, broadcast, sender addresses, loss and partitions. */
 class DatagramRelayTest {
     private static final int ARRIVAL_TIMEOUT_MS = 10_000;
     private static final int SILENCE_MS = 200;
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/DetectionTrackerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/DetectionTrackerTest.java
@@ -6,7 +6,7 @@
 import loadbalancer.membership.MemberUpdate;
 import org.junit.jupiter.api.Test;
 
-/** Only what an observer had to learn counts, once, from when it happened. */
+/** Each observer's detection counts once, if it had to detect the event. */
 class DetectionTrackerTest {
     private final DetectionTracker tracker = new DetectionTracker(4);
 
@@ -32,9 +32,9 @@
         tracker.observerStopped(2);
         tracker.observerStarted(2, 200);
         tracker.memberReturned(0, 300, 9, observer -> true);
-        // 3 did not know yet
+        // Observer 3 had not detected the death.
         assertEquals(1, tracker.supersededDeaths());
-        // Of its earlier life
+        // An update of the earlier incarnation is not a return.
         tracker.onMemberUpdate(1, new MemberUpdate(0, MemberStatus.ALIVE, 8), 310);
         assertEquals(1, tracker.undetectedReturns());
         tracker.onMemberUpdate(1, new MemberUpdate(0, MemberStatus.ALIVE, 9), 400);
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/GossipScalingTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/GossipScalingTest.java
@@ -10,19 +10,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Counted work of what modules tell one another: datagrams bounded for any number of balancers,
- * bytes growing by a little for each, to half the budget at the most that can be summed. What goes
- * to all counts once for each: a fan-out path has to carry it.
+ * The cost of load reports between routing policies: datagrams are bounded for any number of
+ * balancers, and bytes grow slowly with their number, up to half of the budget at the largest fleet
+ * whose reports are summed. A broadcast counts once for each receiver.
  */
 class GossipScalingTest {
-    // A second and balancer
+    // Datagrams of one balancer
     private static final double MAX_DATAGRAMS_PER_SECOND = 64;
-    // For control as a whole
+    // Budget of one balancer for all control traffic
     private static final double MAX_BYTES_PER_SECOND = 3_000;
-    // Of 400 balancers to 200, in datagrams
+    // Datagrams with 400 balancers, relative to 200
     private static final double MAX_GROWTH_FACTOR = 1.2;
-    // For each balancer more: a block of 16 has a record of 5 bytes, told on both ways. All to all
-    // has 5.9.
+    // Each block of 16 balancers adds a record of 5 bytes, which is sent in two directions. Reports
+    // from each balancer to each other one would add 5.9 bytes.
     private static final double MAX_BYTES_PER_ADDED_BALANCER = 0.7;
     private static final Map<Integer, Map<String, Double>> RESULTS = new TreeMap<>();
 
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/HollowFleetTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/HollowFleetTest.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Hollow balancers live as real ones do, and what is measured of them is what happened. */
+/** Hollow balancers behave like real ones, and their metrics agree with what happened. */
 class HollowFleetTest {
     private static final Set<BalancerComponent> ALL_COMPONENTS =
             EnumSet.allOf(BalancerComponent.class);
@@ -26,7 +26,7 @@
                                 20, 50, 10, ALL_COMPONENTS, FleetCondition.ZONE, 4, 4)));
     }
 
-    // What is measured by the machine's clock differs.
+    // Metrics by the machine's clock differ from run to run.
     private static Map<String, Double> withoutClockFigures(Map<String, Double> metrics) {
         Map<String, Double> remaining = new TreeMap<>(metrics);
         remaining
@@ -42,7 +42,7 @@
         for (String category : new String[] {"word", "membership", "duties"}) {
             double sent = metrics.get("sent.bytesPerSecond." + category);
             assertTrue(sent > 0, category);
-            // Nothing is lost; what is under way at the window's ends is little.
+            // Nothing is lost; few datagrams are in flight at the start and end of the window.
             assertEquals(
                     1, metrics.get("received.bytesPerSecond." + category) / sent, 0.02, category);
         }
@@ -69,13 +69,13 @@
     void zoneLossAndReturnAreDetectedByAll() throws IOException {
         Map<String, Double> metrics =
                 CapacityExperiments.run(40, 50, 0, ALL_COMPONENTS, FleetCondition.ZONE, 6, 12);
-        // 4 of 40 end; each of the 36 others learns of each, then of its return.
+        // 4 of 40 end; each of the 36 others detects each death, then each return.
         assertEquals(4 * 36, metrics.get("death.knownPairs"));
         assertEquals(4 * 36, metrics.get("return.knownPairs"));
         assertEquals(0, metrics.get("death.unknownPairs") + metrics.get("return.unknownPairs"));
         assertTrue(metrics.get("death.seconds.last") < 4, () -> metrics.toString());
         assertTrue(metrics.get("return.seconds.last") < 2, () -> metrics.toString());
-        // Both changes of the list come to 36: who starts again has the whole of it.
+        // Both updates reach 36 balancers; restarted ones get the complete list.
         assertEquals(2 * 36, metrics.get("listInForce.knownPairs"));
     }
 
@@ -83,7 +83,7 @@
     void rollingRestartIsDetected() throws IOException {
         Map<String, Double> metrics =
                 CapacityExperiments.run(20, 50, 0, ALL_COMPONENTS, FleetCondition.RESTARTS, 6, 12);
-        // Each of 20 leaves and comes back; the other of its tenth does not see it.
+        // Each of 20 leaves and returns; the other one of its tenth does not observe it.
         assertEquals(
                 20 * 18, metrics.get("death.knownPairs") + metrics.get("death.overtakenPairs"));
         assertEquals(metrics.get("death.knownPairs"), metrics.get("return.knownPairs"));
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/MembershipScalingTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/MembershipScalingTest.java
@@ -8,15 +8,12 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/**
- * Counted work of membership at growing sizes, while nothing happens: the same for any number of
- * members.
- */
+/** The cost of membership in a quiet fleet does not depend on the number of members. */
 class MembershipScalingTest {
     private static final int[] FLEET_SIZES = {50, 100, 200, 400};
-    // Of the largest to the smallest; counted: 1.00
+    // Ratio of any fleet to the smallest one; measured: 1.00
     private static final double MAX_GROWTH_FACTOR = 1.05;
-    // A second and member; counted: 394
+    // Of one member; measured: 394
     private static final double MAX_BYTES_PER_SECOND = 420;
 
     @Test
@@ -46,8 +43,8 @@
         for (int members : FLEET_SIZES) {
             assertAtMost(members, "sent.bytesPerSecond.mean", MAX_BYTES_PER_SECOND);
             assertAtMost(members, "sent.bytesPerSecond.most", 1.1 * MAX_BYTES_PER_SECOND);
-            // Pages of 254 bytes go to scattered members: some get more of them than others
-            // (counted: 572).
+            // Pages of 254 bytes are sent to random members, some of which get more than others
+            // (measured: 572).
             assertAtMost(members, "received.bytesPerSecond.most", 1.5 * MAX_BYTES_PER_SECOND);
         }
     }
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/SocketHollowFleetTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/SocketHollowFleetTest.java
@@ -8,7 +8,7 @@
 import java.util.EnumSet;
 import org.junit.jupiter.api.Test;
 
-/** The same hollow balancers on sockets, in real time. */
+/** Hollow balancers run on sockets in real time. */
 class SocketHollowFleetTest {
     private static final int BALANCER_COUNT = 5;
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
--- a/testbed/src/test/java/loadbalancer/testbed/docfigures/FigurePageCheckerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/docfigures/FigurePageCheckerTest.java
@@ -16,9 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * Pages that agree with their files pass, and each way in which they may drift from them is found.
- */
+/** A page that agrees with its files passes, and each kind of disagreement is found. */
 class FigurePageCheckerTest {
     private static final String PAGE =
             """
@@ -56,7 +54,7 @@
         assertEquals(4, FigurePageChecker.check(directory.resolve("page.md")).figureCount());
     }
 
-    /** What is changed in the page, to what, and what the fault says. */
+    /** Columns: a text of the page, its replacement, and the expected error. */
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
@@ -140,7 +138,7 @@
                 repeats.summary());
     }
 
-    /** The page that the operators rely on agrees with the files beside it. */
+    /** The figures of docs/CAPACITY.md agree with its measurement files. */
     @Test
     void capacityPageMatchesItsFiles() throws IOException {
         FigurePageChecker.Result check = FigurePageChecker.check(Path.of("../docs/CAPACITY.md"));
--- a/testbed/src/test/java/loadbalancer/testbed/emulation/FaultInjectorTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/emulation/FaultInjectorTest.java
@@ -33,10 +33,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each kind of fault is seen to happen, on the path or party that it names and on no other. */
+/** Each kind of fault takes effect on the path or party that it names, and on no other. */
 @Timeout(60)
 class FaultInjectorTest {
-    // Nothing comes within it
+    // A response that does not arrive within this time is considered withheld.
     private static final int TIMEOUT_MS = 400;
 
     private Emulation emulation;
@@ -46,7 +46,7 @@
     private final List<AutoCloseable> openSockets = new ArrayList<>();
     private int requestCount;
 
-    // Three balancers, played by the test, and three servers, one of each in each zone.
+    // Three balancers, whose part the test plays, and three servers: one of each in each zone.
     private void stage(String fault) throws IOException {
         plan =
                 WorkloadPlan.generate(
@@ -171,12 +171,12 @@
         assertEquals(200, sendRequest(blockedConnection, 0));
         setFault(true);
         assertThrows(SocketTimeoutException.class, () -> sendRequest(blockedConnection, 0));
-        // The way in is shut just after the way through
+        // The listener becomes silent shortly after the path is cut.
         await().until(() -> connectTimesOut(0, 0));
         assertEquals(200, sendRequest(0, 1));
         assertEquals(200, sendRequest(1, 0));
         setFault(false);
-        // Nothing was lost
+        // No bytes were lost.
         assertEquals(200, readStatus(blockedConnection));
         awaitRecovery(0, 0);
     }
@@ -197,7 +197,7 @@
         assertEquals(200, sendRequest(blockedConnection, 0));
         setFault(true);
         assertThrows(SocketTimeoutException.class, () -> sendRequest(blockedConnection, 0));
-        // It came, and its answer did not
+        // The request arrived, and its response did not.
         assertEquals(1, emulation.invariants().clientAttempt("r1").executions().size());
         setFault(false);
         assertEquals(200, readStatus(blockedConnection));
@@ -328,8 +328,6 @@
                                         && listedTargets(0).size() == 3);
     }
 
-    // ------------------------------------------------------------ discovery
-
     private String fetchTargets(int balancer) throws IOException {
         try (Socket socket = new Socket()) {
             InetSocketAddress address = stage.discoveryAgent(balancer).address();
@@ -398,8 +396,6 @@
         await().until(() -> listedTargets(0).size() == 2);
     }
 
-    // ------------------------------------------------------------ datagrams
-
     private DatagramSocket openPeerSocket(int balancer) throws IOException {
         DatagramSocket socket = new DatagramSocket(stage.peerNetwork().balancerAddress(balancer));
         openSockets.add(socket);
@@ -419,7 +415,7 @@
                         new InetSocketAddress(addressParts[0], Integer.parseInt(addressParts[1]))));
     }
 
-    /** What comes within a moment. */
+    /** Returns the datagrams that arrive until none arrives within the socket's timeout. */
     private static List<String> receiveAll(DatagramSocket socket) throws IOException {
         List<String> datagrams = new ArrayList<>();
         try {
--- a/testbed/src/test/java/loadbalancer/testbed/footprint/FootprintBenchmarkTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/footprint/FootprintBenchmarkTest.java
@@ -28,7 +28,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What a measured process talks to does as it should, and a process that does not last is a figure.
+ * The emulated backend, peers and clients of a measured process behave as specified, and a process
+ * that ends early is measured as such.
  */
 @Timeout(30)
 class FootprintBenchmarkTest {
--- a/testbed/src/test/java/loadbalancer/testbed/process/ProcessLifetimeTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/process/ProcessLifetimeTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Balancers that end, grow or never come up are found, and none outlives the testbed. */
+/** Balancers that end, exceed limits or never get ready are found; none outlives the testbed. */
 @Tag("process")
 class ProcessLifetimeTest {
     private static final String TWO_BALANCERS =
@@ -93,9 +93,8 @@
     }
 
     /**
-     * As after Ctrl-C, and as after a crash of the testbed that gives it no time for anything.
-     * Ctrl-C's own signal would not be heard where the tests themselves were started in a shell's
-     * background, which ignores it.
+     * SIGTERM has the effect of Ctrl-C, and SIGKILL that of a crash of the testbed. Ctrl-C's own
+     * signal is not used, since a process in the background of a shell ignores it.
      */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "KILL"})
--- a/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A short fleet of real processes. */
+/** A short run of a scenario with real processes. */
 @Tag("process")
 class ScenarioRunnerTest {
     private static final String SCENARIO =
@@ -84,18 +84,18 @@
                 result.balancers().stream()
                         .flatMap(balancer -> balancer.lifetimes().stream())
                         .allMatch(interval -> interval[1] > interval[0]));
-        // On any machine
+        // A low bound, which holds on a slow machine.
         assertTrue(result.metrics().get("served_share") > 0.2, result.metrics().toString());
         assertTrue(
                 result.balancers().stream()
                         .allMatch(
                                 balancer ->
                                         balancer.datagrams() > 0 && balancer.discoveryCalls() > 0));
-        // Its end was known to both others, if it was to be known before it was back.
+        // Both others detected its end, if they had to before its restart.
         assertTrue(result.metrics().get("members_noticed_p99_s") <= 7, result.metrics().toString());
-        // It held the fleet's record, which another went on with.
+        // It held the lease of the audit log, which another balancer acquired.
         assertTrue(result.metrics().get("duties_passed_on") >= 1, result.metrics().toString());
-        // It came back with what it had kept, and the others kept serving from theirs.
+        // It restored its snapshot after the restart.
         String log = Files.readString(outputDirectory.resolve("n2.log"));
         assertTrue(log.contains("state: recovered snapshot "), log);
         assertEquals(result.scenario(), RunResult.read(outputDirectory).scenario());
