--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
@@ -2,14 +2,12 @@
 
 import java.io.IOException;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
 
@@ -22,8 +20,6 @@
     private static final long SAMPLE_INTERVAL_MICROS = 200_000;
     // Balancers start at random times within this period, so that they are not in step.
     private static final long START_SPREAD_MICROS = 200_000;
-    private static final List<CostCategory> DATAGRAM_CATEGORIES =
-            List.of(CostCategory.GOSSIP, CostCategory.MEMBERSHIP, CostCategory.LEASES);
 
     private final FleetSpec fleetSpec;
     private final HollowFleet fleet;
@@ -121,7 +117,8 @@
         double seconds = (fleet.now() - startMicros) / 1e6;
         List<CostCounters> counters = fleet.counters();
         Map<String, Double> metrics = new TreeMap<>();
-        addTraffic(counters, seconds, metrics);
+        TrafficMetrics.addDistributions(counters, seconds, metrics);
+        TrafficMetrics.addMeans("", counters, seconds, metrics);
         addCpu(counters, seconds, metrics);
         addPercentiles("death", fleet.detections().deathDetectionMicros(), metrics);
         addPercentiles("return", fleet.detections().returnDetectionMicros(), metrics);
@@ -136,64 +133,6 @@
         return metrics;
     }
 
-    private static void addTraffic(
-            List<CostCounters> counters, double seconds, Map<String, Double> metrics) {
-        addDistribution(
-                "sent.datagramsPerSecond",
-                counters,
-                seconds,
-                balancerCounters -> sumOverTraffic(balancerCounters::sent),
-                metrics);
-        addDistribution(
-                "sent.bytesPerSecond",
-                counters,
-                seconds,
-                balancerCounters -> sumOverTraffic(balancerCounters::sentBytes),
-                metrics);
-        addDistribution(
-                "received.datagramsPerSecond",
-                counters,
-                seconds,
-                balancerCounters -> sumOverTraffic(balancerCounters::received),
-                metrics);
-        addDistribution(
-                "received.bytesPerSecond",
-                counters,
-                seconds,
-                balancerCounters -> sumOverTraffic(balancerCounters::receivedBytes),
-                metrics);
-        for (CostCategory category : DATAGRAM_CATEGORIES) {
-            addMean(
-                    "sent.datagramsPerSecond." + category.key(),
-                    counters,
-                    seconds,
-                    balancerCounters -> balancerCounters.sent(category),
-                    metrics);
-            addMean(
-                    "sent.bytesPerSecond." + category.key(),
-                    counters,
-                    seconds,
-                    balancerCounters -> balancerCounters.sentBytes(category),
-                    metrics);
-            addMean(
-                    "received.datagramsPerSecond." + category.key(),
-                    counters,
-                    seconds,
-                    balancerCounters -> balancerCounters.received(category),
-                    metrics);
-            addMean(
-                    "received.bytesPerSecond." + category.key(),
-                    counters,
-                    seconds,
-                    balancerCounters -> balancerCounters.receivedBytes(category),
-                    metrics);
-        }
-    }
-
-    private static double sumOverTraffic(ToDoubleFunction<CostCategory> counter) {
-        return DATAGRAM_CATEGORIES.stream().mapToDouble(counter).sum();
-    }
-
     // The balancers' own code is timed by elapsed time, of which only a fraction was CPU time of
     // the
     // thread.
@@ -254,8 +193,8 @@
         metrics.put(
                 "othersRate.relativeError.bias",
                 rateErrors.stream().mapToDouble(error -> error).average().orElse(0));
-        metrics.put("othersRate.relativeError.p50", quantile(sortedErrors, 0.5));
-        metrics.put("othersRate.relativeError.p99", quantile(sortedErrors, 0.99));
+        metrics.put("othersRate.relativeError.p50", TrafficMetrics.quantile(sortedErrors, 0.5));
+        metrics.put("othersRate.relativeError.p99", TrafficMetrics.quantile(sortedErrors, 0.99));
         metrics.put("othersRate.relativeError.worst", sortedErrors[sortedErrors.length - 1]);
         double requests = counters.stream().mapToDouble(CostCounters::requests).sum();
         metrics.put(
@@ -265,35 +204,4 @@
                         : counters.stream().mapToDouble(CostCounters::unservedRequestCount).sum()
                                 / requests);
     }
-
-    private static void addMean(
-            String name,
-            List<CostCounters> counters,
-            double seconds,
-            ToDoubleFunction<CostCounters> counter,
-            Map<String, Double> metrics) {
-        metrics.put(name, counters.stream().mapToDouble(counter).average().orElse(0) / seconds);
-    }
-
-    private static void addDistribution(
-            String name,
-            List<CostCounters> counters,
-            double seconds,
-            ToDoubleFunction<CostCounters> counter,
-            Map<String, Double> metrics) {
-        double[] sorted =
-                counters.stream()
-                        .mapToDouble(counter)
-                        .map(value -> value / seconds)
-                        .sorted()
-                        .toArray();
-        metrics.put(name + ".mean", Arrays.stream(sorted).average().orElse(0));
-        metrics.put(name + ".p99", quantile(sorted, 0.99));
-        metrics.put(name + ".most", sorted[sorted.length - 1]);
-    }
-
-    /** The smallest value that at least this fraction of all values does not exceed. */
-    static double quantile(double[] sorted, double fraction) {
-        return sorted[Math.max(0, (int) Math.ceil(fraction * sorted.length) - 1)];
-    }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancers.java
@@ -14,7 +14,6 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import java.util.function.ToLongBiFunction;
 import java.util.function.ToLongFunction;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
@@ -148,35 +147,10 @@
         metrics.put(
                 "real.cpu.shareOfCore.loop",
                 meanIncrease(loopCpuBaselineNanos, RealBalancers::loopCpuNanos) / 1e9 / seconds);
-        for (CostCategory category :
-                List.of(CostCategory.GOSSIP, CostCategory.MEMBERSHIP, CostCategory.LEASES)) {
-            Rates rates = new Rates(counters, category, seconds, metrics);
-            rates.put("sent.bytesPerSecond", CostCounters::sentBytes);
-            rates.put("received.bytesPerSecond", CostCounters::receivedBytes);
-            rates.put("sent.datagramsPerSecond", CostCounters::sent);
-            rates.put("received.datagramsPerSecond", CostCounters::received);
-        }
+        TrafficMetrics.addMeans("real.", counters, seconds, metrics);
         return metrics;
     }
 
-    /** Adds mean rates of one category of datagrams to {@code metrics}. */
-    private record Rates(
-            List<CostCounters> counters,
-            CostCategory category,
-            double seconds,
-            Map<String, Double> metrics) {
-        void put(String name, ToLongBiFunction<CostCounters, CostCategory> counter) {
-            double mean =
-                    counters.stream()
-                            .mapToDouble(
-                                    balancerCounters ->
-                                            counter.applyAsLong(balancerCounters, category))
-                            .average()
-                            .orElse(0);
-            metrics.put("real." + name + "." + category.key(), mean / seconds);
-        }
-    }
-
     private double meanIncrease(long[] baselineNanos, ToLongFunction<Process> currentNanos) {
         return IntStream.range(0, baselineNanos.length)
                 .mapToDouble(i -> currentNanos.applyAsLong(processes.get(i)) - baselineNanos[i])
