--- a/testbed/src/main/java/loadbalancer/testbed/CompareCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/CompareCommand.java
@@ -149,6 +149,7 @@
                         });
     }
 
+    /** Prints the mean difference of each metric with its interval. */
     static void printDifferences(
             SortedMap<String, List<Double>> differences,
             SortedMap<String, List<Double>> baselines) {
--- a/testbed/src/main/java/loadbalancer/testbed/TestbedCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/TestbedCommand.java
@@ -44,10 +44,12 @@
         System.exit(run(arguments));
     }
 
+    /** Runs one command and returns its exit code. */
     static int run(String... arguments) {
         return commandLine().execute(arguments);
     }
 
+    /** The command line with all commands. */
     static CommandLine commandLine() {
         return new CommandLine(new TestbedCommand())
                 .setExecutionExceptionHandler(TestbedCommand::handleException);
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/AbstractHollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/AbstractHollowFleet.java
@@ -28,6 +28,7 @@
         this.listPropagationMicros = listPropagationMicros;
     }
 
+    /** The size and the settings of the fleet. */
     final FleetSpec fleetSpec() {
         return fleetSpec;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityBenchmark.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityBenchmark.java
@@ -40,6 +40,7 @@
         HollowFleet create(FleetSpec fleetSpec, long seed) throws IOException;
     }
 
+    /** Creates a benchmark; {@code progress} is called with a line for each case. */
     CapacityBenchmark(CapacityPlan plan, FleetFactory fleetFactory, Consumer<String> progress) {
         this.plan = plan;
         this.fleetFactory = fleetFactory;
@@ -98,9 +99,8 @@
         return "n" + balancerCount + ".u" + upstreamCount + "." + condition.key();
     }
 
-    // Otherwise the heap of the program itself would count as the first fleet's: a third of it,
-    // with
-    // 3 balancers.
+    // Otherwise the heap of the program itself would count as that of the first fleet. With three
+    // balancers, it would be a third.
     private void loadClasses() throws IOException {
         FleetSpec fleetSpec = fleetSpec(CLASS_LOADING_BALANCERS, 1, 1);
         try (HollowFleet fleet = new SimulatedHollowFleet(fleetSpec, 1)) {
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
@@ -133,9 +133,7 @@
         return metrics;
     }
 
-    // The balancers' own code is timed by elapsed time, of which only a fraction was CPU time of
-    // the
-    // thread.
+    // The balancers' code is timed by elapsed time, a fraction of which was CPU time of its thread.
     private void addCpu(List<CostCounters> counters, double seconds, Map<String, Double> metrics) {
         double cpuFraction = fleet.cpuFraction();
         double totalShare = 0;
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancerConfig.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancerConfig.java
@@ -1,6 +1,5 @@
 package loadbalancer.testbed.capacity;
 
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import loadbalancer.routing.api.Idempotency;
@@ -8,6 +7,7 @@
 import loadbalancer.routing.api.RoutingBounds;
 import loadbalancer.routing.api.RoutingLimits;
 import loadbalancer.routing.api.RoutingSettings;
+import loadbalancer.testbed.emulation.BalancerConfigurationBuilder;
 import loadbalancer.testbed.emulation.BalancerSettingsBuilder;
 
 /**
@@ -24,8 +24,8 @@
     private RealBalancerConfig() {}
 
     /**
-     * Its list, in discovery's form; nothing listens at these upstreams, and nothing is sent to
-     * them.
+     * The endpoint list in discovery's form. Nothing listens at its addresses, and no requests are
+     * sent to them.
      */
     static Map<String, Object> endpointList(FleetSpec fleetSpec) {
         return Map.of(
@@ -55,7 +55,13 @@
                         .toList());
     }
 
-    /** Its configuration; addresses as {@code host:port}. */
+    /**
+     * The configuration of one balancer; addresses have the form {@code host:port}.
+     *
+     * @param peerListen the balancer's own address for datagrams
+     * @param peers the addresses of all balancers by rank
+     * @param peersAll the address whose datagrams go to all other balancers
+     */
     static Map<String, Object> configuration(
             FleetSpec fleetSpec,
             int balancer,
@@ -65,19 +71,13 @@
             String peerListen,
             List<String> peers,
             String peersAll) {
-        Map<String, Object> configuration = new LinkedHashMap<>();
-        configuration.put("name", "n" + balancer);
-        configuration.put("listen", listenAddress);
-        configuration.put("discovery", discoveryAddress);
-        configuration.put("seed", Long.toHexString(seed));
-        configuration.put(
-                "limits", Map.of("cores", 1.0, "memory_mb", MEMORY_MB, "sockets", MAX_SOCKETS));
-        configuration.put("peer_listen", peerListen);
-        configuration.put("peers", peers);
-        configuration.put("peers_all", peersAll);
-        configuration.put("known", endpointList(fleetSpec));
-        configuration.put("settings", settings(fleetSpec, balancer));
-        return configuration;
+        return new BalancerConfigurationBuilder("n" + balancer, listenAddress)
+                .discovery(discoveryAddress)
+                .seed(Long.toHexString(seed))
+                .limits(MEMORY_MB, MAX_SOCKETS)
+                .peers(peerListen, peers)
+                .broadcast(peersAll)
+                .build(endpointList(fleetSpec), settings(fleetSpec, balancer));
     }
 
     /** {@link FleetSpec#settings} with the platform's keys. */
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/SimulatedHollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/SimulatedHollowFleet.java
@@ -100,6 +100,7 @@
         }
     }
 
+    /** Creates a fleet without processes; {@code seed} determines delays and losses. */
     SimulatedHollowFleet(FleetSpec fleetSpec, long seed) {
         super(fleetSpec, new Histogram(3));
         this.seed = seed;
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/ClientEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/ClientEmulator.java
@@ -53,6 +53,7 @@
     private int openRequests;
     private Runnable onComplete = () -> {};
 
+    /** Creates clients that have not started. */
     ClientEmulator(Emulation emulation, FrontendEmulator frontend) {
         this.emulation = emulation;
         this.frontend = frontend;
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/ControllableListener.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/ControllableListener.java
@@ -43,6 +43,11 @@
     private ServerSocketChannel silentSocket;
     private final List<java.nio.channels.SocketChannel> backlogFillers = new ArrayList<>();
 
+    /**
+     * Creates a listener that is not open.
+     *
+     * @param acceptHandler initializes the channel of each accepted connection
+     */
     ControllableListener(
             Emulation emulation, InetAddress host, Consumer<SocketChannel> acceptHandler) {
         this.emulation = emulation;
@@ -67,6 +72,7 @@
         state = State.OPEN;
     }
 
+    /** The address, with its port once the listener was opened. */
     InetSocketAddress address() {
         return address;
     }
@@ -159,6 +165,7 @@
         silentSocket = null;
     }
 
+    /** Closes the address. */
     void close() {
         closeSilentSocket();
         if (listener != null) {
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEmulator.java
@@ -94,6 +94,7 @@
         emulation.eventLoop().execute(this::sendHeartbeats);
     }
 
+    /** The address at which the balancer reaches this agent. */
     InetSocketAddress address() {
         return listener.address();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/EmulatedEnvironment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/EmulatedEnvironment.java
@@ -4,7 +4,6 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HexFormat;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -124,31 +123,25 @@
 
     /** The configuration of a balancer that starts now. Called on the event loop. */
     public Map<String, Object> configuration(int balancer, long seed) {
-        Scenario scenario = emulation.scenario();
-        Map<String, Object> configuration = new LinkedHashMap<>();
-        configuration.put("name", "n" + balancer);
-        configuration.put("listen", LoopbackAddresses.format(balancerAddresses[balancer]));
-        configuration.put(
-                "discovery", LoopbackAddresses.format(discoveryAgents.get(balancer).address()));
-        configuration.put("seed", HexFormat.of().toHexDigits(seed));
-        configuration.put(
-                "limits",
-                Map.of(
-                        "cores",
-                        1.0,
-                        "memory_mb",
-                        scenario.fleet().memoryMb(),
-                        "sockets",
-                        scenario.fleet().sockets()));
-        if (scenario.fleet().balancers() > 1) {
-            configuration.put(
-                    "peer_listen", LoopbackAddresses.format(peerNetwork.balancerAddress(balancer)));
-            configuration.put("peers", peerNetwork.peerAddresses(balancer));
-            configuration.put("peers_all", peerNetwork.broadcast(balancer));
+        Scenario.Fleet fleet = emulation.scenario().fleet();
+        BalancerConfigurationBuilder configuration =
+                new BalancerConfigurationBuilder(
+                                "n" + balancer,
+                                LoopbackAddresses.format(balancerAddresses[balancer]))
+                        .discovery(
+                                LoopbackAddresses.format(discoveryAgents.get(balancer).address()))
+                        .seed(HexFormat.of().toHexDigits(seed))
+                        .limits(fleet.memoryMb(), fleet.sockets());
+        if (fleet.balancers() > 1) {
+            configuration
+                    .peers(
+                            LoopbackAddresses.format(peerNetwork.balancerAddress(balancer)),
+                            peerNetwork.peerAddresses(balancer))
+                    .broadcast(peerNetwork.broadcast(balancer));
         }
-        configuration.put("known", discoveryAgents.get(balancer).completeList());
-        configuration.put("settings", PlatformSettings.settings(scenario, balancer));
-        return configuration;
+        return configuration.build(
+                discoveryAgents.get(balancer).completeList(),
+                PlatformSettings.settings(emulation.scenario(), balancer));
     }
 
     /** Starts to poll the balancers' readiness. */
@@ -171,6 +164,7 @@
         return frontend.rotation().isInRotation(balancer);
     }
 
+    /** The path between a balancer and an upstream. */
     NetworkPath path(int balancer, int server) {
         return pathsByUpstream.get(server).get(balancer);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/FrontendEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/FrontendEmulator.java
@@ -40,6 +40,7 @@
     private final boolean[] pollInFlight;
     private int pollRound;
 
+    /** Creates a frontend to which no balancer is ready; addresses are those for clients. */
     FrontendEmulator(Emulation emulation, InetSocketAddress[] addresses) {
         this.emulation = emulation;
         this.addresses = addresses;
@@ -139,6 +140,7 @@
         return rotation;
     }
 
+    /** The address of a balancer for clients. */
     InetSocketAddress address(int balancer) {
         return addresses[balancer];
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPath.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPath.java
@@ -26,14 +26,17 @@
         this.onChange = onChange;
     }
 
+    /** The link from the balancer to the other party. */
     NetworkLink forwardLink() {
         return forwardLink;
     }
 
+    /** The link from the other party to the balancer. */
     NetworkLink reverseLink() {
         return reverseLink;
     }
 
+    /** The open connections, in the order in which they were opened. */
     Set<NetworkPathHandler> connections() {
         return connections;
     }
@@ -43,6 +46,7 @@
         return forwardLink.isCut() || reverseLink.isCut();
     }
 
+    /** Whether a fault refuses connections. */
     boolean refusesConnections() {
         return refusalCount > 0;
     }
@@ -63,7 +67,7 @@
         onChange.run();
     }
 
-    /** A fault begins, or one ends, in which connections are refused. */
+    /** Starts or ends a fault that refuses connections; faults may overlap. */
     void setRefusing(boolean refusing) {
         refusalCount += refusing ? 1 : -1;
         onChange.run();
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPathHandler.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPathHandler.java
@@ -26,6 +26,7 @@
     private ChannelHandlerContext context;
     private long firstByteAtMicros = -1;
 
+    /** Creates the handler of one connection on {@code path}. */
     NetworkPathHandler(Emulation emulation, NetworkPath path) {
         this.emulation = emulation;
         this.path = path;
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/PeerNetworkEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/PeerNetworkEmulator.java
@@ -42,6 +42,7 @@
     private final long[] bytesSent;
     private final long[][] datagramsDelivered;
 
+    /** Creates a network without sockets; {@code random} draws delays, losses and duplicates. */
     PeerNetworkEmulator(
             Emulation emulation, LoopbackAddresses addresses, UniformRandomProvider random) {
         this.emulation = emulation;
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/ServerConnection.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/ServerConnection.java
@@ -12,10 +12,12 @@
 abstract class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final SocketChannel channel;
 
+    /** Creates the handler of a connection; it is the last one of the channel's pipeline. */
     ServerConnection(SocketChannel channel) {
         this.channel = channel;
     }
 
+    /** The channel of the connection. */
     final SocketChannel channel() {
         return channel;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
@@ -88,6 +88,7 @@
         emulation.eventLoop().execute(this::updateListeners);
     }
 
+    /** The address at which a balancer reaches this upstream. */
     InetSocketAddress address(int balancer) {
         return listeners.get(balancer).address();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
@@ -9,12 +9,12 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import loadbalancer.testbed.emulation.BalancerConfigurationBuilder;
 import loadbalancer.testbed.emulation.Json;
 import loadbalancer.testbed.emulation.LoopbackAddresses;
 import loadbalancer.testbed.process.BalancerEnvironment;
@@ -27,6 +27,8 @@
  * thread-safe.
  */
 final class MeasuredProcess implements AutoCloseable {
+    private static final String NAME = "n0";
+    private static final String SEED = "1";
     private static final int MAX_SOCKETS = 1024;
     private static final int MEMORY_MB = 192;
     private static final long READY_TIMEOUT_SECONDS = 60;
@@ -69,23 +71,8 @@
         adminAddress = addresses.findFreePort(addresses.clientAddress(0));
         logFile = directory.resolve("log");
         gcLogFile = directory.resolve("collections");
-        Map<String, Object> configuration = new LinkedHashMap<>();
-        configuration.put("name", "n0");
-        configuration.put("listen", LoopbackAddresses.format(listenAddress));
-        configuration.put("admin", LoopbackAddresses.format(adminAddress));
-        configuration.put("discovery", LoopbackAddresses.format(backend.discoveryAddress()));
-        configuration.put("seed", "1");
-        configuration.put(
-                "limits", Map.of("cores", 1.0, "memory_mb", MEMORY_MB, "sockets", MAX_SOCKETS));
-        if (peers != null) {
-            List<String> peerAddresses =
-                    new ArrayList<>(List.of(LoopbackAddresses.format(peerListenAddress)));
-            peers.forEach(peer -> peerAddresses.add(LoopbackAddresses.format(peer)));
-            configuration.put("peer_listen", peerAddresses.get(0));
-            configuration.put("peers", peerAddresses);
-        }
-        configuration.put("known", backend.endpointList());
-        configuration.put("settings", footprintCase.settings());
+        Map<String, Object> configuration =
+                configuration(footprintCase, backend, peerListenAddress, peers);
         Path configFile =
                 Files.writeString(directory.resolve("config.json"), Json.write(configuration));
         ProcessBuilder processBuilder =
@@ -95,7 +82,7 @@
         Map<String, String> environment =
                 BalancerEnvironment.configure(
                         processBuilder,
-                        "n0",
+                        NAME,
                         configFile,
                         Files.createDirectories(directory.resolve("tmp")));
         environment.putAll(ownEnvironment);
@@ -113,6 +100,26 @@
         process = spawner.start(command, MAX_SOCKETS, processBuilder);
     }
 
+    private Map<String, Object> configuration(
+            FootprintCase footprintCase,
+            EmulatedBackend backend,
+            InetSocketAddress peerListenAddress,
+            List<InetSocketAddress> peers) {
+        BalancerConfigurationBuilder configuration =
+                new BalancerConfigurationBuilder(NAME, LoopbackAddresses.format(listenAddress))
+                        .admin(LoopbackAddresses.format(adminAddress))
+                        .discovery(LoopbackAddresses.format(backend.discoveryAddress()))
+                        .seed(SEED)
+                        .limits(MEMORY_MB, MAX_SOCKETS);
+        if (peers != null) {
+            String ownAddress = LoopbackAddresses.format(peerListenAddress);
+            List<String> peerAddresses = new ArrayList<>(List.of(ownAddress));
+            peers.forEach(peer -> peerAddresses.add(LoopbackAddresses.format(peer)));
+            configuration.peers(ownAddress, peerAddresses);
+        }
+        return configuration.build(backend.endpointList(), footprintCase.settings());
+    }
+
     /** The address at which the process listens for clients. */
     InetSocketAddress listenAddress() {
         return listenAddress;
