--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/FigurePageChecker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/FigurePageChecker.java
@@ -66,36 +66,12 @@
 
     private void checkLines(List<String> lines) {
         for (int i = 0; i < lines.size(); i++) {
-            Matcher reference = REFERENCE_PATTERN.matcher(lines.get(i));
-            if (reference.matches()
-                    && references.put(
-                                    reference.group(1),
-                                    new FigureReference(
-                                            reference.group(1),
-                                            reference.group(2),
-                                            reference.group(3),
-                                            i + 1))
-                            != null) {
-                addError(i + 1, "two labels " + reference.group(1));
-            }
+            readReference(i + 1, lines.get(i));
         }
         Set<String> usedReferences = new HashSet<>();
         for (int i = 0; i < lines.size(); i++) {
-            if (REFERENCE_PATTERN.matcher(lines.get(i)).matches()) {
-                continue;
-            }
-            String lineText = CODE_SPAN_PATTERN.matcher(lines.get(i)).replaceAll("");
-            Matcher figure = FIGURE_PATTERN.matcher(lineText);
-            while (figure.find()) {
-                usedReferences.add(figure.group(2));
-                compareFigure(i + 1, figure.group(1), figure.group(2));
-            }
-            Matcher unreferenced =
-                    UNREFERENCED_PATTERN.matcher(FIGURE_PATTERN.matcher(lineText).replaceAll("|"));
-            while (unreferenced.find()) {
-                addError(
-                        i + 1,
-                        "said to be measured, but refers to no file: " + unreferenced.group());
+            if (!REFERENCE_PATTERN.matcher(lines.get(i)).matches()) {
+                checkText(i + 1, lines.get(i), usedReferences);
             }
         }
         references.values().stream()
@@ -103,44 +79,80 @@
                 .forEach(unused -> addError(unused.line, "nothing refers to " + unused.name));
     }
 
+    private void readReference(int line, String text) {
+        Matcher matcher = REFERENCE_PATTERN.matcher(text);
+        if (!matcher.matches()) {
+            return;
+        }
+        FigureReference reference =
+                new FigureReference(matcher.group(1), matcher.group(2), matcher.group(3), line);
+        if (references.put(reference.name, reference) != null) {
+            addError(line, "two labels " + reference.name);
+        }
+    }
+
+    private void checkText(int line, String text, Set<String> usedReferences) {
+        String withoutCode = CODE_SPAN_PATTERN.matcher(text).replaceAll("");
+        Matcher figure = FIGURE_PATTERN.matcher(withoutCode);
+        while (figure.find()) {
+            usedReferences.add(figure.group(2));
+            checkFigure(line, figure.group(1), figure.group(2));
+        }
+        String withoutFigures = FIGURE_PATTERN.matcher(withoutCode).replaceAll("|");
+        Matcher unreferenced = UNREFERENCED_PATTERN.matcher(withoutFigures);
+        while (unreferenced.find()) {
+            addError(line, "said to be measured, but refers to no file: " + unreferenced.group());
+        }
+    }
+
     private void addError(int line, String message) {
         errors.add(page + ":" + line + ": " + message);
     }
 
-    private void compareFigure(int line, String shown, String name) {
+    private void checkFigure(int line, String shown, String name) {
         checkedFigures++;
         FigureReference reference = references.get(name);
         Matcher number = NUMBER_PATTERN.matcher(shown);
         if (!number.find()) {
             addError(line, "no number in [" + shown + "][" + name + "]");
-        } else if (reference == null) {
+            return;
+        }
+        if (reference == null) {
             addError(line, "no label " + name + " for " + shown);
-        } else {
-            try {
-                double actual =
-                        FigureExpression.evaluate(
-                                reference.expression, key -> metric(reference.file, key));
-                int decimals = number.group(1) == null ? 0 : number.group(1).length();
-                double stated = Double.parseDouble(number.group().replace(",", ""));
-                // Slightly more than half of the last digit, since a value in the middle may be
-                // rounded either way.
-                if (!(Math.abs(actual - stated) <= 0.5 * Math.pow(10, -decimals) * (1 + 1e-6))) {
-                    addError(
-                            line,
-                            String.format(
-                                    Locale.ROOT,
-                                    "%s is %." + (decimals + 2) + "f by %s \"%s\"",
-                                    shown,
-                                    actual,
-                                    reference.file,
-                                    reference.expression));
-                }
-            } catch (InvalidFigureException e) {
-                addError(line, name + ": " + e.getMessage());
+            return;
+        }
+        int decimals = number.group(1) == null ? 0 : number.group(1).length();
+        double stated = Double.parseDouble(number.group().replace(",", ""));
+        try {
+            double actual =
+                    FigureExpression.evaluate(
+                            reference.expression, key -> metric(reference.file, key));
+            if (!agrees(actual, stated, decimals)) {
+                addError(line, describeDifference(shown, actual, decimals, reference));
             }
+        } catch (InvalidFigureException e) {
+            addError(line, name + ": " + e.getMessage());
         }
     }
 
+    // Allows slightly more than half of the last digit, since a value in the middle may be rounded
+    // either way. False if a value is not a number.
+    private static boolean agrees(double actual, double stated, int decimals) {
+        double tolerance = 0.5 * Math.pow(10, -decimals) * (1 + 1e-6);
+        return Math.abs(actual - stated) <= tolerance;
+    }
+
+    private static String describeDifference(
+            String shown, double actual, int decimals, FigureReference reference) {
+        return String.format(
+                Locale.ROOT,
+                "%s is %." + (decimals + 2) + "f by %s \"%s\"",
+                shown,
+                actual,
+                reference.file,
+                reference.expression);
+    }
+
     // The key belongs to the label's file, or to another file in the same directory.
     private double metric(String file, String key) {
         int colon = key.indexOf(':');
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/EmulatedPeers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/EmulatedPeers.java
@@ -10,7 +10,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
-import java.util.concurrent.locks.LockSupport;
 
 /**
  * The peers of one balancer: each has an address of its own, sends a load report once a second, and
@@ -23,7 +22,6 @@
     // Addresses that are used of one /24 network
     private static final int HOSTS_PER_SUBNET = 250;
     private static final int MAX_MESSAGE_BYTES = 1024;
-    private static final long NANOS_PER_SECOND = 1_000_000_000;
 
     private final List<DatagramChannel> peers = new ArrayList<>();
     private final Selector selector = Selector.open();
@@ -89,13 +87,10 @@
     }
 
     private void sendReports() {
-        long startNanos = System.nanoTime();
+        Pacer pacer = new Pacer(reportingPeers);
         try {
             for (long i = 0; !closed && reportingPeers > 0; i++) {
-                long dueNanos = startNanos + i * NANOS_PER_SECOND / reportingPeers;
-                while (System.nanoTime() < dueNanos && !closed) {
-                    LockSupport.parkNanos(dueNanos - System.nanoTime());
-                }
+                pacer.awaitDue(i, () -> closed);
                 int sender = (int) (i % reportingPeers);
                 peers.get(sender % 2 == 0 ? sender / 2 : peers.size() - 1 - sender / 2)
                         .send(ByteBuffer.wrap(LOAD_REPORT), target);
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/PacedLoadGenerator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/PacedLoadGenerator.java
@@ -8,7 +8,6 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
-import java.util.concurrent.locks.LockSupport;
 import java.util.function.IntFunction;
 import org.HdrHistogram.Histogram;
 
@@ -18,7 +17,6 @@
  * Requests are sent on a thread of its own; the methods may be called on any thread.
  */
 final class PacedLoadGenerator implements AutoCloseable {
-    private static final long NANOS_PER_SECOND = 1_000_000_000;
     private static final int READ_TIMEOUT_MS = 10_000;
 
     private final InetSocketAddress target;
@@ -68,13 +66,10 @@
     }
 
     private void sendRequests() {
-        long startNanos = System.nanoTime();
+        Pacer pacer = new Pacer(requestsPerSecond);
         try {
             for (int i = 0; !closed; i++) {
-                long dueNanos = startNanos + i * NANOS_PER_SECOND / requestsPerSecond;
-                while (System.nanoTime() < dueNanos && !closed) {
-                    LockSupport.parkNanos(dueNanos - System.nanoTime());
-                }
+                long dueNanos = pacer.awaitDue(i, () -> closed);
                 boolean served = sendRequest(i);
                 long latencyNanos = System.nanoTime() - dueNanos;
                 synchronized (this) {
