--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
@@ -2,22 +2,24 @@
 
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.Random;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
 
-/** One fleet under one condition: started, left to settle, played and measured. */
+/**
+ * Measures one fleet under one condition: starts it, lets it settle, plays the condition and
+ * computes the metrics. Not thread-safe.
+ */
 final class CapacityExperiment {
-    // µs between two looks at what modules know
+    // Time between two samples of the rates that routing policies know
     private static final long SAMPLE_INTERVAL_MICROS = 200_000;
-    // µs in which balancers start, so as not in step
+    // Balancers start at random times within this period, so that they are not in step.
     private static final long START_SPREAD_MICROS = 200_000;
-    private static final List<CostCategory> DATAGRAM_CATEGORIES =
-            List.of(CostCategory.GOSSIP, CostCategory.MEMBERSHIP, CostCategory.LEASES);
 
     private final FleetSpec fleetSpec;
     private final HollowFleet fleet;
@@ -25,29 +27,31 @@
     private final List<Double> rateErrors = new ArrayList<>();
     private boolean measuring;
 
-    /** {@code lengthMicros} in µs. */
+    /** Creates an experiment; {@code lengthMicros} is how long the condition lasts, in µs. */
     CapacityExperiment(FleetSpec fleetSpec, HollowFleet fleet, long lengthMicros) {
         this.fleetSpec = fleetSpec;
         this.fleet = fleet;
         this.lengthMicros = lengthMicros;
     }
 
+    /** The size and the settings of the fleet. */
     FleetSpec fleetSpec() {
         return fleetSpec;
     }
 
+    /** The fleet that is measured. */
     HollowFleet fleet() {
         return fleet;
     }
 
-    /** µs that the condition lasts. */
+    /** How long the condition lasts, µs. */
     long lengthMicros() {
         return lengthMicros;
     }
 
     /**
-     * Starts all balancers within a period of membership, and lets the rest of {@code warmUpMicros}
-     * µs pass.
+     * Starts all balancers within a short period, in an order that {@code seed} determines, and
+     * waits until {@code warmUpMicros} µs have passed since the first start.
      */
     void start(long warmUpMicros, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -58,7 +62,7 @@
                         .toArray();
         List<Integer> startOrder =
                 new ArrayList<>(IntStream.range(0, fleetSpec.balancers()).boxed().toList());
-        java.util.Collections.shuffle(startOrder, new java.util.Random(seed));
+        Collections.shuffle(startOrder, new Random(seed));
         long startMicros = fleet.now();
         for (int i = 0; i < startOffsetsMicros.length; i++) {
             advance(startMicros + startOffsetsMicros[i] - fleet.now());
@@ -67,7 +71,7 @@
         advance(Math.max(0, startMicros + warmUpMicros - fleet.now()));
     }
 
-    /** Lets time pass, and looks now and then at what modules know. */
+    /** Lets so many µs pass; while the condition is measured, samples what policies know. */
     void advance(long durationMicros) {
         long remainingMicros = durationMicros;
         while (remainingMicros > 0) {
@@ -98,9 +102,10 @@
     }
 
     /**
-     * Plays the condition; figures by name, those of a second by simulated or real seconds.
+     * Plays the condition and returns the metrics by name. Rates are per second of the fleet's
+     * time, simulated or real.
      *
-     * @throws IOException where a real balancer of the fleet has ended
+     * @throws IOException if a real balancer of the fleet has ended
      */
     Map<String, Double> measure(FleetCondition condition) throws IOException {
         fleet.resetCounters();
@@ -112,7 +117,8 @@
         double seconds = (fleet.now() - startMicros) / 1e6;
         List<CostCounters> counters = fleet.counters();
         Map<String, Double> metrics = new TreeMap<>();
-        addTraffic(counters, seconds, metrics);
+        TrafficMetrics.addDistributions(counters, seconds, metrics);
+        TrafficMetrics.addMeans("", counters, seconds, metrics);
         addCpu(counters, seconds, metrics);
         addPercentiles("death", fleet.detections().deathDetectionMicros(), metrics);
         addPercentiles("return", fleet.detections().returnDetectionMicros(), metrics);
@@ -127,65 +133,7 @@
         return metrics;
     }
 
-    private static void addTraffic(
-            List<CostCounters> counters, double seconds, Map<String, Double> metrics) {
-        addDistribution(
-                "sent.datagramsPerSecond",
-                counters,
-                seconds,
-                balancerCounters -> sumOverTraffic(balancerCounters::sent),
-                metrics);
-        addDistribution(
-                "sent.bytesPerSecond",
-                counters,
-                seconds,
-                balancerCounters -> sumOverTraffic(balancerCounters::sentBytes),
-                metrics);
-        addDistribution(
-                "received.datagramsPerSecond",
-                counters,
-                seconds,
-                balancerCounters -> sumOverTraffic(balancerCounters::received),
-                metrics);
-        addDistribution(
-                "received.bytesPerSecond",
-                counters,
-                seconds,
-                balancerCounters -> sumOverTraffic(balancerCounters::receivedBytes),
-                metrics);
-        for (CostCategory category : DATAGRAM_CATEGORIES) {
-            addMean(
-                    "sent.datagramsPerSecond." + category.key(),
-                    counters,
-                    seconds,
-                    balancerCounters -> balancerCounters.sent(category),
-                    metrics);
-            addMean(
-                    "sent.bytesPerSecond." + category.key(),
-                    counters,
-                    seconds,
-                    balancerCounters -> balancerCounters.sentBytes(category),
-                    metrics);
-            addMean(
-                    "received.datagramsPerSecond." + category.key(),
-                    counters,
-                    seconds,
-                    balancerCounters -> balancerCounters.received(category),
-                    metrics);
-            addMean(
-                    "received.bytesPerSecond." + category.key(),
-                    counters,
-                    seconds,
-                    balancerCounters -> balancerCounters.receivedBytes(category),
-                    metrics);
-        }
-    }
-
-    private static double sumOverTraffic(ToDoubleFunction<CostCategory> counter) {
-        return DATAGRAM_CATEGORIES.stream().mapToDouble(counter).sum();
-    }
-
-    // The balancers' own code is timed by the wall; what the system took meanwhile is not its.
+    // The balancers' code is timed by elapsed time, a fraction of which was CPU time of its thread.
     private void addCpu(List<CostCounters> counters, double seconds, Map<String, Double> metrics) {
         double cpuFraction = fleet.cpuFraction();
         double totalShare = 0;
@@ -243,8 +191,8 @@
         metrics.put(
                 "othersRate.relativeError.bias",
                 rateErrors.stream().mapToDouble(error -> error).average().orElse(0));
-        metrics.put("othersRate.relativeError.p50", quantile(sortedErrors, 0.5));
-        metrics.put("othersRate.relativeError.p99", quantile(sortedErrors, 0.99));
+        metrics.put("othersRate.relativeError.p50", TrafficMetrics.quantile(sortedErrors, 0.5));
+        metrics.put("othersRate.relativeError.p99", TrafficMetrics.quantile(sortedErrors, 0.99));
         metrics.put("othersRate.relativeError.worst", sortedErrors[sortedErrors.length - 1]);
         double requests = counters.stream().mapToDouble(CostCounters::requests).sum();
         metrics.put(
@@ -254,35 +202,4 @@
                         : counters.stream().mapToDouble(CostCounters::unservedRequestCount).sum()
                                 / requests);
     }
-
-    private static void addMean(
-            String name,
-            List<CostCounters> counters,
-            double seconds,
-            ToDoubleFunction<CostCounters> counter,
-            Map<String, Double> metrics) {
-        metrics.put(name, counters.stream().mapToDouble(counter).average().orElse(0) / seconds);
-    }
-
-    private static void addDistribution(
-            String name,
-            List<CostCounters> counters,
-            double seconds,
-            ToDoubleFunction<CostCounters> counter,
-            Map<String, Double> metrics) {
-        double[] sorted =
-                counters.stream()
-                        .mapToDouble(counter)
-                        .map(value -> value / seconds)
-                        .sorted()
-                        .toArray();
-        metrics.put(name + ".mean", java.util.Arrays.stream(sorted).average().orElse(0));
-        metrics.put(name + ".p99", quantile(sorted, 0.99));
-        metrics.put(name + ".most", sorted[sorted.length - 1]);
-    }
-
-    /** The least value that so large a part of all is not above. */
-    static double quantile(double[] sorted, double fraction) {
-        return sorted[Math.max(0, (int) Math.ceil(fraction * sorted.length) - 1)];
-    }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancers.java
@@ -1,30 +1,36 @@
 package loadbalancer.testbed.capacity;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToLongFunction;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import loadbalancer.testbed.emulation.Json;
+import loadbalancer.testbed.emulation.LoopbackAddresses;
+import loadbalancer.testbed.error.ProcessFailedException;
+import loadbalancer.testbed.process.BalancerEnvironment;
 import loadbalancer.testbed.process.LaunchCommand;
 import loadbalancer.testbed.workload.RandomStreams;
 
 /**
- * The last balancers of a fleet on sockets, as processes of the real program; nobody sends them
- * requests.
+ * The real balancers of a fleet on sockets: its last ones, as processes of the program. They get no
+ * requests. Used by the thread of the fleet.
  */
 final class RealBalancers implements AutoCloseable {
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
-    // How the system shows the loop's thread
+    // The name of the event loop's thread as the system truncates it
     private static final String EVENT_LOOP_THREAD_PREFIX = "nioEventLoop";
 
     private final List<Process> processes = new ArrayList<>();
@@ -38,19 +44,15 @@
     private long[] loopCpuBaselineNanos = {};
 
     /**
-     * Starts {@code count} of them.
+     * Starts {@code count} balancers.
      *
-     * @throws IOException where one can't be started, or its jar is not there
+     * @throws IOException if one can't be started, or the jar is missing
      */
     RealBalancers(FleetSpec fleetSpec, SocketHollowFleet fleet, int count, long seed)
             throws IOException {
         this.fleet = fleet;
         firstBalancer = fleetSpec.balancers() - count;
-        Path projectRoot = LaunchCommand.findDeployFile().getParent().getParent();
-        LaunchCommand launchCommand =
-                LaunchCommand.fromDeployFile(
-                        LaunchCommand.findDeployFile(),
-                        projectRoot.resolve("balancer/target/load-balancer.jar"));
+        LaunchCommand launchCommand = LaunchCommand.forProjectBuild();
         directory = Files.createTempDirectory("capacity");
         discovery =
                 new StaticDiscoveryServer(Json.write(RealBalancerConfig.endpointList(fleetSpec)));
@@ -68,7 +70,7 @@
                 IntStream.range(0, fleetSpec.balancers())
                         .mapToObj(
                                 peer ->
-                                        formatAddress(
+                                        LoopbackAddresses.format(
                                                 peer == balancer
                                                         ? peerListenAddress
                                                         : fleet.relay().relayAddress(peer)))
@@ -81,20 +83,18 @@
                                 fleetSpec,
                                 balancer,
                                 RandomStreams.seedFor(seed, "real " + balancer),
-                                formatAddress(findFreeTcpPort()),
-                                formatAddress(discovery.address()),
-                                formatAddress(peerListenAddress),
+                                LoopbackAddresses.format(findFreeTcpPort()),
+                                LoopbackAddresses.format(discovery.address()),
+                                LoopbackAddresses.format(peerListenAddress),
                                 peers,
-                                formatAddress(fleet.relay().broadcastAddress()))));
+                                LoopbackAddresses.format(fleet.relay().broadcastAddress()))));
         ProcessBuilder processBuilder =
                 new ProcessBuilder(launchCommand.command())
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .redirectError(directory.resolve("n" + balancer + ".log").toFile());
-        Map<String, String> environment = processBuilder.environment();
-        environment.keySet().retainAll(List.of("PATH", "HOME", "LANG", "JAVA_HOME"));
-        environment.put("ROUTER_NAME", "n" + balancer);
-        environment.put("ROUTER_CONFIG", configFile.toString());
-        environment.put("TMPDIR", directory.toString());
+        Map<String, String> environment =
+                BalancerEnvironment.configure(
+                        processBuilder, "n" + balancer, configFile, directory);
         environment.put(
                 "TANSYFERRY_MEMBERSHIP",
                 fleetSpec.components().contains(BalancerComponent.MEMBERSHIP) ? "on" : "off");
@@ -104,10 +104,6 @@
         processes.add(processBuilder.start());
     }
 
-    private static String formatAddress(InetSocketAddress address) {
-        return address.getAddress().getHostAddress() + ":" + address.getPort();
-    }
-
     private static InetSocketAddress findFreeTcpPort() throws IOException {
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return (InetSocketAddress) probe.getLocalSocketAddress();
@@ -120,28 +116,30 @@
         }
     }
 
-    /** Forgets what was spent so far. */
+    /** Starts a measurement: metrics refer to the time since the last call. */
     void resetCounters() {
         cpuBaselineNanos = processes.stream().mapToLong(RealBalancers::cpuNanos).toArray();
         loopCpuBaselineNanos = processes.stream().mapToLong(RealBalancers::loopCpuNanos).toArray();
     }
 
     /**
-     * What they spent and what passed between them and the others since then, means.
+     * The means over the real balancers of their CPU and of their datagrams since the last reset.
      *
-     * @throws IOException where one has ended
+     * @param seconds how long the measurement lasted
+     * @throws ProcessFailedException if a balancer has ended
      */
     Map<String, Double> metrics(double seconds) throws IOException {
         for (Process process : processes) {
             if (!process.isAlive()) {
-                throw new IOException("a real balancer has ended; its log is in " + directory);
+                throw new ProcessFailedException(
+                        "a real balancer has ended; its log is in " + directory);
             }
         }
         List<CostCounters> counters =
                 IntStream.range(firstBalancer, firstBalancer + processes.size())
                         .mapToObj(fleet.relay()::counters)
                         .toList();
-        Map<String, Double> metrics = new java.util.TreeMap<>();
+        Map<String, Double> metrics = new TreeMap<>();
         metrics.put("real.count", (double) processes.size());
         metrics.put(
                 "real.cpu.shareOfCore.total",
@@ -149,43 +147,7 @@
         metrics.put(
                 "real.cpu.shareOfCore.loop",
                 meanIncrease(loopCpuBaselineNanos, RealBalancers::loopCpuNanos) / 1e9 / seconds);
-        for (CostCategory category :
-                List.of(CostCategory.GOSSIP, CostCategory.MEMBERSHIP, CostCategory.LEASES)) {
-            metrics.put(
-                    "real.sent.bytesPerSecond." + category.key(),
-                    counters.stream()
-                                    .mapToDouble(
-                                            balancerCounters ->
-                                                    balancerCounters.sentBytes(category))
-                                    .average()
-                                    .orElse(0)
-                            / seconds);
-            metrics.put(
-                    "real.received.bytesPerSecond." + category.key(),
-                    counters.stream()
-                                    .mapToDouble(
-                                            balancerCounters ->
-                                                    balancerCounters.receivedBytes(category))
-                                    .average()
-                                    .orElse(0)
-                            / seconds);
-            metrics.put(
-                    "real.sent.datagramsPerSecond." + category.key(),
-                    counters.stream()
-                                    .mapToDouble(
-                                            balancerCounters -> balancerCounters.sent(category))
-                                    .average()
-                                    .orElse(0)
-                            / seconds);
-            metrics.put(
-                    "real.received.datagramsPerSecond." + category.key(),
-                    counters.stream()
-                                    .mapToDouble(
-                                            balancerCounters -> balancerCounters.received(category))
-                                    .average()
-                                    .orElse(0)
-                            / seconds);
-        }
+        TrafficMetrics.addMeans("real.", counters, seconds, metrics);
         return metrics;
     }
 
@@ -196,12 +158,12 @@
                 .orElse(0);
     }
 
-    // ns, in hundredths of a second; threads that have ended, as compilers do, count.
+    // Has a resolution of 10 ms, and includes threads that have ended.
     private static long cpuNanos(Process process) {
-        return process.info().totalCpuDuration().map(java.time.Duration::toNanos).orElse(0L);
+        return process.info().totalCpuDuration().map(Duration::toNanos).orElse(0L);
     }
 
-    // ns that its event loop had a core.
+    // The CPU time of the event loop.
     private static long loopCpuNanos(Process process) {
         long totalNanos = 0;
         try (Stream<Path> tasks =
@@ -214,7 +176,7 @@
                 }
             }
         } catch (IOException e) {
-            // It has ended, which figures() tells
+            // The process has ended, which metrics() reports.
             return 0;
         }
         return totalNanos;
@@ -238,7 +200,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
+            throw new UncheckedIOException(e);
         }
         Runtime.getRuntime().removeShutdownHook(shutdownHook);
         discovery.close();
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/FigurePageChecker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/FigurePageChecker.java
@@ -15,12 +15,12 @@
 import java.util.regex.Pattern;
 
 /**
- * A page of Markdown whose figures stand on files. A figure is a link, {@code [394 m][quiet]}: the
- * first number of its text is held against what its label says, {@code [quiet]:
- * capacity/members.json "n1600.bytes * 8"}, a file beside the page and an {@link FigureExpression}
- * over its keys. A figure agrees if what the file gives, rounded to as many decimals as are shown,
- * is what is shown. A number that says of itself to be measured, {@code m}, and is no such link is
- * a fault, as is a label that nothing refers to.
+ * Checks the figures of a Markdown page against measurement files. A figure is a link, {@code [394
+ * m][quiet]}; its label, {@code [quiet]: capacity/members.json "n1600.bytes * 8"}, names a file
+ * relative to the page and a {@link FigureExpression} over the file's keys. The figure agrees if
+ * the value of the expression, rounded to the decimals of the first number in the link's text,
+ * equals that number. A number that is marked as measured, with {@code m}, and is not such a link
+ * is an error, and so is a label to which nothing refers. Not thread-safe.
  */
 public final class FigurePageChecker {
     private static final Pattern REFERENCE_PATTERN =
@@ -32,6 +32,7 @@
             Pattern.compile("\\d[^|]{0,30}? m(?![\\w-])");
     private static final Pattern CODE_SPAN_PATTERN = Pattern.compile("`[^`]*`");
 
+    /** The label of figures, and what it refers to. */
     private record FigureReference(String name, String file, String expression, int line) {}
 
     private final Path page;
@@ -44,13 +45,18 @@
         this.page = page;
     }
 
-    /** How many figures agreed or not, and a line for each fault. */
+    /**
+     * The result of a check.
+     *
+     * @param figureCount the number of figures on the page
+     * @param errors one line for each error, with the page and the line number
+     */
     public record Result(int figureCount, List<String> errors) {}
 
     /**
-     * Holds a page to its files.
+     * Checks a page. Measurement files that can't be read are errors of the page.
      *
-     * @throws IOException where the page itself can't be read
+     * @throws IOException if the page itself can't be read
      */
     public static Result check(Path page) throws IOException {
         FigurePageChecker checker = new FigurePageChecker(page);
@@ -60,36 +66,12 @@
 
     private void checkLines(List<String> lines) {
         for (int i = 0; i < lines.size(); i++) {
-            Matcher reference = REFERENCE_PATTERN.matcher(lines.get(i));
-            if (reference.matches()
-                    && references.put(
-                                    reference.group(1),
-                                    new FigureReference(
-                                            reference.group(1),
-                                            reference.group(2),
-                                            reference.group(3),
-                                            i + 1))
-                            != null) {
-                addError(i + 1, "two labels " + reference.group(1));
-            }
+            readReference(i + 1, lines.get(i));
         }
         Set<String> usedReferences = new HashSet<>();
         for (int i = 0; i < lines.size(); i++) {
-            if (REFERENCE_PATTERN.matcher(lines.get(i)).matches()) {
-                continue;
-            }
-            String lineText = CODE_SPAN_PATTERN.matcher(lines.get(i)).replaceAll("");
-            Matcher figure = FIGURE_PATTERN.matcher(lineText);
-            while (figure.find()) {
-                usedReferences.add(figure.group(2));
-                compareFigure(i + 1, figure.group(1), figure.group(2));
-            }
-            Matcher unreferenced =
-                    UNREFERENCED_PATTERN.matcher(FIGURE_PATTERN.matcher(lineText).replaceAll("|"));
-            while (unreferenced.find()) {
-                addError(
-                        i + 1,
-                        "said to be measured, but refers to no file: " + unreferenced.group());
+            if (!REFERENCE_PATTERN.matcher(lines.get(i)).matches()) {
+                checkText(i + 1, lines.get(i), usedReferences);
             }
         }
         references.values().stream()
@@ -97,45 +79,81 @@
                 .forEach(unused -> addError(unused.line, "nothing refers to " + unused.name));
     }
 
+    private void readReference(int line, String text) {
+        Matcher matcher = REFERENCE_PATTERN.matcher(text);
+        if (!matcher.matches()) {
+            return;
+        }
+        FigureReference reference =
+                new FigureReference(matcher.group(1), matcher.group(2), matcher.group(3), line);
+        if (references.put(reference.name, reference) != null) {
+            addError(line, "two labels " + reference.name);
+        }
+    }
+
+    private void checkText(int line, String text, Set<String> usedReferences) {
+        String withoutCode = CODE_SPAN_PATTERN.matcher(text).replaceAll("");
+        Matcher figure = FIGURE_PATTERN.matcher(withoutCode);
+        while (figure.find()) {
+            usedReferences.add(figure.group(2));
+            checkFigure(line, figure.group(1), figure.group(2));
+        }
+        String withoutFigures = FIGURE_PATTERN.matcher(withoutCode).replaceAll("|");
+        Matcher unreferenced = UNREFERENCED_PATTERN.matcher(withoutFigures);
+        while (unreferenced.find()) {
+            addError(line, "said to be measured, but refers to no file: " + unreferenced.group());
+        }
+    }
+
     private void addError(int line, String message) {
         errors.add(page + ":" + line + ": " + message);
     }
 
-    private void compareFigure(int line, String shown, String name) {
+    private void checkFigure(int line, String shown, String name) {
         checkedFigures++;
         FigureReference reference = references.get(name);
         Matcher number = NUMBER_PATTERN.matcher(shown);
         if (!number.find()) {
             addError(line, "no number in [" + shown + "][" + name + "]");
-        } else if (reference == null) {
+            return;
+        }
+        if (reference == null) {
             addError(line, "no label " + name + " for " + shown);
-        } else {
-            try {
-                double actual =
-                        FigureExpression.evaluate(
-                                reference.expression, key -> metric(reference.file, key));
-                int decimals = number.group(1) == null ? 0 : number.group(1).length();
-                double stated = Double.parseDouble(number.group().replace(",", ""));
-                // a hair more than half of the last digit: what lies just between may be rounded
-                // either way
-                if (!(Math.abs(actual - stated) <= 0.5 * Math.pow(10, -decimals) * (1 + 1e-6))) {
-                    addError(
-                            line,
-                            String.format(
-                                    Locale.ROOT,
-                                    "%s is %." + (decimals + 2) + "f by %s \"%s\"",
-                                    shown,
-                                    actual,
-                                    reference.file,
-                                    reference.expression));
-                }
-            } catch (IllegalArgumentException e) {
-                addError(line, name + ": " + e.getMessage());
+            return;
+        }
+        int decimals = number.group(1) == null ? 0 : number.group(1).length();
+        double stated = Double.parseDouble(number.group().replace(",", ""));
+        try {
+            double actual =
+                    FigureExpression.evaluate(
+                            reference.expression, key -> metric(reference.file, key));
+            if (!agrees(actual, stated, decimals)) {
+                addError(line, describeDifference(shown, actual, decimals, reference));
             }
+        } catch (InvalidFigureException e) {
+            addError(line, name + ": " + e.getMessage());
         }
     }
 
-    // A key of the label's file, or one of another that lies beside it.
+    // Allows slightly more than half of the last digit, since a value in the middle may be rounded
+    // either way. False if a value is not a number.
+    private static boolean agrees(double actual, double stated, int decimals) {
+        double tolerance = 0.5 * Math.pow(10, -decimals) * (1 + 1e-6);
+        return Math.abs(actual - stated) <= tolerance;
+    }
+
+    private static String describeDifference(
+            String shown, double actual, int decimals, FigureReference reference) {
+        return String.format(
+                Locale.ROOT,
+                "%s is %." + (decimals + 2) + "f by %s \"%s\"",
+                shown,
+                actual,
+                reference.file,
+                reference.expression);
+    }
+
+    // The key belongs to the label's file, or to another file in the same directory.
     private double metric(String file, String key) {
         int colon = key.indexOf(':');
         Path measurementPath = page.resolveSibling(file);
@@ -147,12 +165,12 @@
             try {
                 measurementFiles.put(path, MeasurementFile.read(path));
             } catch (IOException e) {
-                throw new IllegalArgumentException("no file " + path);
+                throw new InvalidFigureException("no file " + path);
             }
         }
         Double value = measurementFiles.get(path).metrics().get(key.substring(colon + 1));
         if (value == null) {
-            throw new IllegalArgumentException(
+            throw new InvalidFigureException(
                     "no figure " + key.substring(colon + 1) + " in " + path);
         }
         return value;
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
@@ -9,32 +9,35 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import loadbalancer.testbed.emulation.BalancerConfigurationBuilder;
 import loadbalancer.testbed.emulation.Json;
 import loadbalancer.testbed.emulation.LoopbackAddresses;
+import loadbalancer.testbed.process.BalancerEnvironment;
 import loadbalancer.testbed.process.LaunchCommand;
 import loadbalancer.testbed.process.ProcessMetrics;
 import loadbalancer.testbed.process.ProcessSpawner;
 
-/** One real balancer, started as it is deployed, and what the system tells of it. */
+/**
+ * One real balancer process, started like a deployed one, and its measurements by the system. Not
+ * thread-safe.
+ */
 final class MeasuredProcess implements AutoCloseable {
+    private static final String NAME = "n0";
+    private static final String SEED = "1";
     private static final int MAX_SOCKETS = 1024;
     private static final int MEMORY_MB = 192;
     private static final long READY_TIMEOUT_SECONDS = 60;
     private static final long READY_POLL_INTERVAL_MS = 10;
-    // After SIGTERM
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
     private static final Path JCMD = Path.of(System.getProperty("java.home"), "bin", "jcmd");
     private static final Pattern HEAP_USED_PATTERN =
             Pattern.compile("(?:new|tenured) generation\\s+total \\d+K, used (\\d+)K");
 
-    private static final String STATE_DIR_VARIABLE = "TANSYFERRY_STATE_DIR";
-
     private final Process process;
     private final long startNanos = System.nanoTime();
     private final InetSocketAddress listenAddress;
@@ -42,12 +45,16 @@
     private final Path logFile;
     private final Path gcLogFile;
     private final Path stateDirectory;
-    // Ns of each, by its number
+    // CPU time by thread id, also of threads that have ended
     private final Map<String, Long> cpuNanosByThread = new HashMap<>();
 
     /**
-     * Starts it in a folder of its own; {@code peers} is null where it has none; {@code
-     * ownEnvironment}: variables that switch on parts of the program.
+     * Starts the process.
+     *
+     * @param directory for its configuration, logs, temporary files and state
+     * @param peers the addresses of its peers, or null if it has none
+     * @param ownEnvironment further variables of the process
+     * @throws IOException if it can't be started
      */
     MeasuredProcess(
             ProcessSpawner spawner,
@@ -64,38 +71,26 @@
         adminAddress = addresses.findFreePort(addresses.clientAddress(0));
         logFile = directory.resolve("log");
         gcLogFile = directory.resolve("collections");
-        Map<String, Object> configuration = new LinkedHashMap<>();
-        configuration.put("name", "n0");
-        configuration.put("listen", LoopbackAddresses.format(listenAddress));
-        configuration.put("admin", LoopbackAddresses.format(adminAddress));
-        configuration.put("discovery", LoopbackAddresses.format(backend.discoveryAddress()));
-        configuration.put("seed", "1");
-        configuration.put(
-                "limits", Map.of("cores", 1.0, "memory_mb", MEMORY_MB, "sockets", MAX_SOCKETS));
-        if (peers != null) {
-            List<String> peerAddresses =
-                    new ArrayList<>(List.of(LoopbackAddresses.format(peerListenAddress)));
-            peers.forEach(peer -> peerAddresses.add(LoopbackAddresses.format(peer)));
-            configuration.put("peer_listen", peerAddresses.get(0));
-            configuration.put("peers", peerAddresses);
-        }
-        configuration.put("known", backend.endpointList());
-        configuration.put("settings", footprintCase.settings());
+        Map<String, Object> configuration =
+                configuration(footprintCase, backend, peerListenAddress, peers);
         Path configFile =
                 Files.writeString(directory.resolve("config.json"), Json.write(configuration));
         ProcessBuilder processBuilder =
                 new ProcessBuilder()
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .redirectError(logFile.toFile());
-        Map<String, String> environment = processBuilder.environment();
-        environment.keySet().retainAll(List.of("PATH", "HOME", "LANG", "JAVA_HOME"));
-        environment.put("ROUTER_NAME", "n0");
-        environment.put("ROUTER_CONFIG", configFile.toString());
-        environment.put("TMPDIR", Files.createDirectories(directory.resolve("tmp")).toString());
+        Map<String, String> environment =
+                BalancerEnvironment.configure(
+                        processBuilder,
+                        NAME,
+                        configFile,
+                        Files.createDirectories(directory.resolve("tmp")));
         environment.putAll(ownEnvironment);
         stateDirectory = directory.resolve("state");
-        if (ownEnvironment.containsKey(STATE_DIR_VARIABLE)) {
-            environment.put(STATE_DIR_VARIABLE, Files.createDirectories(stateDirectory).toString());
+        if (ownEnvironment.containsKey(BalancerEnvironment.STATE_DIRECTORY_VARIABLE)) {
+            environment.put(
+                    BalancerEnvironment.STATE_DIRECTORY_VARIABLE,
+                    Files.createDirectories(stateDirectory).toString());
         }
         List<String> command = new ArrayList<>(launchCommand.command());
         int jarOption = command.indexOf("-jar");
@@ -105,18 +100,37 @@
         process = spawner.start(command, MAX_SOCKETS, processBuilder);
     }
 
+    private Map<String, Object> configuration(
+            FootprintCase footprintCase,
+            EmulatedBackend backend,
+            InetSocketAddress peerListenAddress,
+            List<InetSocketAddress> peers) {
+        BalancerConfigurationBuilder configuration =
+                new BalancerConfigurationBuilder(NAME, LoopbackAddresses.format(listenAddress))
+                        .admin(LoopbackAddresses.format(adminAddress))
+                        .discovery(LoopbackAddresses.format(backend.discoveryAddress()))
+                        .seed(SEED)
+                        .limits(MEMORY_MB, MAX_SOCKETS);
+        if (peers != null) {
+            String ownAddress = LoopbackAddresses.format(peerListenAddress);
+            List<String> peerAddresses = new ArrayList<>(List.of(ownAddress));
+            peers.forEach(peer -> peerAddresses.add(LoopbackAddresses.format(peer)));
+            configuration.peers(ownAddress, peerAddresses);
+        }
+        return configuration.build(backend.endpointList(), footprintCase.settings());
+    }
+
+    /** The address at which the process listens for clients. */
     InetSocketAddress listenAddress() {
         return listenAddress;
     }
 
+    /** Whether the process has not ended. */
     boolean isRunning() {
         return process.isAlive();
     }
 
-    /**
-     * s from its start until it says that it is ready; -1 where it has ended, or is not within a
-     * minute.
-     */
+    /** Waits until the process is ready; returns the seconds since its start, or -1 if it isn't. */
     double awaitReadySeconds() throws InterruptedException {
         while (process.isAlive()
                 && System.nanoTime() - startNanos
@@ -135,12 +149,12 @@
             socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         } catch (IOException e) {
-            // Not up yet, or busy
+            // The process does not listen yet, or is busy.
             return "";
         }
     }
 
-    /** CPU of all its threads so far, s; of those that have ended, what the last call saw. */
+    /** The CPU seconds of all threads so far; of ended threads, as of the last call. */
     double cpuSeconds() throws IOException {
         try (var tasks = Files.list(Path.of("/proc", Long.toString(process.pid()), "task"))) {
             for (Path task : tasks.toList()) {
@@ -150,19 +164,19 @@
                             Long.parseLong(
                                     Files.readString(task.resolve("schedstat")).split(" ")[0]));
                 } catch (NoSuchFileException e) {
-                    // The thread has ended since it was listed; what it used is no longer known.
+                    // The thread has ended since it was listed.
                 }
             }
         }
         return cpuNanosByThread.values().stream().mapToLong(nanos -> nanos).sum() / 1e9;
     }
 
-    /** Resident memory, MB of 1,024 kB. */
+    /** The resident memory, MB of 1,024 kB. */
     double residentMb() {
         return ProcessMetrics.read(process.pid()).residentKb() / 1024.0;
     }
 
-    /** What lives in its heap after a full collection, MB; -1 where that can't be asked. */
+    /** The heap after a full collection, MB, or -1 if jcmd does not work. */
     double liveHeapMb() throws IOException, InterruptedException {
         String pid = Long.toString(process.pid());
         if (!Files.isExecutable(JCMD) || runJcmd(pid, "GC.run").isEmpty()) {
@@ -185,8 +199,9 @@
     }
 
     /**
-     * Its pauses for collections so far, in order, ms; {@code fullCollections}: those of the whole
-     * heap.
+     * The pauses of the garbage collector so far, ms, in order.
+     *
+     * @param fullCollections whether those of full collections are wanted, or of young ones
      */
     List<Double> gcPausesMs(boolean fullCollections) throws IOException {
         Pattern pausePattern =
@@ -199,9 +214,7 @@
                 .toList();
     }
 
-    /**
-     * Bytes of the newest snapshot of its state; 0 where none is kept, -1 where none is asked for.
-     */
+    /** The bytes of the largest snapshot; 0 if there is none, -1 without a state directory. */
     long snapshotBytes() throws IOException {
         if (!Files.exists(stateDirectory)) {
             return -1;
@@ -214,7 +227,7 @@
         }
     }
 
-    /** The last line of its log. */
+    /** The last line of the log, or an empty string. */
     String lastLogLine() throws IOException {
         List<String> lines = Files.readAllLines(logFile);
         return lines.isEmpty() ? "" : lines.get(lines.size() - 1);
--- a/testbed/src/main/java/loadbalancer/testbed/process/LaunchCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/LaunchCommand.java
@@ -7,32 +7,58 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.testbed.error.InvalidFileException;
 
 /**
- * How a balancer is started: the command of {@code run} in the deploy file, with the jar that is to
- * be tried in place of the deployed one and the class archive that lies beside that jar, if there
- * is one.
+ * The command that starts a balancer: that of {@code run} in the deploy file, with the jar under
+ * test in place of the deployed one, and with the class archive beside that jar, if there is one.
+ * Immutable.
+ *
+ * @param command the program and its arguments
  */
 public record LaunchCommand(List<String> command) {
+    /** The jar of the project's build, relative to the project's root. */
+    public static final String DEFAULT_JAR = "balancer/target/load-balancer.jar";
+
     private static final String ARCHIVE_OPTION = "-XX:SharedArchiveFile=";
 
+    /** Creates a command from a program and its arguments. */
     public LaunchCommand {
         command = List.copyOf(command);
     }
 
     /**
-     * Reads the deploy file.
+     * The command that starts a balancer from the jar of the project's build.
+     *
+     * @throws IOException if the deploy file or the jar can't be used
+     */
+    public static LaunchCommand forProjectBuild() throws IOException {
+        Path projectRoot = findDeployFile().getParent().getParent();
+        return forJar(projectRoot.resolve(DEFAULT_JAR));
+    }
+
+    /**
+     * The command that starts a balancer from {@code jar}, by the deploy file of this project.
+     *
+     * @throws IOException if the deploy file or the jar can't be used
+     */
+    public static LaunchCommand forJar(Path jar) throws IOException {
+        return fromDeployFile(findDeployFile(), jar);
+    }
+
+    /**
+     * Reads the command from a deploy file and puts {@code jar} into it.
      *
-     * @throws IOException where it or the jar can't be read, with a message that says which
+     * @throws IOException if the deploy file or the jar can't be used, with a message that names it
      */
-    public static LaunchCommand fromDeployFile(Path deployFile, Path jar) throws IOException {
+    static LaunchCommand fromDeployFile(Path deployFile, Path jar) throws IOException {
         JsonNode runNode = new TomlMapper().readTree(Files.readString(deployFile)).get("run");
         if (runNode == null || !runNode.isTextual()) {
-            throw new IOException(deployFile + " has no run");
+            throw new InvalidFileException(deployFile + " has no run");
         }
         Path absoluteJar = jar.toAbsolutePath().normalize();
         if (!Files.isReadable(absoluteJar)) {
-            throw new IOException(
+            throw new InvalidFileException(
                     "no jar " + absoluteJar + ": build it first, or name one with --build");
         }
         Path classArchive =
@@ -54,8 +80,8 @@
         return new LaunchCommand(command);
     }
 
-    /** The deploy file of the tree that holds this folder. */
-    public static Path findDeployFile() throws IOException {
+    /** The deploy file in the working directory or the nearest directory above that has one. */
+    static Path findDeployFile() throws IOException {
         for (Path directory = Path.of("").toAbsolutePath();
                 directory != null;
                 directory = directory.getParent()) {
@@ -64,6 +90,6 @@
                 return file;
             }
         }
-        throw new IOException("no deploy/balancer.toml here or above");
+        throw new InvalidFileException("no deploy/balancer.toml here or above");
     }
 }
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityPlanTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityPlanTest.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** What the command line may say, and the file that it leaves. */
+/** The options of the command line are parsed and checked, and the report is written. */
 class CapacityPlanTest {
     @Command
     private static final class TestCommand {
@@ -66,7 +66,8 @@
 
     private static void assertRejected(String option, String value, String expectedName) {
         String message =
-                assertThrows(IOException.class, () -> parsePlan(option, value)).getMessage();
+                assertThrows(InvalidOptionException.class, () -> parsePlan(option, value))
+                        .getMessage();
         assertTrue(message.contains(expectedName) && message.lines().count() == 1, message);
     }
 
