--- a/balancer/src/test/java/loadbalancer/server/BalancerServerTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerTestSupport.java
@@ -7,8 +7,6 @@
 import java.io.IOException;
 import java.net.Socket;
 import java.util.Map;
-import java.util.concurrent.TimeUnit;
-import loadbalancer.TestAwait;
 import loadbalancer.routing.api.AttemptOutcome;
 import loadbalancer.routing.api.LoadReport;
 import loadbalancer.routing.api.RoutingActions;
@@ -93,10 +91,7 @@
 
     /** Waits until the policy gets a request. */
     final void awaitRequest() throws InterruptedException {
-        assertEquals(
-                "0 k1 700 true",
-                policy.acceptedRequests.poll(TestAwait.TIMEOUT.toMillis(), TimeUnit.MILLISECONDS),
-                "the next request at the policy");
+        assertEquals("0 k1 700 true", policy.nextAcceptedRequest());
     }
 
     /** Expects {@code requestId} as the next request at the upstream, and responds with that id. */
--- a/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
@@ -21,13 +21,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.junit.jupiter.params.provider.ValueSource;
+import org.junit.jupiter.params.provider.EnumSource;
 
 /** Streamed request and response bodies: over 64 KiB, up to 32 MB. */
 class BodyStreamingTest extends ScriptedPolicyTestSupport {
     private static final String POST_HEAD = BalancerServerFixtures.NON_IDEMPOTENT_HEAD;
     private static final int MEGABYTE = 1_000_000;
     private static final int LARGEST_BODY_MEGABYTES = 32;
+    private static final int CHUNK_BYTES = 1_000;
     // In which a wrong event would come.
     private static final long QUIET_MS = 100;
     // In which the writer of a large body fills all buffers on the way to the client.
@@ -40,6 +41,27 @@
         startReady(DEFAULT_MAX_SOCKETS);
     }
 
+    /** How the end of a body is told. */
+    private enum Framing {
+        CONTENT_LENGTH,
+        CHUNKED,
+        CONNECTION_CLOSE;
+
+        /** The header of a message with a body of this length; empty where none is needed. */
+        String header(int length) {
+            return switch (this) {
+                case CONTENT_LENGTH -> "Content-Length: " + length + "\r\n";
+                case CHUNKED -> "Transfer-Encoding: chunked\r\n";
+                case CONNECTION_CLOSE -> "";
+            };
+        }
+
+        /** A body as it is on the wire. */
+        byte[] encode(byte[] body) throws IOException {
+            return this == CHUNKED ? encodeChunked(body, CHUNK_BYTES) : body;
+        }
+    }
+
     private static byte[] randomBytes(int length) {
         byte[] bytes = new byte[length];
         new Random(length).nextBytes(bytes);
@@ -83,20 +105,21 @@
     }
 
     /** A body of each framing, below and above the size that is streamed, on a kept connection. */
-    @ParameterizedTest(name = "{0} bytes, chunked={1}")
-    @CsvSource({"65536, false", "65537, false", "65537, true", "3000000, false", "3000000, true"})
-    void requestBodiesArriveUnchanged(int length, boolean useChunks) throws Exception {
+    @ParameterizedTest(name = "{0} bytes, {1}")
+    @CsvSource({
+        "65536, CONTENT_LENGTH",
+        "65537, CONTENT_LENGTH",
+        "65537, CHUNKED",
+        "3000000, CONTENT_LENGTH",
+        "3000000, CHUNKED"
+    })
+    void requestBodiesArriveUnchanged(int length, Framing framing) throws Exception {
         byte[] payload = randomBytes(length);
         try (HttpTestClient client = new HttpTestClient(address)) {
             // The second request shows that the connection is usable after the first body.
             for (int i = 0; i < 2; i++) {
-                client.send(
-                        POST_HEAD
-                                + (useChunks
-                                        ? "Transfer-Encoding: chunked"
-                                        : "Content-Length: " + length)
-                                + "\r\n\r\n");
-                client.send(useChunks ? encodeChunked(payload, 1000) : payload);
+                client.send(POST_HEAD + framing.header(length) + "\r\n");
+                client.send(framing.encode(payload));
                 FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
                 assertArrayEquals(payload, receivedRequest.body());
                 assertEquals(1, receivedRequest.connectionNumber());
@@ -106,35 +129,26 @@
         }
     }
 
-    @ParameterizedTest
+    /** A body of each framing, on a kept connection of the client's. */
+    @ParameterizedTest(name = "{0} bytes, {1}")
     @CsvSource({
-        "65537, length",
-        "65537, chunked",
-        "65537, close",
-        "5, close",
-        "3000000, length",
-        "3000000, chunked",
-        "3000000, close"
+        "65537, CONTENT_LENGTH",
+        "65537, CHUNKED",
+        "65537, CONNECTION_CLOSE",
+        "5, CONNECTION_CLOSE",
+        "3000000, CONTENT_LENGTH",
+        "3000000, CHUNKED",
+        "3000000, CONNECTION_CLOSE"
     })
-    void responseBodiesArriveUnchanged(int length, String framing) throws Exception {
+    void responseBodiesArriveUnchanged(int length, Framing framing) throws Exception {
         byte[] payload = randomBytes(length);
         try (HttpTestClient client = new HttpTestClient(address)) {
             for (int i = 0; i < 2; i++) {
                 client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
                 FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
-                if (framing.equals("chunked")) {
-                    receivedRequest.sendRaw(CHUNKED_HEAD);
-                    receivedRequest.sendRaw(encodeChunked(payload, 1000));
-                } else {
-                    receivedRequest.sendRaw(
-                            OK_STATUS_LINE
-                                    + (framing.equals("close")
-                                            ? ""
-                                            : "Content-Length: " + length + "\r\n")
-                                    + "\r\n");
-                    receivedRequest.sendRaw(payload);
-                }
-                if (framing.equals("close")) {
+                receivedRequest.sendRaw(OK_STATUS_LINE + framing.header(length) + "\r\n");
+                receivedRequest.sendRaw(framing.encode(payload));
+                if (framing == Framing.CONNECTION_CLOSE) {
                     receivedRequest.socket().close();
                 }
                 assertArrayEquals(payload, readBody(client));
@@ -145,14 +159,14 @@
 
     /** The first bytes are forwarded before the others have arrived. */
     @ParameterizedTest
-    @ValueSource(strings = {"Content-Length: 100000", "Transfer-Encoding: chunked"})
-    void responseIsStreamedBeforeItsEnd(String framing) throws Exception {
+    @EnumSource(names = {"CONTENT_LENGTH", "CHUNKED"})
+    void responseIsStreamedBeforeItsEnd(Framing framing) throws Exception {
         byte[] payload = randomBytes(100_000);
-        boolean useChunks = framing.startsWith("T");
+        boolean useChunks = framing == Framing.CHUNKED;
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
-            receivedRequest.sendRaw(OK_STATUS_LINE + framing + "\r\n\r\n");
+            receivedRequest.sendRaw(OK_STATUS_LINE + framing.header(payload.length) + "\r\n");
             ByteArrayOutputStream firstChunk = new ByteArrayOutputStream();
             writeChunk(firstChunk, payload, 0, 100);
             receivedRequest.sendRaw(useChunks ? firstChunk.toByteArray() : new byte[] {payload[0]});
@@ -168,25 +182,28 @@
         assertTrue(upstream.isEmpty());
     }
 
-    @ParameterizedTest
-    @CsvSource({
-        "Content-Length: 100000, false",
-        "Content-Length: 100000, true",
-        "Transfer-Encoding: chunked, false",
-        "X: close-delimited, true"
-    })
-    void abortedResponseIsVisibleAndReported(String framing, boolean reset) throws Exception {
+    /** The upstream breaks off its response before anything of the body could be forwarded. */
+    @Test
+    void responseAbortedBeforeItsBodyFailsTheAttempt() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
-            receivedRequest.sendRaw(OK_STATUS_LINE + framing + "\r\n\r\n");
-            if (framing.startsWith("T")) {
-                receivedRequest.sendRaw(encodeChunked(randomBytes(80_000), 80_000 + 1).length + "");
-                receivedRequest.reset();
-                // Nothing was forwarded, so the attempt failed as a whole.
-                assertEquals("RESET", policy.nextEvent());
-                return;
-            }
+            receivedRequest.sendRaw(CHUNKED_HEAD);
+            // The first digits of a chunk's size.
+            receivedRequest.sendRaw("80026");
+            receivedRequest.reset();
+            assertEquals("RESET", policy.nextEvent());
+        }
+    }
+
+    /** The upstream breaks off a response of which the client has the beginning. */
+    @ParameterizedTest(name = "{0}, reset={1}")
+    @CsvSource({"CONTENT_LENGTH, false", "CONTENT_LENGTH, true", "CONNECTION_CLOSE, true"})
+    void abortedResponseIsVisibleAndReported(Framing framing, boolean reset) throws Exception {
+        try (HttpTestClient client = new HttpTestClient(address)) {
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
+            FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
+            receivedRequest.sendRaw(OK_STATUS_LINE + framing.header(100_000) + "\r\n");
             receivedRequest.sendRaw(randomBytes(80_000));
             assertEquals("OK closed", policy.nextEvent());
             if (reset) {
--- a/balancer/src/test/java/loadbalancer/server/EndpointConnectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/server/EndpointConnectionsTest.java
@@ -22,7 +22,6 @@
 /** Connections to upstreams, and what a change of the endpoint list does to them. */
 class EndpointConnectionsTest extends DiscoveryBackedTestSupport {
     private static final String EMPTY_LIST = "{\"rev\":50,\"all\":true,\"targets\":[]}";
-    private static final int EVENT_POLL_MS = 10;
 
     @Test
     void idleConnectionsAreClosedInTime() throws IOException, InterruptedException {
@@ -110,13 +109,16 @@
 
     private String sendAndAwaitOutcome(HttpTestClient client) throws Exception {
         client.send(IDEMPOTENT_REQUEST);
-        String event = null;
-        while (event == null) {
-            if (!upstream.isEmpty()) {
-                upstream.nextRequest().respond(200, "", "ok");
-            }
-            event = policy.events.poll(EVENT_POLL_MS, TimeUnit.MILLISECONDS);
-        }
+        String event =
+                await("the outcome of an attempt")
+                        .until(
+                                () -> {
+                                    if (!upstream.isEmpty()) {
+                                        upstream.nextRequest().respond(200, "", "ok");
+                                    }
+                                    return policy.events.poll();
+                                },
+                                Objects::nonNull);
         client.readStatus();
         return event;
     }
@@ -132,7 +134,7 @@
             start(Map.of("DialTimeout", 30_000_000), 1024);
             try (HttpTestClientGroup clients = new HttpTestClientGroup(address)) {
                 clients.connect().send(IDEMPOTENT_REQUEST);
-                assertEquals("0 k1 700 true", policy.acceptedRequests.poll(20, TimeUnit.SECONDS));
+                assertEquals("0 k1 700 true", policy.nextAcceptedRequest());
                 removeAllEndpoints();
                 // A new attempt that fails at once shows that the grace period is over.
                 String event =
--- a/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
@@ -9,7 +9,6 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -24,7 +23,7 @@
         new Random(1).nextBytes(largeBody);
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(IDEMPOTENT_REQUEST);
-            assertEquals("0 k1 700 true", policy.acceptedRequests.poll(20, TimeUnit.SECONDS));
+            assertEquals("0 k1 700 true", policy.nextAcceptedRequest());
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             assertEquals("GET /api/k1?x=%20y HTTP/1.1", receivedRequest.requestLine());
             assertEquals("r1", receivedRequest.header("Req-Id"));
--- a/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
@@ -1,13 +1,11 @@
 package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -126,7 +124,7 @@
                             + OUTER_HEAD
                             + "Content-Length: 33554433\r\n\r\n"
                             + INNER_REQUEST);
-            assertNotNull(policy.acceptedRequests.poll(20, TimeUnit.SECONDS));
+            assertEquals("0 k1 700 true", policy.nextAcceptedRequest());
             upstream.nextRequest().respond(200, "", "ok");
             assertEquals(200, client.readStatus());
             assertClosed(client);
--- a/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
+++ b/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
@@ -121,6 +121,16 @@
     @Override
     public void onTimer(long now, RoutingActions actions) {}
 
+    /** The next request as "class key work-hint resubmission"; fails if there is none in time. */
+    String nextAcceptedRequest() throws InterruptedException {
+        String request = acceptedRequests.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        if (request == null) {
+            throw new AssertionError(
+                    "the routing policy received no request within " + TIMEOUT_MS + " ms");
+        }
+        return request;
+    }
+
     /** The next event; fails if there is none in time. */
     String nextEvent() throws InterruptedException {
         String event = events.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
--- a/balancer/src/test/java/loadbalancer/server/SettingsVariantsTest.java
+++ b/balancer/src/test/java/loadbalancer/server/SettingsVariantsTest.java
@@ -143,7 +143,7 @@
      * is too little time to start an attempt at all.
      */
     @ParameterizedTest(name = "{0}, {1} ms")
-    @CsvSource({"safe,150", "keyed,150", "unsafe,150", "unsafe,12"})
+    @CsvSource({"safe, 150", "keyed, 150", "unsafe, 150", "unsafe, 12"})
     void deadlineShorterThanConnectIsKept(String idempotency, long deadlineMs) throws Exception {
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
             BalancerServer balancer =
