--- a/balancer/src/test/java/loadbalancer/server/AttemptRaceTest.java
+++ b/balancer/src/test/java/loadbalancer/server/AttemptRaceTest.java
@@ -20,11 +20,11 @@
             start(backlogListener.address());
             try (HttpTestClient client = new HttpTestClient(address).send(requestWithId("late"))) {
                 awaitRequest();
-                policy.canStartAttempt = false;
+                policy.allowsAttemptStarts = false;
                 Socket accepted = backlogListener.acceptNext();
                 assertEquals("NOT_SENT", policy.nextEvent());
                 assertEquals(502, client.readStatus());
-                policy.canStartAttempt = true;
+                policy.allowsAttemptStarts = true;
                 client.send(requestWithId("r2"));
                 assertRequestArrivesOn(accepted, "r2");
             }
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerTest.java
@@ -40,7 +40,7 @@
         InetSocketAddress listenAddress = findFreeAddress();
         balancer =
                 new BalancerServer(
-                        config(1024, settings(), listenAddress.getPort()),
+                        config(DEFAULT_MAX_SOCKETS, settings(), listenAddress.getPort()),
                         (settings, seed) -> policy,
                         false,
                         line -> {});
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerTestSupport.java
@@ -7,66 +7,12 @@
 import java.io.IOException;
 import java.net.Socket;
 import java.util.Map;
-import loadbalancer.routing.api.AttemptOutcome;
-import loadbalancer.routing.api.LoadReport;
-import loadbalancer.routing.api.RoutingActions;
 
 /**
  * A balancer over loopback sockets for tests of races: responses that are due, or data that is
  * arriving, in the iteration of the event loop in which something ends. See docs/design/endings.md.
  */
 abstract class BalancerServerTestSupport extends UpstreamBackedTestSupport {
-    /**
-     * A routing policy that can leave attempts of disconnected clients alone, forbid the start of
-     * an attempt, or retry after a rejection.
-     */
-    static final class ConfigurablePolicy extends ScriptedPolicy {
-        volatile boolean cancelsOnDisconnect = true;
-        volatile boolean canStartAttempt = true;
-        volatile boolean retriesRejected;
-
-        @Override
-        public void onAttemptEnded(
-                long now,
-                String requestId,
-                int attemptNumber,
-                AttemptOutcome outcome,
-                long latencyMicros,
-                boolean closed,
-                LoadReport load,
-                RoutingActions actions) {
-            if (retriesRejected && !closed && outcome == AttemptOutcome.REJECTED) {
-                events.add("retry");
-                actions.send(requestId, "s1", 0);
-            } else {
-                super.onAttemptEnded(
-                        now,
-                        requestId,
-                        attemptNumber,
-                        outcome,
-                        latencyMicros,
-                        closed,
-                        load,
-                        actions);
-            }
-        }
-
-        @Override
-        public void onClientDisconnected(long now, String requestId, RoutingActions actions) {
-            events.add("gone");
-            if (cancelsOnDisconnect) {
-                actions.cancel(requestId, 0);
-            }
-        }
-
-        @Override
-        public boolean canStartAttempt(long now, String requestId, int attemptNumber) {
-            return canStartAttempt;
-        }
-    }
-
-    final ConfigurablePolicy policy = new ConfigurablePolicy();
-
     final void start() throws IOException, InterruptedException {
         start(upstream.address());
     }
--- a/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Streamed request and response bodies: over 64 KiB, up to 32 MB. */
-class BodyStreamingTest extends ScriptedPolicyTestSupport {
+class BodyStreamingTest extends UpstreamBackedTestSupport {
     private static final String POST_HEAD = BalancerServerFixtures.NON_IDEMPOTENT_HEAD;
     private static final int MEGABYTE = 1_000_000;
     private static final int LARGEST_BODY_MEGABYTES = 32;
--- a/balancer/src/test/java/loadbalancer/server/DiscoveryBackedTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/DiscoveryBackedTestSupport.java
@@ -4,9 +4,9 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.CopyOnWriteArrayList;
 import loadbalancer.config.BalancerConfig;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -16,8 +16,7 @@
  * policy, for tests of what a client, an upstream or discovery sees.
  */
 abstract class DiscoveryBackedTestSupport extends UpstreamBackedTestSupport {
-    final ScriptedPolicy policy = new ScriptedPolicy();
-    final List<String> logLines = new ArrayList<>();
+    final List<String> logLines = new CopyOnWriteArrayList<>();
     boolean warmUpEnabled;
     // Where s1 is; null for the upstream's own address.
     String endpointAddress;
@@ -54,7 +53,7 @@
     }
 
     final void start() throws IOException, InterruptedException {
-        start(Map.of(), 1024);
+        start(Map.of(), DEFAULT_MAX_SOCKETS);
     }
 
     final void start(Map<String, Object> limits, int maxSockets)
@@ -65,11 +64,7 @@
                         config(maxSockets, rawSettings, 0),
                         (settings, seed) -> policy,
                         warmUpEnabled,
-                        line -> {
-                            synchronized (logLines) {
-                                logLines.add(line);
-                            }
-                        });
+                        logLines::add);
         address = balancer.start();
         assertEquals("CACHED [s1=UP]", policy.nextEvent());
     }
@@ -78,7 +73,9 @@
         balancer.loop().execute(action);
     }
 
-    /** A list of discovery's with s1 in the given state, ending with a line feed. */
+    /**
+     * An endpoint list of the discovery server's with s1 in this state, ending with a line feed.
+     */
     final String listJson(int revision, boolean complete, String state) {
         String s1Address = endpointAddress == null ? upstream.address() : endpointAddress;
         return BalancerServerFixtures.listJson(revision, complete, s1Address, state);
--- a/balancer/src/test/java/loadbalancer/server/DrainAndTakeoverTest.java
+++ b/balancer/src/test/java/loadbalancer/server/DrainAndTakeoverTest.java
@@ -26,7 +26,6 @@
     private static final int SHARED_SOCKET_BACKLOG = 64;
     private static final int READINESS_CHECKS = 20;
 
-    private final ScriptedPolicy policy = new ScriptedPolicy();
     private final List<String> logLines = new CopyOnWriteArrayList<>();
 
     @Override
@@ -35,7 +34,11 @@
         super.open();
         balancer =
                 BalancerServerFixtures.readyBalancer(
-                        upstream, policy, BalancerServerFixtures.settings(), 1024, logLines::add);
+                        upstream,
+                        policy,
+                        BalancerServerFixtures.settings(),
+                        DEFAULT_MAX_SOCKETS,
+                        logLines::add);
     }
 
     private static String call(BalancerServer balancer, String command) throws IOException {
@@ -143,7 +146,7 @@
                             upstream,
                             secondPolicy,
                             BalancerServerFixtures.settings(),
-                            1024,
+                            DEFAULT_MAX_SOCKETS,
                             logLines::add);
             try (HttpTestClient pendingClient = new HttpTestClient(address);
                     HttpTestClient idleClient = new HttpTestClient(address)) {
--- a/balancer/src/test/java/loadbalancer/server/EndpointConnectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/server/EndpointConnectionsTest.java
@@ -95,7 +95,7 @@
      */
     @Test
     void removedEndpointGetsNoRequests() throws IOException, InterruptedException {
-        start(Map.of(), 1024);
+        start();
         removeAllEndpoints();
         try (HttpTestClient client = new HttpTestClient(address)) {
             String event =
@@ -131,7 +131,7 @@
     void connectingAttemptIsNotSentAfterDrainGrace() throws IOException, InterruptedException {
         try (FullBacklogListener listener = new FullBacklogListener()) {
             endpointAddress = listener.address();
-            start(Map.of("DialTimeout", 30_000_000), 1024);
+            start(Map.of("DialTimeout", 30_000_000), DEFAULT_MAX_SOCKETS);
             try (HttpTestClientGroup clients = new HttpTestClientGroup(address)) {
                 clients.connect().send(IDEMPOTENT_REQUEST);
                 assertEquals("0 k1 700 true", policy.nextAcceptedRequest());
--- a/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
@@ -163,9 +163,7 @@
             assertEquals(502, client.readStatus());
             assertEquals("gone", policy.nextEvent());
         }
-        synchronized (logLines) {
-            assertTrue(logLines.contains("last-resort answers: 1"), logLines.toString());
-        }
+        assertTrue(logLines.contains("last-resort answers: 1"), logLines.toString());
     }
 
     /** The policy throws: the balancer logs it, answers by itself and serves the next request. */
@@ -176,11 +174,8 @@
         try (HttpTestClient client = new HttpTestClient(address)) {
             assertEquals(502, client.send(IDEMPOTENT_REQUEST.replace("20000", "150")).readStatus());
             assertEquals("gone", policy.nextEvent());
-            synchronized (logLines) {
-                assertTrue(
-                        logLines.get(logLines.size() - 2).startsWith("fault 1: "),
-                        logLines.toString());
-            }
+            assertTrue(
+                    logLines.get(logLines.size() - 2).startsWith("fault 1: "), logLines.toString());
             policy.failing = false;
             client.send(IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(200, "", "ok");
--- a/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
@@ -15,7 +15,7 @@
  * Where a request ends: nothing within another request, or after a malformed one, is handled as a
  * request.
  */
-class RequestFramingTest extends ScriptedPolicyTestSupport {
+class RequestFramingTest extends UpstreamBackedTestSupport {
     private static final String INNER_REQUEST = BalancerServerFixtures.requestWithId("inner");
     private static final String OUTER_HEAD = BalancerServerFixtures.nonIdempotentHead("outer");
     private static final int MAX_PIPELINED_REQUESTS = 17;
--- a/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Only a complete, well-formed response to the same request is forwarded. */
-class ResponseFramingTest extends ScriptedPolicyTestSupport {
+class ResponseFramingTest extends UpstreamBackedTestSupport {
     @BeforeEach
     void start() throws IOException, InterruptedException {
         startReady(DEFAULT_MAX_SOCKETS);
--- a/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
+++ b/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
@@ -13,8 +13,9 @@
 import loadbalancer.routing.api.RoutingPolicy;
 
 /**
- * A routing policy that records its events as text, sends each request to {@link #endpointId} and
- * fails each request whose attempt failed. The fields may be changed from any thread.
+ * A routing policy that records its events as text, sends each request to {@link #endpointId},
+ * fails each request whose attempt failed and cancels the attempts of disconnected clients. The
+ * fields change that, from any thread.
  */
 class ScriptedPolicy implements RoutingPolicy {
     private static final long TIMEOUT_MS = TestAwait.TIMEOUT.toMillis();
@@ -22,7 +23,11 @@
     final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     final BlockingQueue<String> acceptedRequests = new LinkedBlockingQueue<>();
     volatile long timeoutMicros;
+    // Whether a new request makes it throw.
     volatile boolean failing;
+    volatile boolean allowsAttemptStarts = true;
+    volatile boolean retriesRejected;
+    volatile boolean cancelsOnDisconnect = true;
     // Where requests are sent; null for nowhere, so that they stay pending.
     volatile String endpointId = "s1";
     volatile RoutingActions capturedActions;
@@ -74,6 +79,11 @@
             boolean closed,
             LoadReport load,
             RoutingActions actions) {
+        if (retriesRejected && !closed && outcome == AttemptOutcome.REJECTED) {
+            events.add("retry");
+            actions.send(requestId, endpointId, 0);
+            return;
+        }
         events.add(
                 outcome + (load == null ? "" : " " + load.inFlight()) + (closed ? " closed" : ""));
         if (!closed) {
@@ -104,7 +114,14 @@
     @Override
     public void onClientDisconnected(long now, String requestId, RoutingActions actions) {
         events.add("gone");
-        actions.cancel(requestId, 0);
+        if (cancelsOnDisconnect) {
+            actions.cancel(requestId, 0);
+        }
+    }
+
+    @Override
+    public boolean canStartAttempt(long now, String requestId, int attemptNumber) {
+        return allowsAttemptStarts;
     }
 
     @Override
--- a/balancer/src/test/java/loadbalancer/server/SlowClientTest.java
+++ b/balancer/src/test/java/loadbalancer/server/SlowClientTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Clients that connect and send nothing, or never complete a request, are disconnected soon. */
-class SlowClientTest extends ScriptedPolicyTestSupport {
+class SlowClientTest extends UpstreamBackedTestSupport {
     private static final String POST_HEAD = BalancerServerFixtures.NON_IDEMPOTENT_HEAD;
     private static final int FEW_SOCKETS = 40;
     private static final Duration TRICKLE_INTERVAL = Duration.ofMillis(50);
--- a/balancer/src/test/java/loadbalancer/server/UpstreamBackedTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/UpstreamBackedTestSupport.java
@@ -11,9 +11,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** An upstream, and a balancer in front of it, opened and closed for each test. */
+/** An upstream and a balancer with a scripted policy in front of it, for each test. */
 @Timeout(60)
 abstract class UpstreamBackedTestSupport {
+    static final int DEFAULT_MAX_SOCKETS = 1024;
+
+    final ScriptedPolicy policy = new ScriptedPolicy();
     FakeHttpServer upstream;
     // Null before a test has started it, and where a test has stopped it.
     BalancerServer balancer;
@@ -32,6 +35,19 @@
         upstream.close();
     }
 
+    /** Starts a balancer that is ready at once; returns when the policy has the endpoint list. */
+    final void startReady(int maxSockets) throws IOException, InterruptedException {
+        balancer =
+                BalancerServerFixtures.readyBalancer(
+                        upstream,
+                        policy,
+                        BalancerServerFixtures.settings(),
+                        maxSockets,
+                        line -> {});
+        address = balancer.start();
+        assertEquals("CACHED [s1=UP]", policy.nextEvent());
+    }
+
     /** Stops the balancer on a thread of its own, which ends with the stop. */
     final Thread stopInBackground() {
         Thread stopThread = new Thread(balancer::stop);
