--- a/balancer/src/test/java/loadbalancer/dispatch/PolicyEventsTest.java
+++ b/balancer/src/test/java/loadbalancer/dispatch/PolicyEventsTest.java
@@ -34,7 +34,8 @@
         assertEquals(1, policyEvents.exceptionCount());
         assertEquals(1, logLines.size());
         String expectedStart =
-                "routing policy exception: count=1 exception=java.lang.ArithmeticException: planted at loadbalancer.";
+                "routing policy exception: count=1"
+                        + " exception=java.lang.ArithmeticException: planted at loadbalancer.";
         assertTrue(logLines.get(0).startsWith(expectedStart), logLines.get(0));
     }
 
--- a/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
@@ -175,7 +175,9 @@
             assertEquals(502, client.send(IDEMPOTENT_REQUEST.replace("20000", "150")).readStatus());
             assertEquals("gone", policy.nextEvent());
             assertTrue(
-                    logLines.get(logLines.size() - 2).startsWith("routing policy exception: count=1 "), logLines.toString());
+                    logLines.get(logLines.size() - 2)
+                            .startsWith("routing policy exception: count=1 "),
+                    logLines.toString());
             policy.failing = false;
             client.send(IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(200, "", "ok");
