--- a/balancer/src/test/java/loadbalancer/admin/GoldenStatsdTest.java
+++ b/balancer/src/test/java/loadbalancer/admin/GoldenStatsdTest.java
@@ -12,7 +12,7 @@
     private static final String EXTREMES = "statsd/extremes.txt";
     private static final String COUNTED = "statsd/counted.txt";
 
-    private record Figure(String name, long value, String type) {}
+    private record Metric(String name, long value, String type) {}
 
     static MetricsSnapshot extremes() {
         return new MetricsSnapshot(
@@ -46,13 +46,13 @@
         }
     }
 
-    private static List<Figure> figures(String text) {
-        List<Figure> figures = new ArrayList<>();
+    private static List<Metric> metrics(String text) {
+        List<Metric> metrics = new ArrayList<>();
         for (String line : text.split("\n")) {
             String[] parts = line.split("[:|]");
-            figures.add(new Figure(parts[0], Long.parseLong(parts[1]), parts[2]));
+            metrics.add(new Metric(parts[0], Long.parseLong(parts[1]), parts[2]));
         }
-        return figures;
+        return metrics;
     }
 
     @Test
@@ -65,16 +65,16 @@
     void bytesGiveValues() {
         assertEquals(
                 List.of(
-                        new Figure("app.transactions.browse.answered", 1, "c"),
-                        new Figure("app.transactions.browse.deferred", 3, "c"),
-                        new Figure("app.transactions.browse.errored", 5, "c"),
-                        new Figure("app.transactions.order.answered", 2, "c"),
-                        new Figure("app.transactions.order.deferred", 4, "c"),
-                        new Figure("app.transactions.order.errored", 6, "c"),
-                        new Figure("app.sends", 7, "c"),
-                        new Figure("app.current", 8, "g"),
-                        new Figure("app.cluster_size", 9, "g"),
-                        new Figure("app.cluster_unhealthy", 10, "g")),
-                figures(GoldenFiles.text(COUNTED)));
+                        new Metric("app.transactions.browse.answered", 1, "c"),
+                        new Metric("app.transactions.browse.deferred", 3, "c"),
+                        new Metric("app.transactions.browse.errored", 5, "c"),
+                        new Metric("app.transactions.order.answered", 2, "c"),
+                        new Metric("app.transactions.order.deferred", 4, "c"),
+                        new Metric("app.transactions.order.errored", 6, "c"),
+                        new Metric("app.sends", 7, "c"),
+                        new Metric("app.current", 8, "g"),
+                        new Metric("app.cluster_size", 9, "g"),
+                        new Metric("app.cluster_unhealthy", 10, "g")),
+                metrics(GoldenFiles.text(COUNTED)));
     }
 }
--- a/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
@@ -179,7 +179,7 @@
             }
             assertEquals("OK closed", policy.nextEvent());
         }
-        assertTrue(upstream.isEmpty());
+        assertTrue(upstream.isEmpty(), "the upstream received a further request");
     }
 
     /** The upstream breaks off its response before anything of the body could be forwarded. */
@@ -226,7 +226,7 @@
             receivedRequest.sendRaw(randomBytes(100_000));
             assertEquals("OK closed", policy.nextEvent());
             client.socket.close();
-            assertTrue(receivedRequest.isClosedByPeer());
+            assertTrue(receivedRequest.isClosedByPeer(), "the balancer closes the connection");
         }
         assertNull(policy.events.poll(QUIET_MS, TimeUnit.MILLISECONDS), "no further event");
     }
--- a/balancer/src/test/java/loadbalancer/server/FakeHttpServer.java
+++ b/balancer/src/test/java/loadbalancer/server/FakeHttpServer.java
@@ -38,6 +38,11 @@
             return head.substring(0, head.indexOf("\r\n"));
         }
 
+        /** The body as text. */
+        String bodyText() {
+            return new String(body, StandardCharsets.UTF_8);
+        }
+
         /** The first header of that name, in any case; null without one. */
         public String header(String name) {
             for (String line : head.split("\r\n")) {
--- a/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
@@ -7,7 +7,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -37,11 +36,11 @@
                             "pay", "Idempotency-Key: abc\r\nReq-Deadline-Ms: 20000\r\n", "hello"));
             receivedRequest = upstream.nextRequest();
             assertEquals("abc", receivedRequest.header("Idempotency-Key"));
-            assertEquals("hello", new String(receivedRequest.body(), StandardCharsets.UTF_8));
+            assertEquals("hello", receivedRequest.bodyText());
             receivedRequest.sendRaw(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
             assertEquals(200, client.readStatus());
-            assertEquals("abc", new String(client.body, StandardCharsets.UTF_8));
+            assertEquals("abc", client.bodyText());
         }
         assertEquals(1, upstream.connectionCount(), "the second request reuses the connection");
     }
@@ -138,7 +137,7 @@
             assertTrue(Integer.parseInt(receivedRequest.header("Req-Deadline-Ms")) <= 100);
             assertEquals("TIMEOUT", policy.nextEvent());
             assertEquals(502, client.readStatus());
-            assertTrue(receivedRequest.isClosedByPeer());
+            assertTrue(receivedRequest.isClosedByPeer(), "the balancer closes the connection");
         }
     }
 
@@ -150,7 +149,7 @@
         client.close();
         assertEquals("gone", policy.nextEvent());
         assertEquals("CANCELLED closed", policy.nextEvent());
-        assertTrue(receivedRequest.isClosedByPeer());
+        assertTrue(receivedRequest.isClosedByPeer(), "the balancer closes the connection");
     }
 
     /** The policy asks for nothing: the balancer itself answers at the request's deadline. */
--- a/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -158,7 +157,7 @@
                     client.send(request.substring(at, at + 1));
                 }
                 FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
-                assertEquals("abcde", new String(receivedRequest.body(), StandardCharsets.UTF_8));
+                assertEquals("abcde", receivedRequest.bodyText());
                 assertNull(receivedRequest.header("Transfer-Encoding"));
                 receivedRequest.respond(200, "", "ok");
                 assertEquals(200, client.readStatus());
@@ -194,7 +193,7 @@
             assertTrue(FakeHttpServer.readHead(client.input).startsWith("HTTP/1.1 100"));
             client.send("hello");
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
-            assertEquals("hello", new String(receivedRequest.body(), StandardCharsets.UTF_8));
+            assertEquals("hello", receivedRequest.bodyText());
             assertNull(receivedRequest.header("Expect"));
             receivedRequest.respond(200, "", "ok");
             assertEquals(200, client.readStatus());
--- a/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
@@ -60,11 +60,11 @@
             receivedRequest.sendRaw(response);
             assertEquals("RESET", policy.nextEvent());
             assertEquals(502, client.readStatus());
-            assertTrue(receivedRequest.isClosedByPeer());
+            assertTrue(receivedRequest.isClosedByPeer(), "the balancer closes the connection");
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(200, "", "its own");
             assertEquals(200, client.readStatus());
-            assertEquals("its own", new String(client.body, StandardCharsets.UTF_8));
+            assertEquals("its own", client.bodyText());
         }
     }
 
@@ -105,8 +105,8 @@
                             + OK_STATUS_LINE
                             + "Content-Length: 2\r\n\r\nho");
             assertEquals(200, client.readStatus());
-            assertEquals("hi", new String(client.body, StandardCharsets.UTF_8));
-            assertTrue(receivedRequest.isClosedByPeer());
+            assertEquals("hi", client.bodyText());
+            assertTrue(receivedRequest.isClosedByPeer(), "the balancer closes the connection");
         }
     }
 
@@ -130,7 +130,7 @@
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             upstream.nextRequest().sendRaw(response);
             assertEquals(200, client.readStatus());
-            assertEquals("hello", new String(client.body, StandardCharsets.UTF_8));
+            assertEquals("hello", client.bodyText());
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             // Byte by byte.
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
@@ -138,7 +138,7 @@
                 receivedRequest.sendRaw(response.substring(at, at + 1));
             }
             assertEquals(200, client.readStatus());
-            assertEquals("hello", new String(client.body, StandardCharsets.UTF_8));
+            assertEquals("hello", client.bodyText());
         }
     }
 }
