--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/http/ClientConnectionTest.java
@@ -0,0 +1,60 @@
+package loadbalancer.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+
+/** The end of a connection whose output can be shut down before its close. */
+class ClientConnectionTest {
+    private final EmbeddedFrontend frontend = new EmbeddedFrontend();
+    private final DuplexEmbeddedChannel channel = new DuplexEmbeddedChannel();
+    private final ClientConnection connection = frontend.connect(channel);
+
+    @AfterEach
+    void close() {
+        frontend.close();
+    }
+
+    /** A close at once with the late bytes unread would reset the connection. */
+    @Test
+    void bytesBehindTheLastRequestNeitherResetItsResponseNorAreHandled() {
+        channel.freezeTime();
+        frontend.receive(channel, EmbeddedFrontend.getRequest("r1"));
+        frontend.servingState().setStopping();
+        frontend.rejectLastRequest();
+        assertEquals(List.of("503"), EmbeddedFrontend.writtenStatuses(channel));
+        assertTrue(channel.isOutputShutdown());
+        assertTrue(channel.isOpen());
+        frontend.receive(channel, EmbeddedFrontend.getRequest("late"));
+        assertTrue(channel.isOpen());
+        assertEquals(List.of("request"), frontend.policy().events());
+    }
+
+    @Test
+    void idleConnectionOfADrainingBalancerIsHalfClosed() {
+        connection.closeForDrain();
+        assertTrue(channel.isOutputShutdown());
+        assertTrue(channel.isOpen());
+        assertEquals("1 clients' (0 new, 0 at rest, 1 shut)", frontend.connections().toString());
+    }
+
+    @Test
+    void disconnectIsReportedWhileAResponseIsOwed() {
+        frontend.receive(channel, EmbeddedFrontend.getRequest("r1"));
+        channel.close();
+        assertEquals(List.of("request", "disconnected"), frontend.policy().events());
+    }
+
+    @Test
+    void disconnectAfterTheResponseIsNotReported() {
+        frontend.receive(channel, EmbeddedFrontend.getRequest("r1"));
+        frontend.rejectLastRequest();
+        channel.close();
+        assertEquals(List.of("request"), frontend.policy().events());
+        assertFalse(connection.isActive());
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/http/ClientConnectionsTest.java
@@ -0,0 +1,226 @@
+package loadbalancer.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.channel.embedded.EmbeddedChannel;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Which connections are evicted where descriptors run short. The limit of 60 descriptors leaves 30
+ * sockets: 20 for clients while upstreams need less.
+ */
+class ClientConnectionsTest {
+    private static final int DESCRIPTOR_LIMIT = 60;
+    private static final int MAX_CLIENTS = 20;
+    private static final long ACCEPT_RETRY_INTERVAL_MS = 50;
+
+    private final EmbeddedFrontend frontend = new EmbeddedFrontend(DESCRIPTOR_LIMIT);
+    private final ClientConnections connections = frontend.connections();
+
+    @AfterEach
+    void close() {
+        frontend.close();
+    }
+
+    /** A client that has sent nothing. */
+    private EmbeddedChannel connect() {
+        EmbeddedChannel channel = new EmbeddedChannel();
+        frontend.connect(channel);
+        return channel;
+    }
+
+    private EmbeddedChannel connectAndSend(String text) {
+        EmbeddedChannel channel = connect();
+        frontend.receive(channel, text);
+        return channel;
+    }
+
+    /** A client whose proper request is processed: it is never evicted. */
+    private EmbeddedChannel connectBusy() {
+        return connectAndSend(EmbeddedFrontend.getRequest("busy"));
+    }
+
+    /** A client that waits for a next request after {@code requestCount} proper ones. */
+    private EmbeddedChannel connectIdle(int requestCount) {
+        EmbeddedChannel channel = connect();
+        for (int i = 0; i < requestCount; i++) {
+            frontend.receive(channel, EmbeddedFrontend.getRequest("idle"));
+            frontend.rejectLastRequest();
+        }
+        return channel;
+    }
+
+    /** A client that has asked for readiness only: unproven, and answered. */
+    private EmbeddedChannel connectReadinessCheck() {
+        return connectAndSend("GET /-/ready HTTP/1.1\r\n\r\n");
+    }
+
+    private EmbeddedChannel connectHalfClosed() {
+        DuplexEmbeddedChannel channel = new DuplexEmbeddedChannel();
+        frontend.connect(channel).closeForDrain();
+        assertTrue(channel.isOpen());
+        return channel;
+    }
+
+    private void connectBusyUntil(int clientCount, int connectedClients) {
+        for (int i = connectedClients; i < clientCount; i++) {
+            connectBusy();
+        }
+    }
+
+    // ---------------------------------------------------------------- order of eviction
+
+    @Test
+    void nothingIsEvictedUpToTheLimit() {
+        EmbeddedChannel idle = connectIdle(1);
+        EmbeddedChannel halfClosed = connectHalfClosed();
+        connectBusyUntil(MAX_CLIENTS, 2);
+        assertTrue(idle.isOpen());
+        assertTrue(halfClosed.isOpen());
+    }
+
+    @Test
+    void halfClosedConnectionsAreEvictedFirst() {
+        EmbeddedChannel idle = connectIdle(1);
+        EmbeddedChannel readinessCheck = connectReadinessCheck();
+        EmbeddedChannel halfClosed = connectHalfClosed();
+        connectBusyUntil(MAX_CLIENTS + 1, 3);
+        assertFalse(halfClosed.isOpen());
+        assertTrue(readinessCheck.isOpen());
+        assertTrue(idle.isOpen());
+    }
+
+    @Test
+    void unprovenConnectionsWithoutProgressAreEvictedBeforeIdleOnes() {
+        EmbeddedChannel idle = connectIdle(1);
+        EmbeddedChannel readinessCheck = connectReadinessCheck();
+        connectBusyUntil(MAX_CLIENTS + 1, 2);
+        assertFalse(readinessCheck.isOpen());
+        assertTrue(idle.isOpen());
+    }
+
+    @Test
+    void unprovenConnectionWithoutProgressForLongestIsEvictedFirst() {
+        EmbeddedChannel first = connectReadinessCheck();
+        EmbeddedChannel second = connectReadinessCheck();
+        // Its progress makes it the last.
+        frontend.receive(first, "GET /-/ready HTTP/1.1\r\n\r\n");
+        connectBusyUntil(MAX_CLIENTS + 1, 2);
+        assertFalse(second.isOpen());
+        assertTrue(first.isOpen());
+    }
+
+    @Test
+    void longestIdleConnectionIsEvictedFirst() {
+        EmbeddedChannel first = connectIdle(1);
+        EmbeddedChannel second = connectIdle(1);
+        connectBusyUntil(MAX_CLIENTS + 1, 2);
+        assertFalse(first.isOpen());
+        assertTrue(second.isOpen());
+    }
+
+    @Test
+    void idleConnectionThatSentOneRequestIsEvictedBeforeBusierOnes() {
+        EmbeddedChannel regular = connectIdle(2);
+        EmbeddedChannel oneTime = connectIdle(1);
+        connectBusyUntil(MAX_CLIENTS + 1, 2);
+        assertFalse(oneTime.isOpen());
+        assertTrue(regular.isOpen());
+    }
+
+    @Test
+    void idleConnectionToAnUpstreamIsClosedBeforeIdleOnesOfClients() {
+        EmbeddedChannel idle = connectIdle(1);
+        frontend.openIdleUpstreams(29);
+        connections.enforceLimit();
+        assertTrue(frontend.idleUpstreams() < 29);
+        assertTrue(idle.isOpen());
+    }
+
+    @Test
+    void connectionsWithRequestsAreNeverEvicted() {
+        List<EmbeddedChannel> busy = new ArrayList<>();
+        for (int i = 0; i < MAX_CLIENTS + 5; i++) {
+            busy.add(connectBusy());
+        }
+        connections.enforceLimit();
+        assertTrue(busy.stream().allMatch(EmbeddedChannel::isOpen));
+    }
+
+    // ---------------------------------------------------------------- waiting connections
+
+    @Test
+    void connectionThatBecomesIdleIsEvictedWhileOthersWait() {
+        EmbeddedChannel next = connect();
+        frontend.receive(next, EmbeddedFrontend.getRequest("next"));
+        String nextRequestId = frontend.policy().requestId();
+        connectBusyUntil(MAX_CLIENTS + 1, 1);
+        assertTrue(next.isOpen());
+        frontend.policy().actions().reject(nextRequestId, 0);
+        frontend.runTasks();
+        assertFalse(next.isOpen());
+    }
+
+    @Test
+    void connectionThatBecomesIdleStaysWhereNoneWaits() {
+        EmbeddedChannel idle = connectIdle(1);
+        assertTrue(idle.isOpen());
+        assertEquals("1 clients' (0 new, 1 at rest, 0 shut)", connections.toString());
+    }
+
+    /** A stalled connection's time ends without any event. */
+    @Test
+    void limitIsCheckedAgainWhileConnectionsWait() {
+        connectBusyUntil(MAX_CLIENTS + 1, 0);
+        assertEquals(ACCEPT_RETRY_INTERVAL_MS, frontend.nextTimerMillis());
+        frontend.advanceMillis(ACCEPT_RETRY_INTERVAL_MS);
+        assertEquals(ACCEPT_RETRY_INTERVAL_MS, frontend.nextTimerMillis());
+    }
+
+    // ---------------------------------------------------------------- shutdown
+
+    @Test
+    void stoppingBalancerThatAcceptsNothingEvictsNothing() {
+        EmbeddedChannel idle = connectIdle(1);
+        frontend.servingState().setStopping();
+        connectBusyUntil(MAX_CLIENTS + 1, 1);
+        assertTrue(idle.isOpen());
+    }
+
+    @Test
+    void connectionsWithoutRequestAreClosedAndTheEndIsNotifiedOnce() {
+        AtomicInteger notified = new AtomicInteger();
+        EmbeddedChannel idle = connectIdle(1);
+        EmbeddedChannel unproven = connect();
+        EmbeddedChannel busy = connectBusy();
+        EmbeddedChannel receiving = connectAndSend("G");
+        connections.setOnEmpty(notified::incrementAndGet);
+        connections.closeWithoutRequest();
+        frontend.runTasks();
+        assertFalse(idle.isOpen());
+        assertFalse(unproven.isOpen());
+        assertTrue(busy.isOpen());
+        assertTrue(receiving.isOpen());
+        assertEquals(0, notified.get());
+        busy.close();
+        receiving.close();
+        frontend.runTasks();
+        assertEquals(1, notified.get());
+        connections.closeWithoutRequest();
+        frontend.runTasks();
+        assertEquals(1, notified.get());
+    }
+
+    @Test
+    void connectionsAreNumberedFromOne() {
+        connect();
+        assertEquals(2, connections.nextConnectionNumber());
+        assertEquals(2, connections.acceptedCount());
+    }
+}
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/http/EmbeddedFrontend.java
@@ -0,0 +1,211 @@
+package loadbalancer.http;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.channel.nio.NioEventLoopGroup;
+import java.io.IOException;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.admin.EventLog;
+import loadbalancer.admin.Metrics;
+import loadbalancer.config.BootSettings;
+import loadbalancer.config.SettingsFlattener;
+import loadbalancer.config.SettingsReader;
+import loadbalancer.dispatch.Dispatcher;
+import loadbalancer.dispatch.RecordingPolicy;
+import loadbalancer.proxy.BodyRelay;
+import loadbalancer.proxy.FileDescriptorBudget;
+import loadbalancer.server.BalancerServerFixtures;
+
+/**
+ * The client side over embedded channels, ready to serve. The test plays the clients and the
+ * routing policy. Its listener has a socket that is never bound, so nothing can connect to it.
+ */
+final class EmbeddedFrontend implements AutoCloseable {
+    /** The head of a request of the class book, up to what describes its body. */
+    static final String POST_HEAD =
+            "POST /k1 HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: book\r\nReq-Deadline-Ms: 20000\r\n";
+
+    private static final int DEFAULT_DESCRIPTOR_LIMIT = 1_000;
+
+    private final EmbeddedChannel loopChannel = new EmbeddedChannel();
+    private final NioEventLoopGroup listenerGroup = new NioEventLoopGroup(1);
+    private final List<EmbeddedChannel> channels = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
+    private final RecordingPolicy policy = new RecordingPolicy();
+    private final ServingState servingState = new ServingState();
+    private final FileDescriptorBudget descriptorBudget;
+    private final ClientConnections connections;
+    private final FrontendContext context;
+    // Connections to upstreams that may be closed for their descriptors.
+    private int idleUpstreams;
+
+    EmbeddedFrontend() {
+        this(DEFAULT_DESCRIPTOR_LIMIT);
+    }
+
+    EmbeddedFrontend(int descriptorLimit) {
+        loopChannel.freezeTime();
+        BootSettings boot = bootSettings();
+        EventLog events = new EventLog(logLines::add, System::nanoTime);
+        descriptorBudget = new FileDescriptorBudget(descriptorLimit, false);
+        connections =
+                new ClientConnections(
+                        loopChannel.eventLoop(),
+                        servingState,
+                        unboundListener(),
+                        descriptorBudget,
+                        this::closeIdleUpstream);
+        Dispatcher dispatcher =
+                new Dispatcher(
+                        loopChannel.eventLoop(),
+                        boot,
+                        policy,
+                        line -> {},
+                        events,
+                        new Metrics(boot.classNames()));
+        context =
+                new FrontendContext(
+                        loopChannel.eventLoop(),
+                        servingState,
+                        connections,
+                        new RequestProcessor(
+                                new ProxyRequestParser(boot), dispatcher, servingState),
+                        events,
+                        new BodyRelay.BufferBudget());
+        servingState.setReady();
+    }
+
+    /** Settings with the classes read, pay and book: one of each idempotency. */
+    static BootSettings bootSettings() {
+        return SettingsReader.read(SettingsFlattener.flatten(BalancerServerFixtures.settings()));
+    }
+
+    /** A request of the class read, which has no body. */
+    static String getRequest(String requestId) {
+        return "GET /k1 HTTP/1.1\r\nReq-Id: "
+                + requestId
+                + "\r\nReq-Kind: read\r\nReq-Deadline-Ms: 20000\r\n\r\n";
+    }
+
+    private ClientListener unboundListener() {
+        ClientListener listener = new ClientListener(listenerGroup.next(), channel -> {});
+        try {
+            listener.listen(ServerSocketChannel.open());
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
+        }
+        return listener;
+    }
+
+    private boolean closeIdleUpstream() {
+        if (idleUpstreams == 0) {
+            return false;
+        }
+        idleUpstreams--;
+        descriptorBudget.socketClosed();
+        return true;
+    }
+
+    /** Opens idle connections to upstreams, which take descriptors. */
+    void openIdleUpstreams(int count) {
+        idleUpstreams += count;
+        for (int i = 0; i < count; i++) {
+            descriptorBudget.socketOpened();
+        }
+    }
+
+    int idleUpstreams() {
+        return idleUpstreams;
+    }
+
+    RecordingPolicy policy() {
+        return policy;
+    }
+
+    ServingState servingState() {
+        return servingState;
+    }
+
+    ClientConnections connections() {
+        return connections;
+    }
+
+    FrontendContext context() {
+        return context;
+    }
+
+    List<String> logLines() {
+        return logLines;
+    }
+
+    /** A client connects. */
+    ClientConnection connect(EmbeddedChannel channel) {
+        channels.add(channel);
+        ClientConnection connection = new ClientConnection(channel, context);
+        connection.open();
+        return connection;
+    }
+
+    /** Bytes of a client arrive in one read, and the turn of the event loop ends. */
+    void receive(EmbeddedChannel channel, String text) {
+        channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
+        runTasks();
+    }
+
+    /** Ends the turn of the event loop. */
+    void runTasks() {
+        loopChannel.runPendingTasks();
+        channels.forEach(EmbeddedChannel::runPendingTasks);
+    }
+
+    /** Advances the event loop's time and runs the timers that are due. */
+    void advanceMillis(long millis) {
+        loopChannel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
+        loopChannel.runScheduledPendingTasks();
+    }
+
+    /** The delay to the next timer of the event loop in ms, or -1 where none runs. */
+    long nextTimerMillis() {
+        long delayNanos = loopChannel.runScheduledPendingTasks();
+        return delayNanos < 0 ? -1 : TimeUnit.NANOSECONDS.toMillis(delayNanos);
+    }
+
+    /** The policy rejects the request that it was given last. */
+    void rejectLastRequest() {
+        policy.actions().reject(policy.requestId(), 0);
+        runTasks();
+    }
+
+    /** What has been written to the client since the last call. */
+    static String written(EmbeddedChannel channel) {
+        StringBuilder text = new StringBuilder();
+        ByteBuf part = channel.readOutbound();
+        while (part != null) {
+            text.append(part.toString(StandardCharsets.ISO_8859_1));
+            part.release();
+            part = channel.readOutbound();
+        }
+        return text.toString();
+    }
+
+    /** The status codes of the responses that have been written since the last call. */
+    static List<String> writtenStatuses(EmbeddedChannel channel) {
+        return written(channel)
+                .lines()
+                .filter(line -> line.startsWith("HTTP/1.1 "))
+                .map(line -> line.split(" ")[1])
+                .toList();
+    }
+
+    @Override
+    public void close() {
+        channels.forEach(EmbeddedChannel::finishAndReleaseAll);
+        loopChannel.finishAndReleaseAll();
+        listenerGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    }
+}
