--- a/balancer/src/test/java/loadbalancer/routing/RandomizedOrderingAndPlacementTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RandomizedOrderingAndPlacementTest.java
@@ -129,24 +129,17 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void randomEventsKeepOrderAndPlacement(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<RequestClass> requestClasses =
-                List.of(
-                        requestClass(Idempotency.IDEMPOTENT, true, Set.of(), Set.of()),
-                        requestClass(Idempotency.NON_IDEMPOTENT, true, Set.of(0), Set.of()),
-                        requestClass(Idempotency.IDEMPOTENCY_KEY, false, Set.of(), Set.of(1)),
-                        requestClass(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0)));
+        List<RequestClass> requestClasses = orderedAndPlacedClasses();
         RoutingEngineHarness harness =
                 new RoutingEngineHarness(
                         RoutingEngineHarness.settings(requestClasses.toArray(new RequestClass[0])),
                         seed);
         OrderingChecker checker = new OrderingChecker();
         Map<String, Integer> classByRequest = new LinkedHashMap<>();
-        Map<String, Endpoint> endpointsById = new LinkedHashMap<>();
-        for (int i = 0; i < 8; i++) {
-            endpointsById.put(
-                    "s" + i, new Endpoint("s" + i, EndpointStatus.UP, 0, 1, 0, i / 2 % 2, i % 2));
-        }
+        Map<String, Endpoint> endpointsById = endpointsOfTwoZonesAndTypes();
         harness.updateEndpoints(EndpointListKind.CACHED, List.copyOf(endpointsById.values()));
+        RandomRun run =
+                new RandomRun(harness, checker, requestClasses, classByRequest, endpointsById);
         int checkedAttempts = 0;
         for (int step = 0; step < 3000; step++) {
             int eventRoll = random.nextInt(100);
@@ -166,21 +159,8 @@
                 if (!inFlight.isEmpty()) {
                     RoutingEngineHarness.SentAttempt sent =
                             inFlight.get(random.nextInt(inFlight.size()));
-                    AttemptOutcome[] allOutcomes = AttemptOutcome.values();
-                    AttemptOutcome outcome =
-                            random.nextInt(3) > 0
-                                    ? AttemptOutcome.OK
-                                    : allOutcomes[random.nextInt(allOutcomes.length - 1)];
-                    checkedAttempts =
-                            endAttempt(
-                                    harness,
-                                    checker,
-                                    sent,
-                                    outcome,
-                                    checkedAttempts,
-                                    requestClasses,
-                                    classByRequest,
-                                    endpointsById);
+                    AttemptOutcome outcome = RandomizedRoutingInvariantsTest.randomOutcome(random);
+                    checkedAttempts = endAttempt(run, sent, outcome, checkedAttempts);
                 }
             } else if (eventRoll < 84) {
                 Endpoint endpoint = endpointsById.get("s" + random.nextInt(8));
@@ -188,63 +168,79 @@
                         EndpointListKind.DELTA,
                         List.of(endpoint.withStatus(EndpointStatus.values()[random.nextInt(3)])));
             } else if (eventRoll < 86 && !classByRequest.isEmpty()) {
-                String requestId =
-                        List.copyOf(classByRequest.keySet())
-                                .get(random.nextInt(classByRequest.size()));
-                if (harness.finalResponses.putIfAbsent(requestId, "gone") == null) {
-                    checker.answered.put(requestId, true);
-                    harness.policy.onClientDisconnected(harness.now, requestId, harness);
-                }
+                List<String> requestIds = List.copyOf(classByRequest.keySet());
+                disconnect(harness, checker, requestIds.get(random.nextInt(requestIds.size())));
             } else {
                 harness.advanceTime(random.nextLong(40_000));
             }
-            checkedAttempts =
-                    checkNewAttempts(
-                            harness,
-                            checker,
-                            checkedAttempts,
-                            requestClasses,
-                            classByRequest,
-                            endpointsById);
+            checkedAttempts = checkNewAttempts(run, checkedAttempts);
         }
         assertTrue(checkedAttempts > 500, "enough was sent: " + checkedAttempts);
     }
 
-    private static int endAttempt(
+    /** A run of random events, with what is known of its requests and endpoints. */
+    private record RandomRun(
             RoutingEngineHarness harness,
             OrderingChecker checker,
-            RoutingEngineHarness.SentAttempt sent,
-            AttemptOutcome outcome,
-            int checkedAttempts,
             List<RequestClass> requestClasses,
             Map<String, Integer> classByRequest,
-            Map<String, Endpoint> endpointsById) {
-        checker.attemptEnded(sent.requestId, outcome, harness.now);
+            Map<String, Endpoint> endpointsById) {}
+
+    private static List<RequestClass> orderedAndPlacedClasses() {
+        return List.of(
+                requestClass(Idempotency.IDEMPOTENT, true, Set.of(), Set.of()),
+                requestClass(Idempotency.NON_IDEMPOTENT, true, Set.of(0), Set.of()),
+                requestClass(Idempotency.IDEMPOTENCY_KEY, false, Set.of(), Set.of(1)),
+                requestClass(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0)));
+    }
+
+    private static Map<String, Endpoint> endpointsOfTwoZonesAndTypes() {
+        Map<String, Endpoint> endpointsById = new LinkedHashMap<>();
+        for (int i = 0; i < 8; i++) {
+            endpointsById.put(
+                    "s" + i, new Endpoint("s" + i, EndpointStatus.UP, 0, 1, 0, i / 2 % 2, i % 2));
+        }
+        return endpointsById;
+    }
+
+    /** The client of a request disconnects, unless the request has its final response. */
+    private static void disconnect(
+            RoutingEngineHarness harness, OrderingChecker checker, String requestId) {
+        if (harness.finalResponses.putIfAbsent(requestId, "gone") == null) {
+            checker.answered.put(requestId, true);
+            harness.policy.onClientDisconnected(harness.now, requestId, harness);
+        }
+    }
+
+    private static int endAttempt(
+            RandomRun run,
+            RoutingEngineHarness.SentAttempt sent,
+            AttemptOutcome outcome,
+            int checkedAttempts) {
+        run.checker.attemptEnded(sent.requestId, outcome, run.harness.now);
         if (outcome == AttemptOutcome.OK) {
-            checker.answered.put(sent.requestId, true);
+            run.checker.answered.put(sent.requestId, true);
         }
-        harness.endAttempt(sent, outcome);
-        return checkNewAttempts(
-                harness, checker, checkedAttempts, requestClasses, classByRequest, endpointsById);
+        run.harness.endAttempt(sent, outcome);
+        return checkNewAttempts(run, checkedAttempts);
     }
 
-    private static int checkNewAttempts(
-            RoutingEngineHarness harness,
-            OrderingChecker checker,
-            int firstIndex,
-            List<RequestClass> requestClasses,
-            Map<String, Integer> classByRequest,
-            Map<String, Endpoint> endpointsById) {
-        harness.finalResponses.keySet().forEach(requestId -> checker.answered.put(requestId, true));
+    private static int checkNewAttempts(RandomRun run, int firstIndex) {
+        run.harness
+                .finalResponses
+                .keySet()
+                .forEach(requestId -> run.checker.answered.put(requestId, true));
         int checkedAttempts = firstIndex;
-        for (; checkedAttempts < harness.sentAttempts.size(); checkedAttempts++) {
-            RoutingEngineHarness.SentAttempt attempt = harness.sentAttempts.get(checkedAttempts);
-            assertEquals(null, checker.checkSend(attempt.requestId, attempt.sentAtMicros));
+        for (; checkedAttempts < run.harness.sentAttempts.size(); checkedAttempts++) {
+            RoutingEngineHarness.SentAttempt attempt =
+                    run.harness.sentAttempts.get(checkedAttempts);
+            int classIndex = run.classByRequest.get(attempt.requestId);
+            assertEquals(null, run.checker.checkSend(attempt.requestId, attempt.sentAtMicros));
             assertEquals(
                     null,
                     OrderingChecker.checkPlacement(
-                            requestClasses.get(classByRequest.get(attempt.requestId)),
-                            endpointsById.get(attempt.endpointId)));
+                            run.requestClasses.get(classIndex),
+                            run.endpointsById.get(attempt.endpointId)));
         }
         return checkedAttempts;
     }
--- a/balancer/src/test/java/loadbalancer/routing/RandomizedRoutingInvariantsTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RandomizedRoutingInvariantsTest.java
@@ -194,18 +194,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void randomEventsKeepTheInvariants(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<RequestClass> requestClasses =
-                List.of(
-                        RoutingEngineHarness.requestClass(
-                                Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
-                        RoutingEngineHarness.requestClass(
-                                Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL),
-                        RoutingEngineHarness.requestClass(
-                                Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL),
-                        RoutingEngineHarness.requestClass(
-                                Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL),
-                        RoutingEngineHarness.requestClass(
-                                Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE));
+        List<RequestClass> requestClasses = requestClassesOfAllKinds();
         RoutingEngineHarness harness =
                 new RoutingEngineHarness(
                         RoutingEngineHarness.settings(requestClasses.toArray(new RequestClass[0])),
@@ -231,14 +220,7 @@
             } else if (eventRoll < 80 && !inFlight.isEmpty()) {
                 RoutingEngineHarness.SentAttempt attempt =
                         inFlight.get(random.nextInt(inFlight.size()));
-                AttemptOutcome[] allOutcomes = AttemptOutcome.values();
-                endAttempt(
-                        harness,
-                        checker,
-                        attempt,
-                        random.nextInt(3) > 0
-                                ? AttemptOutcome.OK
-                                : allOutcomes[random.nextInt(allOutcomes.length - 1)]);
+                endAttempt(harness, checker, attempt, randomOutcome(random));
             } else if (eventRoll < 84) {
                 String id = "s" + random.nextInt(8);
                 endpointsById.computeIfPresent(
@@ -249,26 +231,63 @@
             } else {
                 harness.advanceTime(random.nextLong(20_000));
             }
-            for (RoutingEngineHarness.SentAttempt attempt : new ArrayList<>(harness.sentAttempts)) {
-                if (!attempt.ended
-                        && harness.now >= checker.requests.get(attempt.requestId).deadline) {
-                    checkedAttempts =
-                            checkNewAttempts(harness, checker, endpointsById, checkedAttempts);
-                    endAttempt(harness, checker, attempt, AttemptOutcome.TIMEOUT);
-                }
-            }
+            checkedAttempts = endOverdueAttempts(harness, checker, endpointsById, checkedAttempts);
             checkedAttempts = checkNewAttempts(harness, checker, endpointsById, checkedAttempts);
-            List<String> answeredIds = List.copyOf(harness.finalResponses.keySet());
-            for (; checkedResponses < answeredIds.size(); checkedResponses++) {
-                String id = answeredIds.get(checkedResponses);
-                assertNull(checker.checkResponse(id, harness.finalResponses.get(id), harness.now));
-            }
+            checkedResponses = checkNewResponses(harness, checker, checkedResponses);
             assertNull(checker.checkNothingLost(harness.now));
         }
         assertEquals(0, harness.duplicateFinalResponses);
         assertTrue(checkedAttempts > 800, "enough was sent: " + checkedAttempts);
     }
 
+    private static List<RequestClass> requestClassesOfAllKinds() {
+        return List.of(
+                RoutingEngineHarness.requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                RoutingEngineHarness.requestClass(
+                        Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL),
+                RoutingEngineHarness.requestClass(
+                        Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL),
+                RoutingEngineHarness.requestClass(
+                        Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL),
+                RoutingEngineHarness.requestClass(
+                        Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE));
+    }
+
+    /** A success in two of three cases, otherwise any outcome but the last of the enum. */
+    static AttemptOutcome randomOutcome(SplittableRandom random) {
+        AttemptOutcome[] allOutcomes = AttemptOutcome.values();
+        return random.nextInt(3) > 0
+                ? AttemptOutcome.OK
+                : allOutcomes[random.nextInt(allOutcomes.length - 1)];
+    }
+
+    /** Times out the attempts of requests past their deadline; returns the attempts checked. */
+    private static int endOverdueAttempts(
+            RoutingEngineHarness harness,
+            InvariantChecker checker,
+            Map<String, Endpoint> endpointsById,
+            int firstIndex) {
+        int checkedAttempts = firstIndex;
+        for (RoutingEngineHarness.SentAttempt attempt : new ArrayList<>(harness.sentAttempts)) {
+            if (!attempt.ended && harness.now >= checker.requests.get(attempt.requestId).deadline) {
+                checkedAttempts =
+                        checkNewAttempts(harness, checker, endpointsById, checkedAttempts);
+                endAttempt(harness, checker, attempt, AttemptOutcome.TIMEOUT);
+            }
+        }
+        return checkedAttempts;
+    }
+
+    private static int checkNewResponses(
+            RoutingEngineHarness harness, InvariantChecker checker, int firstIndex) {
+        List<String> answeredIds = List.copyOf(harness.finalResponses.keySet());
+        for (int i = firstIndex; i < answeredIds.size(); i++) {
+            String id = answeredIds.get(i);
+            assertNull(checker.checkResponse(id, harness.finalResponses.get(id), harness.now));
+        }
+        return answeredIds.size();
+    }
+
     private static void endAttempt(
             RoutingEngineHarness harness,
             InvariantChecker checker,
--- a/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
@@ -111,6 +111,33 @@
                         .getMessage());
     }
 
+    private static RoutingSettings settingsWithoutReports(
+            int balancerCount, RequestClass requestClass, RoutingLimits limits) {
+        RoutingSettings baseSettings =
+                RoutingEngineHarness.settings(
+                        balancerCount,
+                        limits.hedgingAllowed(),
+                        DiscoveryMode.PUSH,
+                        List.of(),
+                        requestClass);
+        return new RoutingSettings(
+                balancerCount,
+                0,
+                0,
+                baseSettings.requestClasses(),
+                List.of(),
+                1,
+                baseSettings.objectiveWeights(),
+                baseSettings.costs(),
+                false,
+                baseSettings.discoveryMode(),
+                LoadReportSource.NONE,
+                false,
+                limits,
+                baseSettings.bounds(),
+                1_000);
+    }
+
     /** Settings unlike any deployment: sensible behaviour, every request answered. */
     @ParameterizedTest
     @CsvSource({
@@ -142,33 +169,11 @@
                             1,
                             0,
                             false);
-            RoutingSettings baseSettings =
-                    RoutingEngineHarness.settings(
-                            balancerCount,
-                            hedgingAllowed,
-                            DiscoveryMode.PUSH,
-                            List.of(),
-                            requestClass);
+            RoutingLimits limits =
+                    new RoutingLimits(maxAttempts, hedgingAllowed, false, false, 1000, 0);
             RoutingEngineHarness harness =
                     new RoutingEngineHarness(
-                            new RoutingSettings(
-                                    balancerCount,
-                                    0,
-                                    0,
-                                    baseSettings.requestClasses(),
-                                    List.of(),
-                                    1,
-                                    baseSettings.objectiveWeights(),
-                                    baseSettings.costs(),
-                                    false,
-                                    baseSettings.discoveryMode(),
-                                    LoadReportSource.NONE,
-                                    false,
-                                    new RoutingLimits(
-                                            maxAttempts, hedgingAllowed, false, false, 1000, 0),
-                                    baseSettings.bounds(),
-                                    1_000),
-                            9);
+                            settingsWithoutReports(balancerCount, requestClass, limits), 9);
             harness.updateEndpoints(
                     EndpointListKind.CACHED, RoutingEngineHarness.endpoints(endpointCount));
             for (int i = 0; i < 400; i++) {
