--- a/testbed/src/main/java/loadbalancer/testbed/simulation/FleetSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/FleetSimulation.java
@@ -1,11 +1,8 @@
 package loadbalancer.testbed.simulation;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.TreeMap;
-import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointListKind;
@@ -32,7 +29,6 @@
  * cost of sockets and processors is missing. Single-threaded; one run per instance.
  */
 public final class FleetSimulation {
-    private static final long CONNECT_TIMEOUT_MICROS = 150_000;
     // From the start of a process until it is ready
     private static final long STARTUP_MICROS = 1_000_000;
     // After the last deadline, for open requests
@@ -45,21 +41,13 @@
     private final RequestInvariants invariants;
     private final ServiceWindows windows;
     private final List<SimulatedBalancer> balancers = new ArrayList<>();
-    private final List<SimulatedUpstream> upstreams = new ArrayList<>();
-    private final Map<String, SimulatedUpstream> upstreamsByUid = new HashMap<>();
+    private final SimulatedUpstreams upstreams;
     private final SimulatedNetwork network;
     private final SimulatedClients clients;
-    // By sender (null until it sends) and recipient
-    private final int[][] datagramsDelivered;
+    private final PeerDatagrams datagrams;
     private final EndpointListHistory endpointHistory;
     private final List<SimulatedDiscoveryAgent> discoveryAgents = new ArrayList<>();
-    private final Map<SimulatedUpstream, List<CrashCallback>> crashCallbacks = new HashMap<>();
     private final int[] startCounts;
-    private final Consumer<String> logListener;
-    // Null: upstreams in slow start crash when overloaded
-    private SlowStartListener slowStartListener;
-
-    private record CrashCallback(Runnable action, BooleanSupplier isObsolete) {}
 
     /** Creates the routing policies of a run. */
     public interface PolicyFactory {
@@ -85,185 +73,56 @@
         this.plan = plan;
         this.scenario = plan.scenario();
         this.policyFactory = policyFactory;
-        this.logListener = logListener;
         this.invariants = new RequestInvariants(scenario, violation -> {}, false);
         this.windows = new ServiceWindows(scenario);
         int balancerCount = scenario.fleet().balancers();
         startCounts = new int[balancerCount];
-        datagramsDelivered = new int[balancerCount][];
         network = new SimulatedNetwork(plan);
-        for (WorkloadPlan.UpstreamSpec spec : plan.upstreams()) {
-            SimulatedUpstream upstream = new SimulatedUpstream(scheduler, spec, scenario);
-            upstreams.add(upstream);
-            upstreamsByUid.put(spec.uid(), upstream);
-        }
-        endpointHistory =
-                new EndpointListHistory(
-                        upstreams.stream()
-                                .filter(SimulatedUpstream::alive)
-                                .map(upstream -> toEndpoint(upstream, EndpointStatus.UP))
-                                .toList());
-        for (int balancer = 0; balancer < balancerCount; balancer++) {
-            int balancerNumber = balancer;
-            balancers.add(new SimulatedBalancer(balancer, this));
-            discoveryAgents.add(
-                    new SimulatedDiscoveryAgent(
-                            scheduler,
-                            RandomStreams.stream(plan.seed(), "news " + balancer),
-                            scenario.network().discoveryDelayMs(),
-                            endpointHistory,
-                            endpoint -> onEndpointChange(balancerNumber, endpoint)));
-        }
+        upstreams = new SimulatedUpstreams(plan, scheduler, network, invariants);
+        datagrams =
+                new PeerDatagrams(
+                        scheduler, network, balancers, balancerCount, scenario.lengthMicros());
         clients = new SimulatedClients(scheduler, plan, invariants, windows, balancers);
-    }
-
-    /** Reports attempts at upstreams in slow start from now on, none of which crashes any more. */
-    public void observeSlowStart(SlowStartListener listener) {
-        slowStartListener = listener;
-    }
-
-    // ------------------------------------------------------------ used by the balancers
-
-    VirtualTimeScheduler scheduler() {
-        return scheduler;
-    }
-
-    RequestInvariants invariants() {
-        return invariants;
-    }
-
-    SimulatedUpstream upstream(String uid) {
-        return upstreamsByUid.get(uid);
-    }
-
-    long connectTimeoutMicros() {
-        return CONNECT_TIMEOUT_MICROS;
-    }
-
-    long handshakeWorkMicros() {
-        return Math.round(scenario.upstreams().handshakeMs() * 1e3);
-    }
-
-    long forwardDelayMicros(int balancer, SimulatedUpstream upstream, long now) {
-        return network.forwardDelayMicros(balancer, upstream.spec().number(), now);
-    }
-
-    long reverseDelayMicros(int balancer, SimulatedUpstream upstream, long now) {
-        return network.reverseDelayMicros(balancer, upstream.spec().number(), now);
-    }
-
-    boolean isSilent(int balancer, SimulatedUpstream upstream) {
-        return upstream.isSilent() || network.isCut(balancer, upstream.spec().number());
-    }
-
-    boolean refusesConnections(int balancer, SimulatedUpstream upstream) {
-        return network.refusesConnections(balancer, upstream.spec().number());
-    }
-
-    List<Endpoint> endpointList(int balancer) {
-        return discoveryAgents.get(balancer).endpoints();
-    }
-
-    SimulatedClients clients() {
-        return clients;
-    }
-
-    void sendDatagram(int sender, int recipient, byte[] payload) {
-        for (int peerNumber = 0; peerNumber < balancers.size(); peerNumber++) {
-            if (peerNumber == sender
-                    || (recipient >= 0 && recipient != peerNumber)
-                    || network.peerLink(sender, peerNumber).dropsDatagram()) {
-                continue;
-            }
-            SimulatedBalancer peer = balancers.get(peerNumber);
-            for (long delay : network.peerLink(sender, peerNumber).datagramDelaysMicros()) {
-                scheduler.scheduleAfter(
-                        delay,
-                        () -> {
-                            if (peer.alive()) {
-                                countDelivery(sender, peer.number());
-                                peer.onPeerMessage(sender, payload);
-                            }
-                        });
-            }
-        }
-    }
-
-    private void countDelivery(int sender, int recipient) {
-        if (datagramsDelivered[sender] == null) {
-            datagramsDelivered[sender] = new int[balancers.size()];
+        endpointHistory = new EndpointListHistory(initialEndpoints());
+        SimulationContext context =
+                new SimulationContext(
+                        scheduler, invariants, upstreams, datagrams, clients, logListener);
+        for (int balancer = 0; balancer < balancerCount; balancer++) {
+            SimulatedDiscoveryAgent discoveryAgent = newDiscoveryAgent(balancer);
+            discoveryAgents.add(discoveryAgent);
+            balancers.add(new SimulatedBalancer(balancer, context, discoveryAgent));
         }
-        datagramsDelivered[sender][recipient] +=
-                scheduler.nowMicros() < scenario.lengthMicros() ? 1 : 0;
     }
 
-    void log(int balancer, String message) {
-        logListener.accept(scheduler.nowMicros() + " n" + balancer + " " + message);
+    private SimulatedDiscoveryAgent newDiscoveryAgent(int balancer) {
+        return new SimulatedDiscoveryAgent(
+                scheduler,
+                RandomStreams.stream(plan.seed(), "news " + balancer),
+                scenario.network().discoveryDelayMs(),
+                endpointHistory,
+                endpoint -> onEndpointChange(balancer, endpoint));
     }
 
-    void onCrash(
-            SimulatedUpstream upstream,
-            int incarnation,
-            Runnable action,
-            BooleanSupplier isObsolete) {
-        if (incarnation != upstream.incarnation()) {
-            action.run();
-            return;
-        }
-        List<CrashCallback> callbacks =
-                crashCallbacks.computeIfAbsent(upstream, k -> new ArrayList<>());
-        callbacks.add(new CrashCallback(action, isObsolete));
-        if (callbacks.size() > 4 * scenario.upstreams().queueCapacity() + 64) {
-            callbacks.removeIf(callback -> callback.isObsolete.getAsBoolean());
-        }
-    }
-
-    /** Work comes to a server: where it is cold, and that is too much, it falls. */
-    void checkSlowStartBudget(int balancer, SimulatedUpstream upstream, long workMicros) {
-        if (slowStartListener != null) {
-            if (upstream.isInSlowStart()) {
-                slowStartListener.onAttempt(
-                        upstream.spec().number(), scheduler.nowMicros(), upstream.capacity());
-            }
-        } else if (upstream.exceedsSlowStartBudget(
-                workMicros,
-                invariants.isStartNotified(
-                        balancer, upstream.spec().number(), upstream.startedAtMicros()))) {
-            overload(upstream);
-        }
+    /** Reports attempts at upstreams in slow start from now on, none of which crashes any more. */
+    public void observeSlowStart(SlowStartListener listener) {
+        upstreams.observeSlowStart(listener);
     }
 
-    private void overload(SimulatedUpstream upstream) {
-        invariants.recordViolation(
-                "cold budget",
-                scheduler.nowMicros(),
-                null,
-                "s"
-                        + upstream.spec().number()
-                        + " was pushed over "
-                        + (scheduler.nowMicros() - upstream.startedAtMicros()) / 1000
-                        + " ms after its start");
-        crash(upstream);
-    }
+    // ------------------------------------------------------------ discovery
 
-    private void crash(SimulatedUpstream upstream) {
-        upstream.crash();
-        List<CrashCallback> callbacks = crashCallbacks.remove(upstream);
-        if (callbacks != null) {
-            callbacks.stream()
-                    .filter(callback -> !callback.isObsolete.getAsBoolean())
-                    .forEach(callback -> callback.action.run());
-        }
+    private List<Endpoint> initialEndpoints() {
+        return upstreams.all().stream()
+                .filter(SimulatedUpstream::alive)
+                .map(upstream -> toEndpoint(upstream, EndpointStatus.UP))
+                .toList();
     }
 
-    // ------------------------------------------------------------ discovery
-
     private void onEndpointChange(int balancer, Endpoint endpoint) {
         SimulatedBalancer recipient = balancers.get(balancer);
         if (recipient.alive()) {
             invariants.endpointNotified(
                     balancer,
-                    upstreamsByUid.get(endpoint.id()).spec().number(),
+                    upstreams.byUid(endpoint.id()).spec().number(),
                     endpoint.status() == EndpointStatus.UP,
                     scheduler.nowMicros());
             recipient.onEndpointList(EndpointListKind.DELTA, List.of(endpoint));
@@ -276,7 +135,7 @@
                 status,
                 upstream.startedAtMicros() == 0
                         ? 0
-                        : SimulatedBalancer.policyTimeMicros(upstream.startedAtMicros()),
+                        : PolicyEventLoop.policyTimeMicros(upstream.startedAtMicros()),
                 1,
                 upstream.spec().number(),
                 upstream.spec().machineKind(),
@@ -310,7 +169,7 @@
         long seed =
                 RandomStreams.seedFor(
                         plan.seed(), "balancer " + balancer + " start " + startCounts[balancer]++);
-        List<Endpoint> cachedEndpoints = endpointList(balancer);
+        List<Endpoint> cachedEndpoints = discoveryAgents.get(balancer).endpoints();
         balancers
                 .get(balancer)
                 .start(
@@ -347,7 +206,7 @@
     private final class SimulatedFaults implements FaultableEnvironment<SimulatedUpstream> {
         @Override
         public SimulatedUpstream upstream(int number) {
-            return upstreams.get(number);
+            return upstreams.byNumber(number);
         }
 
         @Override
@@ -357,7 +216,7 @@
 
         @Override
         public void crash(SimulatedUpstream upstream) {
-            FleetSimulation.this.crash(upstream);
+            upstreams.crash(upstream);
         }
 
         @Override
@@ -397,7 +256,7 @@
         TreeMap<String, Double> metrics = new TreeMap<>();
         metrics.put(
                 "cold_worst",
-                upstreams.stream()
+                upstreams.all().stream()
                         .mapToDouble(SimulatedUpstream::peakSlowStartUtilization)
                         .max()
                         .orElse(0));
@@ -434,6 +293,6 @@
 
     /** Datagrams that one balancer received from another within the run's length. */
     public long datagramsDelivered(int from, int to) {
-        return datagramsDelivered[from] == null ? 0 : datagramsDelivered[from][to];
+        return datagrams.deliveredCount(from, to);
     }
 }
--- /dev/null
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/PeerDatagrams.java
@@ -0,0 +1,71 @@
+package loadbalancer.testbed.simulation;
+
+import java.util.List;
+
+/**
+ * Datagrams between balancers in virtual time, delayed, lost and duplicated by the network. Counts
+ * those that are delivered within the length of the run. Single-threaded.
+ */
+final class PeerDatagrams {
+    private final VirtualTimeScheduler scheduler;
+    private final SimulatedNetwork network;
+    private final List<SimulatedBalancer> balancers;
+    private final long lengthMicros;
+    // By sender and recipient; a sender's row is null until one of its datagrams arrives
+    private final int[][] deliveredCounts;
+
+    /**
+     * Creates the datagrams of a run.
+     *
+     * @param balancers may be filled later, up to {@code balancerCount}
+     * @param lengthMicros length of the run in µs
+     */
+    PeerDatagrams(
+            VirtualTimeScheduler scheduler,
+            SimulatedNetwork network,
+            List<SimulatedBalancer> balancers,
+            int balancerCount,
+            long lengthMicros) {
+        this.scheduler = scheduler;
+        this.network = network;
+        this.balancers = balancers;
+        this.lengthMicros = lengthMicros;
+        this.deliveredCounts = new int[balancerCount][];
+    }
+
+    /** Sends a datagram to a balancer, or to all others if {@code recipient} is negative. */
+    void send(int sender, int recipient, byte[] payload) {
+        for (int peer = 0; peer < balancers.size(); peer++) {
+            boolean addressed = recipient < 0 || recipient == peer;
+            if (peer != sender && addressed && !network.peerLink(sender, peer).dropsDatagram()) {
+                transmit(sender, balancers.get(peer), payload);
+            }
+        }
+    }
+
+    private void transmit(int sender, SimulatedBalancer recipient, byte[] payload) {
+        for (long delayMicros :
+                network.peerLink(sender, recipient.number()).datagramDelaysMicros()) {
+            scheduler.scheduleAfter(delayMicros, () -> deliver(sender, recipient, payload));
+        }
+    }
+
+    private void deliver(int sender, SimulatedBalancer recipient, byte[] payload) {
+        if (recipient.alive()) {
+            countDelivery(sender, recipient.number());
+            recipient.onPeerMessage(sender, payload);
+        }
+    }
+
+    private void countDelivery(int sender, int recipient) {
+        if (deliveredCounts[sender] == null) {
+            deliveredCounts[sender] = new int[deliveredCounts.length];
+        }
+        deliveredCounts[sender][recipient] += scheduler.nowMicros() < lengthMicros ? 1 : 0;
+    }
+
+    /** Datagrams that one balancer received from another within the run's length. */
+    long deliveredCount(int sender, int recipient) {
+        return deliveredCounts[sender] == null ? 0 : deliveredCounts[sender][recipient];
+    }
+}
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstream.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstream.java
@@ -23,7 +23,6 @@
     private boolean alive;
     private boolean draining;
     private int vanishCount;
-    private int incarnation;
     private final InjectedFailures failures;
     private long startedAtMicros;
     private SlowStartBudget slowStartBudget;
@@ -45,6 +44,7 @@
         return spec;
     }
 
+    /** Whether its process runs. */
     boolean alive() {
         return alive;
     }
@@ -54,28 +54,29 @@
         return vanishCount > 0;
     }
 
+    /** Time of the run in µs of its latest start; 0: it runs since the beginning. */
     long startedAtMicros() {
         return startedAtMicros;
     }
 
+    /** The largest part of a slow start's budget that was used; 1: all of it. */
     double peakSlowStartUtilization() {
         return peakSlowStartUtilization;
     }
 
-    /** Incremented at each crash; what was in flight in an earlier incarnation is lost. */
-    int incarnation() {
-        return incarnation;
+    /** Creates the job of an attempt that arrives now. */
+    Job newJob(int requestClass, long workMicros) {
+        return new Job(requestClass, workMicros, jobCount++);
     }
 
-    /** Accepts an attempt and runs {@code onCompletion} when it completes; null: rejected. */
-    Job tryAccept(int requestClass, long workMicros, Runnable onCompletion) {
-        Job job = new Job(requestClass, workMicros, jobCount++);
-        if (draining || !model.tryAccept(scheduler.nowMicros(), job)) {
-            return null;
+    /** Accepts a job and runs {@code onCompletion} when it completes, or returns false. */
+    boolean tryAccept(Job job, Runnable onCompletion) {
+        if (!alive || draining || !model.tryAccept(scheduler.nowMicros(), job)) {
+            return false;
         }
         running.put(job, onCompletion);
         scheduleCompletion();
-        return job;
+        return true;
     }
 
     /** Its present capacity in seconds of work per second. */
@@ -83,6 +84,7 @@
         return model.capacity(scheduler.nowMicros());
     }
 
+    /** Whether it has been started in the run and has not all of its capacity yet. */
     boolean isInSlowStart() {
         return slowStartBudget != null && model.slowStartFraction(scheduler.nowMicros()) < 1;
     }
@@ -104,6 +106,7 @@
         return exceeded;
     }
 
+    /** Removes a job that is no longer waited for; does nothing if it has ended. */
     void cancel(Job job) {
         if (running.remove(job) != null) {
             model.cancel(scheduler.nowMicros(), job);
@@ -111,6 +114,7 @@
         }
     }
 
+    /** Whether it answers requests of that class, by position in the scenario, with an error. */
     boolean failsClass(int requestClass) {
         return failures.affects(requestClass);
     }
@@ -142,9 +146,9 @@
         scheduleCompletion();
     }
 
+    /** Its process ends; all that it has accepted is lost. */
     void crash() {
         alive = false;
-        incarnation++;
         running.clear();
         model.restart(scheduler.nowMicros());
         nextCompletionMicros = Long.MAX_VALUE;
