--- a/balancer/src/test/java/loadbalancer/lease/GoldenLeaseMessageTest.java
+++ b/balancer/src/test/java/loadbalancer/lease/GoldenLeaseMessageTest.java
@@ -1,13 +1,10 @@
 package loadbalancer.lease;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
-import loadbalancer.GoldenFiles;
+import loadbalancer.GoldenMessages;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
@@ -16,8 +13,11 @@
     private static final int GREATEST_PROCESS = (1 << 15) - 1;
     private static final long GREATEST_EPOCH = (1L << 48) - 1;
 
+    private static final GoldenMessages<LeaseMessage> GOLDEN =
+            new GoldenMessages<>("lease", messages(), LeaseMessage::encode, LeaseMessage::decode);
+
     /** The messages by the names of their golden files. */
-    static Map<String, LeaseMessage> messages() {
+    private static Map<String, LeaseMessage> messages() {
         Map<String, LeaseMessage> messages = new LinkedHashMap<>();
         messages.put(
                 "pre-vote-least.hex",
@@ -74,22 +74,18 @@
     }
 
     static List<String> names() {
-        return List.copyOf(messages().keySet());
+        return GOLDEN.names();
     }
 
     @ParameterizedTest
     @MethodSource("names")
     void bytesGiveValues(String name) {
-        assertEquals(
-                Optional.of(messages().get(name)),
-                LeaseMessage.decode(GoldenFiles.bytes("lease/" + name)));
+        GOLDEN.assertDecoded(name);
     }
 
     @ParameterizedTest
     @MethodSource("names")
     void valuesGiveBytes(String name) {
-        assertEquals(
-                GoldenFiles.text("lease/" + name),
-                GoldenFiles.hexLines(messages().get(name).encode()));
+        GOLDEN.assertEncoded(name);
     }
 }
--- a/balancer/src/test/java/loadbalancer/membership/GoldenMembershipMessageTest.java
+++ b/balancer/src/test/java/loadbalancer/membership/GoldenMembershipMessageTest.java
@@ -1,13 +1,10 @@
 package loadbalancer.membership;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
-import loadbalancer.GoldenFiles;
+import loadbalancer.GoldenMessages;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
@@ -19,8 +16,12 @@
     private static final long GREATEST_INCARNATION = (1L << 48) - 1;
     private static final long RECENT_INCARNATION = 1_764_680_000_123L;
 
+    private static final GoldenMessages<MembershipMessage> GOLDEN =
+            new GoldenMessages<>(
+                    "membership", messages(), MembershipMessage::encode, MembershipMessage::decode);
+
     /** The messages by the names of their golden files. */
-    static Map<String, MembershipMessage> messages() {
+    private static Map<String, MembershipMessage> messages() {
         Map<String, MembershipMessage> messages = new LinkedHashMap<>();
         messages.put(
                 "ping-least.hex",
@@ -66,22 +67,18 @@
     }
 
     static List<String> names() {
-        return List.copyOf(messages().keySet());
+        return GOLDEN.names();
     }
 
     @ParameterizedTest
     @MethodSource("names")
     void bytesGiveValues(String name) {
-        assertEquals(
-                Optional.of(messages().get(name)),
-                MembershipMessage.decode(GoldenFiles.bytes("membership/" + name)));
+        GOLDEN.assertDecoded(name);
     }
 
     @ParameterizedTest
     @MethodSource("names")
     void valuesGiveBytes(String name) {
-        assertEquals(
-                GoldenFiles.text("membership/" + name),
-                GoldenFiles.hexLines(messages().get(name).encode()));
+        GOLDEN.assertEncoded(name);
     }
 }
