--- a/testbed/src/main/java/loadbalancer/testbed/invariant/LeaseEpochOrderInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/LeaseEpochOrderInvariant.java
@@ -70,7 +70,7 @@
                 LeaseAction action = sorted.get(i);
                 if (!action.mayFollow(previous)) {
                     requestInvariants.recordViolation(
-                            RULE, timeMicros, null, describe(history.getKey(), previous, action));
+                            RULE, timeMicros, describe(history.getKey(), previous, action));
                 }
                 handovers += action.balancer != previous.balancer ? 1 : 0;
                 longestIdleSeconds =
@@ -83,12 +83,11 @@
         metrics.put("duties_passed_on", (double) handovers);
         metrics.put("duties_longest_rest_s", longestIdleSeconds);
         if (actionCount == 0) {
-            requestInvariants.recordViolation(RULE, timeMicros, null, "nobody acted");
+            requestInvariants.recordViolation(RULE, timeMicros, "nobody acted");
         } else if (longestIdleSeconds > maxIdleSeconds) {
             requestInvariants.recordViolation(
                     RULE,
                     timeMicros,
-                    null,
                     "nobody acted for "
                             + longestIdleSeconds
                             + " s, "
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/MembershipAgreementInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/MembershipAgreementInvariant.java
@@ -130,10 +130,9 @@
                 && !pausedProcesses[member]
                 && timeMicros - lastProcessEventMicros > detectionLimitMicros) {
             violations.add(
-                    new Violation(
+                    Violation.ofRun(
                             RULE,
                             timeMicros,
-                            null,
                             "n" + balancer + " holds n" + member + " " + status + ", which runs"));
         }
     }
@@ -147,10 +146,9 @@
         detectionMicros.recordValue(Math.max(0, delayMicros));
         if (delayMicros > detectionLimitMicros) {
             violations.add(
-                    new Violation(
+                    Violation.ofRun(
                             RULE,
                             timeMicros,
-                            null,
                             "n"
                                     + observer
                                     + " noticed the end of n"
@@ -191,7 +189,6 @@
                     requestInvariants.recordViolation(
                             RULE,
                             termination.timeMicros,
-                            null,
                             "n" + observer + " did not notice the end of n" + termination.balancer);
                 }
             }
@@ -211,7 +208,6 @@
                     requestInvariants.recordViolation(
                             RULE,
                             timeMicros,
-                            null,
                             "at the end n"
                                     + observer
                                     + " holds n"
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/MutualExclusionInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/MutualExclusionInvariant.java
@@ -65,10 +65,9 @@
             acquisitions++;
             if (holders.size() > 1) {
                 violations.add(
-                        new Violation(
+                        Violation.ofRun(
                                 "never two",
                                 timeMicros,
-                                null,
                                 resource
                                         + " "
                                         + key(acquisition)
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/RequestInvariants.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/RequestInvariants.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalLong;
 import java.util.function.Consumer;
 import loadbalancer.testbed.scenario.Scenario;
 
@@ -30,13 +31,10 @@
     // Of the whole run if tracing, else of the attempts that are open
     private final Map<String, ClientAttempt> attemptsById = new HashMap<>();
     private final boolean tracing;
-    // By balancer: time of the notification by number of the upstream
-    private final List<Map<Integer, Long>> drainNotifiedMicros = new ArrayList<>();
-    private final List<Map<Integer, Long>> upNotifiedMicros = new ArrayList<>();
+    private final EndpointNotifications notifications;
     // By balancer: end of its latest outage; Long.MAX_VALUE: it lasts
     private final long[] unavailableUntilMicros;
-    // By balancer, in order of time
-    private final List<List<Outage>> outages = new ArrayList<>();
+    private final BalancerOutages outages;
     private final Consumer<Violation> listener;
     private long violationCount;
     private long accepted;
@@ -57,35 +55,30 @@
         this.scenario = scenario;
         this.listener = listener;
         this.tracing = tracing;
-        unavailableUntilMicros = new long[scenario.fleet().balancers()];
-        for (int i = 0; i < unavailableUntilMicros.length; i++) {
-            drainNotifiedMicros.add(new HashMap<>());
-            upNotifiedMicros.add(new HashMap<>());
-            outages.add(new ArrayList<>());
-        }
+        int balancerCount = scenario.fleet().balancers();
+        unavailableUntilMicros = new long[balancerCount];
+        outages = new BalancerOutages(balancerCount);
+        notifications = new EndpointNotifications(balancerCount);
     }
 
-    /** An interval in which a balancer was killed or paused. */
-    private record Outage(long startMicros, long endMicros) {
-        boolean overlaps(long fromMicros, long toMicros) {
-            return startMicros <= toMicros && endMicros >= fromMicros;
+    /** Records a violation that another invariant found during the run. */
+    void record(Violation violation) {
+        violationCount++;
+        if (violations.size() < MAX_RETAINED_VIOLATIONS) {
+            violations.add(violation);
         }
+        listener.accept(violation);
     }
 
-    /** Records a violation that another invariant found during the run. */
-    void record(Violation violation) {
-        recordViolation(violation.rule(), violation.timeMicros(), null, violation.description());
+    /** Records a violation that concerns no single attempt. */
+    public void recordViolation(String rule, long timeMicros, String description) {
+        record(Violation.ofRun(rule, timeMicros, description));
     }
 
     /** Records a violation; {@code requestId} is null if it concerns no single attempt. */
     public void recordViolation(
             String rule, long timeMicros, String requestId, String description) {
-        violationCount++;
-        Violation violation = new Violation(rule, timeMicros, requestId, description);
-        if (violations.size() < MAX_RETAINED_VIOLATIONS) {
-            violations.add(violation);
-        }
-        listener.accept(violation);
+        record(new Violation(rule, timeMicros, requestId, description));
     }
 
     /** A client has written an attempt to a connection that the balancer's machine accepted. */
@@ -223,8 +216,8 @@
     }
 
     private boolean isExcused(ClientAttempt clientAttempt, long nowMicros) {
-        return outages.get(clientAttempt.balancer()).stream()
-                .anyMatch(outage -> outage.overlaps(clientAttempt.acceptedAtMicros(), nowMicros));
+        return outages.overlap(
+                clientAttempt.balancer(), clientAttempt.acceptedAtMicros(), nowMicros);
     }
 
     /**
@@ -232,35 +225,24 @@
      * violation.
      */
     public void outageStarted(int balancer, long nowMicros) {
-        outages.get(balancer).add(new Outage(nowMicros, Long.MAX_VALUE));
+        outages.start(balancer, nowMicros);
         unavailableUntilMicros[balancer] = Long.MAX_VALUE;
     }
 
     /** The balancer runs again. */
     public void outageEnded(int balancer, long nowMicros) {
         unavailableUntilMicros[balancer] = nowMicros;
-        List<Outage> balancerOutages = outages.get(balancer);
-        if (!balancerOutages.isEmpty()) {
-            int last = balancerOutages.size() - 1;
-            long startMicros = balancerOutages.get(last).startMicros;
-            balancerOutages.set(last, new Outage(startMicros, nowMicros));
-        }
+        outages.end(balancer, nowMicros);
     }
 
     /** Discovery has notified the balancer that the upstream is up, or no longer is. */
     public void endpointNotified(int balancer, int server, boolean up, long nowMicros) {
-        if (up) {
-            drainNotifiedMicros.get(balancer).remove(server);
-            upNotifiedMicros.get(balancer).put(server, nowMicros);
-        } else {
-            drainNotifiedMicros.get(balancer).putIfAbsent(server, nowMicros);
-        }
+        notifications.record(balancer, server, up, nowMicros);
     }
 
     /** Whether discovery notified the balancer of the upstream's start at that time or later. */
     public boolean isStartNotified(int balancer, int server, long startedAtMicros) {
-        return upNotifiedMicros.get(balancer).getOrDefault(server, Long.MIN_VALUE)
-                >= startedAtMicros;
+        return notifications.isStartNotified(balancer, server, startedAtMicros);
     }
 
     /**
@@ -291,11 +273,19 @@
                     requestId,
                     "more than " + MAX_ATTEMPTS + " attempts");
         }
-        Long notifiedMicros = drainNotifiedMicros.get(balancer).get(server);
-        if (notifiedMicros != null
-                && unavailableUntilMicros[balancer] != Long.MAX_VALUE
-                && firstByteMicros - Math.max(notifiedMicros, unavailableUntilMicros[balancer])
-                        > DRAIN_GRACE_MICROS + TIMING_SLACK_MICROS) {
+        checkDrain(requestId, balancer, server, firstByteMicros, nowMicros);
+        return clientAttempt;
+    }
+
+    private void checkDrain(
+            String requestId, int balancer, int server, long firstByteMicros, long nowMicros) {
+        OptionalLong notification = notifications.drainNotifiedMicros(balancer, server);
+        if (notification.isEmpty() || unavailableUntilMicros[balancer] == Long.MAX_VALUE) {
+            return;
+        }
+        long notifiedMicros = notification.getAsLong();
+        long graceBeginsMicros = Math.max(notifiedMicros, unavailableUntilMicros[balancer]);
+        if (firstByteMicros - graceBeginsMicros > DRAIN_GRACE_MICROS + TIMING_SLACK_MICROS) {
             recordViolation(
                     "drain",
                     nowMicros,
@@ -308,48 +298,57 @@
                             + (firstByteMicros - notifiedMicros) / 1000
                             + " ms after it was told that it drains or is gone");
         }
-        return clientAttempt;
     }
 
     /** The upstream begins to work on the attempt: from now on it may have had an effect. */
     public void executionStarted(
             ClientAttempt clientAttempt, int server, int zone, long nowMicros) {
-        Scenario.RequestClass requestClass = classOf(clientAttempt);
-        if (!clientAttempt.executions().isEmpty() && !requestClass.idempotency().equals("safe")) {
-            ClientAttempt.Execution firstExecution = clientAttempt.executions().get(0);
-            boolean allowed =
-                    requestClass.idempotency().equals("keyed")
-                            && nowMicros - firstExecution.startedAtMicros()
-                                    <= requestClass.idempotencyWindowMs() * 1e3
-                                            + TIMING_SLACK_MICROS
-                            && (requestClass.idempotencyScope().equals("all")
-                                    || firstExecution.zone() == zone);
-            if (!allowed) {
-                recordViolation(
-                        "no double effects",
-                        nowMicros,
-                        clientAttempt.id(),
-                        "ran at s"
-                                + firstExecution.server()
-                                + ", then at s"
-                                + server
-                                + " "
-                                + (nowMicros - firstExecution.startedAtMicros()) / 1000
-                                + " ms later, class "
-                                + requestClass.name());
-            }
+        if (!clientAttempt.executions().isEmpty()) {
+            checkRepetition(clientAttempt, server, zone, nowMicros);
         }
         clientAttempt.executions().add(new ClientAttempt.Execution(server, zone, nowMicros));
         trace(() -> clientAttempt.addTraceEvent(nowMicros, "s" + server, "begins"));
     }
 
+    private void checkRepetition(
+            ClientAttempt clientAttempt, int server, int zone, long nowMicros) {
+        ClientAttempt.Execution firstExecution = clientAttempt.executions().get(0);
+        long elapsedMicros = nowMicros - firstExecution.startedAtMicros();
+        Scenario.RequestClass requestClass = classOf(clientAttempt);
+        if (!mayRepeat(requestClass, elapsedMicros, firstExecution.zone() == zone)) {
+            recordViolation(
+                    "no double effects",
+                    nowMicros,
+                    clientAttempt.id(),
+                    "ran at s"
+                            + firstExecution.server()
+                            + ", then at s"
+                            + server
+                            + " "
+                            + elapsedMicros / 1000
+                            + " ms later, class "
+                            + requestClass.name());
+        }
+    }
+
+    private static boolean mayRepeat(
+            Scenario.RequestClass requestClass, long elapsedMicros, boolean sameZone) {
+        double windowMicros = requestClass.idempotencyWindowMs() * 1e3 + TIMING_SLACK_MICROS;
+        return switch (requestClass.idempotency()) {
+            case "safe" -> true;
+            case "keyed" ->
+                    elapsedMicros <= windowMicros
+                            && (requestClass.idempotencyScope().equals("all") || sameZone);
+            default -> false;
+        };
+    }
+
     /** The run is over: checks the rules on all its requests together. */
     public void runEnded(long nowMicros) {
         if (accepted > 0 && closedIncomplete > Math.max(2, MAX_CLOSED_FRACTION * accepted)) {
             recordViolation(
                     "one answer",
                     nowMicros,
-                    null,
                     closedIncomplete
                             + " of "
                             + accepted
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/Violation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/Violation.java
@@ -11,6 +11,11 @@
  * @param description what happened
  */
 public record Violation(String rule, long timeMicros, String requestId, String description) {
+    /** A violation that concerns no single attempt. */
+    static Violation ofRun(String rule, long timeMicros, String description) {
+        return new Violation(rule, timeMicros, null, description);
+    }
+
     @Override
     public String toString() {
         return String.format(
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/ZoneFailoverInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/ZoneFailoverInvariant.java
@@ -70,7 +70,6 @@
             requestInvariants.recordViolation(
                     "zone left",
                     timeMicros,
-                    null,
                     inTime
                             + " of "
                             + failedOverAtMicros.length
@@ -81,7 +80,7 @@
                             + " s");
         }
         if (!unexpectedFailover.isEmpty()) {
-            requestInvariants.recordViolation("zone left", timeMicros, null, unexpectedFailover);
+            requestInvariants.recordViolation("zone left", timeMicros, unexpectedFailover);
         }
     }
 }
--- /dev/null
+++ b/testbed/src/test/java/loadbalancer/testbed/invariant/EndedRun.java
@@ -0,0 +1,41 @@
+package loadbalancer.testbed.invariant;
+
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import loadbalancer.testbed.scenario.ScenarioReader;
+
+/** Ends a run of 20 s whose events an invariant has been notified of. */
+final class EndedRun {
+    static final long SECOND_MICROS = 1_000_000;
+
+    private static final String SCENARIO =
+            """
+            length_s = 20
+            [[class]]
+            name = "x"
+            """;
+
+    private final RequestInvariants requestInvariants =
+            new RequestInvariants(ScenarioReader.parse("s.toml", SCENARIO, false), violation -> {});
+    private final Map<String, Double> metrics = new TreeMap<>();
+
+    private EndedRun(RunInvariant invariant) {
+        invariant.onRunEnd(20 * SECOND_MICROS, requestInvariants, metrics);
+    }
+
+    /** The end of the run as the invariant judges it; may be called again after more events. */
+    static EndedRun of(RunInvariant invariant) {
+        return new EndedRun(invariant);
+    }
+
+    /** Descriptions of the violations that the invariant found. */
+    List<String> violations() {
+        return requestInvariants.violations().stream().map(Violation::description).toList();
+    }
+
+    /** The figures that the invariant measured, by name. */
+    Map<String, Double> metrics() {
+        return metrics;
+    }
+}
