--- a/testbed/src/main/java/loadbalancer/testbed/process/ScenarioRunner.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ScenarioRunner.java
@@ -321,12 +321,11 @@
                 balancer.incarnations().stream()
                         .map(
                                 incarnation ->
-                                        new double[] {
-                                            incarnation.startNanos() / 1e6,
-                                            incarnation.endNanos() < 0
-                                                    ? -1
-                                                    : incarnation.endNanos() / 1e6
-                                        })
+                                        new RunResult.Lifetime(
+                                                incarnation.startNanos() / 1e6,
+                                                incarnation.endNanos() < 0
+                                                        ? -1
+                                                        : incarnation.endNanos() / 1e6))
                         .toList(),
                 balancer.cpuMs() / 1e3,
                 balancer.peakResidentKb() / 1024.0,
--- a/testbed/src/main/java/loadbalancer/testbed/statistics/RunResult.java
+++ b/testbed/src/main/java/loadbalancer/testbed/statistics/RunResult.java
@@ -1,6 +1,8 @@
 package loadbalancer.testbed.statistics;
 
+import com.fasterxml.jackson.annotation.JsonFormat;
 import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonPropertyOrder;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
@@ -12,9 +14,17 @@
 import java.util.SortedMap;
 
 /**
- * All that a run showed, as it stands in {@code result.json}. Times are seconds of the run; {@code
- * trusted} is false where the testbed itself was too busy, and then nothing counts. Figures by name
- * are what builds are compared by.
+ * The result of a run as stored in {@code result.json}. The JSON names and the meaning of -1 are
+ * part of the stored format. Times are seconds of the run. Immutable apart from its collections.
+ *
+ * @param workloadDigest identifies the plan: arrivals, upstreams and faults
+ * @param trusted false if the testbed itself was too busy for the run to count
+ * @param untrustedReason why the run does not count; empty if it does
+ * @param lengthSeconds planned length of the run
+ * @param violationCount number of broken invariants; {@code violations} describes the first of them
+ * @param metrics figures by name, by which builds are compared
+ * @param latencies by "class/zone"
+ * @param slices consecutive windows of {@link ServiceWindows#WINDOW_MICROS}
  */
 public record RunResult(
         @JsonProperty("scenario") String scenario,
@@ -30,19 +40,20 @@
         @JsonProperty("slices") List<TimeSlice> slices,
         @JsonProperty("faults") List<FaultImpact> faults,
         @JsonProperty("balancers") List<BalancerUsage> balancers) {
+    private static final String FILE_NAME = "result.json";
     private static final ObjectMapper MAPPER =
             new ObjectMapper()
                     .enable(SerializationFeature.INDENT_OUTPUT)
                     .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
-    /** Of a class and zone: how many were answered with 200, and their latencies in ms. */
+    /** Latencies in ms of the requests of one class and zone that were answered with 200. */
     public record LatencySummary(
             @JsonProperty("count") long count,
             @JsonProperty("p50") double p50Ms,
             @JsonProperty("p99") double p99Ms,
             @JsonProperty("most") double maxMs) {}
 
-    /** First tries of 100 ms and how they ended. */
+    /** The requests that arrived in one window, by how they ended. */
     public record TimeSlice(
             @JsonProperty("at") double startSeconds,
             @JsonProperty("asked") int requested,
@@ -52,8 +63,12 @@
             @JsonProperty("failed") int failed) {}
 
     /**
-     * A fault; {@code endSeconds} is -1 where it has no end, {@code recoverySeconds} where service
-     * was not back in the run.
+     * A fault and its effect on the service.
+     *
+     * @param endSeconds -1 if the fault does not end
+     * @param recoverySeconds time from its start until the service had recovered; -1 if it had not
+     *     within the run
+     * @param unservedCount requests that were rejected or failed in the 10 s after its start
      */
     public record FaultImpact(
             @JsonProperty("what") String description,
@@ -62,11 +77,18 @@
             @JsonProperty("back") double recoverySeconds,
             @JsonProperty("unserved") int unservedCount) {}
 
-    /** A balancer: its lives as [from, to] with -1 for none, and what it used. */
+    /**
+     * The processes of one balancer and the resources that they used.
+     *
+     * @param memoryMb peak resident memory in MiB
+     * @param descriptors peak number of open file descriptors
+     * @param datagrams number of datagrams sent to other balancers
+     * @param discoveryCalls number of requests to its discovery agent
+     */
     public record BalancerUsage(
             @JsonProperty("number") int number,
             @JsonProperty("zone") String zone,
-            @JsonProperty("lives") List<double[]> lifetimes,
+            @JsonProperty("lives") List<Lifetime> lifetimes,
             @JsonProperty("cpuS") double cpuSeconds,
             @JsonProperty("memoryMb") double memoryMb,
             @JsonProperty("descriptors") int descriptors,
@@ -74,17 +96,35 @@
             @JsonProperty("datagramBytes") long datagramBytes,
             @JsonProperty("listCalls") long discoveryCalls) {}
 
-    /** Writes it into a folder. */
+    /**
+     * From the start of a process to its end, stored as an array of the two.
+     *
+     * @param endSeconds -1 if the process outlived the run
+     */
+    @JsonFormat(shape = JsonFormat.Shape.ARRAY)
+    @JsonPropertyOrder({"from", "to"})
+    public record Lifetime(
+            @JsonProperty("from") double startSeconds, @JsonProperty("to") double endSeconds) {}
+
+    /**
+     * Writes the result into a directory.
+     *
+     * @throws IOException if the file can't be written
+     */
     public void write(Path directory) throws IOException {
-        MAPPER.writeValue(directory.resolve("result.json").toFile(), this);
+        MAPPER.writeValue(directory.resolve(FILE_NAME).toFile(), this);
     }
 
-    /** Reads what {@link #write} wrote. */
+    /**
+     * Reads the result of a run from its directory.
+     *
+     * @throws ResultNotFoundException if the directory holds no result
+     * @throws IOException if the file can't be read or is damaged
+     */
     public static RunResult read(Path directory) throws IOException {
-        Path file = directory.resolve("result.json");
+        Path file = directory.resolve(FILE_NAME);
         if (!Files.exists(file)) {
-            throw new IOException(
-                    directory + " holds no result.json: it is no folder of a run that ended");
+            throw new ResultNotFoundException(directory, FILE_NAME);
         }
         return MAPPER.readValue(file.toFile(), RunResult.class);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/statistics/RunResultBuilder.java
+++ b/testbed/src/main/java/loadbalancer/testbed/statistics/RunResultBuilder.java
@@ -7,20 +7,25 @@
 import loadbalancer.testbed.invariant.RequestInvariants;
 import loadbalancer.testbed.invariant.Violation;
 import loadbalancer.testbed.workload.WorkloadPlan;
+import org.HdrHistogram.Histogram;
 
-/** Makes the result of a run, real or simulated, of what was counted. */
+/** Builds the result of a run, real or simulated, from its counters and invariants. */
 public final class RunResultBuilder {
-    // µs after a fault in which the unserved are counted
+    // Time after the start of a fault in which unserved requests are counted
     private static final long FAULT_IMPACT_MICROS = 10_000_000;
+    // In stored results, of a fault that does not end or a service that does not recover
+    private static final double NEVER_SECONDS = -1;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final double MICROS_PER_MILLISECOND = 1e3;
 
     private RunResultBuilder() {}
 
     /**
-     * The result; a property over time that the scenario expects and that does not hold becomes a
-     * breach.
+     * Builds the result. A recovery that takes longer than the scenario expects is recorded as a
+     * violation.
      *
-     * @param metrics what only the caller could measure
-     * @param untrustedReason why the run counts for nothing, or empty
+     * @param metrics figures that only the caller can measure; those of the service are added
+     * @param untrustedReason why the run does not count; empty if it does
      */
     public static RunResult build(
             WorkloadPlan workload,
@@ -54,7 +59,7 @@
                 balancers);
     }
 
-    /** What each fault did to the service; its figures go into the metrics as well. */
+    /** The effect of each fault on the service; its figures are added to the metrics. */
     private static List<RunResult.FaultImpact> faultImpacts(
             WorkloadPlan workload,
             ServiceWindows serviceWindows,
@@ -66,47 +71,51 @@
             int unservedCount =
                     serviceWindows.unservedCount(
                             fault.startMicros(), fault.startMicros() + FAULT_IMPACT_MICROS);
-            String metricPrefix = fault.kind().keyword() + "_" + (impacts.size() + 1);
             impacts.add(
                     new RunResult.FaultImpact(
-                            fault.kind().keyword()
-                                    + " "
-                                    + fault.spec().target()
-                                    + (fault.spec().counterpart() == null
-                                            ? ""
-                                            : " to " + fault.spec().counterpart()),
-                            fault.startMicros() / 1e6,
-                            fault.endMicros() < 0 ? -1 : fault.endMicros() / 1e6,
-                            recoveryMicros < 0 ? -1 : recoveryMicros / 1e6,
+                            describe(fault),
+                            fault.startMicros() / MICROS_PER_SECOND,
+                            secondsOrNever(fault.endMicros()),
+                            secondsOrNever(recoveryMicros),
                             unservedCount));
-            metrics.put(
-                    metricPrefix + "_back_s",
-                    (recoveryMicros < 0 ? lengthMicros - fault.startMicros() : recoveryMicros)
-                            / 1e6);
+            String metricPrefix = fault.kind().keyword() + "_" + impacts.size();
+            long countedMicros =
+                    recoveryMicros < 0 ? lengthMicros - fault.startMicros() : recoveryMicros;
+            metrics.put(metricPrefix + "_back_s", countedMicros / MICROS_PER_SECOND);
             metrics.put(metricPrefix + "_unserved", (double) unservedCount);
         }
         return impacts;
     }
 
+    private static String describe(WorkloadPlan.Fault fault) {
+        String counterpart = fault.spec().counterpart();
+        return fault.kind().keyword()
+                + " "
+                + fault.spec().target()
+                + (counterpart == null ? "" : " to " + counterpart);
+    }
+
+    private static double secondsOrNever(long micros) {
+        return micros < 0 ? NEVER_SECONDS : micros / MICROS_PER_SECOND;
+    }
+
     private static void recordSlowRecoveries(
             List<RunResult.FaultImpact> impacts,
             double maxRecoverySeconds,
             RequestInvariants requestInvariants) {
-        impacts.stream()
-                .filter(
-                        impact ->
-                                impact.recoverySeconds() < 0
-                                        || impact.recoverySeconds() > maxRecoverySeconds)
-                .forEach(
-                        impact ->
-                                requestInvariants.recordViolation(
-                                        "back in time",
-                                        Math.round(impact.startSeconds() * 1e6),
-                                        null,
-                                        "service was not back within "
-                                                + maxRecoverySeconds
-                                                + " s of "
-                                                + impact.description()));
+        for (RunResult.FaultImpact impact : impacts) {
+            boolean recoveredInTime =
+                    impact.recoverySeconds() >= 0 && impact.recoverySeconds() <= maxRecoverySeconds;
+            if (!recoveredInTime) {
+                requestInvariants.recordViolation(
+                        "back in time",
+                        Math.round(impact.startSeconds() * MICROS_PER_SECOND),
+                        "service was not back within "
+                                + maxRecoverySeconds
+                                + " s of "
+                                + impact.description());
+            }
+        }
     }
 
     private static SortedMap<String, RunResult.LatencySummary> latencies(
@@ -114,25 +123,25 @@
         SortedMap<String, RunResult.LatencySummary> latencies = new TreeMap<>();
         serviceWindows
                 .latencies()
-                .forEach(
-                        (name, histogram) ->
-                                latencies.put(
-                                        name,
-                                        new RunResult.LatencySummary(
-                                                histogram.getTotalCount(),
-                                                histogram.getValueAtPercentile(50) / 1e3,
-                                                histogram.getValueAtPercentile(99) / 1e3,
-                                                histogram.getMaxValue() / 1e3)));
+                .forEach((name, histogram) -> latencies.put(name, summarize(histogram)));
         return latencies;
     }
 
+    private static RunResult.LatencySummary summarize(Histogram latencyMicros) {
+        return new RunResult.LatencySummary(
+                latencyMicros.getTotalCount(),
+                latencyMicros.getValueAtPercentile(50) / MICROS_PER_MILLISECOND,
+                latencyMicros.getValueAtPercentile(99) / MICROS_PER_MILLISECOND,
+                latencyMicros.getMaxValue() / MICROS_PER_MILLISECOND);
+    }
+
     private static List<RunResult.TimeSlice> slices(ServiceWindows serviceWindows) {
         List<RunResult.TimeSlice> slices = new ArrayList<>();
         for (int i = 0; i < serviceWindows.windows().size(); i++) {
             ServiceWindows.Window window = serviceWindows.windows().get(i);
             slices.add(
                     new RunResult.TimeSlice(
-                            i * ServiceWindows.WINDOW_MICROS / 1e6,
+                            i * ServiceWindows.WINDOW_MICROS / MICROS_PER_SECOND,
                             window.requested(),
                             window.served(),
                             window.late(),
--- a/testbed/src/main/java/loadbalancer/testbed/statistics/ServiceWindows.java
+++ b/testbed/src/main/java/loadbalancer/testbed/statistics/ServiceWindows.java
@@ -9,27 +9,31 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How clients were served, by the time of their first try in windows of 100 ms, and their latencies
- * by class and zone. Served means within the aim of the class.
+ * Counts how requests of clients ended, in windows of 100 ms by their time of arrival, and records
+ * their latencies by class and zone. A request counts as served if its response came within the
+ * latency objective of its class, and as late if it came after that. Not thread-safe.
  */
 public final class ServiceWindows {
-    /** µs. */
+    /** Length of a window in µs. */
     public static final long WINDOW_MICROS = 100_000;
 
-    // Windows in a row that say that service is back
+    // The service has recovered if it is good for this many windows in a row
     private static final int RECOVERY_WINDOWS = 10;
-    // Of what it was before
+    // Good: this fraction of what it was before the fault
     private static final double RECOVERY_FRACTION = 0.95;
-    // µs, before and after a fault
+    // Time before a fault that it is compared with, and after it in which a drop is looked for
     private static final long BASELINE_MICROS = 5_000_000;
 
+    // Significant digits of recorded latencies
+    private static final int HISTOGRAM_DIGITS = 3;
+
     private final Scenario scenario;
     private final List<Window> windows = new ArrayList<>();
     private final SortedMap<String, Histogram> latencies = new TreeMap<>();
     private double requestedWeight;
     private double earnedWeight;
 
-    /** Counts of one window. */
+    /** Counts of the requests that arrived in one window. */
     public static final class Window {
         private int requested;
         private int served;
@@ -37,27 +41,33 @@
         private int rejected;
         private int failed;
 
+        /** All requests. */
         public int requested() {
             return requested;
         }
 
+        /** Requests answered with 200 within their latency objective. */
         public int served() {
             return served;
         }
 
+        /** Requests answered with 200 after their latency objective. */
         public int late() {
             return late;
         }
 
+        /** Requests that were rejected at last. */
         public int rejected() {
             return rejected;
         }
 
+        /** Requests that failed at last. */
         public int failed() {
             return failed;
         }
     }
 
+    /** Creates empty windows for the length of a scenario. */
     public ServiceWindows(Scenario scenario) {
         this.scenario = scenario;
         for (long startMicros = 0;
@@ -67,56 +77,56 @@
         }
     }
 
-    /** An order has ended. */
+    /** Records a request that has ended. */
     public void record(ClientRequest clientRequest) {
         Scenario.RequestClass requestClass =
                 scenario.classes().get(clientRequest.arrival().requestClass());
         Window window = windows.get((int) (clientRequest.arrival().atMicros() / WINDOW_MICROS));
-        boolean inTime =
-                clientRequest.outcome() == ClientRequest.Outcome.SERVED
-                        && clientRequest.latencyMicros() <= requestClass.latencyObjectiveMs() * 1e3;
         window.requested++;
         requestedWeight += requestClass.priorityWeight();
         switch (clientRequest.outcome()) {
-            case SERVED -> {
-                if (inTime) {
-                    window.served++;
-                } else {
-                    window.late++;
-                }
-                earnedWeight +=
-                        requestClass.priorityWeight()
-                                * (inTime ? 1 : requestClass.lateValueFraction());
-                latencies
-                        .computeIfAbsent(
-                                requestClass.name()
-                                        + "/"
-                                        + scenario.fleet()
-                                                .zones()
-                                                .get(clientRequest.arrival().zone()),
-                                k -> new Histogram(3))
-                        .recordValue(Math.max(0, clientRequest.latencyMicros()));
-            }
+            case SERVED -> recordServed(clientRequest, requestClass, window);
             case REJECTED -> window.rejected++;
             default -> window.failed++;
         }
     }
 
+    private void recordServed(
+            ClientRequest clientRequest, Scenario.RequestClass requestClass, Window window) {
+        boolean inTime = clientRequest.latencyMicros() <= requestClass.latencyObjectiveMs() * 1e3;
+        if (inTime) {
+            window.served++;
+        } else {
+            window.late++;
+        }
+        earnedWeight +=
+                requestClass.priorityWeight() * (inTime ? 1 : requestClass.lateValueFraction());
+        String zone = scenario.fleet().zones().get(clientRequest.arrival().zone());
+        latencies
+                .computeIfAbsent(
+                        requestClass.name() + "/" + zone, key -> new Histogram(HISTOGRAM_DIGITS))
+                .recordValue(Math.max(0, clientRequest.latencyMicros()));
+    }
+
+    /** The windows of the run, oldest first. */
     public List<Window> windows() {
         return windows;
     }
 
-    /** Latencies in µs of what was answered with 200, by "class/zone". */
+    /** Latencies in µs of requests that were answered with 200, by "class/zone". */
     public SortedMap<String, Histogram> latencies() {
         return latencies;
     }
 
-    /** Worth earned, of the worth asked for. */
+    /**
+     * The fraction of the priority weight of all requests that was earned: all of a request's
+     * weight if it was served, a part if it was late; 0 without requests.
+     */
     public double weightedService() {
         return requestedWeight == 0 ? 0 : earnedWeight / requestedWeight;
     }
 
-    /** The served part of first tries between two times, in µs; NaN where there were none. */
+    /** The fraction of requests between two times in µs that was served; NaN without requests. */
     public double servedFraction(long fromMicros, long toMicros) {
         int total = 0;
         int served = 0;
@@ -127,7 +137,7 @@
         return total == 0 ? Double.NaN : (double) served / total;
     }
 
-    /** First tries between two times that were not served at all: refused or failed. */
+    /** The number of requests between two times in µs that were rejected or failed. */
     public int unservedCount(long fromMicros, long toMicros) {
         int sum = 0;
         for (int i = windowIndex(fromMicros); i < windowIndex(toMicros); i++) {
@@ -141,9 +151,9 @@
     }
 
     /**
-     * µs from {@code faultMicros} until the served part is 95% of that in the five seconds before,
-     * for one second; 0 where it never fell below that in five seconds after, -1 where it is not
-     * back within the run.
+     * Time in µs from a fault until the service recovers: until the fraction of requests that is
+     * served is, for one second, at least 95% of that in the five seconds before the fault. 0 if it
+     * does not drop in the five seconds after the fault, -1 if it does not recover within the run.
      */
     public long recoveryMicrosAfter(long faultMicros) {
         double baseline = servedFraction(faultMicros - BASELINE_MICROS, faultMicros);
@@ -154,7 +164,7 @@
                 i++) {
             double servedFraction =
                     servedFraction(i * WINDOW_MICROS, (i + RECOVERY_WINDOWS) * WINDOW_MICROS);
-            // Where nobody came nothing is missing
+            // Not ">=": without requests the fraction is NaN, and nothing is missing
             boolean recovered = !(servedFraction < RECOVERY_FRACTION * baseline);
             if (degraded && recovered) {
                 return Math.max(0, i * WINDOW_MICROS - faultMicros);
--- a/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
@@ -83,7 +83,7 @@
         assertTrue(
                 result.balancers().stream()
                         .flatMap(balancer -> balancer.lifetimes().stream())
-                        .allMatch(interval -> interval[1] > interval[0]));
+                        .allMatch(lifetime -> lifetime.endSeconds() > lifetime.startSeconds()));
         // On any machine
         assertTrue(result.metrics().get("served_share") > 0.2, result.metrics().toString());
         assertTrue(
--- a/testbed/src/test/java/loadbalancer/testbed/statistics/RunResultKeysTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/statistics/RunResultKeysTest.java
@@ -1,41 +1,61 @@
 package loadbalancer.testbed.statistics;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** Stored results are read by later versions, which pass over unknown keys: the keys stay. */
 class RunResultKeysTest {
-    @Test
-    void storedKeysStayTheSame(@TempDir Path directory) throws Exception {
-        RunResult result =
-                new RunResult(
-                        "scenario",
-                        1,
-                        "digest",
-                        true,
-                        "",
-                        2.5,
-                        3,
-                        List.of("a breach"),
-                        new TreeMap<>(Map.of("figure", 4.0)),
-                        Map.of("class", new RunResult.LatencySummary(5, 6, 7, 8)),
-                        List.of(new RunResult.TimeSlice(9, 10, 11, 12, 13, 14)),
-                        List.of(new RunResult.FaultImpact("a fault", 15, 16, 17, 18)),
-                        List.of(
-                                new RunResult.BalancerUsage(
-                                        19, "z", List.of(), 20, 21, 22, 23, 24, 25)));
-        result.write(directory);
+    private static final RunResult RESULT =
+            new RunResult(
+                    "scenario",
+                    1,
+                    "digest",
+                    true,
+                    "",
+                    2.5,
+                    3,
+                    List.of("a breach"),
+                    new TreeMap<>(Map.of("figure", 4.0)),
+                    Map.of("class", new RunResult.LatencySummary(5, 6, 7, 8)),
+                    List.of(new RunResult.TimeSlice(9, 10, 11, 12, 13, 14)),
+                    List.of(new RunResult.FaultImpact("a fault", 15, 16, 17, 18)),
+                    List.of(
+                            new RunResult.BalancerUsage(
+                                    19,
+                                    "z",
+                                    List.of(
+                                            new RunResult.Lifetime(0.25, 1.5),
+                                            new RunResult.Lifetime(2, -1)),
+                                    20,
+                                    21,
+                                    22,
+                                    23,
+                                    24,
+                                    25)));
+
+    @TempDir private Path directory;
+
+    @BeforeEach
+    void writeResult() throws IOException {
+        RESULT.write(directory);
+    }
 
-        JsonNode json = new ObjectMapper().readTree(directory.resolve("result.json").toFile());
+    @Test
+    void keysOfTheRunStayTheSame() throws IOException {
         assertEquals(
                 List.of(
                         "scenario",
@@ -51,7 +71,12 @@
                         "slices",
                         "faults",
                         "balancers"),
-                keys(json));
+                keys(storedJson()));
+    }
+
+    @Test
+    void keysOfItsPartsStayTheSame() throws IOException {
+        JsonNode json = storedJson();
         assertEquals(List.of("count", "p50", "p99", "most"), keys(json.at("/latencies/class")));
         assertEquals(
                 List.of("at", "asked", "served", "late", "refused", "failed"),
@@ -70,15 +95,38 @@
                         "datagramBytes",
                         "listCalls"),
                 keys(json.at("/balancers/0")));
-        // The values, too, come back as they were written.
+    }
+
+    @Test
+    void lifetimesAreStoredAsArraysOfTwoNumbers() throws IOException {
+        String text = Files.readString(directory.resolve("result.json"));
+        assertTrue(text.contains("    \"lives\" : [ [ 0.25, 1.5 ], [ 2.0, -1.0 ] ],\n"), text);
+    }
+
+    @Test
+    void valuesAreReadAsTheyWereWritten() throws IOException {
         RunResult read = RunResult.read(directory);
-        assertEquals(result.slices(), read.slices());
-        assertEquals(result.faults(), read.faults());
-        assertEquals(result.latencies(), read.latencies());
+        assertEquals(RESULT.slices(), read.slices());
+        assertEquals(RESULT.faults(), read.faults());
+        assertEquals(RESULT.latencies(), read.latencies());
+        assertEquals(RESULT.balancers(), read.balancers());
         assertEquals(2.5, read.lengthSeconds());
         assertEquals(3, read.violationCount());
     }
 
+    @Test
+    void directoryWithoutResultIsNamed(@TempDir Path emptyDirectory) {
+        ResultNotFoundException exception =
+                assertThrows(ResultNotFoundException.class, () -> RunResult.read(emptyDirectory));
+        assertTrue(
+                exception.getMessage().startsWith(emptyDirectory + " holds no result.json"),
+                exception.getMessage());
+    }
+
+    private JsonNode storedJson() throws IOException {
+        return new ObjectMapper().readTree(directory.resolve("result.json").toFile());
+    }
+
     private static List<String> keys(JsonNode object) {
         List<String> keys = new ArrayList<>();
         object.fieldNames().forEachRemaining(keys::add);
--- a/testbed/src/test/java/loadbalancer/testbed/statistics/ServiceWindowsTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/statistics/ServiceWindowsTest.java
@@ -1,22 +1,14 @@
 package loadbalancer.testbed.statistics;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.List;
-import java.util.TreeMap;
-import java.util.stream.IntStream;
 import loadbalancer.testbed.invariant.ClientRequest;
-import loadbalancer.testbed.report.HtmlReport;
 import loadbalancer.testbed.scenario.ScenarioReader;
 import loadbalancer.testbed.workload.WorkloadPlan;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 
+/** Counts by window, their sums between two times, and the time until service recovers. */
 class ServiceWindowsTest {
     private final ServiceWindows serviceWindows =
             new ServiceWindows(
@@ -83,59 +75,4 @@
         recordRequests(8_000_000, 20_000_000, ClientRequest.Outcome.REJECTED);
         assertEquals(-1, serviceWindows.recoveryMicrosAfter(8_000_000));
     }
-
-    @Test
-    void differencesWithinNoiseAreIgnored() {
-        List<Double> noise =
-                IntStream.range(0, 20).mapToObj(i -> i % 2 == 0 ? 0.1 : -0.09).toList();
-        assertFalse(BootstrapInterval.of(noise, 1).isSignificant());
-        assertTrue(
-                BootstrapInterval.of(noise.stream().map(difference -> difference + 0.2).toList(), 9)
-                        .isSignificant());
-        assertEquals(BootstrapInterval.of(noise, 1), BootstrapInterval.of(noise, 1));
-    }
-
-    @Test
-    void multipleComparisonsWidenTheInterval() {
-        List<Double> differences = List.of(0.3, 0.2, -0.1, 0.4, 0.25, -0.05, 0.1, 0.3);
-        assertTrue(BootstrapInterval.of(differences, 1).isSignificant());
-        assertFalse(BootstrapInterval.of(differences, 200).isSignificant());
-    }
-
-    @Test
-    void reportIsOneSelfContainedPage(@TempDir Path directory) throws IOException {
-        RunResult result =
-                new RunResult(
-                        "a <scenario>",
-                        1,
-                        "p",
-                        false,
-                        "too busy",
-                        2,
-                        1,
-                        List.of("one answer broken"),
-                        new TreeMap<>(java.util.Map.of("service", 0.5)),
-                        java.util.Map.of(),
-                        List.of(new RunResult.TimeSlice(0, 2, 1, 0, 0, 1)),
-                        List.of(new RunResult.FaultImpact("kill balancers", 0.5, -1, -1, 7)),
-                        List.of(
-                                new RunResult.BalancerUsage(
-                                        0,
-                                        "a",
-                                        List.of(new double[] {-1, 1}),
-                                        1,
-                                        80,
-                                        100,
-                                        5,
-                                        50,
-                                        1)));
-        result.write(directory);
-        String page = Files.readString(new HtmlReport(RunResult.read(directory)).write(directory));
-        assertTrue(
-                page.contains("a &lt;scenario&gt;")
-                        && page.contains("counts for nothing: too busy"));
-        assertTrue(page.contains("one answer broken") && page.contains("not back"));
-        assertTrue(page.contains("data:image/png;base64,iVBOR"), "the plot is in the page");
-        assertFalse(page.contains("http"), "nothing comes from a network");
-    }
 }
