--- a/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import java.util.Set;
 import loadbalancer.testbed.endpointmodel.EndpointModel;
-import loadbalancer.testbed.endpointmodel.InjectedFailures;
+import loadbalancer.testbed.endpointmodel.FaultableService;
 import loadbalancer.testbed.endpointmodel.Job;
 import loadbalancer.testbed.endpointmodel.SlowStartBudget;
 import loadbalancer.testbed.fault.FaultableUpstream;
@@ -48,9 +48,8 @@
     private ScheduledFuture<?> completionTimer;
     private long nextCompletionMicros = Long.MAX_VALUE;
     private boolean alive;
-    private boolean draining;
     private int vanishCount;
-    private final InjectedFailures failures;
+    private final FaultableService service;
     private long startedAtMicros;
     private SlowStartBudget slowStartBudget;
     private double peakSlowStartUtilization;
@@ -63,7 +62,7 @@
         this.spec = spec;
         this.paths = paths;
         this.model = EndpointModel.of(emulation.scenario().upstreams(), spec.speed());
-        this.failures = new InjectedFailures(emulation.scenario().classes());
+        this.service = new FaultableService(model, emulation.scenario(), this::scheduleCompletion);
         this.alive = spec.replaces() < 0;
     }
 
@@ -162,7 +161,7 @@
             long firstByteMicros = pathHandler.takeFirstByteMicros();
             String requestId = request.headers().get("Req-Id");
             if (request.uri().equals("/-/healthy")) {
-                respond(draining ? 503 : 200, false, "");
+                respond(service.isDraining() ? 503 : 200, false, "");
             } else if (requestId == null) {
                 respond(404, false, "");
             } else if (job != null) {
@@ -202,7 +201,7 @@
             checkSlowStartBudget(workMicros, nowMicros);
             Job newJob =
                     new Job(knownCall.request().arrival().requestClass(), workMicros, jobCount++);
-            if (draining
+            if (service.isDraining()
                     || connections.size() > emulation.scenario().upstreams().maxConnections()
                     || !alive
                     || !model.tryAccept(nowMicros, newJob)) {
@@ -251,7 +250,7 @@
         }
 
         void completeJob(long nowMicros) {
-            boolean fails = failures.affects(job.requestClass());
+            boolean fails = service.failsClass(job.requestClass());
             call.addTraceEvent(nowMicros, "s" + spec.number(), fails ? "fails it" : "answers");
             ClientAttempt completedCall = call;
             job = null;
@@ -327,7 +326,7 @@
     public void start() {
         long nowMicros = emulation.nowMicros();
         alive = true;
-        draining = false;
+        service.onProcessStarted();
         startedAtMicros = nowMicros;
         slowStartBudget = SlowStartBudget.of(emulation.scenario());
         model.restart(nowMicros);
@@ -335,8 +334,8 @@
     }
 
     @Override
-    public void startDraining() {
-        draining = true;
+    public FaultableService service() {
+        return service;
     }
 
     @Override
@@ -348,22 +347,6 @@
         updateListeners();
     }
 
-    @Override
-    public void setSlowdownFactor(double factor) {
-        model.slowdownFactor(factor);
-    }
-
-    @Override
-    public void setHanging(boolean hanging) {
-        model.hanging(hanging);
-        scheduleCompletion();
-    }
-
-    @Override
-    public void setFailing(String requestClass, boolean active) {
-        failures.setFailing(requestClass, active);
-    }
-
     /** The largest part of its cold budget that was ever used. */
     public double peakSlowStartUtilization() {
         return peakSlowStartUtilization;
--- a/testbed/src/main/java/loadbalancer/testbed/fault/FaultInjector.java
+++ b/testbed/src/main/java/loadbalancer/testbed/fault/FaultInjector.java
@@ -49,12 +49,13 @@
             case VANISH -> forEachUpstream(fault, upstream -> upstream.setVanished(active));
             case SLOW -> {
                 double factor = active ? spec.amount() : 1;
-                forEachUpstream(fault, upstream -> upstream.setSlowdownFactor(factor));
+                forEachUpstream(fault, upstream -> upstream.service().setSlowdownFactor(factor));
             }
-            case HANG -> forEachUpstream(fault, upstream -> upstream.setHanging(active));
+            case HANG -> forEachUpstream(fault, upstream -> upstream.service().setHanging(active));
             case FAIL ->
                     forEachUpstream(
-                            fault, upstream -> upstream.setFailing(spec.requestClass(), active));
+                            fault,
+                            upstream -> upstream.service().setFailing(spec.requestClass(), active));
             case REPLACE -> forEachUpstream(fault, upstream -> replace(upstream, active));
             case LATE -> {
                 long deltaMicros = Math.round((active ? 1e3 : -1e3) * spec.delayMs());
@@ -87,7 +88,7 @@
 
     private void replace(U upstream, boolean draining) {
         if (draining) {
-            upstream.startDraining();
+            upstream.service().startDraining();
             environment.publish(upstream, EndpointStatus.DRAINING);
             return;
         }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstream.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstream.java
@@ -2,7 +2,7 @@
 
 import java.util.IdentityHashMap;
 import loadbalancer.testbed.endpointmodel.EndpointModel;
-import loadbalancer.testbed.endpointmodel.InjectedFailures;
+import loadbalancer.testbed.endpointmodel.FaultableService;
 import loadbalancer.testbed.endpointmodel.Job;
 import loadbalancer.testbed.endpointmodel.SlowStartBudget;
 import loadbalancer.testbed.fault.FaultableUpstream;
@@ -21,10 +21,10 @@
     private final IdentityHashMap<Job, Runnable> running = new IdentityHashMap<>();
     private long nextCompletionMicros = Long.MAX_VALUE;
     private boolean alive;
-    private boolean draining;
     private int vanishCount;
-    private final InjectedFailures failures;
+    private final FaultableService service;
     private long startedAtMicros;
+    // Null unless it is in slow start after a start in the run
     private SlowStartBudget slowStartBudget;
     private double peakSlowStartUtilization;
     private long jobCount;
@@ -35,7 +35,7 @@
         this.spec = spec;
         this.scenario = scenario;
         this.model = EndpointModel.of(scenario.upstreams(), spec.speed());
-        this.failures = new InjectedFailures(scenario.classes());
+        this.service = new FaultableService(model, scenario, this::scheduleCompletion);
         this.alive = spec.replaces() < 0;
     }
 
@@ -71,7 +71,7 @@
 
     /** Accepts a job and runs {@code onCompletion} when it completes, or returns false. */
     boolean tryAccept(Job job, Runnable onCompletion) {
-        if (!alive || draining || !model.tryAccept(scheduler.nowMicros(), job)) {
+        if (!alive || service.isDraining() || !model.tryAccept(scheduler.nowMicros(), job)) {
             return false;
         }
         running.put(job, onCompletion);
@@ -116,7 +116,7 @@
 
     /** Whether it answers requests of that class, by position in the scenario, with an error. */
     boolean failsClass(int requestClass) {
-        return failures.affects(requestClass);
+        return service.failsClass(requestClass);
     }
 
     private void scheduleCompletion() {
@@ -157,35 +157,19 @@
     @Override
     public void start() {
         alive = true;
-        draining = false;
+        service.onProcessStarted();
         startedAtMicros = scheduler.nowMicros();
         slowStartBudget = SlowStartBudget.of(scenario);
         model.restart(startedAtMicros);
     }
 
     @Override
-    public void startDraining() {
-        draining = true;
+    public FaultableService service() {
+        return service;
     }
 
     @Override
     public void setVanished(boolean newVanished) {
         vanishCount += newVanished ? 1 : -1;
     }
-
-    @Override
-    public void setSlowdownFactor(double factor) {
-        model.slowdownFactor(factor);
-    }
-
-    @Override
-    public void setHanging(boolean hanging) {
-        model.hanging(hanging);
-        scheduleCompletion();
-    }
-
-    @Override
-    public void setFailing(String requestClass, boolean active) {
-        failures.setFailing(requestClass, active);
-    }
 }
