--- a/testbed/src/main/java/loadbalancer/testbed/simulation/BaselinePolicy.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/BaselinePolicy.java
@@ -33,10 +33,15 @@
 
     /** The selection algorithm. */
     public enum Algorithm {
+        /** An upstream at random. */
         RANDOM,
+        /** The upstreams in turn. */
         ROUND_ROBIN,
+        /** The shorter queue of two upstreams chosen at random. */
         TWO_CHOICES,
+        /** The shortest of all queues. */
         LEAST_QUEUE,
+        /** The shortest of sampled queues, as the paper's JSQ-DAS has it. */
         JSQ_DAS
     }
 
@@ -71,8 +76,8 @@
     /**
      * Creates a policy without upstreams.
      *
-     * @param accomplishedFraction p of the paper: the part of the upstreams that counts as
-     *     accomplished
+     * @param accomplishedFraction fraction of the upstreams that counts as accomplished, p of the
+     *     paper
      */
     public BaselinePolicy(
             Algorithm algorithm, double accomplishedFraction, RoutingSettings settings, long seed) {
@@ -104,32 +109,32 @@
     @Override
     public void onRequest(
             long now,
-            String request,
-            int requestClass,
-            int tenant,
+            String requestId,
+            int classIndex,
+            int tenantIndex,
             String key,
-            long timeLeft,
-            long work,
+            long remainingMicros,
+            long workHint,
             boolean resubmission,
             RoutingActions actions) {
         PendingRequest pendingRequest =
-                new PendingRequest(settings.requestClasses().get(requestClass).idempotency());
-        pendingRequests.put(request, pendingRequest);
-        sendAttempt(request, pendingRequest, actions);
+                new PendingRequest(settings.requestClasses().get(classIndex).idempotency());
+        pendingRequests.put(requestId, pendingRequest);
+        sendAttempt(requestId, pendingRequest, actions);
     }
 
     private void sendAttempt(
-            String request, PendingRequest pendingRequest, RoutingActions actions) {
+            String requestId, PendingRequest pendingRequest, RoutingActions actions) {
         if (available.isEmpty() || pendingRequest.attempts.size() == MAX_ATTEMPTS) {
-            pendingRequests.remove(request);
-            actions.fail(request);
+            pendingRequests.remove(requestId);
+            actions.fail(requestId);
             return;
         }
         Candidate candidate = select();
         candidate.inFlight++;
         candidate.dispatchCount++;
         pendingRequest.attempts.add(candidate);
-        actions.send(request, candidate.id, 0);
+        actions.send(requestId, candidate.id, 0);
     }
 
     private Candidate select() {
@@ -147,16 +152,11 @@
     private Candidate selectAccomplished() {
         List<Candidate> ranked = new ArrayList<>(available);
         ranked.sort(Comparator.comparingLong(candidate -> -candidate.dispatchCount));
-        int accomplishedCount =
-                (int)
-                        Math.max(
-                                1,
-                                Math.min(
-                                        ranked.size() - 1,
-                                        Math.round(accomplishedFraction * ranked.size())));
         if (ranked.size() == 1) {
             return ranked.get(0);
         }
+        long fractionCount = Math.round(accomplishedFraction * ranked.size());
+        int accomplishedCount = (int) Math.max(1, Math.min(ranked.size() - 1, fractionCount));
         List<Candidate> sampled =
                 sample(ranked.subList(0, accomplishedCount), ACCOMPLISHED_SAMPLE_SIZE);
         sampled.addAll(
@@ -187,40 +187,41 @@
     @Override
     public void onAttemptEnded(
             long now,
-            String request,
-            int attempt,
+            String requestId,
+            int attemptNumber,
             AttemptOutcome outcome,
-            long latency,
+            long latencyMicros,
             boolean closed,
             LoadReport load,
             RoutingActions actions) {
-        PendingRequest pendingRequest = pendingRequests.get(request);
+        PendingRequest pendingRequest = pendingRequests.get(requestId);
         if (pendingRequest == null) {
             return;
         }
-        pendingRequest.attempts.get(attempt).inFlight--;
+        pendingRequest.attempts.get(attemptNumber).inFlight--;
         if (closed) {
-            pendingRequests.remove(request);
+            pendingRequests.remove(requestId);
         } else if (outcome.neverRan()
                 || (pendingRequest.idempotency == Idempotency.IDEMPOTENT
                         && outcome != AttemptOutcome.TIMEOUT)) {
-            sendAttempt(request, pendingRequest, actions);
+            sendAttempt(requestId, pendingRequest, actions);
         } else {
-            pendingRequests.remove(request);
-            actions.fail(request);
+            pendingRequests.remove(requestId);
+            actions.fail(requestId);
         }
     }
 
     @Override
-    public void onStreamStarted(long now, String request, int attempt, RoutingActions actions) {
+    public void onStreamStarted(
+            long now, String requestId, int attemptNumber, RoutingActions actions) {
         // Scenarios have no streaming classes.
     }
 
     @Override
-    public void onClientDisconnected(long now, String request, RoutingActions actions) {
-        PendingRequest pendingRequest = pendingRequests.remove(request);
+    public void onClientDisconnected(long now, String requestId, RoutingActions actions) {
+        PendingRequest pendingRequest = pendingRequests.remove(requestId);
         if (pendingRequest != null) {
-            actions.cancel(request, pendingRequest.attempts.size() - 1);
+            actions.cancel(requestId, pendingRequest.attempts.size() - 1);
             pendingRequest.attempts.get(pendingRequest.attempts.size() - 1).inFlight--;
         }
     }
@@ -228,9 +229,9 @@
     @Override
     public void onHealthCheckResult(
             long now,
-            String server,
+            String endpointId,
             AttemptOutcome outcome,
-            long latency,
+            long latencyMicros,
             LoadReport load,
             RoutingActions actions) {
         // It requests no health checks.
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/FleetSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/FleetSimulation.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import loadbalancer.routing.api.Endpoint;
@@ -60,11 +61,11 @@
         /**
          * An attempt arrives.
          *
-         * @param server number of the upstream
-         * @param now time of the run in µs
+         * @param upstream its number
+         * @param nowMicros time of the run
          * @param capacity its present capacity in seconds of work per second
          */
-        void onAttempt(int server, long now, double capacity);
+        void onAttempt(int upstream, long nowMicros, double capacity);
     }
 
     /** Creates a simulation; {@code logListener} gets the log lines of the policies. */
@@ -155,42 +156,39 @@
                 arrivals.size(),
                 i -> arrivals.get(i).atMicros(),
                 i -> clients.attempt(new ClientRequest(arrivals.get(i))));
-        long maxDeadlineMicros =
-                scenario.classes().stream()
-                        .mapToLong(requestClass -> Math.round(requestClass.deadlineMs() * 1e3))
-                        .max()
-                        .orElse(0);
-        scheduler.runUntil(scenario.lengthMicros() + maxDeadlineMicros + DRAIN_MICROS);
+        scheduler.runUntil(scenario.lengthMicros() + maxDeadlineMicros() + DRAIN_MICROS);
         invariants.runEnded(scheduler.nowMicros());
         return buildResult();
     }
 
+    private long maxDeadlineMicros() {
+        return scenario.classes().stream()
+                .mapToLong(requestClass -> Math.round(requestClass.deadlineMs() * 1e3))
+                .max()
+                .orElse(0);
+    }
+
     private void startBalancer(int balancer) {
-        long seed =
-                RandomStreams.seedFor(
-                        plan.seed(), "balancer " + balancer + " start " + startCounts[balancer]++);
+        String purpose = "balancer " + balancer + " start " + startCounts[balancer]++;
+        long seed = RandomStreams.seedFor(plan.seed(), purpose);
         List<Endpoint> cachedEndpoints = discoveryAgents.get(balancer).endpoints();
-        balancers
-                .get(balancer)
-                .start(
-                        policyFactory.create(
-                                PlatformSettings.bootSettings(scenario, balancer).settings(), seed),
-                        cachedEndpoints);
+        RoutingSettings settings = PlatformSettings.bootSettings(scenario, balancer).settings();
+        balancers.get(balancer).start(policyFactory.create(settings, seed), cachedEndpoints);
     }
 
     private void setProcessDown(int balancer, boolean down) {
         if (down) {
             invariants.outageStarted(balancer, scheduler.nowMicros());
             balancers.get(balancer).kill();
-            return;
+        } else {
+            scheduler.scheduleAfter(STARTUP_MICROS, () -> restartBalancer(balancer));
         }
-        scheduler.scheduleAfter(
-                STARTUP_MICROS,
-                () -> {
-                    startBalancer(balancer);
-                    invariants.outageEnded(balancer, scheduler.nowMicros());
-                    clients.onReady(balancer);
-                });
+    }
+
+    private void restartBalancer(int balancer) {
+        startBalancer(balancer);
+        invariants.outageEnded(balancer, scheduler.nowMicros());
+        clients.onReady(balancer);
     }
 
     private void setPaused(int balancer, boolean paused) {
@@ -253,32 +251,33 @@
     }
 
     private RunResult buildResult() {
-        TreeMap<String, Double> metrics = new TreeMap<>();
-        metrics.put(
-                "cold_worst",
+        SortedMap<String, Double> metrics = new TreeMap<>();
+        double peakUtilization =
                 upstreams.all().stream()
                         .mapToDouble(SimulatedUpstream::peakSlowStartUtilization)
                         .max()
-                        .orElse(0));
-        metrics.put(
-                "connects",
-                (double) balancers.stream().mapToLong(SimulatedBalancer::connectionsOpened).sum());
-        List<RunResult.BalancerUsage> processes = new ArrayList<>();
-        for (int number = 0; number < balancers.size(); number++) {
-            SimulatedBalancer balancer = balancers.get(number);
-            processes.add(
-                    new RunResult.BalancerUsage(
-                            number,
-                            scenario.fleet().zones().get(scenario.zoneOfBalancer(number)),
-                            List.of(),
-                            0,
-                            0,
-                            0,
-                            balancer.datagramsSent(),
-                            balancer.bytesSent(),
-                            0));
-        }
-        return RunResultBuilder.build(plan, windows, invariants, metrics, processes, "");
+                        .orElse(0);
+        long connectionsOpened =
+                balancers.stream().mapToLong(SimulatedBalancer::connectionsOpened).sum();
+        metrics.put("cold_worst", peakUtilization);
+        metrics.put("connects", (double) connectionsOpened);
+        List<RunResult.BalancerUsage> usages = balancers.stream().map(this::usageOf).toList();
+        return RunResultBuilder.build(plan, windows, invariants, metrics, usages, "");
+    }
+
+    // A simulated balancer has no process whose resources could be measured.
+    private RunResult.BalancerUsage usageOf(SimulatedBalancer balancer) {
+        int zone = scenario.zoneOfBalancer(balancer.number());
+        return new RunResult.BalancerUsage(
+                balancer.number(),
+                scenario.fleet().zones().get(zone),
+                List.of(),
+                0,
+                0,
+                0,
+                balancer.datagramsSent(),
+                balancer.bytesSent(),
+                0);
     }
 
     /** The number of events so far, in proportion to which a run costs. */
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/LeaseSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/LeaseSimulation.java
@@ -13,27 +13,33 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Duties of many members in simulated time, on their own membership, by the machines that balancers
- * run: how soon a duty is passed on, whether two ever hold one, and what it costs.
+ * Many members in virtual time that run the production {@link LeaseManager} on the views of a
+ * {@link MembershipSimulation}: how soon a lease is transferred, whether two members ever hold the
+ * same one, and what the protocol costs. Single-threaded; deterministic by the seed.
  */
 public final class LeaseSimulation implements MembershipSimulation.ViewListener {
-    // µs that a disk takes
     private static final long DISK_SYNC_MICROS = 5_000;
-    // ms of the wall clock at time 0
-    private static final long WALL_CLOCK_EPOCH_MS = 1_700_000_000_000L;
+    private static final int HISTOGRAM_DIGITS = 3;
+    // Separates the seeds of lease managers of neighbouring simulation seeds
+    private static final long SEED_STRIDE = 1_000_003;
+    private static final int NO_HOLDER = -1;
+    // The slot is held, or its holder did not end
+    private static final long NOT_FREED = -1;
+    private static final long NO_TIMER = Long.MAX_VALUE;
 
     private final MembershipSimulation membership;
     private final VirtualTimeScheduler scheduler;
     private final LeaseTiming timing;
+    private final boolean durable;
+    private final long seed;
     private final LeaseManager[] leaseManagers;
     private final List<List<VoterPromise>> persistedPromises = new ArrayList<>();
-    private final boolean durable;
-    // By slot: since its holder's end; -1: held, or never was
+    // By member: when its timer is due
+    private final long[] timerDueMicros;
+    // By slot: when its holder ended
     private final long[] freeSinceMicros;
     private final int[] holders;
-    private final long[] wakeAtMicros;
-    private final long seed;
-    private final Histogram transferTimes = new Histogram(3);
+    private final Histogram transferTimes = new Histogram(HISTOGRAM_DIGITS);
     private final List<String> doubleHolders = new ArrayList<>();
     private long startCount;
     private long bytesSent;
@@ -41,26 +47,34 @@
     private long acquisitions;
 
     /**
-     * {@code lossProbability}: the part of the datagrams that never comes; {@code durable}:
-     * promises outlive a process.
+     * Creates a cluster whose members all start at time 0.
+     *
+     * @param lossProbability of each datagram
+     * @param durable whether voters' promises outlive a process
      */
     public LeaseSimulation(
-            int count, double lossProbability, boolean durable, LeaseTiming timing, long seed) {
+            int memberCount,
+            double lossProbability,
+            boolean durable,
+            LeaseTiming timing,
+            long seed) {
         this.timing = timing;
         this.durable = durable;
         this.seed = seed;
-        membership = new MembershipSimulation(count, lossProbability, seed);
+        membership = new MembershipSimulation(memberCount, lossProbability, seed);
         scheduler = membership.scheduler();
-        leaseManagers = new LeaseManager[count];
+        leaseManagers = new LeaseManager[memberCount];
+        timerDueMicros = new long[memberCount];
         freeSinceMicros = new long[timing.slotCount()];
         holders = new int[timing.slotCount()];
-        wakeAtMicros = new long[count];
-        Arrays.fill(freeSinceMicros, -1);
-        Arrays.fill(holders, -1);
-        IntStream.range(0, count).forEach(member -> persistedPromises.add(List.of()));
+        Arrays.fill(freeSinceMicros, NOT_FREED);
+        Arrays.fill(holders, NO_HOLDER);
+        IntStream.range(0, memberCount).forEach(member -> persistedPromises.add(List.of()));
         membership.setListener(this);
     }
 
+    // ------------------------------------------------------------ processes
+
     @Override
     public void onStarted(int member) {
         leaseManagers[member] =
@@ -70,11 +84,11 @@
                         timing,
                         persistedPromises.get(member),
                         durable,
-                        WALL_CLOCK_EPOCH_MS + scheduler.nowMicros() / 1000,
-                        seed * 1_000_003 + ++startCount,
+                        membership.wallClockMs(),
+                        seed * SEED_STRIDE + ++startCount,
                         scheduler.nowMicros());
-        wakeAtMicros[member] = Long.MAX_VALUE;
-        scheduleWake(member);
+        timerDueMicros[member] = NO_TIMER;
+        scheduleTick(member);
     }
 
     @Override
@@ -84,99 +98,38 @@
                 leaseManagers[member].onMembershipChanged(scheduler.nowMicros(), view::isPresent));
     }
 
-    // One wake is set at a time, and an earlier one in its place when something has happened.
-    private void scheduleWake(int member) {
+    // One timer is valid at a time; an earlier one replaces it.
+    private void scheduleTick(int member) {
         LeaseManager leaseManager = leaseManagers[member];
         long nextMicros = leaseManager.nextTickMicros();
-        if (nextMicros >= wakeAtMicros[member] && wakeAtMicros[member] > scheduler.nowMicros()) {
+        if (nextMicros >= timerDueMicros[member]
+                && timerDueMicros[member] > scheduler.nowMicros()) {
             return;
         }
-        wakeAtMicros[member] = nextMicros;
-        membership.scheduleWake(
+        timerDueMicros[member] = nextMicros;
+        membership.scheduleTimer(
                 member,
                 nextMicros,
                 () -> {
                     if (leaseManagers[member] == leaseManager
-                            && wakeAtMicros[member] == nextMicros) {
-                        wakeAtMicros[member] = Long.MAX_VALUE;
+                            && timerDueMicros[member] == nextMicros) {
+                        timerDueMicros[member] = NO_TIMER;
                         perform(member, leaseManager.tick(scheduler.nowMicros()));
                     }
                 });
     }
 
-    private void perform(int member, List<LeaseManager.Action> acts) {
-        for (LeaseManager.Action action : acts) {
-            if (action instanceof LeaseManager.Send send) {
-                byte[] payload = send.message().encode();
-                bytesSent += payload.length;
-                datagramsSent++;
-                int recipient = send.to();
-                membership.sendDatagram(
-                        member,
-                        recipient,
-                        () ->
-                                perform(
-                                        recipient,
-                                        leaseManagers[recipient].onPeerMessage(
-                                                scheduler.nowMicros(),
-                                                member,
-                                                LeaseMessage.decode(payload).orElseThrow())));
-            } else if (action instanceof LeaseManager.Persist persist) {
-                membership.scheduleWake(
-                        member,
-                        scheduler.nowMicros() + DISK_SYNC_MICROS,
-                        () -> {
-                            persistedPromises.set(member, persist.promises());
-                            perform(
-                                    member,
-                                    leaseManagers[member].onPersisted(
-                                            scheduler.nowMicros(), persist.writeId(), true));
-                        });
-            } else if (action instanceof LeaseManager.Acquired leaseEvent) {
-                recordAcquisition(member, leaseEvent.slot());
-            } else if (action instanceof LeaseManager.Released leaseEvent
-                    && holders[leaseEvent.slot()] == member) {
-                holders[leaseEvent.slot()] = -1;
-            }
-        }
-        scheduleWake(member);
-    }
-
-    private void recordAcquisition(int member, int slot) {
-        acquisitions++;
-        for (int other = 0; other < leaseManagers.length; other++) {
-            if (other != member
-                    && membership.isRunning(other)
-                    && leaseManagers[other].currentLease(scheduler.nowMicros(), slot).isPresent()
-                    && doubleHolders.size() < 100) {
-                doubleHolders.add(
-                        String.format(
-                                Locale.ROOT,
-                                "slot %d by n%d and n%d at %.3f s",
-                                slot,
-                                other,
-                                member,
-                                scheduler.nowMicros() / 1e6));
-            }
-        }
-        holders[slot] = member;
-        if (freeSinceMicros[slot] >= 0) {
-            transferTimes.recordValue(scheduler.nowMicros() - freeSinceMicros[slot]);
-            freeSinceMicros[slot] = -1;
-        }
-    }
-
-    /** Plays so many µs more. */
+    /** Plays {@code durationMicros} µs more. */
     public void runFor(long durationMicros) {
         membership.runFor(durationMicros);
     }
 
-    /** A process ends without a word, or ({@code graceful}) in order. */
+    /** Kills the process of a member, or ends it gracefully. */
     public void endProcess(int member, boolean graceful) {
         for (int slot = 0; slot < holders.length; slot++) {
             if (holders[slot] == member) {
                 freeSinceMicros[slot] = scheduler.nowMicros();
-                holders[slot] = -1;
+                holders[slot] = NO_HOLDER;
             }
         }
         if (graceful) {
@@ -187,48 +140,127 @@
         }
     }
 
-    /** It starts again. */
+    /** Starts a new process of a member. */
     public void restart(int member) {
         membership.restart(member);
     }
 
-    /** Who holds most now, of those that run. */
+    // ------------------------------------------------------------ actions of lease managers
+
+    private void perform(int member, List<LeaseManager.Action> actions) {
+        for (LeaseManager.Action action : actions) {
+            if (action instanceof LeaseManager.Send send) {
+                send(member, send);
+            } else if (action instanceof LeaseManager.Persist persist) {
+                persist(member, persist);
+            } else if (action instanceof LeaseManager.Acquired acquired) {
+                recordAcquisition(member, acquired.slot());
+            } else if (action instanceof LeaseManager.Released released
+                    && holders[released.slot()] == member) {
+                holders[released.slot()] = NO_HOLDER;
+            }
+        }
+        scheduleTick(member);
+    }
+
+    private void send(int sender, LeaseManager.Send send) {
+        byte[] payload = send.message().encode();
+        bytesSent += payload.length;
+        datagramsSent++;
+        membership.sendDatagram(sender, send.to(), () -> receive(sender, send.to(), payload));
+    }
+
+    private void receive(int sender, int recipient, byte[] payload) {
+        LeaseMessage message = LeaseMessage.decode(payload).orElseThrow();
+        perform(
+                recipient,
+                leaseManagers[recipient].onPeerMessage(scheduler.nowMicros(), sender, message));
+    }
+
+    private void persist(int member, LeaseManager.Persist persist) {
+        membership.scheduleTimer(
+                member,
+                scheduler.nowMicros() + DISK_SYNC_MICROS,
+                () -> {
+                    persistedPromises.set(member, persist.promises());
+                    perform(
+                            member,
+                            leaseManagers[member].onPersisted(
+                                    scheduler.nowMicros(), persist.writeId(), true));
+                });
+    }
+
+    // ------------------------------------------------------------ measurements
+
+    private void recordAcquisition(int member, int slot) {
+        acquisitions++;
+        for (int other = 0; other < leaseManagers.length; other++) {
+            if (other != member && holds(other, slot)) {
+                recordDoubleHolder(slot, other, member);
+            }
+        }
+        holders[slot] = member;
+        if (freeSinceMicros[slot] != NOT_FREED) {
+            transferTimes.recordValue(scheduler.nowMicros() - freeSinceMicros[slot]);
+            freeSinceMicros[slot] = NOT_FREED;
+        }
+    }
+
+    private boolean holds(int member, int slot) {
+        return membership.isRunning(member)
+                && leaseManagers[member].currentLease(scheduler.nowMicros(), slot).isPresent();
+    }
+
+    private void recordDoubleHolder(int slot, int first, int second) {
+        if (doubleHolders.size() < MembershipSimulation.MAX_RECORDED_VIOLATIONS) {
+            doubleHolders.add(
+                    String.format(
+                            Locale.ROOT,
+                            "slot %d by n%d and n%d at %.3f s",
+                            slot,
+                            first,
+                            second,
+                            scheduler.nowMicros() / 1e6));
+        }
+    }
+
+    /** The member that holds the most slots; the first of several. */
     public int busiestMember() {
         int[] slotCounts = new int[leaseManagers.length];
         Arrays.stream(holders)
-                .filter(member -> member >= 0)
+                .filter(member -> member != NO_HOLDER)
                 .forEach(member -> slotCounts[member]++);
         return IntStream.range(0, slotCounts.length)
                 .reduce((first, second) -> slotCounts[second] > slotCounts[first] ? second : first)
                 .getAsInt();
     }
 
-    /** Slots that somebody holds. */
+    /** The number of slots that some member holds. */
     public long heldSlots() {
-        return Arrays.stream(holders).filter(member -> member >= 0).count();
+        return Arrays.stream(holders).filter(member -> member != NO_HOLDER).count();
     }
 
-    /** µs from a holder's end until somebody else held its slot, of each slot. */
+    /** Time in µs from the end of a slot's holder until another member acquired the slot. */
     public Histogram transferTimes() {
         return transferTimes;
     }
 
-    /** Slots that two held at once, at most a hundred. */
+    /** Slots that two members held at once; at most 100. */
     public List<String> doubleHolders() {
         return doubleHolders;
     }
 
-    /** Bytes of all words so far, of all members. */
+    /** Bytes of all messages sent so far by all members. */
     public long bytesSent() {
         return bytesSent;
     }
 
-    /** Words so far, of all members. */
+    /** Messages sent so far by all members. */
     public long datagramsSent() {
         return datagramsSent;
     }
 
-    /** Times that a slot was taken. */
+    /** How often a slot was acquired so far. */
     public long acquisitions() {
         return acquisitions;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstreams.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstreams.java
@@ -147,7 +147,6 @@
             invariants.recordViolation(
                     "cold budget",
                     scheduler.nowMicros(),
-                    null,
                     "s"
                             + upstream.spec().number()
                             + " was pushed over "
--- a/testbed/src/test/java/loadbalancer/testbed/simulation/JsqDasExperimentTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/simulation/JsqDasExperimentTest.java
@@ -11,7 +11,7 @@
         return new JsqDasExperiment(100, load, 60_000, 5).run(policy);
     }
 
-    /** Nobody waits where hardly anyone comes: the mean is that of the servers' own times. */
+    /** At a low load jobs do not queue, and their response time is their service time. */
     @Test
     void idleMeanEqualsServiceTime() {
         assertEquals(
--- a/testbed/src/test/java/loadbalancer/testbed/simulation/LeaseSimulationTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/simulation/LeaseSimulationTest.java
@@ -37,18 +37,19 @@
 
     @Test
     void leaseTrafficIsIndependentOfFleetSize() {
-        double[] bytesPerSecond = new double[2];
-        for (int i = 0; i < 2; i++) {
-            LeaseSimulation fleet =
-                    new LeaseSimulation(i == 0 ? 20 : 200, 0, true, LeaseTiming.DEFAULT, 1);
-            fleet.runFor(8_000_000);
-            long bytesBefore = fleet.bytesSent();
-            fleet.runFor(5_000_000);
-            // Of all members
-            bytesPerSecond[i] = (fleet.bytesSent() - bytesBefore) / 5.0;
-        }
+        double smallFleet = bytesPerSecond(20);
+        double largeFleet = bytesPerSecond(200);
         assertTrue(
-                bytesPerSecond[1] < 1.5 * bytesPerSecond[0] && bytesPerSecond[0] > 0,
-                bytesPerSecond[0] + " and " + bytesPerSecond[1] + " bytes a second");
+                largeFleet < 1.5 * smallFleet && smallFleet > 0,
+                smallFleet + " and " + largeFleet + " bytes a second");
+    }
+
+    /** Bytes that all members of a fleet send per second once all leases are held. */
+    private static double bytesPerSecond(int memberCount) {
+        LeaseSimulation fleet = new LeaseSimulation(memberCount, 0, true, LeaseTiming.DEFAULT, 1);
+        fleet.runFor(8_000_000);
+        long bytesBefore = fleet.bytesSent();
+        fleet.runFor(5_000_000);
+        return (fleet.bytesSent() - bytesBefore) / 5.0;
     }
 }
--- a/testbed/src/test/java/loadbalancer/testbed/simulation/VirtualTimeSchedulerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/simulation/VirtualTimeSchedulerTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Simulated time: what comes when, whatever it is kept in. */
+/** The order of events in virtual time. */
 class VirtualTimeSchedulerTest {
     private record ExpectedEvent(long atMicros, long sequence) {}
 
