--- a/testbed/src/main/java/loadbalancer/testbed/slowstart/SlowStartSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/slowstart/SlowStartSimulation.java
@@ -13,35 +13,56 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * Cold servers under the sum of all balancers, in simulated time: a handful of servers, of which
- * some start anew, and many balancers, each with little traffic. Nobody falls; what each cold
- * server got is counted.
+ * Upstreams in slow start under the traffic of many balancers, each of which has little of it: of a
+ * few upstreams some are restarted, and what these receive is counted. No upstream crashes of
+ * overload. Single-threaded; deterministic by the seed.
  */
 public final class SlowStartSimulation {
     private static final int SERVER_COUNT = 6;
     private static final int RESTARTED_SERVER_COUNT = 2;
-    // µs; then some servers start anew
     private static final long RESTART_MICROS = 6_000_000;
-    // Until all balancers know it
+    // After a restart, until all balancers are notified of it
     private static final long NOTIFICATION_MICROS = 2_000_000;
     private static final long WINDOW_MICROS = 3_000_000;
     private static final double BUDGET_FACTOR = 3;
-    // Times what both cold servers are allowed
+    // Requests of a burst, as a multiple of the budgets of all restarted upstreams
     private static final double BURST_FACTOR = 4;
     private static final long BURST_MICROS = 1_000_000;
+    private static final double MIN_BURST_PER_BALANCER = 2;
+    // One in this many balancers joins right before the burst
+    private static final int JOINER_DIVISOR = 4;
+    // Work of a request as a multiple of the mean
+    private static final double MIN_WORK_FACTOR = 0.7;
+    private static final double MAX_WORK_FACTOR = 1.3;
+    private static final double WORK_FACTOR_RANGE = 0.6;
+    private static final double OUTAGE_SECONDS = 0.5;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private final Parameters parameters;
     private final FleetSimulation.PolicyFactory policies;
     private final long seed;
 
     /**
-     * Balancers, and servers that each can do {@code warmRate} requests when warm; {@code
-     * loadFactor}: steady traffic, as a part of what all servers can do when warm; {@code lossRate}
-     * of the balancers' messages.
+     * The size of the fleet and its traffic.
+     *
+     * @param balancers number of balancers
+     * @param warmRate requests per second that one upstream can serve after slow start
+     * @param loadFactor steady traffic as a fraction of what all upstreams can serve then
+     * @param lossRate probability that a datagram between balancers is lost
      */
     public record Parameters(int balancers, double warmRate, double loadFactor, double lossRate) {}
 
-    /** What comes of one play: the worst of its cold servers. */
+    /**
+     * The result of one simulation: the restarted upstream whose fullest window was closest to its
+     * bound, or furthest beyond it.
+     *
+     * @param traffic kind of traffic in words
+     * @param requests requests in that window
+     * @param budget requests that are planned for it
+     * @param bound requests that it bears at most
+     * @param usedBudgetFraction smallest fraction of its budget that a restarted upstream received;
+     *     NaN unless the traffic is steady
+     */
     public record Result(
             int balancers,
             double warmRate,
@@ -50,13 +71,13 @@
             double budget,
             double bound,
             double usedBudgetFraction) {
-        /** Whether a cold server got more than it bears. */
+        /** Whether a restarted upstream received more than it bears. */
         public boolean isOverloaded() {
             return requests > bound;
         }
     }
 
-    /** {@code policies}: what decides in each balancer. */
+    /** Creates a simulation whose balancers all have policies of the same factory. */
     public SlowStartSimulation(
             Parameters parameters, FleetSimulation.PolicyFactory policies, long seed) {
         this.parameters = parameters;
@@ -64,11 +85,10 @@
         this.seed = seed;
     }
 
-    /**
-     * Traffic without a rest: {@code used} is the least part of a budget that a cold server got.
-     */
+    /** Plays steady traffic until that many seconds after all balancers know of the restarts. */
     public Result runSteady(double seconds) {
-        long endMicros = RESTART_MICROS + NOTIFICATION_MICROS + Math.round(seconds * 1e6);
+        long endMicros =
+                RESTART_MICROS + NOTIFICATION_MICROS + Math.round(seconds * MICROS_PER_SECOND);
         Map<Integer, WarmingServerLoad> loadByServer =
                 simulate(endMicros, steadyArrivals(0, endMicros), "");
         double minUsedFraction =
@@ -83,43 +103,53 @@
     }
 
     /**
-     * Nothing for some time after a start, then a burst at all balancers within a second; {@code
-     * joiners}: a quarter of them starts in that second.
+     * Plays a burst of one second at all balancers after a time without traffic.
+     *
+     * @param quietSeconds from when all balancers know of the restarts until the burst
+     * @param joiners whether a quarter of the balancers starts right before the burst
      */
     public Result runBurst(double quietSeconds, boolean joiners) {
-        long burstMicros = RESTART_MICROS + NOTIFICATION_MICROS + Math.round(quietSeconds * 1e6);
+        long burstMicros =
+                RESTART_MICROS + NOTIFICATION_MICROS + Math.round(quietSeconds * MICROS_PER_SECOND);
         List<Long> arrivalMicros = steadyArrivals(0, RESTART_MICROS);
+        arrivalMicros.addAll(
+                randomArrivals(burstMicros, burstMicros + BURST_MICROS, burstRequests()));
+        String faults = joiners ? joinerFault(burstMicros) : "";
+        Map<Integer, WarmingServerLoad> loadByServer =
+                simulate(burstMicros + WINDOW_MICROS, arrivalMicros, faults);
+        String traffic =
+                String.format(
+                        Locale.ROOT,
+                        "%.0f s quiet, %s",
+                        quietSeconds,
+                        joiners ? "joiners" : "burst");
+        return worstResult(traffic, loadByServer, Double.NaN);
+    }
+
+    private int burstRequests() {
         double totalRequests =
                 BURST_FACTOR
                         * RESTARTED_SERVER_COUNT
                         * BUDGET_FACTOR
                         * parameters.warmRate
                         * WINDOW_MICROS
-                        / 1e6;
-        double requestsPerBalancer = Math.max(2, Math.ceil(totalRequests / parameters.balancers));
-        arrivalMicros.addAll(
-                randomArrivals(
-                        burstMicros,
-                        burstMicros + BURST_MICROS,
-                        (int) (requestsPerBalancer * parameters.balancers)));
-        int firstJoiner = parameters.balancers - Math.max(1, parameters.balancers / 4);
-        String joinerFault =
-                String.format(
-                        Locale.ROOT,
-                        "[[fault]]%nkind = \"kill\"%nat_s = %.1f%nuntil_s = %.1f%n"
-                                + "on = \"balancers:%d-%d\"%n",
-                        RESTART_MICROS / 1e6,
-                        burstMicros / 1e6 - 1,
-                        firstJoiner,
-                        parameters.balancers - 1);
-        return worstResult(
-                String.format(
-                        Locale.ROOT,
-                        "%.0f s quiet, %s",
-                        quietSeconds,
-                        joiners ? "joiners" : "burst"),
-                simulate(burstMicros + WINDOW_MICROS, arrivalMicros, joiners ? joinerFault : ""),
-                Double.NaN);
+                        / MICROS_PER_SECOND;
+        double requestsPerBalancer =
+                Math.max(MIN_BURST_PER_BALANCER, Math.ceil(totalRequests / parameters.balancers));
+        return (int) (requestsPerBalancer * parameters.balancers);
+    }
+
+    // Joiners are down until a second before the burst, which is how long they take to start.
+    private String joinerFault(long burstMicros) {
+        int joinerCount = Math.max(1, parameters.balancers / JOINER_DIVISOR);
+        return String.format(
+                Locale.ROOT,
+                "[[fault]]%nkind = \"kill\"%nat_s = %.1f%nuntil_s = %.1f%n"
+                        + "on = \"balancers:%d-%d\"%n",
+                RESTART_MICROS / MICROS_PER_SECOND,
+                burstMicros / MICROS_PER_SECOND - 1,
+                parameters.balancers - joinerCount,
+                parameters.balancers - 1);
     }
 
     private Result worstResult(
@@ -132,7 +162,7 @@
                         .max(
                                 Comparator.comparingDouble(
                                         WarmingServerLoad.PeakWindow::boundFraction))
-                        .orElse(new WarmingServerLoad.PeakWindow(0, 0, 0, 1));
+                        .orElse(WarmingServerLoad.PeakWindow.none());
         return new Result(
                 parameters.balancers,
                 parameters.warmRate,
@@ -144,15 +174,13 @@
     }
 
     private List<Long> steadyArrivals(long fromMicros, long toMicros) {
-        return randomArrivals(
-                fromMicros,
-                toMicros,
-                (int)
-                        (parameters.loadFactor
-                                * SERVER_COUNT
-                                * parameters.warmRate
-                                * (toMicros - fromMicros)
-                                / 1e6));
+        double requests =
+                parameters.loadFactor
+                        * SERVER_COUNT
+                        * parameters.warmRate
+                        * (toMicros - fromMicros)
+                        / MICROS_PER_SECOND;
+        return randomArrivals(fromMicros, toMicros, (int) requests);
     }
 
     private List<Long> randomArrivals(long fromMicros, long toMicros, int count) {
@@ -160,28 +188,14 @@
         return new ArrayList<>(random.longs(count, fromMicros, toMicros).sorted().boxed().toList());
     }
 
+    /** Plays the arrivals and returns what each upstream got in slow start, by its number. */
     private Map<Integer, WarmingServerLoad> simulate(
             long endMicros, List<Long> arrivalMicros, String faults) {
-        double workMs = 1e3 / parameters.warmRate;
-        Scenario scenario = scenario(endMicros, workMs, faults);
-        List<WorkloadPlan.Arrival> arrivals =
-                arrivalMicros.stream()
-                        .map(
-                                timeMicros ->
-                                        new WorkloadPlan.Arrival(
-                                                timeMicros,
-                                                0,
-                                                0,
-                                                0,
-                                                workMicros(workMs, seed ^ timeMicros),
-                                                false))
-                        .toList();
+        Scenario scenario = scenario(endMicros, faults);
+        List<WorkloadPlan.Arrival> arrivals = arrivalMicros.stream().map(this::arrival).toList();
+        WorkloadPlan plan = WorkloadPlan.generate(scenario, seed).withArrivals(arrivals);
         Map<Integer, WarmingServerLoad> loadByServer = new TreeMap<>();
-        FleetSimulation fleet =
-                new FleetSimulation(
-                        WorkloadPlan.generate(scenario, seed).withArrivals(arrivals),
-                        policies,
-                        line -> {});
+        FleetSimulation fleet = new FleetSimulation(plan, policies, line -> {});
         fleet.observeSlowStart(
                 (server, nowMicros, capacity) ->
                         loadByServer
@@ -194,58 +208,83 @@
         return loadByServer;
     }
 
-    private Scenario scenario(long endMicros, double workMs, String faults) {
-        return ScenarioReader.parse(
-                "cold",
-                String.format(
-                                Locale.ROOT,
-                                """
-            length_s = %.1f
-            [fleet]
-            balancers = %d
-            [upstreams]
-            count = %d
-            cores = 1
-            waiting = 12
-            overload_factor = %.1f
-            fall_s = %.1f
-            [load]
-            retries = 2
-            retry_wait_ms = 200
-            [network]
-            peer_loss = %.2f
-            [[class]]
-            name = "keyed"
-            effect = "keyed"
-            aim_ms = %.1f
-            deadline_ms = %.1f
-            work_ms = [%.2f, %.2f]
-            [[fault]]
-            kind = "crash"
-            at_s = %.1f
-            until_s = %.1f
-            on = "upstreams:0-%d"
-            """,
-                                endMicros / 1e6,
-                                parameters.balancers,
-                                SERVER_COUNT,
-                                BUDGET_FACTOR,
-                                WINDOW_MICROS / 1e6,
-                                parameters.lossRate,
-                                Math.max(100, 4 * workMs),
-                                Math.max(500, 10 * workMs),
-                                0.7 * workMs,
-                                1.3 * workMs,
-                                RESTART_MICROS / 1e6 - 0.5,
-                                RESTART_MICROS / 1e6,
-                                RESTARTED_SERVER_COUNT - 1)
-                        + faults,
-                true);
-    }
-
-    /** The work of one request: 0.7 to 1.3 times the mean, by its own seed. */
-    private static long workMicros(double meanWorkMs, long seed) {
-        double factor = 0.7 + 0.6 * new SplittableRandom(seed).nextDouble();
-        return Math.round(meanWorkMs * 1e3 * factor);
+    private double meanWorkMs() {
+        return 1e3 / parameters.warmRate;
+    }
+
+    private WorkloadPlan.Arrival arrival(long timeMicros) {
+        return new WorkloadPlan.Arrival(timeMicros, 0, 0, 0, drawWorkMicros(timeMicros), false);
+    }
+
+    // By arrival time, so that a request has the same work in every traffic
+    private long drawWorkMicros(long timeMicros) {
+        double uniform = new SplittableRandom(seed ^ timeMicros).nextDouble();
+        double factor = MIN_WORK_FACTOR + WORK_FACTOR_RANGE * uniform;
+        return Math.round(meanWorkMs() * 1e3 * factor);
+    }
+
+    private Scenario scenario(long endMicros, String faults) {
+        String text = fleetSections(endMicros) + requestClassSection() + restartFault() + faults;
+        return ScenarioReader.parse("cold", text, true);
+    }
+
+    private String fleetSections(long endMicros) {
+        return String.format(
+                Locale.ROOT,
+                """
+                length_s = %.1f
+                [fleet]
+                balancers = %d
+                [upstreams]
+                count = %d
+                cores = 1
+                waiting = 12
+                overload_factor = %.1f
+                fall_s = %.1f
+                [load]
+                retries = 2
+                retry_wait_ms = 200
+                [network]
+                peer_loss = %.2f
+                """,
+                endMicros / MICROS_PER_SECOND,
+                parameters.balancers,
+                SERVER_COUNT,
+                BUDGET_FACTOR,
+                WINDOW_MICROS / MICROS_PER_SECOND,
+                parameters.lossRate);
+    }
+
+    private String requestClassSection() {
+        double workMs = meanWorkMs();
+        return String.format(
+                Locale.ROOT,
+                """
+                [[class]]
+                name = "keyed"
+                effect = "keyed"
+                aim_ms = %.1f
+                deadline_ms = %.1f
+                work_ms = [%.2f, %.2f]
+                """,
+                Math.max(100, 4 * workMs),
+                Math.max(500, 10 * workMs),
+                MIN_WORK_FACTOR * workMs,
+                MAX_WORK_FACTOR * workMs);
+    }
+
+    private static String restartFault() {
+        return String.format(
+                Locale.ROOT,
+                """
+                [[fault]]
+                kind = "crash"
+                at_s = %.1f
+                until_s = %.1f
+                on = "upstreams:0-%d"
+                """,
+                RESTART_MICROS / MICROS_PER_SECOND - OUTAGE_SECONDS,
+                RESTART_MICROS / MICROS_PER_SECOND,
+                RESTARTED_SERVER_COUNT - 1);
     }
 }
--- a/testbed/src/test/java/loadbalancer/testbed/slowstart/SlowStartSimulationTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/slowstart/SlowStartSimulationTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Cold servers under the sum of all balancers, however many these are and whatever they hear. */
+/** What upstreams in slow start get, by the number of balancers and the loss between them. */
 class SlowStartSimulationTest {
     // Of N: a third of what the server can do
     private static final double MIN_BUDGET_USAGE = 1.0 / 9;
--- a/testbed/src/test/java/loadbalancer/testbed/slowstart/WarmingServerLoadTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/slowstart/WarmingServerLoadTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The count of what a cold server got: windows slide, and the budget is that of the moment. */
+/** Windows slide, and their budget is that of the present capacity. */
 class WarmingServerLoadTest {
     @Test
     void peakWindowIsFoundAnywhere() {
