--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseClusterBuilder.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseClusterBuilder.java
@@ -13,12 +13,11 @@
  * first invariant that the lease managers' actions break. After {@link #build} it may be changed
  * and built again.
  */
-final class LeaseClusterBuilder {
+final class LeaseClusterBuilder extends ClusterBuilder<LeaseClusterState> {
     // Beyond it the oldest protocol messages are lost.
     private static final int MAX_IN_FLIGHT = 9;
 
     private final LeaseMembers members;
-    private final LeaseClusterState base;
     private final LeaseManager[] managers;
     private final List<LeaseInFlight> inFlight;
     private final List<List<VoterPromise>> persisted;
@@ -34,12 +33,10 @@
     private long highestEpoch;
     private int highestEpochHolder;
     private String violation = "";
-    private long nowMicros;
-    private int remainingFaults;
 
     LeaseClusterBuilder(LeaseMembers members, LeaseClusterState base) {
+        super(base);
         this.members = members;
-        this.base = base;
         managers = base.managers().clone();
         inFlight = new ArrayList<>(base.inFlight());
         persisted = new ArrayList<>(base.persisted());
@@ -53,25 +50,9 @@
         views = base.views();
         highestEpoch = base.highestEpoch();
         highestEpochHolder = base.highestEpochHolder();
-        nowMicros = base.now();
-        remainingFaults = base.remainingFaults();
     }
 
-    // ------------------------------------------------------------ faults and time
-
-    /** One fault less may follow. */
-    LeaseClusterBuilder consumeFault() {
-        remainingFaults--;
-        return this;
-    }
-
-    void advanceTime(long stepMicros) {
-        nowMicros += stepMicros;
-    }
-
-    long nowMicros() {
-        return nowMicros;
-    }
+    // ------------------------------------------------------------ faults
 
     /** The process of a member ends; the write in progress is lost. */
     void crash(int member) {
@@ -87,7 +68,7 @@
         standby = with(standby, member, false);
         views = views.clone();
         views[member] = members.completeView();
-        managers[member] = members.start(member, promises, nowMicros);
+        managers[member] = members.start(member, promises, nowMicros());
         persisted.set(member, promises);
         previouslyPersisted.set(member, promises);
         highestObservedEpochs[member] = 0;
@@ -129,7 +110,7 @@
         for (int member = 0; member < members.count(); member++) {
             managers[member] =
                     wasDown[member]
-                            ? members.start(member, persisted.get(member), nowMicros)
+                            ? members.start(member, persisted.get(member), nowMicros())
                             : new LeaseManager(managers[member]);
             long clockMicros = clockMicros(member);
             perform(member, managers[member].onMembershipChanged(clockMicros, present -> true));
@@ -137,21 +118,15 @@
         }
     }
 
-    private static boolean[] with(boolean[] values, int index, boolean value) {
-        boolean[] changed = values.clone();
-        changed[index] = value;
-        return changed;
-    }
-
     // ------------------------------------------------------------ members
 
     private long clockMicros(int member) {
-        return members.clockMicros(member, nowMicros);
+        return members.clockMicros(member, nowMicros());
     }
 
     // The manager is copied unless it belongs to this builder already.
     private LeaseManager copyManager(int member) {
-        if (managers[member] == base.managers()[member]) {
+        if (managers[member] == base().managers()[member]) {
             managers[member] = new LeaseManager(managers[member]);
         }
         return managers[member];
@@ -354,9 +329,9 @@
                 highestEpochHolder,
                 violation,
                 inFlight,
-                nowMicros,
-                remainingFaults,
-                base,
+                nowMicros(),
+                remainingFaults(),
+                base(),
                 step);
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseClusterState.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseClusterState.java
@@ -20,11 +20,11 @@
  *     up
  * @param standby by member: whether it was asked to take no lease
  * @param highestEpoch the highest epoch under which the lease was acquired; 0: never
- * @param highestEpochHolder who acquired it then; -1: nobody
+ * @param highestEpochHolder who acquired it then; {@link #NO_HOLDER}: nobody
  * @param violation what broke an invariant on the way here; empty: nothing
- * @param now µs since the start
+ * @param nowMicros µs since the start
  * @param remainingFaults faults that may still happen after this state
- * @param from the state before; null at the start
+ * @param previous the state before; null at the start
  * @param step what led here
  */
 record LeaseClusterState(
@@ -42,8 +42,10 @@
         int highestEpochHolder,
         String violation,
         List<LeaseInFlight> inFlight,
-        long now,
+        long nowMicros,
         int remainingFaults,
-        LeaseClusterState from,
+        LeaseClusterState previous,
         String step)
-        implements StateSpaceSearch.State<LeaseClusterState> {}
+        implements StateSpaceSearch.State<LeaseClusterState> {
+    static final int NO_HOLDER = -1;
+}
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseMembers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseMembers.java
@@ -86,7 +86,7 @@
         if (hasBug(InjectedBug.SKIP_EXPIRY_CHECK)) {
             return state.believesHolder()[member] ? state.highestEpoch() : 0;
         }
-        long clockMicros = clockMicros(member, state.now());
+        long clockMicros = clockMicros(member, state.nowMicros());
         return state.managers()[member]
                 .currentLease(clockMicros, SLOT)
                 .map(Lease::epoch)
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseModelChecker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseModelChecker.java
@@ -1,6 +1,5 @@
 package loadbalancer.testbed.modelcheck;
 
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import loadbalancer.lease.LeaseManager;
@@ -61,49 +60,8 @@
             int maxFaults,
             int convergenceCheckInterval,
             long seed) {
-        return new StateSpaceSearch<>(this)
-                .randomWalk(
-                        initialState(maxFaults),
-                        maxStates,
-                        stepsPerWalk,
-                        convergenceCheckInterval,
-                        seed);
-    }
-
-    private LeaseClusterState initialState(int maxFaults) {
-        int count = members.count();
-        LeaseManager[] managers = new LeaseManager[count];
-        boolean[][] views = new boolean[count][];
-        List<List<VoterPromise>> emptyDisks = new ArrayList<>();
-        for (int member = 0; member < count; member++) {
-            managers[member] = members.start(member, null, 0);
-            views[member] = members.completeView();
-            emptyDisks.add(null);
-        }
-        return new LeaseClusterState(
-                managers,
-                new boolean[count],
-                new boolean[count],
-                views,
-                emptyDisks,
-                emptyDisks,
-                new LeaseManager.Persist[count],
-                new long[count],
-                new boolean[count],
-                new boolean[count],
-                0,
-                -1,
-                "",
-                List.of(),
-                0,
-                maxFaults,
-                null,
-                "all start");
-    }
-
-    @Override
-    public List<LeaseClusterState> successors(LeaseClusterState state) {
-        return transitions.successors(state);
+        return new StateSpaceSearch<>(transitions, this)
+                .randomWalk(maxStates, maxFaults, stepsPerWalk, convergenceCheckInterval, seed);
     }
 
     @Override
@@ -134,15 +92,10 @@
         if (state.down()[member]) {
             return 1;
         }
-        long clockMicros = members.clockMicros(member, state.now());
+        long clockMicros = members.clockMicros(member, state.nowMicros());
         return (state.paused()[member] ? 2 : 3) + state.managers()[member].fingerprint(clockMicros);
     }
 
-    @Override
-    public boolean isFaultTransition(LeaseClusterState before, LeaseClusterState state) {
-        return state.remainingFaults() < before.remainingFaults();
-    }
-
     @Override
     public String findViolation(LeaseClusterState before, LeaseClusterState state) {
         if (!state.violation().isEmpty()) {
@@ -165,7 +118,7 @@
         LeaseClusterBuilder builder = new LeaseClusterBuilder(members, state);
         builder.endAllFaults();
         long leaseMicros = members.timing().leaseMicros();
-        long endMicros = state.now() + CONVERGENCE_LEASES * leaseMicros;
+        long endMicros = state.nowMicros() + CONVERGENCE_LEASES * leaseMicros;
         long stableEpoch = -1;
         while (builder.nowMicros() < endMicros) {
             if (endMicros - builder.nowMicros() > STABLE_LEASES * leaseMicros) {
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseTransitions.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseTransitions.java
@@ -2,13 +2,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.lease.LeaseManager;
 import loadbalancer.lease.VoterPromise;
 
 /**
  * The transitions of the lease model: from a state to each state that one event leads to. The order
  * of successors is part of the search's result for a seed.
  */
-final class LeaseTransitions {
+final class LeaseTransitions implements ClusterTransitions<LeaseClusterState> {
     /** By how much time advances in one step, in µs. */
     static final long STEP_MICROS = 10_000;
 
@@ -18,12 +19,42 @@
         this.members = members;
     }
 
-    /** All states that one event leads to. */
-    List<LeaseClusterState> successors(LeaseClusterState state) {
-        List<LeaseClusterState> successors = new ArrayList<>();
-        for (LeaseInFlight message : state.inFlight()) {
-            addMessageEvents(state, message, successors);
+    @Override
+    public LeaseClusterState initialState(int maxFaults) {
+        int count = members.count();
+        LeaseManager[] managers = new LeaseManager[count];
+        boolean[][] views = new boolean[count][];
+        List<List<VoterPromise>> emptyDisks = new ArrayList<>();
+        for (int member = 0; member < count; member++) {
+            managers[member] = members.start(member, null, 0);
+            views[member] = members.completeView();
+            emptyDisks.add(null);
         }
+        return new LeaseClusterState(
+                managers,
+                new boolean[count],
+                new boolean[count],
+                views,
+                emptyDisks,
+                emptyDisks,
+                new LeaseManager.Persist[count],
+                new long[count],
+                new boolean[count],
+                new boolean[count],
+                0,
+                LeaseClusterState.NO_HOLDER,
+                "",
+                List.of(),
+                0,
+                maxFaults,
+                null,
+                "all start");
+    }
+
+    @Override
+    public List<LeaseClusterState> successors(LeaseClusterState state) {
+        List<LeaseClusterState> successors = new ArrayList<>();
+        addMessageEvents(state, state.inFlight().size(), successors);
         successors.add(advanceTime(state));
         for (int member = 0; member < members.count(); member++) {
             if (state.down()[member]) {
@@ -40,36 +71,27 @@
     }
 
     private LeaseClusterBuilder changeByFault(LeaseClusterState state) {
-        return change(state).consumeFault();
+        LeaseClusterBuilder builder = change(state);
+        builder.consumeFault();
+        return builder;
     }
 
     // ------------------------------------------------------------ messages
 
-    private void addMessageEvents(
-            LeaseClusterState state, LeaseInFlight message, List<LeaseClusterState> successors) {
-        boolean recipientRuns = !state.paused()[message.to()];
-        if (recipientRuns) {
-            LeaseClusterBuilder builder = change(state);
-            builder.remove(message);
-            successors.add(deliver(state, builder, message, " arrives"));
-        }
-        if (state.remainingFaults() == 0) {
-            return;
-        }
-        LeaseClusterBuilder lost = changeByFault(state);
-        lost.remove(message);
-        successors.add(lost.build(message + " is lost"));
-        if (recipientRuns) {
-            successors.add(
-                    deliver(state, changeByFault(state), message, " arrives, and will once more"));
-        }
+    @Override
+    public boolean canArrive(LeaseClusterState state, int index) {
+        return !state.paused()[state.inFlight().get(index).to()];
     }
 
-    private LeaseClusterState deliver(
-            LeaseClusterState state,
-            LeaseClusterBuilder builder,
-            LeaseInFlight message,
-            String outcome) {
+    @Override
+    public LeaseClusterState deliver(LeaseClusterState state, int index, boolean duplicated) {
+        LeaseInFlight message = state.inFlight().get(index);
+        LeaseClusterBuilder builder = change(state);
+        if (duplicated) {
+            builder.consumeFault();
+        } else {
+            builder.remove(message);
+        }
         if (state.down()[message.to()]) {
             return builder.build(message + " finds nobody");
         }
@@ -78,7 +100,15 @@
         } else if (message instanceof LeaseInFlight.FencedAction action) {
             builder.deliver(action);
         }
-        return builder.build(message + outcome);
+        return builder.build(message + ClusterTransitions.arrival(duplicated));
+    }
+
+    @Override
+    public LeaseClusterState lose(LeaseClusterState state, int index) {
+        LeaseInFlight message = state.inFlight().get(index);
+        LeaseClusterBuilder builder = changeByFault(state);
+        builder.remove(message);
+        return builder.build(message + " is lost");
     }
 
     // ------------------------------------------------------------ time and processes
