--- a/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
@@ -21,7 +21,7 @@
 import java.util.List;
 import java.util.Set;
 import loadbalancer.testbed.endpointmodel.EndpointModel;
-import loadbalancer.testbed.endpointmodel.InjectedFailures;
+import loadbalancer.testbed.endpointmodel.FaultableService;
 import loadbalancer.testbed.endpointmodel.Job;
 import loadbalancer.testbed.endpointmodel.SlowStartBudget;
 import loadbalancer.testbed.fault.FaultableUpstream;
@@ -50,9 +50,8 @@
     private ScheduledFuture<?> completionTimer;
     private long nextCompletionMicros = Long.MAX_VALUE;
     private boolean alive;
-    private boolean draining;
     private int vanishCount;
-    private final InjectedFailures failures;
+    private final FaultableService service;
     private long startedAtMicros;
     private SlowStartBudget slowStartBudget;
     private double peakSlowStartUtilization;
@@ -65,7 +64,7 @@
         this.spec = spec;
         this.paths = paths;
         this.model = EndpointModel.of(emulation.scenario().upstreams(), spec.speed());
-        this.failures = new InjectedFailures(emulation.scenario().classes());
+        this.service = new FaultableService(model, emulation.scenario(), this::scheduleCompletion);
         this.alive = spec.replaces() < 0;
     }
 
@@ -166,7 +165,7 @@
             long firstByteMicros = pathHandler.takeFirstByteMicros();
             String requestId = request.headers().get(REQUEST_ID_HEADER);
             if (request.uri().equals(HEALTH_CHECK_URI)) {
-                respond(draining ? 503 : 200, false, "");
+                respond(service.isDraining() ? 503 : 200, false, "");
             } else if (requestId == null) {
                 respond(404, false, "");
             } else if (runningJob != null) {
@@ -209,7 +208,7 @@
                             receivedAttempt.request().arrival().requestClass(),
                             workMicros,
                             jobCount++);
-            if (draining
+            if (service.isDraining()
                     || connections.size() > emulation.scenario().upstreams().maxConnections()
                     || !alive
                     || !model.tryAccept(nowMicros, newJob)) {
@@ -258,7 +257,7 @@
         }
 
         void completeJob(long nowMicros) {
-            boolean fails = failures.affects(runningJob.requestClass());
+            boolean fails = service.failsClass(runningJob.requestClass());
             runningAttempt.addTraceEvent(
                     nowMicros, "s" + spec.number(), fails ? "fails it" : "answers");
             ClientAttempt completedAttempt = runningAttempt;
@@ -335,7 +334,7 @@
     public void start() {
         long nowMicros = emulation.nowMicros();
         alive = true;
-        draining = false;
+        service.onProcessStarted();
         startedAtMicros = nowMicros;
         slowStartBudget = SlowStartBudget.of(emulation.scenario());
         model.restart(nowMicros);
@@ -343,8 +342,8 @@
     }
 
     @Override
-    public void startDraining() {
-        draining = true;
+    public FaultableService service() {
+        return service;
     }
 
     @Override
@@ -356,22 +355,6 @@
         updateListeners();
     }
 
-    @Override
-    public void setSlowdownFactor(double factor) {
-        model.slowdownFactor(factor);
-    }
-
-    @Override
-    public void setHanging(boolean hanging) {
-        model.hanging(hanging);
-        scheduleCompletion();
-    }
-
-    @Override
-    public void setFailing(String requestClass, boolean active) {
-        failures.setFailing(requestClass, active);
-    }
-
     /** The largest fraction of the slow-start budget that was ever used. */
     public double peakSlowStartUtilization() {
         return peakSlowStartUtilization;
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/ZoneFailoverInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/ZoneFailoverInvariant.java
@@ -74,7 +74,6 @@
             requestInvariants.recordViolation(
                     "zone left",
                     timeMicros,
-                    null,
                     inTime
                             + " of "
                             + failedOverAtMicros.length
@@ -85,7 +84,7 @@
                             + " s");
         }
         if (!unexpectedFailover.isEmpty()) {
-            requestInvariants.recordViolation("zone left", timeMicros, null, unexpectedFailover);
+            requestInvariants.recordViolation("zone left", timeMicros, unexpectedFailover);
         }
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstream.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstream.java
@@ -2,7 +2,7 @@
 
 import java.util.IdentityHashMap;
 import loadbalancer.testbed.endpointmodel.EndpointModel;
-import loadbalancer.testbed.endpointmodel.InjectedFailures;
+import loadbalancer.testbed.endpointmodel.FaultableService;
 import loadbalancer.testbed.endpointmodel.Job;
 import loadbalancer.testbed.endpointmodel.SlowStartBudget;
 import loadbalancer.testbed.fault.FaultableUpstream;
@@ -21,11 +21,10 @@
     private final IdentityHashMap<Job, Runnable> running = new IdentityHashMap<>();
     private long nextCompletionMicros = Long.MAX_VALUE;
     private boolean alive;
-    private boolean draining;
     private int vanishCount;
-    private int incarnation;
-    private final InjectedFailures failures;
+    private final FaultableService service;
     private long startedAtMicros;
+    // Null unless it is in slow start after a start in the run
     private SlowStartBudget slowStartBudget;
     private double peakSlowStartUtilization;
     private long jobCount;
@@ -36,7 +35,7 @@
         this.spec = spec;
         this.scenario = scenario;
         this.model = EndpointModel.of(scenario.upstreams(), spec.speed());
-        this.failures = new InjectedFailures(scenario.classes());
+        this.service = new FaultableService(model, scenario, this::scheduleCompletion);
         this.alive = spec.replaces() < 0;
     }
 
@@ -45,6 +44,7 @@
         return spec;
     }
 
+    /** Whether its process runs. */
     boolean alive() {
         return alive;
     }
@@ -54,28 +54,29 @@
         return vanishCount > 0;
     }
 
+    /** Time of the run in µs of its latest start; 0: it runs since the beginning. */
     long startedAtMicros() {
         return startedAtMicros;
     }
 
+    /** The largest part of a slow start's budget that was used; 1: all of it. */
     double peakSlowStartUtilization() {
         return peakSlowStartUtilization;
     }
 
-    /** Incremented at each crash; what was in flight in an earlier incarnation is lost. */
-    int incarnation() {
-        return incarnation;
+    /** Creates the job of an attempt that arrives now. */
+    Job newJob(int requestClass, long workMicros) {
+        return new Job(requestClass, workMicros, jobCount++);
     }
 
-    /** Accepts an attempt and runs {@code onCompletion} when it completes; null: rejected. */
-    Job tryAccept(int requestClass, long workMicros, Runnable onCompletion) {
-        Job job = new Job(requestClass, workMicros, jobCount++);
-        if (draining || !model.tryAccept(scheduler.nowMicros(), job)) {
-            return null;
+    /** Accepts a job and runs {@code onCompletion} when it completes, or returns false. */
+    boolean tryAccept(Job job, Runnable onCompletion) {
+        if (!alive || service.isDraining() || !model.tryAccept(scheduler.nowMicros(), job)) {
+            return false;
         }
         running.put(job, onCompletion);
         scheduleCompletion();
-        return job;
+        return true;
     }
 
     /** Its present capacity in seconds of work per second. */
@@ -83,6 +84,7 @@
         return model.capacity(scheduler.nowMicros());
     }
 
+    /** Whether it has been started in the run and has not all of its capacity yet. */
     boolean isInSlowStart() {
         return slowStartBudget != null && model.slowStartFraction(scheduler.nowMicros()) < 1;
     }
@@ -104,6 +106,7 @@
         return exceeded;
     }
 
+    /** Removes a job that is no longer waited for; does nothing if it has ended. */
     void cancel(Job job) {
         if (running.remove(job) != null) {
             model.cancel(scheduler.nowMicros(), job);
@@ -111,8 +114,9 @@
         }
     }
 
+    /** Whether it answers requests of that class, by position in the scenario, with an error. */
     boolean failsClass(int requestClass) {
-        return failures.affects(requestClass);
+        return service.failsClass(requestClass);
     }
 
     private void scheduleCompletion() {
@@ -142,9 +146,9 @@
         scheduleCompletion();
     }
 
+    /** Its process ends; all that it has accepted is lost. */
     void crash() {
         alive = false;
-        incarnation++;
         running.clear();
         model.restart(scheduler.nowMicros());
         nextCompletionMicros = Long.MAX_VALUE;
@@ -153,35 +157,19 @@
     @Override
     public void start() {
         alive = true;
-        draining = false;
+        service.onProcessStarted();
         startedAtMicros = scheduler.nowMicros();
         slowStartBudget = SlowStartBudget.of(scenario);
         model.restart(startedAtMicros);
     }
 
     @Override
-    public void startDraining() {
-        draining = true;
+    public FaultableService service() {
+        return service;
     }
 
     @Override
     public void setVanished(boolean newVanished) {
         vanishCount += newVanished ? 1 : -1;
     }
-
-    @Override
-    public void setSlowdownFactor(double factor) {
-        model.slowdownFactor(factor);
-    }
-
-    @Override
-    public void setHanging(boolean hanging) {
-        model.hanging(hanging);
-        scheduleCompletion();
-    }
-
-    @Override
-    public void setFailing(String requestClass, boolean active) {
-        failures.setFailing(requestClass, active);
-    }
 }
--- a/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
@@ -85,7 +85,7 @@
         assertTrue(
                 result.balancers().stream()
                         .flatMap(balancer -> balancer.lifetimes().stream())
-                        .allMatch(interval -> interval[1] > interval[0]));
+                        .allMatch(lifetime -> lifetime.endSeconds() > lifetime.startSeconds()));
         // A low bound, which holds on a slow machine.
         assertTrue(result.metrics().get("served_share") > 0.2, result.metrics().toString());
         assertTrue(
