--- a/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
@@ -50,6 +50,7 @@
     private static final long REQUESTS_SETTLE_MS = 2_000;
     // In which the balancer has accepted or evicted the idle clients.
     private static final long IDLE_CLIENTS_SETTLE_MS = 300;
+    private static final long REJECTED_REQUEST_RETRY_MS = 50;
     private static final Duration MAX_DISCOVERY_DELAY = Duration.ofSeconds(6);
     private static final int SIMULTANEOUS_STARTS = 10;
     private static final long MAX_START_MS = 10_000;
@@ -236,7 +237,11 @@
         }
     }
 
-    /** Discovery responds again, with a list of another upstream; the next request goes there. */
+    /**
+     * Discovery responds again, with a list of another upstream; the next request goes there. The
+     * requests before it waited for seconds, so the balancer may still shed load: its client
+     * repeats a rejected request, all within the same bound.
+     */
     private void assertNewListIsUsedInTime(HttpTestClient client, FakeHttpServer otherUpstream)
             throws Exception {
         drain(discoveryServer);
@@ -254,6 +259,7 @@
                 .until(
                         () -> {
                             answerWatches(list);
+                            repeatIfRejected(client);
                             return !otherUpstream.isEmpty();
                         });
         otherUpstream.nextRequest().respond(200, "", "ok");
@@ -264,6 +270,15 @@
                 "served after " + elapsedNanos / 1_000_000 + " ms");
     }
 
+    private static void repeatIfRejected(HttpTestClient client)
+            throws IOException, InterruptedException {
+        if (client.input.available() > 0) {
+            assertEquals(503, client.readStatus());
+            TimeUnit.MILLISECONDS.sleep(REJECTED_REQUEST_RETRY_MS);
+            client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
+        }
+    }
+
     /**
      * Answers all watches received so far: the balancer may have abandoned a watch that was
      * answered a moment before, and its next watch is due the same list.
