--- a/balancer/src/main/java/loadbalancer/routing/AttemptRecorder.java
+++ b/balancer/src/main/java/loadbalancer/routing/AttemptRecorder.java
@@ -14,17 +14,18 @@
 import loadbalancer.routing.health.ZoneFailover;
 
 /**
- * Records the start and the outcome of each attempt wherever they count: in the state of the
- * endpoint, outlier and class ejection, zone failover, latencies, load shedding and queue lengths.
+ * Records the start and the outcome of each attempt in all statistics that depend on them: the
+ * state of the endpoint, outlier and class ejection, zone failover, latencies, load shedding and
+ * queue lengths.
  *
- * <p>Not thread-safe: belongs to the thread of its {@link RoutingEngine}.
+ * <p>Not thread-safe: used only on the thread of its {@link RoutingEngine}.
  */
 final class AttemptRecorder {
-    // Without a success for this long an endpoint that rejects is not merely overloaded
+    // An endpoint that rejects requests and had no success for this time is not just overloaded
     private static final double RECENT_SUCCESS_MICROS = 2e6;
-    // Latency over objective that a rejected attempt counts as in the overload ratio
+    // Ratio of latency to objective that a rejected attempt adds to the overload ratio
     private static final double REJECTED_OVERLOAD_RATIO = 1.5;
-    // The same for an attempt that timed out
+    // Ratio of latency to objective that a timed-out attempt adds to the overload ratio
     private static final double TIMEOUT_OVERLOAD_RATIO = 1.2;
     // Weights of failures as evidence against the endpoint as a whole
     private static final double NO_FAILURE_WEIGHT = 0;
@@ -32,7 +33,7 @@
     private static final double FULL_FAILURE_WEIGHT = 1;
     // An attempt that failed without a response occupies its slot for this many usual latencies
     private static final int PENALTY_LATENCIES = 2;
-    // Beyond this many expected latencies a cancelled attempt counts as slow
+    // A cancelled attempt counts as slow if it took more than this many expected latencies
     private static final int SLOW_CANCELLED_LATENCIES = 2;
 
     private final TrafficCounters trafficCounters;
@@ -63,7 +64,7 @@
         this.log = log;
     }
 
-    /** Records that an attempt of a request starts. */
+    /** Creates an attempt of a request and records its start. */
     void recordStart(PendingRequest request, EndpointState endpoint, long now) {
         Attempt attempt = new Attempt(endpoint, request, now);
         attempt.recordStart(trafficCounters.scale());
@@ -75,7 +76,7 @@
      * Records how an attempt has ended.
      *
      * @param latencyMicros µs since it was sent
-     * @param load the report that came with the response, or null
+     * @param load the load report that came with the response, or null
      */
     void recordEnd(
             Attempt attempt,
@@ -143,8 +144,8 @@
         loadShedder.recordSample(latencyMicros / latencyObjectiveMicros, now);
     }
 
-    // The other attempt of a hedged request was answered first, or the client has disconnected: the
-    // endpoint counts as slow if that took long.
+    // Records an attempt that was cancelled because another attempt got a response first or the
+    // client disconnected. The endpoint counts as slow if the attempt had run for a long time.
     private void recordCancelled(
             Attempt attempt,
             long latencyMicros,
@@ -161,8 +162,8 @@
         }
     }
 
-    // A hung endpoint fills up, then rejects everything: without successes it is not just
-    // overloaded.
+    // Records a rejection. A hung endpoint fills up and then rejects everything, so an endpoint
+    // without recent successes is likely hung rather than overloaded.
     private void recordRejected(
             EndpointState endpoint, double usualLatencyMicros, long now, RoutingActions actions) {
         boolean isLikelyHung = now - endpoint.lastSuccessAtMicros() > RECENT_SUCCESS_MICROS;
@@ -172,7 +173,7 @@
         loadShedder.recordSample(REJECTED_OVERLOAD_RATIO, now);
     }
 
-    // The load may be the cause of a time-out, so it is weaker evidence against the endpoint.
+    // Records a time-out. It may be caused by overload, so it counts as half a failure.
     private void recordTimeout(
             Attempt attempt,
             long latencyMicros,
@@ -185,7 +186,8 @@
         recordFailure(attempt.endpoint(), HALF_FAILURE_WEIGHT, penaltyMicros, now, actions);
     }
 
-    // The endpoint runs and responds: an error counts against the request class only.
+    // Records an error response. The endpoint runs and responds, so the error counts only against
+    // the request class.
     private void recordError(
             Attempt attempt, long penaltyMicros, long now, RoutingActions actions) {
         EndpointState endpoint = attempt.endpoint();
@@ -200,7 +202,7 @@
                                         endpoint, classIndex, ejectionMicros, now, actions));
     }
 
-    /** An endpoint aborted a response after its success had been recorded. */
+    /** Records that an endpoint aborted a response whose success was already recorded. */
     void recordAbortedResponse(EndpointState endpoint, long now, RoutingActions actions) {
         long penaltyMicros = (long) latencyTracker.shortestUsualMicros();
         recordFailure(endpoint, FULL_FAILURE_WEIGHT, penaltyMicros, now, actions);
--- a/balancer/src/main/java/loadbalancer/routing/CandidateFilter.java
+++ b/balancer/src/main/java/loadbalancer/routing/CandidateFilter.java
@@ -21,26 +21,27 @@
  * Decides which endpoints are candidates for a request, before {@link JsqDasSelector} chooses one.
  *
  * <p>An endpoint is a candidate if the placement and the deduplication scope of the request's class
- * allow it, its slow start has budget, neither it nor its class is ejected, and its zone is not
- * failed over. Candidates are taken from a subset, an arc of the hash ring that starts at this
- * balancer's point, or at the key's: this bounds the number of connections as the fleet grows, and
- * lets this balancer see each endpoint often enough for its counts and queues to mean something. If
- * the subset has too few usable endpoints the search continues, over the whole list if necessary.
+ * allow it, its slow start has budget, neither the endpoint nor the class on it is ejected, and its
+ * zone is not failed over. Candidates are taken from a subset, an arc of the hash ring that starts
+ * at the point of this balancer, or of the key. The subset bounds the number of connections as the
+ * fleet grows, and lets this balancer visit each endpoint often enough for its counts and queues to
+ * be meaningful. If the subset has too few usable endpoints, the search continues along the ring,
+ * over the whole list if necessary.
  *
- * <p>Not thread-safe: belongs to the thread of its {@link RoutingEngine}.
+ * <p>Not thread-safe: used only on the thread of its {@link RoutingEngine}.
  */
 final class CandidateFilter {
-    // Enough for the sample of JSQ-DAS
+    // Larger than the sample of JSQ-DAS
     private static final int MIN_SUBSET_SIZE = 6;
-    // The sample size of JSQ-DAS: all endpoints of a key's subset are sampled
+    // Equals the sample size of JSQ-DAS, so that all endpoints of a key's subset are sampled
     private static final int MIN_KEY_SUBSET_SIZE = 4;
-    // Size of a key's subset, as a multiple of the fraction of the fleet that its traffic needs
+    // Size of a key's subset, as a multiple of the part of the fleet that its traffic needs
     private static final double HOT_KEY_SUBSET_FACTOR = 2;
-    // A subset is so small that each of its endpoints gets a request within this time
+    // A subset is small enough that each of its endpoints gets a request within this time
     private static final double SUBSET_VISIT_INTERVAL_SECONDS = 1.5;
-    // The same where new connections have a cost
+    // Visit interval where new connections have a cost, which makes the subset smaller
     private static final double COSTLY_CONNECTION_VISIT_INTERVAL_SECONDS = 0.5;
-    // Bound of the search, as a multiple of the subset, where only the own zone's endpoints count
+    // Maximum search length, as a multiple of the subset, if only endpoints of the own zone count
     private static final int MAX_SUBSET_SEARCH_FACTOR = 4;
 
     private final RoutingSettings settings;
@@ -50,7 +51,8 @@
     private final SlowStart slowStart;
     private final ZoneFailover zoneFailover;
     private final boolean anyIdempotentClass;
-    // By class index; then ejections of the class are ignored
+    // Whether most endpoints have ejected a class, so that its ejections are ignored; by class
+    // index
     private final boolean[] majorityEjectedByClass;
     private int visitGeneration;
 
@@ -75,8 +77,8 @@
     }
 
     /**
-     * The candidates for the next attempt of a request: those that it was not sent to yet, or, if
-     * there are none, the others. The list is new and may be changed.
+     * Returns the candidates for the next attempt of a request: the endpoints that it was not sent
+     * to yet or, if there are none, those that it was sent to. The caller may modify the list.
      */
     List<EndpointState> candidates(PendingRequest request, long now) {
         List<EndpointState> untried = new ArrayList<>();
@@ -110,22 +112,25 @@
         return untried.isEmpty() ? tried : untried;
     }
 
-    /** As {@link #candidates}, but only those that the request was not sent to yet. */
+    /** Returns the candidates that the request was not sent to yet; the list may be modified. */
     List<EndpointState> untriedCandidates(PendingRequest request, long now) {
         List<EndpointState> candidates = candidates(request, now);
         candidates.removeIf(request::wasSentTo);
         return candidates;
     }
 
-    /** Whether an endpoint is still the one that the list names, and takes requests. */
+    /** Returns whether an endpoint is still listed as up and has not been restarted. */
     boolean isStillListed(EndpointState endpoint) {
         return endpoint.descriptor().status() == EndpointStatus.UP
                 && registry.get(endpoint.descriptor().id()) == endpoint;
     }
 
     /**
-     * Determines the classes that most endpoints have ejected: there the fault is likely in the
-     * requests, and ejections for the class are ignored.
+     * Determines the classes that most endpoints have ejected. The fault is then likely in the
+     * requests, so ejections for the class are ignored.
+     *
+     * @param activeEndpoints the listed endpoints that may be ejected
+     * @param listedCount the number of listed endpoints
      */
     void updateMajorityEjections(List<EndpointState> activeEndpoints, int listedCount, long now) {
         for (int classIndex = 0; classIndex < majorityEjectedByClass.length; classIndex++) {
@@ -134,8 +139,8 @@
         }
     }
 
-    // Where this balancer's traffic alone visits each endpoint often enough, requests with one key
-    // go to a subset of the key's own.
+    // Returns whether a request uses the subset of its key. This requires that the traffic of this
+    // balancer alone visits each endpoint often enough.
     private boolean usesKeySubset(PendingRequest request) {
         return settings.keyAffinityEnabled()
                 && request.keyHash() != 0
@@ -144,11 +149,11 @@
     }
 
     private int keySubsetSize(PendingRequest request) {
-        double neededForTraffic =
+        double neededEndpoints =
                 HOT_KEY_SUBSET_FACTOR
                         * trafficCounters.keyTrafficFraction(request.keyHash())
                         * registry.listedEndpoints().size();
-        return (int) Math.max(MIN_KEY_SUBSET_SIZE, neededForTraffic);
+        return (int) Math.max(MIN_KEY_SUBSET_SIZE, neededEndpoints);
     }
 
     private int balancerSubsetSize() {
@@ -156,8 +161,8 @@
                 settings.costs().newConnection() > 0
                         ? COSTLY_CONNECTION_VISIT_INTERVAL_SECONDS
                         : SUBSET_VISIT_INTERVAL_SECONDS;
-        double regularlyVisited = trafficCounters.requestsPerSecond() * visitIntervalSeconds;
-        return (int) Math.max(MIN_SUBSET_SIZE, regularlyVisited);
+        double visitableEndpoints = trafficCounters.requestsPerSecond() * visitIntervalSeconds;
+        return (int) Math.max(MIN_SUBSET_SIZE, visitableEndpoints);
     }
 
     private boolean isCandidate(EndpointState endpoint, PendingRequest request, long now) {
@@ -174,7 +179,8 @@
                 || endpoint.classHealth(classIndex).allowsAttempt(now);
     }
 
-    // A zone that is failed over is probed with requests that are safe to repeat.
+    // Returns whether a zone accepts an attempt. A zone that is failed over is probed only with
+    // requests that are safe to repeat.
     private boolean isZoneAdmitted(EndpointState endpoint, PendingRequest request, long now) {
         boolean mayProbe = request.requestClass().idempotency() != Idempotency.NON_IDEMPOTENT;
         return zoneFailover.allowsAttempt(endpoint, request, mayProbe, now);
--- a/balancer/src/main/java/loadbalancer/routing/JsqDasSelector.java
+++ b/balancer/src/main/java/loadbalancer/routing/JsqDasSelector.java
@@ -8,21 +8,22 @@
 import loadbalancer.routing.endpoint.EndpointState;
 
 /**
- * JSQ-DAS, join the shortest queue of d with accomplishment sampling: definition 2 of Gardner and
- * Stephens, "Smart Dispatching in Heterogeneous Systems".
+ * Selects an endpoint by JSQ-DAS, join the shortest queue of d with accomplishment sampling:
+ * definition 2 of Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems".
  *
  * <p>Of k candidates, a are sampled uniformly without replacement from the p·k most accomplished
- * and d − a from the others. The shortest queue of the sample is chosen, ties in favour of the more
- * accomplished. The accomplishment of an endpoint is the number of requests that this balancer has
- * dispatched to it; the count decays, so that a slowed endpoint loses its rank within seconds. p is
- * the fraction of endpoints of the faster machine types ({@link EndpointRegistry#fastFraction}).
+ * and d − a from the others. The candidate with the shortest queue in the sample is selected; a tie
+ * is won by the more accomplished one. The accomplishment of an endpoint is the number of requests
+ * that this balancer has dispatched to it. The count decays, so that an endpoint that becomes slow
+ * loses its rank within seconds. p is the fraction of endpoints of the faster machine types ({@link
+ * EndpointRegistry#fastFraction}).
  *
- * <p>Not thread-safe: belongs to the thread of its {@link RoutingEngine}.
+ * <p>Not thread-safe: used only on the thread of its {@link RoutingEngine}.
  */
 final class JsqDasSelector {
-    // d of the paper
+    // The parameter d of the paper
     private static final int SAMPLE_SIZE = 4;
-    // a of the paper
+    // The parameter a of the paper
     private static final int ACCOMPLISHED_SAMPLE_SIZE = 2;
 
     private static final int NO_RANK = -1;
@@ -42,10 +43,10 @@
     }
 
     /**
-     * Chooses one of the candidates.
+     * Selects one of the candidates.
      *
-     * @param candidates at least one; sorted in place by accomplishment
-     * @param now µs
+     * @param candidates at least one; the list is sorted in place by accomplishment
+     * @param now the current time, µs
      */
     EndpointState select(List<EndpointState> candidates, long now) {
         int candidateCount = candidates.size();
@@ -55,7 +56,7 @@
         candidates.sort(MOST_ACCOMPLISHED_FIRST);
         int accomplishedCount = accomplishedCount(candidateCount);
         int otherCount = candidateCount - accomplishedCount;
-        // A set smaller than its part of the sample leaves the rest of it to the other set.
+        // If a set is smaller than its part of the sample, more are sampled from the other set
         int accomplishedSampleSize =
                 Math.min(
                         accomplishedCount,
@@ -75,15 +76,15 @@
         return candidates.get(bestRank);
     }
 
-    // p·k, but neither set is empty.
+    // Returns p·k, limited so that neither set is empty.
     private int accomplishedCount(int candidateCount) {
         int fastCount = (int) Math.round(registry.fastFraction() * candidateCount);
         return Math.max(1, Math.min(candidateCount - 1, fastCount));
     }
 
     /**
-     * Samples ranks of {@code [fromRank, toRank)} without replacement (a partial Fisher-Yates
-     * shuffle); returns the rank with the shortest queue among these and {@code bestSoFar}.
+     * Samples ranks of {@code [fromRank, toRank)} without replacement, by a partial Fisher-Yates
+     * shuffle. Returns the rank with the shortest queue among these and {@code bestSoFar}.
      */
     private int sampleShortestQueue(
             List<EndpointState> ranked,
@@ -105,7 +106,8 @@
         return bestRank;
     }
 
-    // The shorter queue; at equal length the higher rank.
+    // Returns whether a rank has a shorter queue than the best one, or an equal one and more
+    // accomplishment.
     private boolean isPreferred(List<EndpointState> ranked, int rank, int bestRank, long now) {
         double lengthDifference =
                 queueLengths.estimate(ranked.get(rank), now)
--- a/balancer/src/main/java/loadbalancer/routing/PolicyLog.java
+++ b/balancer/src/main/java/loadbalancer/routing/PolicyLog.java
@@ -7,10 +7,10 @@
 import loadbalancer.util.EventRateLimiter;
 
 /**
- * The log of a routing policy: one line of all kinds together in a second at most; the others are
- * dropped. A line is composed only if it is logged.
+ * Writes the log lines of a routing policy: at most one line per second, over all kinds of lines.
+ * Further lines are dropped without being formatted.
  *
- * <p>Not thread-safe: belongs to the thread of its {@link RoutingEngine}.
+ * <p>Not thread-safe: used only on the thread of its {@link RoutingEngine}.
  */
 final class PolicyLog {
     private static final int MAX_LINES_PER_WINDOW = 1;
@@ -20,7 +20,7 @@
     private final EventRateLimiter limiter =
             EventRateLimiter.withWindowsFromFirstEvent(MAX_LINES_PER_WINDOW, WINDOW_MICROS);
 
-    /** A request is shed. */
+    /** Logs that a request was shed, with the level and the overload ratio. */
     void loadShed(LoadShedder loadShedder, long now, RoutingActions actions) {
         if (limiter.tryAcquire(now)) {
             actions.log(
@@ -32,7 +32,7 @@
         }
     }
 
-    /** An endpoint is ejected as a whole. */
+    /** Logs that an endpoint was ejected as a whole. */
     void endpointEjected(
             EndpointState endpoint, long ejectionMicros, long now, RoutingActions actions) {
         if (limiter.tryAcquire(now)) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** One request class of an endpoint is ejected. */
+    /** Logs that one request class of an endpoint was ejected. */
     void classEjected(
             EndpointState endpoint,
             int classIndex,
@@ -60,14 +60,14 @@
                 + " reason=failures";
     }
 
-    /** An endpoint has recovered from its ejection. */
+    /** Logs that an endpoint has recovered from its ejection. */
     void endpointRecovered(EndpointState endpoint, long now, RoutingActions actions) {
         if (limiter.tryAcquire(now)) {
             actions.log(recoveryLine(endpoint));
         }
     }
 
-    /** One request class of an endpoint has recovered from its ejection. */
+    /** Logs that one request class of an endpoint has recovered from its ejection. */
     void classRecovered(EndpointState endpoint, int classIndex, long now, RoutingActions actions) {
         if (limiter.tryAcquire(now)) {
             actions.log(recoveryLine(endpoint) + classField(classIndex));
@@ -82,21 +82,21 @@
         return " class=" + classIndex;
     }
 
-    /** Discovery has failed several times in a row, and is tried again. */
+    /** Logs that discovery has failed, and how many times in a row. */
     void discoveryFailed(int consecutiveFailures, long now, RoutingActions actions) {
         if (limiter.tryAcquire(now)) {
             actions.log("discovery failed: consecutive_failures=" + consecutiveFailures);
         }
     }
 
-    /** A message of another balancer can't be decoded. */
+    /** Logs that a gossip message of another balancer could not be decoded. */
     void gossipMessageIgnored(int fromBalancer, long now, RoutingActions actions) {
         if (limiter.tryAcquire(now)) {
             actions.log("gossip message ignored: from=" + fromBalancer + " reason=undecodable");
         }
     }
 
-    /** Logs a line that was composed elsewhere. */
+    /** Logs a line that was formatted by the caller. */
     void write(String line, long now, RoutingActions actions) {
         if (limiter.tryAcquire(now)) {
             actions.log(line);
--- a/balancer/src/main/java/loadbalancer/routing/QueueLengthEstimator.java
+++ b/balancer/src/main/java/loadbalancer/routing/QueueLengthEstimator.java
@@ -7,21 +7,22 @@
 import loadbalancer.routing.gossip.LoadGossip;
 
 /**
- * Estimates the queue of an endpoint, the signal that {@link JsqDasSelector} compares.
+ * Estimates the queue length of an endpoint, which {@link JsqDasSelector} compares.
  *
- * <p>The estimate, scaled to an endpoint of mean weight, sums the attempts that this balancer has
- * in flight there, the slots that failed attempts still occupy, and the attempts of the other
- * balancers. The last part matters since a balancer that sees a small part of the traffic finds its
- * own queues empty nearly always; ties alone would then send all of it to one set of endpoints.
+ * <p>The estimate is scaled to an endpoint of mean weight. It is the sum of the attempts that this
+ * balancer has in flight at the endpoint, the slots that failed attempts still occupy, and the
+ * attempts of the other balancers. The last part matters because a balancer that gets a small part
+ * of the traffic nearly always finds its own queues empty; ties would then send all of its requests
+ * to one set of endpoints.
  *
- * <p>Not thread-safe: belongs to the thread of its {@link RoutingEngine}.
+ * <p>Not thread-safe: used only on the thread of its {@link RoutingEngine}.
  */
 final class QueueLengthEstimator {
-    // Time constant of the mean of attempts in flight
+    // Time constant of the mean number of attempts in flight
     private static final double IN_FLIGHT_DECAY_MICROS = 2e6;
-    // Time constant of trust in a load report, in usual latencies of the quickest class
+    // Time constant of the trust in a load report, in usual latencies of the fastest class
     private static final double REPORT_TRUST_LATENCIES = 2;
-    // Relative and absolute penalty on a queue in another zone, per unit of cross-zone cost
+    // Relative and absolute penalty of a queue in another zone, per unit of cross-zone cost
     private static final double CROSS_ZONE_QUEUE_PER_COST = 10;
 
     private final RoutingSettings settings;
@@ -52,23 +53,27 @@
         inFlight--;
     }
 
-    /** Updates the mean of attempts in flight, by the time since its last update. */
+    /**
+     * Updates the mean number of attempts in flight.
+     *
+     * @param elapsedMicros µs since the last update
+     */
     void updateMeanInFlight(long elapsedMicros) {
         double weight = 1 - Math.exp(-elapsedMicros / IN_FLIGHT_DECAY_MICROS);
         meanInFlight += weight * (inFlight - meanInFlight);
     }
 
-    /** Sets the number of other balancers whose load is not known by gossip. */
+    /** Sets the number of other balancers whose load is not known from gossip. */
     void setSilentPeerCount(int silentPeerCount) {
         this.silentPeerCount = silentPeerCount;
     }
 
-    /** Whether the load of any other balancer is known, or there is none. */
+    /** Returns whether the load of at least one other balancer is known, or there are no others. */
     boolean hasLivePeers() {
         return settings.balancerCount() == 1 || silentPeerCount < settings.balancerCount() - 1;
     }
 
-    /** The estimated number of requests at an endpoint, as for one of mean weight. */
+    /** Returns the estimated number of requests at an endpoint, scaled to one of mean weight. */
     double estimate(EndpointState endpoint, long now) {
         double queueLength =
                 (endpoint.inFlight() + endpoint.penaltySlots(now) + remoteInFlight(endpoint, now))
@@ -77,7 +82,9 @@
         return queueLength + crossZonePenalty(endpoint) * (1 + queueLength);
     }
 
-    // Where crossing zones has a cost, a shorter queue in another zone must make up for it.
+    // Returns the penalty of an endpoint in another zone. Its queue must be short enough to
+    // outweigh
+    // the cost of crossing zones.
     private double crossZonePenalty(EndpointState endpoint) {
         return endpoint.descriptor().zone() == settings.zone()
                 ? 0
@@ -85,9 +92,10 @@
     }
 
     /**
-     * Attempts of other balancers at an endpoint. Its own last load report counts by its age; the
-     * rest is what peers report by gossip and, for silent peers, what Little's law infers from this
-     * balancer's own mean, in proportion to weight and latency.
+     * Returns the estimated number of attempts of other balancers at an endpoint. The last load
+     * report of the endpoint is weighted by its age. The remaining weight is for the numbers that
+     * peers report by gossip plus, for silent peers, an estimate by Little's law from the mean of
+     * this balancer, in proportion to weight and latency.
      */
     private double remoteInFlight(EndpointState endpoint, long now) {
         double relativeWeight = endpoint.descriptor().weight() / registry.meanWeight();
@@ -103,7 +111,7 @@
         return gossipEstimate + reportTrust(endpoint, now) * (reportEstimate - gossipEstimate);
     }
 
-    // From 1 for a report that arrives now, down to 0 with its age.
+    // Returns the weight of the last load report: 1 when it arrives, decaying to 0 with its age.
     private double reportTrust(EndpointState endpoint, long now) {
         if (endpoint.reportedAtMicros() <= 0) {
             return 0;
--- a/balancer/src/main/java/loadbalancer/routing/RequestLifecycle.java
+++ b/balancer/src/main/java/loadbalancer/routing/RequestLifecycle.java
@@ -16,19 +16,20 @@
 import loadbalancer.routing.endpoint.PendingRequest;
 
 /**
- * The open requests, each from its arrival to its final response and the end of its last attempt:
- * it is sent at once if it may be, otherwise it waits in the pending queue until an endpoint can
- * take it or its time is over. Each request gets exactly one final response, in time.
+ * Tracks the open requests, each from its arrival to its final response and the end of its last
+ * attempt. A request is sent immediately if possible, otherwise it waits in the pending queue until
+ * an endpoint can take it or its time is over. Each request gets exactly one final response, before
+ * its deadline, unless its client disconnects.
  *
- * <p>Bound: the requests that the caller has open. Not thread-safe: belongs to the thread of its
- * {@link RoutingEngine}.
+ * <p>The size is bounded by the number of requests that the caller has open. Not thread-safe: used
+ * only on the thread of its {@link RoutingEngine}.
  */
 final class RequestLifecycle {
-    // A final response that is due within this number of timer intervals is given now
+    // A final response that is due within this number of timer intervals is sent immediately
     private static final int RESPONSE_MARGIN_TICKS = 2;
-    // A request is sent at the latest this number of usual latencies before its objective
+    // A queued request is sent at the latest this number of usual latencies before its objective
     private static final int START_MARGIN_LATENCIES = 2;
-    // A request waits at least its time until the objective divided by this
+    // A request may wait at least its time until the objective divided by this number
     private static final int MIN_WAIT_DIVISOR = 4;
 
     private final RoutingLimits limits;
@@ -43,6 +44,8 @@
     private final PendingQueue pendingQueue = new PendingQueue(this::latestStartMicros);
 
     /**
+     * Creates a lifecycle without open requests.
+     *
      * @param tickMicros µs between timer events while requests are open
      */
     RequestLifecycle(
@@ -64,22 +67,29 @@
         this.responseMarginMicros = RESPONSE_MARGIN_TICKS * tickMicros;
     }
 
-    /** Whether no request is open. */
+    /** Returns whether no request is open. */
     boolean isIdle() {
         return openRequests.isEmpty();
     }
 
-    /** The open request of an id, or null: events about requests that are over are legal. */
+    /** Returns the open request with an id, or null: events about finished requests are legal. */
     PendingRequest find(String requestId) {
         return openRequests.get(requestId);
     }
 
-    /** Opens a request; {@link #dispatch} or {@link #rejectOrFail} must follow. */
+    /**
+     * Adds a request to the open ones. The caller must then call {@link #dispatch} or {@link
+     * #rejectOrFail}.
+     */
     void open(PendingRequest request) {
         openRequests.put(request.id(), request);
     }
 
-    /** Sends an admitted request, or queues it. */
+    /**
+     * Sends an admitted request, or queues it.
+     *
+     * @param ordered whether it runs only after earlier requests with its key
+     */
     void dispatch(PendingRequest request, boolean ordered, long now, RoutingActions actions) {
         if (ordered) {
             keyOrdering.add(request);
@@ -87,7 +97,10 @@
         sendOrEnqueue(request, now, actions);
     }
 
-    /** Gives the final response: a rejection where a resubmission is harmless, else a failure. */
+    /**
+     * Sends the final response: a rejection if the client may safely send the request again,
+     * otherwise a failure.
+     */
     void rejectOrFail(PendingRequest request, RoutingActions actions) {
         request.close();
         if (request.isSafeToResubmit()) {
@@ -98,7 +111,10 @@
         removeIfFinished(request);
     }
 
-    /** See {@link loadbalancer.routing.api.RoutingPolicy#canStartAttempt}. */
+    /**
+     * Returns whether an attempt that had to wait for a connection may still be sent, see {@link
+     * loadbalancer.routing.api.RoutingPolicy#canStartAttempt}.
+     */
     boolean canStartAttempt(long now, String requestId, int attemptNumber) {
         PendingRequest request = openRequests.get(requestId);
         if (request == null || request.isClosed()) {
@@ -111,8 +127,12 @@
     }
 
     /**
-     * Handles the end of an attempt: retries its request or gives the final response, and sends
+     * Handles the end of an attempt: retries its request or sends the final response, and sends
      * queued requests. The end of an attempt that is not in flight is ignored.
+     *
+     * @param latencyMicros µs since the attempt was sent
+     * @param closed whether the request already has its final response
+     * @param load the load report that came with the response, or null
      */
     void onAttemptEnded(
             String requestId,
@@ -143,7 +163,8 @@
     }
 
     /**
-     * The client of a request has disconnected: its attempts are cancelled, it gets no response.
+     * Handles the disconnection of a client: cancels the attempts of its request, which gets no
+     * response.
      */
     void onClientDisconnected(String requestId, RoutingActions actions) {
         PendingRequest request = openRequests.get(requestId);
@@ -154,7 +175,7 @@
         }
     }
 
-    /** Sends queued requests as endpoints become free, those within their tenant's quota first. */
+    /** Sends queued requests for which an endpoint is available, those within their quota first. */
     void drainPendingQueue(long now, RoutingActions actions) {
         for (List<PendingRequest> queue : pendingQueue.queues()) {
             Iterator<PendingRequest> iterator = queue.iterator();
@@ -164,14 +185,14 @@
                     request.onDequeued();
                     iterator.remove();
                 } else if (isUnrestricted(request)) {
-                    // It may be sent to any endpoint, so none is available for the others either
+                    // This request may use any endpoint, so none is available for the others either
                     return;
                 }
             }
         }
     }
 
-    // Whether neither earlier attempts nor ordering nor placement exclude any endpoint.
+    // Returns whether no endpoint is excluded by earlier attempts, ordering or placement.
     private static boolean isUnrestricted(PendingRequest request) {
         RequestClass requestClass = request.requestClass();
         return !request.hasAttempts()
@@ -181,9 +202,9 @@
     }
 
     /**
-     * Rejects or fails queued requests whose time is over or that may not be sent any more: one
-     * without attempts as soon as it can't be served within its latency objective, others in time
-     * before their deadline.
+     * Rejects or fails queued requests whose time is over or that may not be sent any more. The
+     * time of a request without attempts is over as soon as it cannot be served within its latency
+     * objective, that of the others shortly before their deadline.
      */
     void finishOverdueRequests(long now, RoutingActions actions) {
         pendingQueue.toList().forEach(request -> finishIfOverdue(request, now, actions));
@@ -201,7 +222,7 @@
         }
     }
 
-    /** Sends hedged requests for those that have waited too long for their response. */
+    /** Sends hedged requests for the requests that have waited too long for their response. */
     void hedgeSlowRequests(long now, RoutingActions actions) {
         openRequests.values().forEach(request -> hedgeIfSlow(request, now, actions));
     }
@@ -217,8 +238,8 @@
         }
     }
 
-    // When a request must be sent to be served within its objective; one whose objective has passed
-    // does not wait.
+    // Returns the latest time at which a request can be sent and still be served within its
+    // objective. A request whose objective has already passed does not wait.
     private long latestStartMicros(PendingRequest request) {
         long objectiveMicros = request.latencyObjectiveAtMicros() - request.arrivedAtMicros();
         if (objectiveMicros <= 0) {
--- a/balancer/src/main/java/loadbalancer/routing/RetryPolicy.java
+++ b/balancer/src/main/java/loadbalancer/routing/RetryPolicy.java
@@ -11,63 +11,65 @@
 import loadbalancer.routing.endpoint.PendingRequest;
 
 /**
- * Decides whether and when a request gets a further attempt: retries after failures, hedged
- * requests, the time-out of an attempt and the budget that bounds them.
+ * Decides whether and when a request gets a further attempt: retries after failures and hedged
+ * requests, the budget that bounds both, and the time-outs of attempts.
  *
- * <p>There is no backoff between the attempts of a request: a retry starts as soon as the attempt
- * before it has failed, at an endpoint that the request was not sent to yet if there is one.
- * Waiting happens at three other places:
+ * <p>There is no backoff between the attempts of a request: a retry starts as soon as the previous
+ * attempt has failed, at an endpoint that the request was not sent to yet if there is one. Delays
+ * are applied in three other places:
  *
  * <ul>
- *   <li>{@link #retryAfterMicros}: the delay that a rejected client is asked for (Retry-After);
- *   <li>{@link loadbalancer.routing.health.OutlierEjection}: how long an endpoint that rejects or
- *       fails gets no attempts, of any request;
- *   <li>{@link KeyOrdering}: the cooldown of a key after an attempt that may still run.
+ *   <li>{@link #retryAfterMicros}: the delay that a rejected client is asked to wait (Retry-After);
+ *   <li>{@link loadbalancer.routing.health.OutlierEjection}: the time for which an endpoint that
+ *       rejects or fails gets no attempts of any request;
+ *   <li>{@link KeyOrdering}: the cooldown of a key after an attempt that may still be running.
  * </ul>
  *
- * <p>To put a delay between attempts, change {@link RequestLifecycle}, where it sends or queues the
- * retry of an attempt that has ended. Such a change must keep:
+ * <p>To add a delay between attempts, change the place in {@link RequestLifecycle} that sends or
+ * queues a retry after an attempt has ended. Such a change must preserve these rules:
  *
  * <ul>
  *   <li>a request that may have run is repeated only as its class allows, see {@link
  *       #isRepeatAllowed} and {@link #isWithinDeduplicationScope};
- *   <li>the final response is due before the deadline, so a delay counts against the time left, see
- *       {@link #allowsRetry}; requests whose time is over are ended in the queue;
+ *   <li>the final response is due before the deadline, so a delay reduces the remaining time, see
+ *       {@link #allowsRetry}; requests whose time is over get their final response while queued;
  *   <li>retries of attempts that may have run, and hedged requests, add at most {@link
  *       #BUDGET_PER_REQUEST} attempts per arrival beyond {@link #MAX_BUDGET} saved ones, so that
- *       they cannot feed an overload.
+ *       they cannot increase an overload.
  * </ul>
  *
  * <p>{@code RetryPolicyTest}, {@code RoutingInvariantsTest} and {@code
- * RandomizedRoutingInvariantsTest} check these. {@code KeyOrderingTest} ({@code
+ * RandomizedRoutingInvariantsTest} check these rules. {@code KeyOrderingTest} ({@code
  * keyOwnerIsRetriedWithoutDelay}) and {@code RetryPolicyTest} ({@code
  * unexecutedNonIdempotentRequestIsRetried}) expect a retry without delay.
  *
- * <p>Not thread-safe: belongs to the thread of its {@link RoutingEngine}.
+ * <p>Not thread-safe: used only on the thread of its {@link RoutingEngine}.
  */
 final class RetryPolicy {
-    // The delay that rejected clients are asked for: about as long as an overload lasts
+    // Requested delay of rejected clients, about the duration of an overload
     private static final long RETRY_AFTER_MICROS = 2_000_000;
-    // Attempts beyond the first that the arrival of a request adds to the budget
+    // Number of additional attempts that each arriving request adds to the budget
     private static final double BUDGET_PER_REQUEST = 0.2;
     private static final double MAX_BUDGET = 10;
-    // Part of the budget that is reserved for retries
+    // A smaller budget is reserved for retries
     private static final double MIN_BUDGET_FOR_HEDGING = 4;
-    // Below this factor a late response is not worth its work
+    // If the late weight factor is smaller, a late response is not worth the work it costs
     private static final double MIN_LATE_WEIGHT_FACTOR = 0.5;
     // A hedged request is sent this many expected latencies before the latency objective
     private static final int HEDGE_HEADROOM_LATENCIES = 2;
-    // The least time-out of an attempt that leaves time for a retry, in usual latencies
+    // Minimum time-out of an attempt that leaves time for a retry, in usual latencies
     private static final int MIN_TIMEOUT_LATENCIES = 3;
 
     private final RoutingSettings settings;
     private final LatencyTracker latencyTracker;
     private final long tickMicros;
-    // Attempts beyond the first that may still be made
+    // Number of additional attempts that may be made now
     private double budget = MAX_BUDGET;
 
     /**
-     * @param tickMicros µs between timer events: how late a decision can be
+     * Creates a policy with a full budget.
+     *
+     * @param tickMicros µs between timer events, the maximum delay of a decision
      */
     RetryPolicy(RoutingSettings settings, LatencyTracker latencyTracker, long tickMicros) {
         this.settings = settings;
@@ -75,14 +77,14 @@
         this.tickMicros = tickMicros;
     }
 
-    /** The arrival of a request refills the budget. */
+    /** Adds to the budget for a request that has arrived. */
     void onRequest() {
         budget = Math.min(MAX_BUDGET, budget + BUDGET_PER_REQUEST);
     }
 
     /**
-     * Whether a request may be sent once more as far as its idempotency goes: it cannot have run
-     * yet, or it is idempotent, or its endpoints still remember its idempotency key.
+     * Returns whether idempotency allows a further attempt of a request: it cannot have run yet, or
+     * it is idempotent, or endpoints still remember its idempotency key.
      */
     boolean isRepeatAllowed(PendingRequest request, long now) {
         Attempt firstAttempt = request.firstAttemptThatMayHaveRun();
@@ -100,8 +102,9 @@
     }
 
     /**
-     * Whether an endpoint would recognize the idempotency key of a request that may have run: it is
-     * in the zone or cell of the first attempt, as the class's scope asks.
+     * Returns whether deduplication allows an attempt at an endpoint: the request cannot have run
+     * yet, or it is idempotent, or the endpoint recognizes its idempotency key because it is in the
+     * zone or cell of the first attempt that may have run, as required by the scope of the class.
      */
     static boolean isWithinDeduplicationScope(PendingRequest request, EndpointState endpoint) {
         RequestClass requestClass = request.requestClass();
@@ -123,14 +126,16 @@
         };
     }
 
-    // Zones and cells that the list does not name are negative.
+    // Returns whether two zones or cells are known and equal. Unknown ones are negative.
     private static boolean isSameKnown(int number, int otherNumber) {
         return number == otherNumber && number >= 0;
     }
 
     /**
-     * Whether a request whose last attempt ended so may have another one now. An attempt that did
-     * not run costs nothing of the budget.
+     * Returns whether a request may be retried now. A retry costs no budget if the endpoint did not
+     * run the last attempt.
+     *
+     * @param outcome how the last attempt ended
      */
     boolean allowsRetry(PendingRequest request, AttemptOutcome outcome, long now) {
         return isRepeatAllowed(request, now)
@@ -139,14 +144,15 @@
                 && now < retryDeadlineMicros(request) - tickMicros;
     }
 
-    // A late response to a request that its client will not repeat is worth little.
+    // Returns the time after which a retry is useless. The client of a non-idempotent request does
+    // not repeat it, so a response after the latency objective is worth little.
     private static long retryDeadlineMicros(PendingRequest request) {
         return request.requestClass().idempotency() == Idempotency.IDEMPOTENT
                 ? request.deadlineMicros()
                 : request.latencyObjectiveAtMicros();
     }
 
-    /** Takes a retry that {@link #allowsRetry} has allowed from the budget. */
+    /** Deducts a retry that {@link #allowsRetry} has allowed from the budget. */
     void onRetry(AttemptOutcome outcome) {
         if (!outcome.neverRan()) {
             budget--;
@@ -154,9 +160,9 @@
     }
 
     /**
-     * Whether to send a hedged request: the request has waited longer than nearly all of its class
-     * do, whatever the cause, such as a lost response, a stall or a connection that was dropped
-     * without notice. Where all endpoints slow down at once this costs at most the budget.
+     * Returns whether to send a hedged request because a request has waited longer than nearly all
+     * others of its class. Causes are a lost response, a stalled endpoint or a connection that was
+     * dropped without notice. If all endpoints slow down at once, hedging is limited by the budget.
      */
     boolean shouldHedge(PendingRequest request, long now) {
         if (request.attemptsInFlight() != 1
@@ -172,7 +178,8 @@
         return now - lastAttempt.sentAtMicros() >= hedgeDelayMicros(request);
     }
 
-    // As late as leaves the hedged request time to be served within the latency objective.
+    // Returns the delay before hedging: as long as possible, but such that the hedged request can
+    // be served within the latency objective.
     private double hedgeDelayMicros(PendingRequest request) {
         double expectedLatencyMicros =
                 latencyTracker.usualMicros(request.classIndex()) * request.expectedLatencyRatio();
@@ -183,7 +190,7 @@
                         - HEDGE_HEADROOM_LATENCIES * expectedLatencyMicros);
     }
 
-    /** Takes a hedged request that {@link #shouldHedge} has asked for from the budget. */
+    /** Deducts a hedged request that {@link #shouldHedge} has allowed from the budget. */
     void onHedge() {
         budget--;
     }
@@ -193,12 +200,12 @@
     }
 
     /**
-     * The time-out of an attempt that is sent now, µs; 0: the request's deadline.
+     * Returns the time-out of an attempt that is sent now, µs; 0 means the request's deadline.
      *
      * <p>A request that is not idempotent times out at its latency objective if a late response is
-     * worth little: its client will not repeat it, and ending it frees capacity for requests that
-     * can be served in time. An idempotent one would be repeated, so it has a time-out only where
-     * hedging is forbidden, to leave time for a retry. Streamed responses have none.
+     * worth little: its client does not repeat it, and ending it frees capacity for requests that
+     * can be served in time. An idempotent request would be repeated, so it has a time-out only if
+     * hedging is not allowed, to leave time for a retry. Streamed responses have no time-out.
      */
     long attemptTimeoutMicros(PendingRequest request, long now) {
         RequestClass requestClass = request.requestClass();
@@ -206,10 +213,10 @@
             return 0;
         }
         if (requestClass.idempotency() != Idempotency.IDEMPOTENT) {
-            boolean isDroppedWhenLate =
+            boolean timesOutAtObjective =
                     requestClass.lateWeightFactor() < MIN_LATE_WEIGHT_FACTOR
                             && request.latencyObjectiveAtMicros() > now;
-            return isDroppedWhenLate ? request.latencyObjectiveAtMicros() - now : 0;
+            return timesOutAtObjective ? request.latencyObjectiveAtMicros() - now : 0;
         }
         if (settings.limits().hedgingAllowed() || !hasAttemptsLeft(request)) {
             return 0;
@@ -222,7 +229,7 @@
     }
 
     /**
-     * The delay after which a rejected client may try again, µs; 0 where the settings allow no
+     * Returns the delay after which a rejected client may try again, µs; 0 if the settings allow no
      * Retry-After ({@link RoutingLimits#maxRetryAfterMicros}).
      */
     long retryAfterMicros() {
--- a/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
@@ -29,29 +29,29 @@
 import loadbalancer.util.Hashing;
 
 /**
- * The routing policy of one balancer: takes its events, keeps its clock-driven state up to date and
- * delegates each decision.
+ * Implements the routing policy of one balancer: handles its events, updates its time-dependent
+ * state and delegates each decision.
  *
- * <p>The way of a request: {@link LoadShedder} admits it, {@link RequestLifecycle} owns it until
- * its final answer, {@link CandidateFilter} says which endpoints may take it, {@link
- * JsqDasSelector} chooses one, {@link AttemptRecorder} learns from the outcome, and {@link
- * RetryPolicy} decides on further attempts.
+ * <p>For each request, {@link LoadShedder} decides on its admission, {@link RequestLifecycle}
+ * tracks it until its final response, {@link CandidateFilter} determines the eligible endpoints,
+ * {@link JsqDasSelector} selects one of them, {@link AttemptRecorder} records the outcome of the
+ * attempt, and {@link RetryPolicy} decides on further attempts.
  *
- * <p>Deterministic: the same settings, seed and events give the same actions. Not thread-safe: the
- * caller delivers events one at a time, see {@link RoutingPolicy}.
+ * <p>The engine is deterministic: the same settings, seed and events give the same actions. It is
+ * not thread-safe: the caller delivers events one at a time, see {@link RoutingPolicy}.
  */
 public final class RoutingEngine implements RoutingPolicy {
     // Longest interval between timer events while a request is open
     private static final long MAX_TICK_MICROS = 20_000;
-    // Timer events in the shortest latency objective, at least
+    // Minimum number of timer events within the shortest latency objective
     private static final int MIN_TICKS_PER_OBJECTIVE = 16;
-    // Interval of the scans of all endpoints that are not steady
+    // Interval between the scans of the active endpoints
     private static final long REFRESH_INTERVAL_MICROS = 100_000;
-    // No hedged requests while a larger part of the attempts is rejected
+    // Hedging pauses while rejected attempts exceed this fraction of the requests
     private static final double MAX_REJECTED_FRACTION_FOR_HEDGING = 0.02;
-    // Part of a request's expected latency that is proportional to its work hint
+    // Fraction of a request's expected latency that is proportional to its work hint
     private static final double WORK_HINT_WEIGHT = 0.7;
-    // Zones are numbered by one byte in load reports between balancers
+    // Gossip messages carry the zone number in one byte
     private static final int GOSSIP_ZONE_MASK = 255;
     private static final double MICROS_PER_SECOND = 1e6;
     private static final long NO_TIMER = Long.MAX_VALUE;
@@ -84,16 +84,17 @@
     private long timerAtMicros = NO_TIMER;
 
     /**
-     * A policy without zone failover, see {@link #RoutingEngine(RoutingSettings, long, boolean)}.
+     * Creates a policy without zone failover, see {@link #RoutingEngine(RoutingSettings, long,
+     * boolean)}.
      */
     public RoutingEngine(RoutingSettings settings, long seed) {
         this(settings, seed, false);
     }
 
     /**
-     * A policy without endpoints: its first event is the endpoint list.
+     * Creates a policy without endpoints. Its first event must be the endpoint list.
      *
-     * @param seed of all random choices
+     * @param seed the seed of all random choices
      * @param zoneFailoverEnabled whether zones are failed over as a whole
      */
     public RoutingEngine(RoutingSettings settings, long seed, boolean zoneFailoverEnabled) {
@@ -158,8 +159,6 @@
                 .getAsLong();
     }
 
-    // ---------------------------------------------------------------- endpoint list
-
     @Override
     public void onEndpointList(
             long now, EndpointListKind kind, List<Endpoint> endpoints, RoutingActions actions) {
@@ -189,8 +188,6 @@
         requests.drainPendingQueue(now, actions);
     }
 
-    // ---------------------------------------------------------------- requests
-
     @Override
     public void onRequest(
             long now,
@@ -302,8 +299,6 @@
         requests.onClientDisconnected(requestId, actions);
     }
 
-    // ---------------------------------------------------------------- figures, snapshot, peers
-
     @Override
     public int ejectedEndpointCount(long now) {
         return (int)
@@ -333,7 +328,7 @@
 
     @Override
     public void onPeerMessage(long now, int fromBalancer, byte[] payload, RoutingActions actions) {
-        boolean understood =
+        boolean decoded =
                 loadGossip.onMessage(
                         now,
                         fromBalancer,
@@ -341,24 +336,23 @@
                         registry.listedEndpoints(),
                         (endpoint, reporterZone) ->
                                 onReportedUnreachable(endpoint, reporterZone, now));
-        if (!understood) {
+        if (!decoded) {
             log.gossipMessageIgnored(fromBalancer, now, actions);
         }
     }
 
-    // An endpoint that can't be reached from another zone may well be reachable from this one.
+    // Ignores reports from other zones: an endpoint that is unreachable from another zone may be
+    // reachable from this one.
     private void onReportedUnreachable(EndpointState endpoint, int reporterZone, long now) {
         if (reporterZone == (settings.zone() & GOSSIP_ZONE_MASK)) {
             outlierEjection.onReportedUnreachable(endpoint, now);
         }
     }
 
-    // ---------------------------------------------------------------- time
-
     @Override
     public void onTimer(long now, RoutingActions actions) {
         if (now < timerAtMicros) {
-            // Superseded: an earlier timer event was scheduled after this one
+            // This timer was replaced by one that was scheduled for an earlier time
             return;
         }
         timerAtMicros = NO_TIMER;
@@ -408,12 +402,12 @@
         }
     }
 
-    // Arrivals at all balancers, as far as they are known.
+    // Returns the known arrival rate of all balancers together.
     private double fleetRequestsPerSecond() {
         return fleetCapacity.requestsPerSecond() + loadGossip.remoteRate();
     }
 
-    // Hedged requests must not feed an overload.
+    // Returns whether hedging is allowed now. Hedged requests must not increase an overload.
     private boolean isHedgingAdvisable() {
         return settings.limits().hedgingAllowed()
                 && loadShedder.admitsAllWithinQuota()
@@ -434,8 +428,8 @@
     }
 
     /**
-     * Updates what depends on all endpoints. Only the active ones are scanned, the others are
-     * steady: otherwise the work of each timer event would grow with the fleet.
+     * Updates the state that depends on all endpoints. Only the active ones are scanned, because
+     * the others are in the steady state; scanning all would let the work grow with the fleet.
      */
     private void refresh(long now, RoutingActions actions) {
         Predicate<EndpointState> isWarm = endpoint -> slowStart.rampFraction(endpoint, now) >= 1;
@@ -461,7 +455,7 @@
         refreshAtMicros = now + REFRESH_INTERVAL_MICROS;
     }
 
-    // Part of an endpoint's full capacity that this balancer may use now.
+    // Returns the fraction of an endpoint's full capacity that this balancer may use now.
     private double usableFraction(EndpointState endpoint, long now) {
         if (outlierEjection.isUnavailable(endpoint, now)) {
             return 0;
