--- a/balancer/src/main/java/loadbalancer/routing/CandidateFilter.java
+++ b/balancer/src/main/java/loadbalancer/routing/CandidateFilter.java
@@ -51,8 +51,7 @@
     private final SlowStart slowStart;
     private final ZoneFailover zoneFailover;
     private final boolean anyIdempotentClass;
-    // Whether most endpoints have ejected a class, so that its ejections are ignored; by class
-    // index
+    // Whether ejections of a class are ignored because most endpoints ejected it; by class index
     private final boolean[] majorityEjectedByClass;
     private int visitGeneration;
 
--- a/balancer/src/main/java/loadbalancer/routing/QueueLengthEstimator.java
+++ b/balancer/src/main/java/loadbalancer/routing/QueueLengthEstimator.java
@@ -82,9 +82,8 @@
         return queueLength + crossZonePenalty(endpoint) * (1 + queueLength);
     }
 
-    // Returns the penalty of an endpoint in another zone. Its queue must be short enough to
-    // outweigh
-    // the cost of crossing zones.
+    // Returns the penalty of an endpoint in another zone. Its queue must be short enough to make
+    // up for the cost of crossing zones.
     private double crossZonePenalty(EndpointState endpoint) {
         return endpoint.descriptor().zone() == settings.zone()
                 ? 0
--- a/balancer/src/main/java/loadbalancer/routing/RequestLifecycle.java
+++ b/balancer/src/main/java/loadbalancer/routing/RequestLifecycle.java
@@ -18,11 +18,11 @@
 /**
  * Tracks the open requests, each from its arrival to its final response and the end of its last
  * attempt. A request is sent immediately if possible, otherwise it waits in the pending queue until
- * an endpoint can take it or its time is over. Each request gets exactly one final response, before
- * its deadline, unless its client disconnects.
+ * an endpoint can take it or its time is over. Each request gets exactly one final response, in
+ * time, unless its client disconnects.
  *
- * <p>The size is bounded by the number of requests that the caller has open. Not thread-safe: used
- * only on the thread of its {@link RoutingEngine}.
+ * <p>The number of tracked requests is bounded by the number that the caller has open. Not
+ * thread-safe: used only on the thread of its {@link RoutingEngine}.
  */
 final class RequestLifecycle {
     // A final response that is due within this number of timer intervals is sent immediately
@@ -72,7 +72,10 @@
         return openRequests.isEmpty();
     }
 
-    /** Returns the open request with an id, or null: events about finished requests are legal. */
+    /**
+     * Returns the open request with an id, or null if there is none. Events about finished requests
+     * are legal.
+     */
     PendingRequest find(String requestId) {
         return openRequests.get(requestId);
     }
--- a/balancer/src/main/java/loadbalancer/routing/RetryPolicy.java
+++ b/balancer/src/main/java/loadbalancer/routing/RetryPolicy.java
@@ -178,8 +178,8 @@
         return now - lastAttempt.sentAtMicros() >= hedgeDelayMicros(request);
     }
 
-    // Returns the delay before hedging: as long as possible, but such that the hedged request can
-    // be served within the latency objective.
+    // Returns the delay before hedging: at least the expected latency, otherwise as long as leaves
+    // time to serve the hedged request within the latency objective.
     private double hedgeDelayMicros(PendingRequest request) {
         double expectedLatencyMicros =
                 latencyTracker.usualMicros(request.classIndex()) * request.expectedLatencyRatio();
--- a/balancer/src/main/java/loadbalancer/routing/api/AttemptOutcome.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/AttemptOutcome.java
@@ -1,20 +1,20 @@
 package loadbalancer.routing.api;
 
-/** How an attempt ended. */
+/** The outcome of an attempt. */
 public enum AttemptOutcome {
-    /** The endpoint answered the request. */
+    /** The endpoint sent a successful response. */
     OK(false),
-    /** The endpoint answered with an error of its own. */
+    /** The endpoint sent an error response of its own. */
     ERROR(false),
-    /** The endpoint rejected the request as it is full or shutting down. */
+    /** The endpoint rejected the request because it is full or shutting down. */
     REJECTED(true),
-    /** No answer came within the attempt's time-out. */
+    /** No response arrived within the time-out of the attempt. */
     TIMEOUT(false),
-    /** No connection to the endpoint could be made. */
+    /** No connection to the endpoint could be established. */
     CONNECT_FAILED(true),
-    /** The connection broke before the answer was complete. */
+    /** The connection was closed before the response was complete. */
     RESET(false),
-    /** The policy cancelled the attempt, or its client left. */
+    /** The policy cancelled the attempt, or the client disconnected. */
     CANCELLED(false),
     /** The attempt ended before its first byte was sent. */
     NOT_SENT(true);
@@ -25,7 +25,7 @@
         this.neverRan = neverRan;
     }
 
-    /** Whether the outcome proves that the endpoint did not run the request. */
+    /** Returns whether the outcome proves that the endpoint did not run the request. */
     public boolean neverRan() {
         return neverRan;
     }
--- a/balancer/src/main/java/loadbalancer/routing/api/DeduplicationScope.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/DeduplicationScope.java
@@ -1,11 +1,14 @@
 package loadbalancer.routing.api;
 
-/** Which endpoints recognize an idempotency key that one of them has seen, and drop the repeat. */
+/**
+ * The set of endpoints that recognize an idempotency key that one of them has seen, and do not run
+ * the request again.
+ */
 public enum DeduplicationScope {
     /** All endpoints. */
     ALL,
-    /** Those in the same zone. */
+    /** All endpoints in the same zone. */
     ZONE,
-    /** Those in the same cell. */
+    /** All endpoints in the same cell. */
     CELL
 }
--- a/balancer/src/main/java/loadbalancer/routing/api/DiscoveryMode.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/DiscoveryMode.java
@@ -1,9 +1,9 @@
 package loadbalancer.routing.api;
 
-/** How a balancer gets the endpoint list. */
+/** The way in which a balancer gets the endpoint list. */
 public enum DiscoveryMode {
-    /** Discovery sends the list and its changes unasked. */
+    /** Discovery sends the list and its changes without a request. */
     PUSH,
-    /** The balancer asks for the list, by watch or fetch. */
+    /** The balancer requests the list by watch or fetch. */
     POLL
 }
--- a/balancer/src/main/java/loadbalancer/routing/api/Endpoint.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/Endpoint.java
@@ -1,10 +1,11 @@
 package loadbalancer.routing.api;
 
 /**
- * One entry of the endpoint list.
+ * An entry of the endpoint list.
  *
- * @param id opaque, unique in the list
- * @param startedAtMicros when its process started; 0 if that is long past
+ * @param id the opaque id, unique in the list
+ * @param status whether it takes requests
+ * @param startedAtMicros when its process started, µs; 0 if it started long ago
  * @param weight its capacity relative to other endpoints
  * @param cell the number of its cell, or -1
  * @param machineType the number of its machine type, or -1
@@ -18,7 +19,7 @@
         int cell,
         int machineType,
         int zone) {
-    /** The same endpoint with another status. */
+    /** Returns the same endpoint with another status. */
     public Endpoint withStatus(EndpointStatus newStatus) {
         return new Endpoint(id, newStatus, startedAtMicros, weight, cell, machineType, zone);
     }
--- a/balancer/src/main/java/loadbalancer/routing/api/EndpointListKind.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/EndpointListKind.java
@@ -1,13 +1,13 @@
 package loadbalancer.routing.api;
 
-/** What an update of the endpoint list contains. */
+/** The content of an update of the endpoint list. */
 public enum EndpointListKind {
-    /** The complete list as it was known before the balancer started. */
+    /** The complete list that was known before the balancer started. */
     CACHED,
-    /** The complete list as discovery has it now; endpoints that it does not name are removed. */
+    /** The complete current list; endpoints that it does not contain are removed. */
     COMPLETE,
     /** Only the endpoints that have changed. */
     DELTA,
-    /** Nothing: discovery could not be reached, or answered with an error. */
+    /** No list, because discovery could not be reached or returned an error. */
     FAILED
 }
--- a/balancer/src/main/java/loadbalancer/routing/api/EndpointStatus.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/EndpointStatus.java
@@ -2,10 +2,10 @@
 
 /** The status of an endpoint in the list. */
 public enum EndpointStatus {
-    /** Takes requests. */
+    /** The endpoint takes requests. */
     UP,
-    /** Finishes the requests that it has, and takes no others. */
+    /** The endpoint finishes its open requests and takes no new ones. */
     DRAINING,
-    /** Is no longer there. */
+    /** The endpoint no longer exists. */
     REMOVED
 }
--- a/balancer/src/main/java/loadbalancer/routing/api/InvalidSettingException.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/InvalidSettingException.java
@@ -1,15 +1,15 @@
 package loadbalancer.routing.api;
 
-/** A setting of the routing policy is out of its range. */
+/** Signals that a setting of the routing policy is out of its range. */
 public final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
     private final String setting;
 
     /**
-     * An exception whose message names the setting and its value.
+     * Creates an exception whose message contains the setting and its value.
      *
-     * @param setting the name of the setting, as the pages of the operators give it
+     * @param setting the name of the setting in the documentation for operators
      * @param value the rejected value
      */
     public InvalidSettingException(String setting, Object value) {
@@ -17,7 +17,7 @@
         this.setting = setting;
     }
 
-    /** The name of the setting, as the pages of the operators give it. */
+    /** Returns the name of the setting in the documentation for operators. */
     public String setting() {
         return setting;
     }
--- a/balancer/src/main/java/loadbalancer/routing/api/LoadReport.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/LoadReport.java
@@ -1,11 +1,11 @@
 package loadbalancer.routing.api;
 
 /**
- * The load of an endpoint as it reports it. A figure that the report does not carry is NaN.
+ * The load that an endpoint reports. A value that the report does not contain is NaN.
  *
- * @param inFlight requests in flight at it
- * @param queued requests that wait there
- * @param utilization part of its capacity in use
+ * @param inFlight number of requests in flight at the endpoint
+ * @param queued number of requests queued at the endpoint
+ * @param utilization fraction of its capacity that is in use
  * @param recentLatencyMicros latency of its recent requests, µs
  * @param throughput requests per second
  * @param errorsPerSecond errors per second
--- a/balancer/src/main/java/loadbalancer/routing/api/LoadReportParser.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/LoadReportParser.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * Reads load reports of endpoints, under the names that the simulator's wire and the protocol on
- * sockets give their fields. Stateless.
+ * Parses load reports of endpoints. It accepts the field names of the simulator's protocol and
+ * those of the response header. Stateless and thread-safe.
  *
- * <p>Figures are collected in an array with one place for each field, see {@link #fieldIndex}.
+ * <p>Values are collected in an array with one element for each field, see {@link #fieldIndex}.
  */
 public final class LoadReportParser {
-    // In the order of the fields of LoadReport, as the one below
+    // Names in the simulator's protocol, in the order of the components of LoadReport
     private static final List<String> SIMULATOR_FIELDS =
             List.of(
                     "outstanding",
@@ -19,6 +19,7 @@
                     "recent_ms",
                     "throughput",
                     "errors_per_s");
+    // Names in the response header, in the order of the components of LoadReport
     private static final List<String> HEADER_FIELDS =
             List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
 
@@ -27,31 +28,31 @@
 
     private LoadReportParser() {}
 
-    /** A new array of figures that are all unknown (NaN). */
+    /** Returns a new array of values that are all unknown (NaN). */
     public static double[] unknownValues() {
         double[] values = new double[SIMULATOR_FIELDS.size()];
         Arrays.fill(values, Double.NaN);
         return values;
     }
 
-    /** The index of a field in the array of figures, or -1 for a name that is not known. */
+    /** Returns the index of a field in the array of values, or -1 for an unknown name. */
     public static int fieldIndex(String name) {
         int index = SIMULATOR_FIELDS.indexOf(name);
         return index >= 0 ? index : HEADER_FIELDS.indexOf(name);
     }
 
-    /** The report with these figures, the latency among them in ms. */
+    /** Returns the report with these values, whose latency is in ms. */
     public static LoadReport toLoadReport(double[] values) {
         return new LoadReport(
                 values[0], values[1], values[2], values[3] * MICROS_PER_MS, values[4], values[5]);
     }
 
     /**
-     * Reads a report like {@code TEXT inflight=7, queue=2}. Fields that are not known, or whose
-     * figure is not a number, are ignored.
+     * Parses a report like {@code TEXT inflight=7, queue=2}. Unknown fields and fields whose value
+     * is not a number are ignored.
      *
      * @param text the report, or null
-     * @return null if there is no report, or none of its fields can be read
+     * @return the report, or null if there is none or none of its fields can be parsed
      */
     public static LoadReport parse(String text) {
         if (text == null) {
@@ -67,7 +68,7 @@
                     values[field] = Double.parseDouble(pair.substring(separator + 1).strip());
                     anyKnown = true;
                 } catch (NumberFormatException e) {
-                    // Ignored: the other fields may be usable
+                    // The field is ignored because the others may be usable
                 }
             }
         }
--- a/balancer/src/main/java/loadbalancer/routing/api/LoadReportSource.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/LoadReportSource.java
@@ -1,11 +1,11 @@
 package loadbalancer.routing.api;
 
-/** What carries the load reports of endpoints. */
+/** The messages that contain the load reports of endpoints. */
 public enum LoadReportSource {
-    /** Each response. */
+    /** Each response contains a report. */
     RESPONSES,
-    /** The results of health checks. */
+    /** The responses to health checks contain reports. */
     HEALTH_CHECKS,
-    /** Nothing: there are no reports. */
+    /** There are no reports. */
     NONE
 }
--- a/balancer/src/main/java/loadbalancer/routing/api/ObjectiveWeights.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/ObjectiveWeights.java
@@ -1,12 +1,12 @@
 package loadbalancer.routing.api;
 
 /**
- * How much each part of the service counts in the operators' goal.
+ * Weights of the parts of the service in the operators' objective.
  *
- * @param overall all requests
- * @param worstWindow the worst window of time
- * @param worstClass the worst-served request class
- * @param worstTenant the worst-served tenant
+ * @param overall weight of all requests
+ * @param worstWindow weight of the worst time window
+ * @param worstClass weight of the worst-served request class
+ * @param worstTenant weight of the worst-served tenant
  */
 public record ObjectiveWeights(
         double overall, double worstWindow, double worstClass, double worstTenant) {}
--- a/balancer/src/main/java/loadbalancer/routing/api/PolicySnapshot.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/PolicySnapshot.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What a routing policy has learnt, as of one time, to be restored after a crash. The policy itself
- * weighs it by its age when it restores it; what discovery says takes precedence.
+ * The statistics of a routing policy at one time, to be restored after a crash. The policy decays
+ * them by their age when it restores them; the endpoint list of discovery takes precedence.
  *
  * @param endpoints the endpoints that were listed
  * @param usualLatenciesMicros the usual latency of each class, µs, by class index
@@ -17,17 +17,17 @@
     }
 
     /**
-     * What has been learnt of one endpoint.
+     * The statistics of one endpoint.
      *
-     * @param id the endpoint's
+     * @param id the id of the endpoint
      * @param startedAtMicros when its process started, µs
      * @param accomplishment decayed number of dispatches to it
      * @param decayedSuccesses decayed number of successes
      * @param decayedFailures decayed number of failures
-     * @param ejectedForMicros how long it is still ejected, µs; 0: it is not
-     * @param consecutiveEjections ejections since it last recovered
-     * @param consecutiveConnectFailures failed connects since one succeeded
-     * @param classEjectedForMicros how long each class of it is still ejected, µs, by class index
+     * @param ejectedForMicros remaining time of its ejection, µs; 0 if it is not ejected
+     * @param consecutiveEjections number of ejections since it last recovered
+     * @param consecutiveConnectFailures number of failed connects since one succeeded
+     * @param classEjectedForMicros remaining time of the ejection of each class, µs, by class index
      */
     public record EndpointSnapshot(
             String id,
--- a/balancer/src/main/java/loadbalancer/routing/api/RequestClass.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RequestClass.java
@@ -3,20 +3,20 @@
 import java.util.Set;
 
 /**
- * A class of requests: what they need and what their answers earn.
+ * The requirements of a class of requests, and the weights of their responses.
  *
  * @param idempotency whether a request may be sent again
  * @param deduplicationScope which endpoints recognize its idempotency key
- * @param idempotencyWindowMicros for how long they do, µs from the first attempt
- * @param latencyObjectiveMicros µs within which an answer earns {@code priorityWeight}
- * @param deadlineMicros µs within which an answer earns {@code lateWeightFactor} of it
- * @param objectiveMicrosPerWorkUnit µs by which each unit of a work hint lengthens the objective
- * @param priorityWeight what an answer in time earns
- * @param lateWeightFactor the part of it that a late answer earns
- * @param streamed whether answers are streamed
+ * @param idempotencyWindowMicros how long they recognize it, µs from the first attempt
+ * @param latencyObjectiveMicros µs within which a response counts with {@code priorityWeight}
+ * @param deadlineMicros µs within which a late response still counts
+ * @param objectiveMicrosPerWorkUnit µs that each unit of a work hint adds to the objective
+ * @param priorityWeight the weight of a response within the latency objective
+ * @param lateWeightFactor the fraction of {@code priorityWeight} with which a late response counts
+ * @param streamed whether responses are streamed
  * @param ordered whether requests with one key run one at a time, in the order of their arrival
- * @param allowedZones the zones whose endpoints may be used; empty: all
- * @param allowedMachineTypes the machine types whose endpoints may be used; empty: all
+ * @param allowedZones the zones whose endpoints may be used; empty for all zones
+ * @param allowedMachineTypes the machine types whose endpoints may be used; empty for all types
  */
 public record RequestClass(
         Idempotency idempotency,
@@ -47,14 +47,14 @@
                 objectiveMicrosPerWorkUnit >= 0, "aimStretch", objectiveMicrosPerWorkUnit);
     }
 
-    /** Whether an endpoint is in a zone and of a machine type that the class allows. */
+    /** Returns whether the class allows the zone and the machine type of an endpoint. */
     public boolean allowsPlacementOn(Endpoint endpoint) {
         return (allowedZones.isEmpty() || allowedZones.contains(endpoint.zone()))
                 && (allowedMachineTypes.isEmpty()
                         || allowedMachineTypes.contains(endpoint.machineType()));
     }
 
-    /** A class that needs no order and may be placed everywhere. */
+    /** Creates a class that is not ordered and may use all zones and machine types. */
     public RequestClass(
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
--- a/balancer/src/main/java/loadbalancer/routing/api/RoutingActions.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingActions.java
@@ -1,8 +1,9 @@
 package loadbalancer.routing.api;
 
 /**
- * The actions that a routing policy asks for, implemented by its caller. They are carried out in
- * the order in which they are asked for, on the thread that delivers the policy's events.
+ * Executes the actions that a routing policy requests; implemented by the caller of the policy.
+ * Actions are executed in the order in which they are requested, on the thread that delivers the
+ * events of the policy.
  */
 public interface RoutingActions {
     /**
@@ -14,25 +15,25 @@
     void send(String requestId, String endpointId, long timeoutMicros);
 
     /**
-     * Gives the final answer that the request is rejected and may be sent again without harm.
+     * Sends the final response that the request is rejected and may safely be sent again.
      *
-     * @param retryAfterMicros the delay that the client is asked for, µs; 0: none is given
+     * @param retryAfterMicros the delay that the client is asked to wait, µs; 0: no delay is given
      */
     void reject(String requestId, long retryAfterMicros);
 
-    /** Gives the final answer that the request has failed; it may have run. */
+    /** Sends the final response that the request has failed; it may have run. */
     void fail(String requestId);
 
-    /** Stops waiting for an attempt; it ends as {@link AttemptOutcome#CANCELLED}. */
+    /** Cancels an attempt, which then ends as {@link AttemptOutcome#CANCELLED}. */
     void cancel(String requestId, int attemptNumber);
 
     /** Sends a health check to an endpoint. */
     void checkHealth(String endpointId);
 
-    /** Subscribes to changes of the endpoint list from now on, or ends the subscription. */
+    /** Starts or ends the subscription to changes of the endpoint list. */
     void watchEndpoints(boolean enabled);
 
-    /** Asks for the complete endpoint list once. */
+    /** Fetches the complete endpoint list once. */
     void fetchEndpointList();
 
     /** Closes the idle connections to an endpoint. */
@@ -41,14 +42,14 @@
     /**
      * Sends a message to another balancer.
      *
-     * @param peer its number, or -1 for all of them
-     * @param payload at most 256 bytes
+     * @param peer the number of the other balancer, or -1 for all
+     * @param payload the message of at most 256 bytes
      */
     void sendToPeer(int peer, byte[] payload);
 
     /** Schedules one call of {@link RoutingPolicy#onTimer} after {@code delayMicros} µs. */
     void scheduleTimer(long delayMicros);
 
-    /** Logs an event for the operators. */
+    /** Logs a message for operators. */
     void log(String message);
 }
--- a/balancer/src/main/java/loadbalancer/routing/api/RoutingBounds.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingBounds.java
@@ -1,16 +1,16 @@
 package loadbalancer.routing.api;
 
 /**
- * Figures of the rules that a balancer must keep.
+ * Time limits and capacity limits that a balancer must observe.
  *
- * @param responseSlackMicros how much later than its deadline a final answer may be, µs
+ * @param responseSlackMicros how long after its deadline a final response may be sent, µs
  * @param drainGraceMicros how long a draining endpoint finishes its requests, µs
- * @param pollDeadlineMicros how long discovery may take to answer, µs
- * @param initialCapacityFraction the part of its capacity that a started endpoint has at once
- * @param slowStartMicros how long after its start an endpoint reaches its full capacity, µs
+ * @param pollDeadlineMicros how long discovery may take to respond, µs
+ * @param initialCapacityFraction the fraction of its capacity that an endpoint has when it starts
+ * @param slowStartMicros the time from its start until an endpoint has its full capacity, µs
  * @param overloadFactor the multiple of its capacity that overloads an endpoint in slow start
- * @param overloadWindowMicros the window over which this is measured, µs
- * @param keyCooldownMicros how long a key waits after an attempt that may still run, µs
+ * @param overloadWindowMicros the time window over which this overload is measured, µs
+ * @param keyCooldownMicros the cooldown of a key after an attempt that may still be running, µs
  */
 public record RoutingBounds(
         long responseSlackMicros,
@@ -24,7 +24,7 @@
     /**
      * Checks the values.
      *
-     * @throws InvalidSettingException if one is out of its range
+     * @throws InvalidSettingException if a value is out of its range
      */
     public RoutingBounds {
         SettingsValidation.require(keyCooldownMicros >= 0, "orderPause", keyCooldownMicros);
--- a/balancer/src/main/java/loadbalancer/routing/api/RoutingCosts.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingCosts.java
@@ -1,12 +1,12 @@
 package loadbalancer.routing.api;
 
 /**
- * What the operators' goal loses by each use of a resource, in points per first attempt; 0: the
- * resource is free.
+ * Costs of the use of resources, deducted from the operators' objective, in points per first
+ * attempt. A resource with cost 0 is free.
  *
- * @param crossZone for each attempt that crosses zones
- * @param newConnection for each new connection to an endpoint
- * @param gossip for each 256 bytes that balancers send one another
+ * @param crossZone cost of each attempt that crosses zones
+ * @param newConnection cost of each new connection to an endpoint
+ * @param gossip cost of each 256 bytes that balancers send to one another
  */
 public record RoutingCosts(double crossZone, double newConnection, double gossip) {
     /**
@@ -20,7 +20,7 @@
         SettingsValidation.require(gossip >= 0, "peer", gossip);
     }
 
-    /** Costs where messages between balancers are free. */
+    /** Creates costs where messages between balancers are free. */
     public RoutingCosts(double crossZone, double newConnection) {
         this(crossZone, newConnection, 0);
     }
--- a/balancer/src/main/java/loadbalancer/routing/api/RoutingLimits.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingLimits.java
@@ -1,15 +1,15 @@
 package loadbalancer.routing.api;
 
 /**
- * What the site allows a balancer to do.
+ * Limits on what a balancer may do, as configured by the operators.
  *
- * @param maxAttempts attempts of one request, the first among them
+ * @param maxAttempts maximum number of attempts of one request, including the first
  * @param hedgingAllowed whether a request may have several attempts in flight
  * @param cancellationAllowed whether attempts may be cancelled
- * @param healthChecksAllowed whether endpoints may be asked how they are
- * @param connectTimeoutMicros after which a connect has failed, µs
- * @param maxRetryAfterMicros the longest Retry-After, µs; 0: clients get none
- * @param gossipAllowed whether balancers may send one another messages
+ * @param healthChecksAllowed whether health checks may be sent to endpoints
+ * @param connectTimeoutMicros the time after which a connect has failed, µs
+ * @param maxRetryAfterMicros the longest Retry-After, µs; 0 if clients get none
+ * @param gossipAllowed whether balancers may send messages to one another
  */
 public record RoutingLimits(
         int maxAttempts,
@@ -28,7 +28,7 @@
         SettingsValidation.require(maxAttempts > 0, "maxAttempts", maxAttempts);
     }
 
-    /** Limits where balancers may not send one another messages. */
+    /** Creates limits that do not allow messages between balancers. */
     public RoutingLimits(
             int maxAttempts,
             boolean hedgingAllowed,
--- a/balancer/src/main/java/loadbalancer/routing/api/RoutingPolicy.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingPolicy.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * The routing policy of one balancer: its caller delivers events (the methods below), and the
- * policy asks for actions in return ({@link RoutingActions}).
+ * Decides on the routing of one balancer. Its caller delivers events by calling the methods below,
+ * and the policy requests actions in return ({@link RoutingActions}).
  *
  * <p>All times are in microseconds; {@code now} is the caller's clock and never goes back. Ids are
  * opaque. A policy is not thread-safe: events are delivered one at a time, in the order in which
- * they happened, and each call returns before the next. Actions are carried out in the order in
- * which they are asked for, at the time {@code now}. A balancer that starts has a new policy, whose
- * first event is {@link #onEndpointList} with {@link EndpointListKind#CACHED}. Events about
- * requests, attempts or endpoints that the policy no longer knows are legal and ignored.
+ * they happened, and each call returns before the next. Actions are executed in the order in which
+ * they are requested, at the time {@code now}. A balancer that starts has a new policy, whose first
+ * event is {@link #onEndpointList} with {@link EndpointListKind#CACHED}. Events about requests,
+ * attempts or endpoints that the policy no longer knows are legal and ignored.
  */
 public interface RoutingPolicy {
     /**
-     * The endpoint list, or changes of it.
+     * Handles the endpoint list, changes of it, or a failure of discovery.
      *
      * @param endpoints empty for {@link EndpointListKind#FAILED}
      */
@@ -23,13 +23,13 @@
             long now, EndpointListKind kind, List<Endpoint> endpoints, RoutingActions actions);
 
     /**
-     * A request has arrived. It must get exactly one final answer.
+     * Handles the arrival of a request, which must get exactly one final response.
      *
-     * @param classIndex of {@link RoutingSettings#requestClasses}
-     * @param tenantIndex of {@link RoutingSettings#tenants}; 0 where there are none
-     * @param key what the request concerns, or null
-     * @param remainingMicros µs within which the final answer is due
-     * @param workHint the client's estimate of the work, or -1
+     * @param classIndex the index in {@link RoutingSettings#requestClasses}
+     * @param tenantIndex the index in {@link RoutingSettings#tenants}; 0 if there are none
+     * @param key the key that the request is about, or null
+     * @param remainingMicros µs within which the final response is due
+     * @param workHint the client's estimate of the work in work units, or -1
      * @param resubmission whether the client says that it has sent the request before
      */
     void onRequest(
@@ -44,14 +44,14 @@
             RoutingActions actions);
 
     /**
-     * An attempt has ended; each attempt that was sent ends once.
+     * Handles the end of an attempt. Each attempt that was sent ends exactly once.
      *
-     * @param attemptNumber the request's attempts are numbered 0, 1, 2 ... in the order in which
-     *     they were sent
-     * @param latencyMicros µs from its send to its end
-     * @param closed whether the request has had its final answer (the caller itself passes an OK to
-     *     the client)
-     * @param load the load report that came with the answer, or null
+     * @param attemptNumber the number of the attempt: those of a request are numbered 0, 1, 2 ...
+     *     in the order in which they were sent
+     * @param latencyMicros µs from the start of the attempt to its end
+     * @param closed whether the request already has its final response (the caller itself passes an
+     *     OK response to the client)
+     * @param load the load report that came with the response, or null
      */
     void onAttemptEnded(
             long now,
@@ -64,46 +64,50 @@
             RoutingActions actions);
 
     /**
-     * Whether an attempt that had to wait for a connection may still be sent, asked right before
-     * its first byte: meanwhile its request may have ended, its endpoint may have been removed or
-     * restarted, or the window of its idempotency key may be over. If not it ends as {@link
-     * AttemptOutcome#NOT_SENT}.
+     * Returns whether an attempt that had to wait for a connection may still be sent. The caller
+     * asks immediately before the first byte is sent: in the meantime the request may have ended,
+     * the endpoint may have been removed or restarted, or the idempotency window may be over. If
+     * the answer is false, the attempt ends as {@link AttemptOutcome#NOT_SENT}.
      */
     default boolean canStartAttempt(long now, String requestId, int attemptNumber) {
         return true;
     }
 
     /**
-     * The body of the request that has just arrived is still being received: its time has not
-     * begun.
+     * Handles that the body of a request that has just arrived is still being received. The time of
+     * the request starts when the body is complete.
      */
     default void onUploadStarted(long now, String requestId) {}
 
     /**
-     * The body of such a request is complete.
+     * Handles the completion of a request body that {@link #onUploadStarted} has announced. The
+     * time of the request and of its attempts in flight starts now.
      *
-     * @param remainingMicros µs within which the final answer is due; the time of an attempt in
-     *     flight begins now too
+     * @param remainingMicros µs within which the final response is due
      */
     default void onUploadCompleted(
             long now, String requestId, long remainingMicros, RoutingActions actions) {}
 
     /**
-     * The endpoint broke off an answer after the attempt's {@link AttemptOutcome#OK}, when the
-     * client had received a part of it.
+     * Handles that an endpoint aborted a response after the attempt had ended as {@link
+     * AttemptOutcome#OK} and the client had received a part of the response.
      */
     default void onResponseAborted(long now, String endpointId, RoutingActions actions) {}
 
-    /** A streamed answer has begun: the attempt is neither cancelled nor timed out from now on. */
+    /**
+     * Handles the start of a streamed response. The attempt is neither cancelled nor timed out from
+     * now on.
+     */
     void onStreamStarted(long now, String requestId, int attemptNumber, RoutingActions actions);
 
-    /** The client of a request has disconnected: no answer is due. */
+    /** Handles the disconnection of a client. Its request needs no response any more. */
     void onClientDisconnected(long now, String requestId, RoutingActions actions);
 
     /**
-     * A health check has ended.
+     * Handles the end of a health check.
      *
-     * @param load the load report that came with its answer, or null
+     * @param latencyMicros µs from its start to its end
+     * @param load the load report that came with its response, or null
      */
     default void onHealthCheckResult(
             long now,
@@ -113,36 +117,42 @@
             LoadReport load,
             RoutingActions actions) {}
 
-    /** A timer that was asked for with {@link RoutingActions#scheduleTimer} has expired. */
+    /** Handles the expiry of a timer that {@link RoutingActions#scheduleTimer} has requested. */
     void onTimer(long now, RoutingActions actions);
 
-    /** The number of listed endpoints that are ejected for failures. */
+    /** Returns the number of listed endpoints that are ejected because of failures. */
     default int ejectedEndpointCount(long now) {
         return 0;
     }
 
-    /** What the policy has learnt and would restore after a crash, or null if nothing. */
+    /**
+     * Returns the statistics that {@link #restore} needs after a crash, or null if there are none.
+     */
     default PolicySnapshot snapshot(long now) {
         return null;
     }
 
     /**
-     * Restores a snapshot; called after the first endpoint list and before the first request.
+     * Restores a snapshot. The caller does this after the first endpoint list and before the first
+     * request.
      *
      * @param ageMicros µs since the snapshot was taken
      */
     default void restore(long now, PolicySnapshot snapshot, long ageMicros) {}
 
-    /** Requests per second at the other balancers, as they reported lately; 0 if none did. */
+    /**
+     * Returns the requests per second at the other balancers, by their recent reports; 0 without
+     * reports.
+     */
     default double remoteRequestsPerSecond() {
         return 0;
     }
 
     /**
-     * A message of another balancer. Messages may be late, lost or damaged.
+     * Handles a message of another balancer. Messages may be late, lost or damaged.
      *
-     * @param fromBalancer its number
-     * @param payload the policy may retain it
+     * @param fromBalancer the number of the other balancer
+     * @param payload the message; the policy may keep the array
      */
     default void onPeerMessage(
             long now, int fromBalancer, byte[] payload, RoutingActions actions) {}
--- a/balancer/src/main/java/loadbalancer/routing/api/RoutingSettings.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/RoutingSettings.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * The settings of one balancer's routing policy, fixed for its life.
+ * The settings of the routing policy of one balancer; they do not change during its life.
  *
- * @param balancerCount balancers of the fleet
- * @param rank this balancer's number among them, from 0
+ * @param balancerCount number of balancers of the fleet
+ * @param rank the index of this balancer in the fleet, from 0
  * @param zone the number of this balancer's zone
- * @param requestClasses by class index
- * @param tenants by tenant index; empty: there are none
- * @param overQuotaWeightFactor the part of its weight that a request over its quota earns
- * @param objectiveWeights how the operators weigh the parts of the service
- * @param costs what the use of resources costs
- * @param weightPerWorkUnit whether weights are earned per unit of work rather than per request
- * @param discoveryMode how the endpoint list comes
- * @param loadReportSource what carries endpoints' load reports
- * @param keyAffinityEnabled whether an endpoint needs less work for a key that it served lately
- * @param limits what the site allows
- * @param bounds figures of the rules
- * @param clockTickMicros the shortest step of the clock, µs
+ * @param requestClasses the request classes by class index
+ * @param tenants the tenants by tenant index; empty if there are none
+ * @param overQuotaWeightFactor the fraction of its weight with which a request over quota counts
+ * @param objectiveWeights the weights of the parts of the service in the operators' objective
+ * @param costs the costs of the use of resources
+ * @param weightPerWorkUnit whether priority weights count per work unit instead of per request
+ * @param discoveryMode how the balancer gets the endpoint list
+ * @param loadReportSource which messages contain the load reports of endpoints
+ * @param keyAffinityEnabled whether an endpoint needs less work for a key that it recently served
+ * @param limits limits on what the balancer may do
+ * @param bounds time limits and capacity limits that the balancer must observe
+ * @param clockTickMicros the resolution of the caller's clock, µs
  */
 public record RoutingSettings(
         int balancerCount,
@@ -40,7 +40,7 @@
     /**
      * Copies the lists and checks the values.
      *
-     * @throws InvalidSettingException if one is out of its range
+     * @throws InvalidSettingException if a value is out of its range
      */
     public RoutingSettings {
         requestClasses = List.copyOf(requestClasses);
--- a/balancer/src/main/java/loadbalancer/routing/api/SettingsValidation.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/SettingsValidation.java
@@ -1,15 +1,15 @@
 package loadbalancer.routing.api;
 
-/** Checks of the values that settings may have. */
+/** Validates the values of settings. */
 final class SettingsValidation {
     private SettingsValidation() {}
 
     /**
-     * Refuses a setting whose value is not valid.
+     * Throws an exception if the value of a setting is not valid.
      *
      * @param isValid whether the value is valid
-     * @param setting the name of the setting, as the pages of the operators give it
-     * @param value named in the exception's message
+     * @param setting the name of the setting in the documentation for operators
+     * @param value the value, for the message of the exception
      * @throws InvalidSettingException if the value is not valid
      */
     static void require(boolean isValid, String setting, Object value) {
--- a/balancer/src/main/java/loadbalancer/routing/api/Tenant.java
+++ b/balancer/src/main/java/loadbalancer/routing/api/Tenant.java
@@ -3,7 +3,7 @@
 /**
  * A tenant of the service.
  *
- * @param quotaPerSecond requests per second within its quota, over all balancers
+ * @param quotaPerSecond the quota in requests per second, over all balancers
  */
 public record Tenant(double quotaPerSecond) {
     /**
--- a/balancer/src/test/java/loadbalancer/routing/AttemptStartTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/AttemptStartTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Whether an attempt that has waited for a connection may still be sent. */
+/** Tests whether an attempt that has waited for a connection may still be sent. */
 class AttemptStartTest {
-    // Shorter than a connect may take
+    // Shorter than the connect time-out
     private static final long IDEMPOTENCY_WINDOW_MICROS = 40_000;
     private static final RequestClass IDEMPOTENT =
             RoutingEngineHarness.requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void endedRequestStartsNoAttempt() {
+    void finishedRequestStartsNoAttempt() {
         RoutingEngineHarness harness = warmedUpHarness(IDEMPOTENT, 4);
         RoutingEngineHarness.SentAttempt disconnected = harness.request("left", 0);
         harness.policy.onClientDisconnected(harness.now, "left", harness);
@@ -108,7 +108,7 @@
                     EndpointListKind.DELTA,
                     List.of(updated, RoutingEngineHarness.upEndpoint("s1")));
             assertFalse(canStart(harness, sent), updated.toString());
-            // And goes elsewhere: it never ran
+            // The attempt never ran, so the request is sent to another endpoint
             harness.endAttempt(sent, AttemptOutcome.NOT_SENT);
             assertEquals("s1", harness.attemptsOf("r").get(1).endpointId);
         }
@@ -126,11 +126,16 @@
         assertFalse(canStart(harness, second));
         harness.endAttempt(second, AttemptOutcome.NOT_SENT);
         assertNotEquals(
-                null, harness.finalResponses.get("r"), "answered at once: it can't be sent again");
+                null,
+                harness.finalResponses.get("r"),
+                "a request that cannot be sent again is answered immediately");
         assertEquals(2, harness.attemptsOf("r").size());
     }
 
-    /** No endpoint may be used; once its key is forgotten none ever may. */
+    /**
+     * Tests a retry that waits because no endpoint is listed. When its idempotency window ends, it
+     * may not be sent to any endpoint.
+     */
     @Test
     void pendingRetryIsAnsweredWhenItsWindowEnds() {
         RoutingEngineHarness harness = warmedUpHarness(keyedClass(DeduplicationScope.ALL), 2);
--- a/balancer/src/test/java/loadbalancer/routing/CandidateFilterTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/CandidateFilterTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Which endpoints may take a request: status in the list, placement, slow start, and the subset on
- * the ring.
+ * Tests which endpoints may take a request, by their status in the list, placement, slow start and
+ * the subset on the ring.
  */
 class CandidateFilterTest {
     @Test
@@ -49,15 +49,16 @@
         harness.updateEndpoints(
                 EndpointListKind.COMPLETE, List.of(RoutingEngineHarness.upEndpoint("s1")));
         assertEquals(
-                "s1", harness.request("x", 0).endpointId, "missing in a complete list is gone");
+                "s1",
+                harness.request("x", 0).endpointId,
+                "an endpoint missing in a complete list is removed");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 8})
     void warmingEndpointStaysWithinItsBudget(int balancerCount) {
-        // One warm endpoint gives 50 answers a second to this balancer; the warming one may take
-        // its
-        // part of that.
+        // The warm endpoints serve 50 requests per second of this balancer; the warming endpoint
+        // may take its share of that rate.
         RoutingSettings settings =
                 RoutingEngineHarness.settings(
                         balancerCount, true, DiscoveryMode.PUSH, List.of(), IDEMPOTENT);
@@ -73,11 +74,11 @@
         harness.warmUp(150, 0, 20_000);
         long sentCount = harness.countSentTo("cold", startedAt);
         double seconds = (harness.now - startedAt) / 1e6;
-        // At the end; less before
+        // Capacity at the end of the measurement; it is smaller before
         double capacityFraction = 0.2 + 0.8 * seconds / 20;
         assertTrue(
                 sentCount <= 50.0 / 4 * capacityFraction * 2.5 * seconds,
-                sentCount + " in " + seconds + " s");
+                sentCount + " requests in " + seconds + " s");
     }
 
     @Test
@@ -93,13 +94,15 @@
         long restartedAt = harness.now;
         harness.warmUp(50, 0, 20_000);
         long sentWhileWarming = harness.countSentTo("s0", restartedAt);
-        assertTrue(sentWhileWarming < 15, "a warming endpoint took " + sentWhileWarming + " of 50");
+        assertTrue(
+                sentWhileWarming < 15,
+                "a warming endpoint got " + sentWhileWarming + " of 50 requests");
     }
 
     @Test
     void subsetGrowsWhenItsEndpointsFail() {
-        // Every balancer opened a connection to every endpoint: handshakes overran endpoints at a
-        // start.
+        // Without subsets every balancer connects to every endpoint, and the handshakes overload
+        // the endpoints when balancers start.
         RoutingEngineHarness harness = withEndpoints(11, 40, IDEMPOTENT);
         harness.serveConcurrently(4, 20_000, Map.of());
         List<String> initialSubset =
@@ -107,7 +110,7 @@
                         .map(attempt -> attempt.endpointId)
                         .distinct()
                         .toList();
-        assertTrue(initialSubset.size() <= 7, "a subset of six: " + initialSubset);
+        assertTrue(initialSubset.size() <= 7, "more than a subset is used: " + initialSubset);
         Map<String, AttemptOutcome> failureOutcomes = new HashMap<>();
         initialSubset.forEach(s -> failureOutcomes.put(s, AttemptOutcome.ERROR));
         harness.serveConcurrently(100, 20_000, failureOutcomes);
@@ -120,7 +123,9 @@
                                         attempt.sentAtMicros >= measuredFrom
                                                 && !initialSubset.contains(attempt.endpointId))
                         .count();
-        assertTrue(sentElsewhere >= 70, "others have taken over: " + sentElsewhere + " of 80");
+        assertTrue(
+                sentElsewhere >= 70,
+                "requests sent to other endpoints: " + sentElsewhere + " of 80");
     }
 
     @Test
@@ -129,11 +134,11 @@
         assertEquals(
                 originalSubset,
                 usedEndpoints(40, 12),
-                "another seed is another life of the same balancer");
+                "the subset must not change when the balancer restarts");
         long retained = usedEndpoints(39, 12).stream().filter(originalSubset::contains).count();
         assertTrue(
                 retained >= originalSubset.size() - 1,
-                retained + " of " + originalSubset.size() + " kept");
+                retained + " of " + originalSubset.size() + " endpoints kept");
     }
 
     private static List<String> usedEndpoints(int endpointCount, long seed) {
@@ -154,8 +159,8 @@
 
     @Test
     void hotKeyUsesMoreEndpointsThanColdKey() {
-        // Four of fifty endpoints took a seventh of all requests: as many as the hottest key
-        // brought.
+        // With subsets of a fixed size, four of fifty endpoints got a seventh of all requests, the
+        // traffic of the hottest key.
         RoutingSettings settings = RoutingEngineHarness.settings(IDEMPOTENT);
         RoutingEngineHarness harness =
                 new RoutingEngineHarness(
@@ -194,7 +199,7 @@
         long coldKeyEndpoints = countEndpointsUsed(harness, 3, 75);
         assertTrue(
                 hotKeyEndpoints >= 8 && coldKeyEndpoints <= 5,
-                "hot on " + hotKeyEndpoints + ", cold on " + coldKeyEndpoints);
+                "endpoints of hot key: " + hotKeyEndpoints + ", of cold key: " + coldKeyEndpoints);
     }
 
     private static long countEndpointsUsed(
@@ -236,7 +241,7 @@
                         placementBoundClass(Set.of(), Set.of(0)));
         harness.warmUp(30, 0, 20_000);
         for (int i = 0; i < 40; i++) {
-            // Zones and kinds alternate over the fleet
+            // Endpoints with even and odd numbers differ in zone and machine type
             assertEquals(1, harness.request("z" + i, 1).endpointId.charAt(1) % 2);
             assertEquals(0, harness.request("k" + i, 2).endpointId.charAt(1) % 2);
             harness.advanceTime(10_000);
@@ -253,7 +258,7 @@
                                 assertEquals(
                                         1,
                                         attempt.endpointId.charAt(1) % 2,
-                                        "retries and copies too"));
+                                        "retries and hedged requests too"));
         harness.sentAttempts.stream()
                 .filter(attempt -> attempt.requestId.startsWith("k"))
                 .forEach(
@@ -261,11 +266,11 @@
                                 assertEquals(
                                         0,
                                         attempt.endpointId.charAt(1) % 2,
-                                        "retries and copies too"));
+                                        "retries and hedged requests too"));
     }
 
     @Test
-    void boundRequestWaitsWithoutBlockingOthers() {
+    void placementBoundRequestWaitsWithoutBlockingOthers() {
         RoutingEngineHarness harness =
                 new RoutingEngineHarness(
                                 RoutingEngineHarness.settings(
@@ -288,6 +293,6 @@
         harness.request("bound3", 1);
         harness.advanceTime(RoutingEngineHarness.DEADLINE_MICROS);
         assertEquals(
-                "refused", harness.finalResponses.get("bound3"), "held, then answered in time");
+                "refused", harness.finalResponses.get("bound3"), "queued, then answered in time");
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/DiscoveryRetryTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/DiscoveryRetryTest.java
@@ -10,9 +10,12 @@
 import loadbalancer.routing.api.EndpointListKind;
 import org.junit.jupiter.api.Test;
 
-/** When discovery is asked again after it failed or fell silent. */
+/** Tests when discovery is called again after it failed or did not respond. */
 class DiscoveryRetryTest {
-    /** A change counts as told 6 s after discovery could be reached, however often calls failed. */
+    /**
+     * Tests that the backoff is bounded. The balancer must know a change 6 s after discovery is
+     * reachable again, after any number of failed calls.
+     */
     @Test
     void repeatedDiscoveryFailureIsRetriedInTime() {
         RoutingEngineHarness harness =
@@ -34,7 +37,7 @@
                     "after " + (harness.now - failedAt) + " us");
         }
         int watchesBefore = harness.watchCount;
-        // Of silence: nobody tells that a call has failed
+        // Discovery does not respond, and no failure of the call is reported
         harness.advanceTime(4_700_000);
         assertEquals(watchesBefore + 1, harness.watchCount);
     }
@@ -49,21 +52,21 @@
                         .updateEndpoints(
                                 EndpointListKind.CACHED, RoutingEngineHarness.endpoints(2));
         assertEquals(1, harness.watchCount);
-        // Silence: asked again within AskWithin
+        // Discovery does not respond: it is called again within its poll deadline
         harness.advanceTime(7_000_000);
         assertEquals(2, harness.watchCount);
         for (int i = 0; i < 20; i++) {
-            // 20 s of errors
+            // Discovery fails for 20 s in total
             harness.updateEndpoints(EndpointListKind.FAILED, List.of());
             harness.advanceTime(1_000_000);
         }
         assertTrue(
                 harness.watchCount >= 5 && harness.watchCount <= 16,
-                "asked " + harness.watchCount + " times in 27 s");
+                "discovery called " + harness.watchCount + " times in 27 s");
         int watchesBefore = harness.watchCount;
         harness.updateEndpoints(EndpointListKind.DELTA, List.of());
         harness.advanceTime(60_000_000);
-        assertEquals(watchesBefore, harness.watchCount, "subscribed: nothing more to ask");
+        assertEquals(watchesBefore, harness.watchCount, "a subscription is not repeated");
         RoutingEngineHarness empty =
                 new RoutingEngineHarness(RoutingEngineHarness.settings(IDEMPOTENT), 3);
         assertNull(empty.updateEndpoints(EndpointListKind.CACHED, List.of()).request("r", 0));
--- a/balancer/src/test/java/loadbalancer/routing/JsqDasSelectorTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/JsqDasSelectorTest.java
@@ -19,7 +19,7 @@
 import loadbalancer.routing.api.RoutingSettings;
 import org.junit.jupiter.api.Test;
 
-/** The ordinary path is JSQ-DAS. */
+/** Tests that the routing engine selects endpoints by JSQ-DAS. */
 class JsqDasSelectorTest {
     private static final RoutingSettings IDEMPOTENT_SETTINGS =
             RoutingEngineHarness.settings(
@@ -27,8 +27,8 @@
                             Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
 
     /**
-     * Six endpoints, as many as a subset holds, three of them of a heavier kind, so that p is one
-     * half.
+     * Returns a harness with six endpoints, the size of a subset. Three of them are of a machine
+     * type with twice the weight, so that p is one half.
      */
     private static RoutingEngineHarness twoWeightHarness(long seed) {
         List<Endpoint> endpoints = new ArrayList<>();
@@ -43,8 +43,8 @@
 
     @Test
     void initialRankingDiffersBetweenBalancers() {
-        // Ranked by listed weight, all balancers sent their first requests to the same half of the
-        // endpoints.
+        // If the initial ranking depended only on the listed weight, all balancers would send their
+        // first requests to the same half of the endpoints.
         Map<String, Integer> firstChoiceCounts = new HashMap<>();
         for (int seed = 0; seed < 2000; seed++) {
             firstChoiceCounts.merge(
@@ -52,19 +52,19 @@
         }
         assertEquals(Set.of("s0", "s1", "s2", "s3", "s4", "s5"), firstChoiceCounts.keySet());
         for (int count : firstChoiceCounts.values()) {
-            assertTrue(count > 250 && count < 420, "even over balancers: " + firstChoiceCounts);
+            assertTrue(count > 250 && count < 420, "uneven first choices: " + firstChoiceCounts);
         }
     }
 
     @Test
     void tieWinsFollowSamplingWithoutReplacement() {
-        // With ranks fixed by different counts, rank i of three wins with probability 2, 1, 0 of 3.
+        // With distinct counts, ranks 0, 1 and 2 win ties with probabilities 2/3, 1/3 and 0
         Map<Integer, Integer> winsByRank = new HashMap<>();
         for (int seed = 0; seed < 3000; seed++) {
             RoutingEngineHarness harness = twoWeightHarness(seed);
             List<String> chosenEndpoints = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                // Counts come to differ
+                // These requests make the dispatch counts of the endpoints differ
                 RoutingEngineHarness.SentAttempt sent = harness.request("w" + i, 0);
                 harness.now += 1000;
                 harness.endAttempt(sent, AttemptOutcome.OK);
@@ -93,12 +93,12 @@
                 0.0,
                 winsByRank.getOrDefault(2, 0) / totalWins,
                 0.001,
-                "the least of the top set never wins a tie");
+                "the lowest rank of the accomplished set never wins a tie");
     }
 
     @Test
     void shortestSampledQueueIsChosen() {
-        // Every endpoint of the top set is given work; then the empty ones of the rest must win.
+        // If all accomplished endpoints are busy, an idle one of the others must be selected
         for (int seed = 0; seed < 50; seed++) {
             RoutingEngineHarness harness = twoWeightHarness(seed);
             Set<String> busyEndpoints = new HashSet<>();
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void listsSmallerThanTheSampleAreUsed() {
+    void listSmallerThanSampleIsUsed() {
         for (int endpointCount = 1; endpointCount <= 3; endpointCount++) {
             RoutingEngineHarness harness =
                     new RoutingEngineHarness(IDEMPOTENT_SETTINGS, 7)
@@ -127,7 +127,7 @@
     void sameSeedReplaysSameActions() {
         List<String> firstLog = replay(42);
         assertEquals(firstLog, replay(42));
-        assertTrue(!firstLog.equals(replay(43)), "the seed matters");
+        assertTrue(!firstLog.equals(replay(43)), "another seed must give other actions");
     }
 
     private static List<String> replay(long seed) {
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void fastFailureKeepsItsQueueSlot() {
+    void fastFailureStillCountsInQueueLength() {
         RoutingEngineHarness harness =
                 new RoutingEngineHarness(IDEMPOTENT_SETTINGS, 3)
                         .updateEndpoints(
@@ -151,12 +151,12 @@
         harness.warmUp(40, 0, 50_000);
         RoutingEngineHarness.SentAttempt failedAttempt = harness.request("bad", 0);
         harness.now += 500;
-        // The retry goes elsewhere
+        // The retry is sent to another endpoint
         harness.endAttempt(failedAttempt, AttemptOutcome.ERROR);
         assertEquals(2, harness.attemptsOf("bad").size());
         assertTrue(!harness.attemptsOf("bad").get(1).endpointId.equals(failedAttempt.endpointId));
         for (int i = 0; i < 2; i++) {
-            // Two other endpoints are empty: the failed one's slot still counts
+            // Two other endpoints are idle, and the slot of the failed attempt still counts
             assertTrue(!harness.request("n" + i, 0).endpointId.equals(failedAttempt.endpointId));
         }
     }
--- a/balancer/src/test/java/loadbalancer/routing/KeyOrderingTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/KeyOrderingTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Requests with one key of ordered classes run one at a time, in their order of arrival. */
+/** Tests that ordered requests with one key run one at a time, in their order of arrival. */
 class KeyOrderingTest {
     private static RequestClass orderedClass(Idempotency idempotency) {
         return new RequestClass(
@@ -46,10 +46,12 @@
                         orderedClass(Idempotency.IDEMPOTENCY_KEY),
                         orderedClass(Idempotency.IDEMPOTENT));
         SentAttempt first = harness.requestWithKey("a", 0, "k");
-        assertNull(harness.requestWithKey("b", 1, "k"), "all ordered classes share their keys");
+        assertNull(harness.requestWithKey("b", 1, "k"), "ordered classes share the queue of a key");
         assertNull(harness.requestWithKey("c", 0, "k"));
-        assertTrue(harness.requestWithKey("other", 0, "l") != null, "another key is not held up");
-        assertTrue(harness.request("none", 0) != null, "nor is a request without a key");
+        assertTrue(
+                harness.requestWithKey("other", 0, "l") != null,
+                "a request with another key is not delayed");
+        assertTrue(harness.request("none", 0) != null, "a request without a key is not delayed");
         harness.advanceTime(30_000);
         harness.endAttempt(first, AttemptOutcome.OK);
         assertEquals(1, harness.attemptsOf("b").size());
@@ -70,9 +72,10 @@
         harness.endAttempt(first, outcome);
         assertEquals("failed", harness.finalResponses.get("a"));
         harness.advanceTime(RoutingEngineHarness.KEY_COOLDOWN_MICROS - 10_000);
-        assertEquals(0, harness.attemptsOf("b").size(), "the key rests");
+        assertEquals(0, harness.attemptsOf("b").size(), "the key is in its cooldown");
         harness.advanceTime(50_000);
-        assertEquals(1, harness.attemptsOf("b").size(), "then the next one goes");
+        assertEquals(
+                1, harness.attemptsOf("b").size(), "the next request is sent after the cooldown");
     }
 
     @Test
@@ -83,7 +86,7 @@
         harness.finalResponses.put("a", "gone");
         harness.policy.onClientDisconnected(harness.now, "a", harness);
         harness.advanceTime(50_000);
-        assertEquals(0, harness.attemptsOf("b").size(), "its attempt has no outcome yet");
+        assertEquals(0, harness.attemptsOf("b").size(), "the earlier attempt has not ended yet");
         harness.endAttempt(first, AttemptOutcome.CANCELLED);
         harness.advanceTime(RoutingEngineHarness.KEY_COOLDOWN_MICROS - 10_000);
         assertEquals(0, harness.attemptsOf("b").size());
--- a/balancer/src/test/java/loadbalancer/routing/PolicyLogTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/PolicyLogTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void eachEventHasItsLine() {
+    void eachEventIsLoggedWithItsFields() {
         LoadShedder loadShedder =
                 new LoadShedder(RoutingEngineHarness.settings(RoutingEngineHarness.IDEMPOTENT));
         long now = harness.now;
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void oneLineOfAllKindsIsLoggedInSecond() {
+    void oneLinePerSecondIsLoggedOverAllKinds() {
         long now = harness.now;
         log.endpointRecovered(endpoint, now, harness);
         log.discoveryFailed(1, now, harness);
--- a/balancer/src/test/java/loadbalancer/routing/PolicySnapshotTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/PolicySnapshotTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.routing.api.PolicySnapshot;
 import org.junit.jupiter.api.Test;
 
-/** Snapshots of what a policy has learnt, restored by another one after a crash. */
+/** Tests snapshots of the statistics of a policy that another policy restores after a crash. */
 class PolicySnapshotTest {
     private final List<Endpoint> endpoints =
             List.of(
@@ -33,12 +33,12 @@
         return harness;
     }
 
-    // Of so many requests, those that go to one endpoint fail.
+    // Returns a harness that has sent 400 requests; the attempts at one endpoint have failed.
     private RoutingEngineHarness trainedHarness(String failingEndpoint) {
         RoutingEngineHarness harness = newHarness();
         for (int i = 0; i < 50; i++) {
             for (int j = 0; j < 8; j++) {
-                // At once: else one endpoint would take all
+                // Requests are concurrent because otherwise one endpoint would get all of them
                 harness.request("r" + i + "-" + j, 0);
             }
             harness.advanceTime(2_000);
@@ -93,7 +93,7 @@
                 endpointSnapshot(snapshot, "a").accomplishment() / Math.E,
                 endpointSnapshot(decayedSnapshot, "a").accomplishment(),
                 1e-6);
-        // Its rest is over by now
+        // The ejection has ended by now
         assertEquals(0, endpointSnapshot(decayedSnapshot, "b").ejectedForMicros());
     }
 
--- a/balancer/src/test/java/loadbalancer/routing/QueueLengthEstimatorTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/QueueLengthEstimatorTest.java
@@ -10,11 +10,12 @@
 import loadbalancer.routing.api.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** Load reports of endpoints in the estimate of their queues. */
+/** Tests how load reports of endpoints affect the estimates of their queue lengths. */
 class QueueLengthEstimatorTest {
     @Test
-    void plausibleLoadReportsSteerSelection() {
-        // Own queues are empty nearly always: ties sent 94% of all to half of the endpoints.
+    void endpointWithLongReportedQueueIsAvoided() {
+        // Without load reports the queues of this balancer are nearly always empty, and ties sent
+        // 94% of the requests to half of the endpoints.
         for (double reportedQueue : new double[] {50, Double.NaN, -3, 1e18}) {
             RoutingEngineHarness harness = withEndpoints(11, 4, IDEMPOTENT);
             for (int i = 0; i < 200; i++) {
@@ -30,20 +31,23 @@
                             .count();
             assertTrue(
                     reportedQueue != 50 || recentlySent <= 15,
-                    "a long reported queue is avoided: " + recentlySent);
+                    "requests sent to the longest reported queue: " + recentlySent);
         }
     }
 
-    /** Found by mutation: the test above passes where the other endpoints win all ties anyway. */
+    /**
+     * Tests an endpoint that wins ties. {@link #endpointWithLongReportedQueueIsAvoided} passes even
+     * without load reports if the other endpoints win all ties.
+     */
     @Test
-    void favouriteEndpointLosesToItsReportedQueue() {
+    void preferredEndpointWithLongReportedQueueIsAvoided() {
         RoutingEngineHarness harness = withEndpoints(11, 4, IDEMPOTENT);
         for (int i = 0; i < 100; i++) {
             SentAttempt attempt = harness.request("before" + i, 0);
             harness.now += 20_000;
             harness.endAttempt(attempt, AttemptOutcome.OK);
         }
-        String favourite =
+        String preferred =
                 List.of("s0", "s1", "s2", "s3").stream()
                         .max(Comparator.comparingLong(id -> harness.countSentTo(id, 0)))
                         .orElseThrow();
@@ -51,10 +55,12 @@
         for (int i = 0; i < 100; i++) {
             SentAttempt attempt = harness.request("after" + i, 0);
             harness.now += 20_000;
-            harness.reportedInFlight = attempt.endpointId.equals(favourite) ? 50 : 2;
+            harness.reportedInFlight = attempt.endpointId.equals(preferred) ? 50 : 2;
             harness.endAttempt(attempt, AttemptOutcome.OK);
         }
-        long sentToFavourite = harness.countSentTo(favourite, reportedFrom);
-        assertTrue(sentToFavourite <= 15, "sent to the longest queue: " + sentToFavourite);
+        long sentToPreferred = harness.countSentTo(preferred, reportedFrom);
+        assertTrue(
+                sentToPreferred <= 15,
+                "requests sent to the longest reported queue: " + sentToPreferred);
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/RequestLifecycleTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RequestLifecycleTest.java
@@ -16,7 +16,7 @@
 import loadbalancer.routing.api.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** Each request is sent or queued, and answered in time. */
+/** Tests that each request is sent or queued, and gets its final response in time. */
 class RequestLifecycleTest {
     @Test
     void requestsAreAnsweredWithoutEndpoints() {
@@ -29,14 +29,14 @@
         harness.advanceTime(30_000);
         assertTrue(
                 harness.finalResponses.containsKey("b"),
-                "a nearly spent request is answered at once");
+                "a request with little remaining time is answered immediately");
         harness.advanceTime(RoutingEngineHarness.DEADLINE_MICROS);
         assertEquals("refused", harness.finalResponses.get("a"));
     }
 
     @Test
     void expiredRequestIsAnsweredAtOnce() {
-        // Held until the next sweep it got its answer after its deadline: rule 1 was broken.
+        // If the request waited for the next timer event, it would be answered after its deadline
         RoutingEngineHarness harness = withEndpoints(11, 0, IDEMPOTENT);
         harness.request("spent", 0, 0, 2_000);
         assertEquals("refused", harness.finalResponses.get("spent"));
@@ -44,9 +44,8 @@
 
     @Test
     void lateResubmissionIsRejected() {
-        // A third of all answers came after the first attempt's objective: worthless work that
-        // crowded out
-        // the rest.
+        // If late resubmissions are served, a third of all responses come after the objective of
+        // the first attempt. This useless work displaces other requests.
         RoutingEngineHarness harness = withEndpoints(11, 6, IDEMPOTENT);
         harness.serveConcurrently(20, 20_000, Map.of());
         harness.resubmit(
@@ -55,7 +54,7 @@
                 RoutingEngineHarness.DEADLINE_MICROS
                         - RoutingEngineHarness.LATENCY_OBJECTIVE_MICROS
                         - 200_000);
-        // This one can still be in time
+        // This resubmission can still be answered within its objective
         harness.resubmit("quick", 0, RoutingEngineHarness.DEADLINE_MICROS - 150_000);
         assertEquals(1, harness.attemptsOf("quick").size());
         assertEquals("refused", harness.finalResponses.get("late"));
@@ -65,14 +64,15 @@
     void timelyResubmissionIsServed() {
         RoutingEngineHarness harness = withEndpoints(11, 6, IDEMPOTENT);
         harness.serveConcurrently(20, 20_000, Map.of());
-        // As much time as a first attempt: age unknown
+        // The remaining time is that of a first attempt, so the age of the request is unknown
         harness.resubmit("again", 0, RoutingEngineHarness.DEADLINE_MICROS);
         assertEquals(1, harness.attemptsOf("again").size());
     }
 
     @Test
     void mostUrgentPendingRequestIsSentFirst() {
-        // In order of arrival requests with a short objective ran out behind those with a long one.
+        // In order of arrival, requests with a short objective would miss it behind requests with a
+        // long one.
         RequestClass patient =
                 new RequestClass(
                         Idempotency.IDEMPOTENT,
@@ -95,7 +95,8 @@
 
     @Test
     void longClockGapIsHandled() {
-        // With every endpoint idle for 13 minutes all weights of the middle overload ratio are 0.
+        // After 13 minutes without requests at any endpoint, all weights of the mean overload ratio
+        // are 0.
         RoutingEngineHarness harness = withEndpoints(11, 1, IDEMPOTENT);
         for (int i = 0; i < 10; i++) {
             harness.endAttempt(harness.request("r" + i, 0), AttemptOutcome.OK);
--- a/balancer/src/test/java/loadbalancer/routing/RetryPolicyTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RetryPolicyTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Retries, hedged requests and attempt time-outs, by the idempotency of the class. */
+/** Tests retries, hedged requests and attempt time-outs for each idempotency of the class. */
 class RetryPolicyTest {
     @ParameterizedTest
     @EnumSource(
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void noHedgingWhereSettingsForbidIt() {
+    void requestIsNotHedgedIfSettingsForbidIt() {
         RoutingEngineHarness harness =
                 new RoutingEngineHarness(
                                 RoutingEngineHarness.settings(
@@ -69,7 +69,7 @@
         assertTrue(
                 first.timeoutMicros > 0
                         && first.timeoutMicros < RoutingEngineHarness.DEADLINE_MICROS,
-                "room is left for another attempt");
+                "the time-out leaves time for another attempt");
         harness.advanceTime(RoutingEngineHarness.LATENCY_OBJECTIVE_MICROS);
         assertEquals(1, harness.attemptsOf("r").size());
     }
@@ -91,7 +91,7 @@
             harness.endAttempt(first, AttemptOutcome.ERROR);
             SentAttempt second = harness.attemptsOf("r").get(1);
             if (scope != DeduplicationScope.ALL) {
-                // Cell and zone alternate over the fleet
+                // Endpoints with even and odd numbers are in different cells and zones
                 assertEquals(first.endpointId.charAt(1) % 2, second.endpointId.charAt(1) % 2);
             }
         }
@@ -103,7 +103,7 @@
         RoutingEngineHarness harness =
                 warmedUp(5, RoutingEngineHarness.requestClass(Idempotency.IDEMPOTENCY_KEY, scope));
         SentAttempt first = harness.request("r", 0);
-        // The window is 2 s from the first send
+        // The idempotency window ends 2 s after the first attempt was sent
         harness.advanceTime(2_500_000);
         for (SentAttempt attempt : harness.attemptsOf("r")) {
             assertTrue(attempt.sentAtMicros - first.sentAtMicros < 2_000_000);
@@ -120,15 +120,16 @@
 
     @Test
     void nonIdempotentAttemptTimesOutAtObjective() {
-        // After a burst work whose objective had passed filled the queues before work that could be
-        // in
-        // time.
+        // Without this time-out, requests that have missed their objective fill the queues after a
+        // burst and delay requests that could still be served in time.
         RoutingEngineHarness harness = withEndpoints(11, 6, IDEMPOTENT, NON_IDEMPOTENT);
         assertEquals(
                 RoutingEngineHarness.LATENCY_OBJECTIVE_MICROS,
                 harness.request("once", 1).timeoutMicros);
         assertEquals(
-                0, harness.request("safe", 0).timeoutMicros, "its client would only come again");
+                0,
+                harness.request("safe", 0).timeoutMicros,
+                "the client of an idempotent request would send it again");
         SentAttempt timedOut = harness.attemptsOf("once").get(0);
         harness.advanceTime(RoutingEngineHarness.LATENCY_OBJECTIVE_MICROS);
         harness.endAttempt(timedOut, AttemptOutcome.TIMEOUT);
@@ -137,8 +138,8 @@
 
     @Test
     void slowIdempotentAttemptIsHedgedOnce() {
-        // Answers that never came were waited out to the deadline: a third of the worth of some
-        // days.
+        // Without hedging, the balancer waits for a lost response until the deadline. This cost a
+        // third of the objective on some simulated days.
         for (RequestClass requestClass : List.of(IDEMPOTENT, NON_IDEMPOTENT)) {
             RoutingEngineHarness harness = withEndpoints(11, 6, requestClass);
             harness.serveConcurrently(60, 20_000, Map.of());
@@ -148,7 +149,7 @@
             assertEquals(
                     requestClass.idempotency() == Idempotency.IDEMPOTENT ? 1 : 0,
                     hedgeCount,
-                    "copies of " + requestClass.idempotency());
+                    "hedged requests of " + requestClass.idempotency());
             assertTrue(
                     harness.attemptsOf("silent").stream()
                             .skip(1)
@@ -160,7 +161,8 @@
 
     @Test
     void hedgingIsBoundedAndPausedOnRejections() {
-        // Copies at a full fleet fed the overload: Kano lost 0.18 of its figure to them.
+        // Hedged requests at a fully loaded fleet increased the overload. This cost the scenario
+        // Kano 0.18 of its result.
         RoutingEngineHarness harness = withEndpoints(11, 6, IDEMPOTENT);
         harness.serveConcurrently(60, 20_000, Map.of());
         for (int i = 0; i < 60; i++) {
@@ -176,7 +178,7 @@
                         .count();
         assertTrue(
                 hedgeCount > 0 && hedgeCount <= 10,
-                "a budget of ten at most, not one for each of 60: " + hedgeCount);
+                "at most 10 hedged requests for 60 slow ones: " + hedgeCount);
         RoutingEngineHarness saturated = withEndpoints(11, 6, IDEMPOTENT);
         saturated.serveConcurrently(60, 20_000, Map.of());
         List<SentAttempt> rejectedAttempts =
--- a/balancer/src/test/java/loadbalancer/routing/api/LoadReportParserTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/api/LoadReportParserTest.java
@@ -10,7 +10,7 @@
 
 class LoadReportParserTest {
     @Test
-    void allFieldsAreRead() {
+    void allHeaderFieldsAreParsed() {
         assertEquals(
                 new LoadReport(7, 2, 0.5, 14_500, 120, 0.1),
                 LoadReportParser.parse(
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void fieldsOfTheSimulatorAreRead() {
+    void allSimulatorFieldsAreParsed() {
         assertEquals(
                 new LoadReport(7, 2, 0.5, 14_500, 120, 0.1),
                 LoadReportParser.parse(
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void fieldsThatCannotBeReadAreIgnored() {
+    void unparsableFieldsAreIgnored() {
         double unknown = Double.NaN;
         assertEquals(
                 new LoadReport(7, unknown, unknown, unknown, unknown, unknown),
@@ -42,7 +42,7 @@
     @ParameterizedTest
     @NullSource
     @ValueSource(strings = {"", "TEXT", "TEXT flavour=3", "inflight=many"})
-    void reportWithoutKnownFigureIsNone(String text) {
+    void reportWithoutKnownFieldIsNull(String text) {
         assertNull(LoadReportParser.parse(text));
     }
 }
