--- a/balancer/src/main/java/loadbalancer/routing/admission/FleetCapacity.java
+++ b/balancer/src/main/java/loadbalancer/routing/admission/FleetCapacity.java
@@ -4,13 +4,14 @@
 import loadbalancer.routing.api.Tenant;
 
 /**
- * How much of the traffic of all balancers the endpoints in use can carry, as bounds on what the
- * {@link LoadShedder} sheds.
+ * Estimates how much of the traffic of all balancers the available endpoints can serve, and derives
+ * bounds on the fraction that the {@link LoadShedder} sheds.
  *
- * <p>Late responses show an overload only seconds after most endpoints are lost, and for seconds
- * after they are back. The tenants' quotas tell at once what the whole fleet is sized for, health
- * and slow start which part of it is in use, and gossip what arrives at all balancers. Between the
- * bounds, latency decides: only it tells how fast the endpoints really are.
+ * <p>Latency shows an overload only seconds after most endpoints are lost, and still shows it for
+ * seconds after they are back. The following are known immediately: the capacity of the whole fleet
+ * from the tenants' quotas, the available part of it from health and slow start, and the arrival
+ * rate of all balancers from gossip. Between the bounds latency decides, because only latency shows
+ * how fast the endpoints actually are.
  *
  * <p>Confined to the thread of the routing policy.
  */
@@ -18,27 +19,27 @@
     private static final double RATE_DECAY_MICROS = 1e6;
     private static final double MICROS_PER_SECOND = 1e6;
     private static final double MIN_RATE_PER_SECOND = 1e-9;
-    // Of the capacity of a whole fleet, what the quotas promise at least
-    private static final double MIN_PROMISED_FRACTION = 0.8;
-    // Of what the quotas promise, what is admitted at least, however late responses are
-    private static final double MIN_USED_FRACTION = 0.6;
+    // The sum of all quotas is at least this fraction of the capacity of the whole fleet.
+    private static final double MIN_QUOTA_TO_CAPACITY_RATIO = 0.8;
+    // At least this fraction of the sum of all quotas is admitted, however late responses are.
+    private static final double MIN_ADMITTED_QUOTA_FRACTION = 0.6;
 
-    private final double promisedPerSecond;
-    // Size of the fleet as first listed; 0 until then
+    private final double totalQuotaPerSecond;
+    // Size of the first endpoint list, or 0 before it.
     private int initialEndpointCount;
     private double recentRequests;
     private double availableFraction = 1;
 
-    /** The capacity of a whole fleet, by the quotas of the settings' tenants. */
+    /** Creates an estimate from the quotas of the tenants; the whole fleet is available. */
     public FleetCapacity(RoutingSettings settings) {
-        promisedPerSecond = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
+        totalQuotaPerSecond = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
     }
 
     /**
-     * Sets the part of the fleet that is available.
+     * Sets which part of the fleet is available.
      *
      * @param listedCount number of listed endpoints
-     * @param usableFraction part of their capacity that is in use: reachable, healthy and warm
+     * @param usableFraction fraction of their capacity that is reachable, healthy and warm
      */
     public void updateAvailability(int listedCount, double usableFraction) {
         initialEndpointCount = initialEndpointCount > 0 ? initialEndpointCount : listedCount;
@@ -46,50 +47,54 @@
                 initialEndpointCount > 0 ? usableFraction * listedCount / initialEndpointCount : 1;
     }
 
-    /** Counts a request that has arrived. */
+    /** Counts an arriving request. */
     public void onRequest() {
         recentRequests++;
     }
 
-    /** Decays the rate of requests by the time that has passed. */
+    /** Decays the arrival rate by the elapsed time. */
     public void decay(double elapsedMicros) {
         recentRequests *= Math.exp(-elapsedMicros / RATE_DECAY_MICROS);
     }
 
-    /** Arrival rate of this balancer. */
+    /** Returns the arrival rate of this balancer. */
     public double requestsPerSecond() {
         return recentRequests / RATE_DECAY_MICROS * MICROS_PER_SECOND;
     }
 
     /**
-     * Fraction of the traffic of all balancers that exceeds the available capacity in the best
-     * case; 0 where no quota tells the capacity.
+     * Returns the fraction of the traffic of all balancers that exceeds the highest possible
+     * capacity of the available endpoints, or 0 if no quotas are set.
+     *
+     * @param fleetRatePerSecond arrival rate of all balancers
      */
     public double excessFraction(double fleetRatePerSecond) {
-        if (promisedPerSecond <= 0) {
+        if (totalQuotaPerSecond <= 0) {
             return 0;
         }
-        double carriedFraction =
-                promisedPerSecond
+        double servedFraction =
+                totalQuotaPerSecond
                         * availableFraction
-                        / MIN_PROMISED_FRACTION
+                        / MIN_QUOTA_TO_CAPACITY_RATIO
                         / Math.max(MIN_RATE_PER_SECOND, fleetRatePerSecond);
-        return Math.max(0, 1 - carriedFraction);
+        return Math.max(0, 1 - servedFraction);
     }
 
     /**
-     * Fraction of the traffic of all balancers that may be shed at most; the available capacity
-     * carries the rest, if late. 1 where no quota tells the capacity.
+     * Returns the largest fraction of the traffic of all balancers that may be shed, or 1 if no
+     * quotas are set. The available endpoints can serve the rest, possibly late.
+     *
+     * @param fleetRatePerSecond arrival rate of all balancers
      */
     double maxShedFraction(double fleetRatePerSecond) {
-        if (promisedPerSecond <= 0) {
+        if (totalQuotaPerSecond <= 0) {
             return 1;
         }
-        double carriedFraction =
-                MIN_USED_FRACTION
-                        * promisedPerSecond
+        double servedFraction =
+                MIN_ADMITTED_QUOTA_FRACTION
+                        * totalQuotaPerSecond
                         * availableFraction
                         / Math.max(MIN_RATE_PER_SECOND, fleetRatePerSecond);
-        return Math.max(0, 1 - carriedFraction);
+        return Math.max(0, 1 - servedFraction);
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/admission/LoadShedder.java
+++ b/balancer/src/main/java/loadbalancer/routing/admission/LoadShedder.java
@@ -7,32 +7,35 @@
 import loadbalancer.routing.endpoint.PendingRequest;
 
 /**
- * Sheds load in an overload: rejects a part of the arrivals, those of the lowest value first, so
- * that the rest is in time and not all is late.
+ * Decides which requests are rejected during an overload: a fraction of the arrivals, lowest value
+ * first, so that the remaining requests meet their latency objective.
  *
- * <p>Requests of equal value form a tier. The level is the number of tiers that are shed, the last
- * one of them in part; an integral controller moves it by how far the overload ratio, a moving mean
- * of latency over latency objective, is from the threshold of the tier at the level. {@link
- * FleetCapacity} bounds it from both sides.
+ * <p>Requests of equal value form a tier. The level is the number of tiers that are shed; its
+ * fractional part is the fraction of the last tier that is shed. The overload ratio is a moving
+ * mean of latency divided by latency objective. An integral controller moves the level by the
+ * difference between the overload ratio and the threshold of the tier at the level. {@link
+ * FleetCapacity} bounds the level from both sides.
  *
- * <p>It sheds a fraction of the arrivals. A limit on attempts in flight, which is about one for
- * most balancers of a large fleet, would reject most requests under normal load. Confined to the
- * thread of the routing policy.
+ * <p>The shedder does not limit the attempts in flight: for most balancers of a large fleet such a
+ * limit would be about one, and would reject most requests under normal load.
+ *
+ * <p>Confined to the thread of the routing policy.
  */
 public final class LoadShedder {
-    // Thresholds of the overload ratio
+    // Thresholds of the overload ratio.
     private static final double LOWEST_TIER_OVERLOAD_THRESHOLD = 0.40;
     private static final double HIGHEST_TIER_OVERLOAD_THRESHOLD = 0.60;
 
     private static final double MAX_OVERLOAD_SAMPLE = 1.2;
-    // Fraction of arrivals by which the level moves, per second and unit of overload
+    // Fraction of arrivals that is shed or readmitted, per second and unit of overload ratio.
     private static final double LEVEL_GAIN_PER_SECOND = 0.5;
     private static final double READMISSION_GAIN_FACTOR = 3;
-    // Of the arrivals, what a tier counts as at least
+    // Lower bound of a tier's fraction of the arrivals when the controller step is computed.
     private static final double MIN_TIER_FRACTION = 0.1;
-    // Of the highest value, below which over-quota requests are shed from the start
+    // Values below this fraction of the highest value are low. Over-quota requests of low value
+    // are shed initially.
     private static final double LOW_VALUE_RATIO = 0.3;
-    // The part of the highest tier that is never shed
+    // Fraction of the highest tier that is never shed.
     private static final double MIN_ADMITTED_TIERS = 0.05;
     private static final double HEDGING_LEVEL_MARGIN = 0.05;
 
@@ -41,7 +44,7 @@
     private static final double SAMPLE_EXPIRY_MICROS = 2e6;
 
     private final RoutingSettings settings;
-    // Ascending and distinct
+    // Distinct values in ascending order.
     private final double[] tierValues;
     private final double[] decayedArrivalsByTier;
     private final double maxHedgingLevel;
@@ -51,7 +54,7 @@
     private int sampleCount;
     private long sampledAtMicros;
 
-    /** Starts at a level that sheds over-quota requests of low value only. */
+    /** Creates a shedder whose initial level sheds only over-quota requests of low value. */
     public LoadShedder(RoutingSettings settings) {
         this.settings = settings;
         this.tierValues =
@@ -88,35 +91,34 @@
         return DoubleStream.of(value(requestClass, false), value(requestClass, true));
     }
 
-    // Value per unit of work, since work is what an overloaded fleet is short of. Where weights are
-    // given by request, the valuable ones are mostly the heavy ones, so classes count alike: shed
-    // by value, a light class got nothing while the fleet served a fraction of what it could.
+    // Returns the value per unit of work, because work is the scarce resource in an overload. If
+    // weights are per request, all classes have equal value: requests of high weight mostly need
+    // much work, and when a class of low weight was shed first, none of its requests were served
+    // although the fleet was below its capacity.
     private double value(RequestClass requestClass, boolean isLowPriority) {
         return (settings.weightPerWorkUnit() ? requestClass.priorityWeight() : 1)
                 * (isLowPriority ? settings.overQuotaWeightFactor() : 1);
     }
 
-    // ---------------------------------------------------------------- queries
-
-    /** Number of tiers that are shed, the last one in part. */
+    /** Returns the number of tiers that are shed, with the shed fraction of the last one. */
     public double level() {
         return level;
     }
 
-    /** Moving mean of latency over latency objective. */
+    /** Returns the moving mean of latency divided by latency objective. */
     public double overloadRatio() {
         return overloadRatio;
     }
 
-    /** Whether no request within its tenant's quota is shed. */
+    /** Returns whether all requests within their tenant's quota are admitted. */
     public boolean admitsAllWithinQuota() {
         return level < maxHedgingLevel;
     }
 
     /**
-     * Counts a request that arrives; returns whether it is shed.
+     * Counts an arriving request and returns whether it is shed.
      *
-     * @param randomFraction random, in [0, 1); decides within the tier that is shed in part
+     * @param randomFraction random number in [0, 1) that decides in a partially shed tier
      */
     public boolean shouldShed(PendingRequest request, double randomFraction) {
         double value = value(request.requestClass(), request.isLowPriority());
@@ -125,11 +127,11 @@
         return tier + randomFraction < level;
     }
 
-    // ---------------------------------------------------------------- samples
-
     /**
-     * Adds a sample of the overload ratio: latency over latency objective of a success, or what
-     * another outcome counts as.
+     * Adds a sample of the overload ratio.
+     *
+     * @param sample latency divided by latency objective of a success, or the value that the caller
+     *     assigns to another outcome
      */
     public void recordSample(double sample, long now) {
         double elapsedWeight = 1 - Math.exp(-(now - sampledAtMicros) / SMOOTHING_MICROS);
@@ -140,27 +142,25 @@
         sampledAtMicros = now;
     }
 
-    /** Decays the overload ratio where there has been no sample for a while. */
+    /** Decays the overload ratio if the last sample is too old. */
     public void decayStaleOverload(long now, long elapsedMicros) {
         if (now - sampledAtMicros > SAMPLE_EXPIRY_MICROS) {
             overloadRatio *= Math.exp(-elapsedMicros / SAMPLE_EXPIRY_MICROS);
         }
     }
 
-    /** Decays the counts of arrivals. */
+    /** Multiplies the arrival counts of all tiers by the retained fraction. */
     public void decay(double retainedFraction) {
         for (int tier = 0; tier < decayedArrivalsByTier.length; tier++) {
             decayedArrivalsByTier[tier] *= retainedFraction;
         }
     }
 
-    // ---------------------------------------------------------------- controller
-
     /**
-     * Moves the level by the overload ratio alone: where no other balancer is heard, the traffic of
-     * all balancers is unknown, and the capacity of the fleet says nothing.
+     * Moves the level by the overload ratio alone. Used while no other balancer is heard: then the
+     * traffic of all balancers is unknown and cannot be compared with the capacity.
      *
-     * @param elapsedSeconds since the last update
+     * @param elapsedSeconds time since the last update
      */
     public void updateLevel(double elapsedSeconds) {
         if (sampleCount > 0) {
@@ -169,9 +169,10 @@
     }
 
     /**
-     * Moves the level by the overload ratio, within the bounds of the capacity.
+     * Moves the level by the overload ratio, within the bounds that the capacity sets.
      *
-     * @param elapsedSeconds since the last update
+     * @param elapsedSeconds time since the last update
+     * @param capacity estimated capacity of the available endpoints
      * @param fleetRatePerSecond arrival rate of all balancers
      */
     public void updateLevelWithinCapacity(
@@ -185,13 +186,13 @@
     }
 
     private double levelStep(double elapsedSeconds) {
-        int edgeTier = Math.min(tierValues.length - 1, (int) level);
-        double relativeValue = tierValues[edgeTier] / tierValues[tierValues.length - 1];
+        int tierAtLevel = Math.min(tierValues.length - 1, (int) level);
+        double relativeValue = tierValues[tierAtLevel] / tierValues[tierValues.length - 1];
         double threshold =
                 LOWEST_TIER_OVERLOAD_THRESHOLD
                         + (HIGHEST_TIER_OVERLOAD_THRESHOLD - LOWEST_TIER_OVERLOAD_THRESHOLD)
                                 * relativeValue;
-        double tierFraction = decayedArrivalsByTier[edgeTier] / Math.max(1, totalArrivals());
+        double tierFraction = decayedArrivalsByTier[tierAtLevel] / Math.max(1, totalArrivals());
         double step =
                 LEVEL_GAIN_PER_SECOND
                         * elapsedSeconds
@@ -200,7 +201,7 @@
         return step > 0 ? step : step * readmissionFactor(relativeValue);
     }
 
-    // Requests of low value are readmitted slowly: the load costs more than they are worth.
+    // Readmits requests of low value slowly, because their load costs more than their value.
     private static double readmissionFactor(double relativeValue) {
         return relativeValue < LOW_VALUE_RATIO ? relativeValue : READMISSION_GAIN_FACTOR;
     }
--- a/balancer/src/main/java/loadbalancer/routing/admission/PendingQueue.java
+++ b/balancer/src/main/java/loadbalancer/routing/admission/PendingQueue.java
@@ -6,9 +6,11 @@
 import loadbalancer.routing.endpoint.PendingRequest;
 
 /**
- * Requests that wait for an endpoint: those of normal priority, then those of low priority, each
- * ordered by when they must be sent at the latest. Keeps {@link PendingRequest#isQueued} in step,
- * but for removals through {@link #queues}. Confined to the thread of the routing policy.
+ * Holds the requests that wait for an endpoint: first those of normal priority, then those of low
+ * priority, each ordered by the latest time at which they must be sent.
+ *
+ * <p>Updates {@link PendingRequest#isQueued}, except for removals through {@link #queues}. Confined
+ * to the thread of the routing policy.
  */
 public final class PendingQueue {
     private final List<PendingRequest> normalPriority = new ArrayList<>();
@@ -17,23 +19,24 @@
     private final ToLongFunction<PendingRequest> latestStartMicros;
 
     /**
-     * An empty queue.
+     * Creates an empty queue.
      *
-     * @param latestStartMicros when a request must be sent to meet its latency objective
+     * @param latestStartMicros returns the latest time at which a request must be sent to meet its
+     *     latency objective, in µs
      */
     public PendingQueue(ToLongFunction<PendingRequest> latestStartMicros) {
         this.latestStartMicros = latestStartMicros;
     }
 
     /**
-     * The queues in the order in which requests are to be sent. A caller that removes a request
-     * through an iterator has to call {@link PendingRequest#onDequeued}.
+     * Returns the queues in the order in which requests are sent. A caller that removes a request
+     * through an iterator must call {@link PendingRequest#onDequeued}.
      */
     public List<List<PendingRequest>> queues() {
         return queues;
     }
 
-    /** Adds a request, unless it is queued already. */
+    /** Adds a request unless it is already queued. */
     public void add(PendingRequest request) {
         if (request.isQueued()) {
             return;
@@ -51,7 +54,7 @@
         return latestStartMicros.applyAsLong(other) > latestStartMicros.applyAsLong(request);
     }
 
-    /** Removes a request, if it is queued. */
+    /** Removes a request if it is queued. */
     public void remove(PendingRequest request) {
         if (request.isQueued()) {
             request.onDequeued();
@@ -63,7 +66,7 @@
         return request.isLowPriority() ? lowPriority : normalPriority;
     }
 
-    /** A copy of all queued requests, in the order in which they are to be sent. */
+    /** Returns a copy of all queued requests in the order in which they are sent. */
     public List<PendingRequest> toList() {
         List<PendingRequest> pending = new ArrayList<>(normalPriority);
         pending.addAll(lowPriority);
--- a/balancer/src/main/java/loadbalancer/routing/admission/TenantQuotas.java
+++ b/balancer/src/main/java/loadbalancer/routing/admission/TenantQuotas.java
@@ -6,23 +6,23 @@
 import loadbalancer.routing.api.Tenant;
 
 /**
- * Tells the requests that exceed their tenant's quota: a token bucket for each tenant, filled at
- * this balancer's share of the tenant's rate.
+ * Identifies the requests that exceed their tenant's quota, with a token bucket per tenant. A
+ * bucket is refilled at this balancer's share of the tenant's quota.
  *
- * <p>That share is learned from the traffic of the last second. When most balancers are lost, the
- * others get their traffic at once; a share that is learned more slowly would mark most of it as
- * over quota. Confined to the thread of the routing policy.
+ * <p>The share is estimated from the traffic of the last second. When most balancers are lost, the
+ * remaining ones get their traffic immediately, and a slower estimate would mark most of it as over
+ * quota. Confined to the thread of the routing policy.
  */
 public final class TenantQuotas {
     private static final double MICROS_PER_SECOND = 1e6;
     private static final double DEMAND_DECAY_MICROS = 1e6;
-    // Added to actual and to even demand, so that a few requests have little effect
+    // Added to measured and expected demand, so that a few requests have little effect.
     private static final double DEMAND_PSEUDO_COUNT = 3;
-    // Burst that a small tenant is allowed: a few requests may arrive together by chance
+    // Smallest burst of a tenant, because a few requests may arrive together by chance.
     private static final double MIN_BURST_REQUESTS = 4;
     private static final double BURST_SECONDS = 1;
 
-    // All arrays have an element for each tenant
+    // All arrays have one element per tenant.
     private final int balancerCount;
     private final double[] quotaPerSecond;
     private final double[] recentDemand;
@@ -30,8 +30,8 @@
     private final long[] tokensUpdatedAtMicros;
 
     /**
-     * Starts with buckets that are filled at random: if all were full, the balancers together would
-     * admit too much at a start.
+     * Creates buckets with random fill levels. If all buckets were full, the balancers together
+     * would admit too much traffic after a start.
      */
     public TenantQuotas(RoutingSettings settings, SplittableRandom random) {
         balancerCount = settings.balancerCount();
@@ -42,12 +42,12 @@
         tokensUpdatedAtMicros = new long[quotaPerSecond.length];
     }
 
-    /** Sets the time from which on the buckets fill up. */
+    /** Sets the time from which the buckets are refilled. */
     public void start(long now) {
         Arrays.fill(tokensUpdatedAtMicros, now);
     }
 
-    /** Decays the demand by the time that has passed. */
+    /** Decays the measured demand by the elapsed time. */
     public void decay(double elapsedMicros) {
         double retainedFraction = Math.exp(-elapsedMicros / DEMAND_DECAY_MICROS);
         for (int tenant = 0; tenant < recentDemand.length; tenant++) {
@@ -56,9 +56,11 @@
     }
 
     /**
-     * Counts a request that arrives now; returns whether it exceeds its tenant's quota.
+     * Counts a request that arrives now and returns whether it exceeds its tenant's quota.
      *
-     * @param resubmission whether the client sent it before; it takes a token, but is no demand
+     * @param tenant index of the tenant
+     * @param resubmission whether the client has sent the request before; a resubmission takes a
+     *     token but does not count as demand
      */
     public boolean isOverQuota(int tenant, boolean resubmission, long now) {
         if (quotaPerSecond.length == 0) {
@@ -74,7 +76,7 @@
     }
 
     private void refill(int tenant, long now) {
-        double localRatePerSecond = quotaPerSecond[tenant] * localFraction();
+        double localRatePerSecond = quotaPerSecond[tenant] * localShare();
         double maxTokens = Math.max(MIN_BURST_REQUESTS, localRatePerSecond * BURST_SECONDS);
         long elapsedMicros = now - tokensUpdatedAtMicros[tenant];
         double newTokens = localRatePerSecond * elapsedMicros / MICROS_PER_SECOND;
@@ -82,10 +84,10 @@
         tokensUpdatedAtMicros[tenant] = now;
     }
 
-    // This balancer's share of the traffic: an even one, or more where the median tenant brings
-    // more, since traffic is not spread evenly. By the median one tenant far over its quota does
-    // not raise the rates of all.
-    private double localFraction() {
+    // Returns this balancer's share of the traffic: an even share, or more if the median tenant
+    // sends more here, because traffic is not spread evenly. Through the use of the median, a
+    // single tenant far over its quota does not raise the rates of all tenants.
+    private double localShare() {
         double[] demandRatios = new double[recentDemand.length];
         for (int tenant = 0; tenant < demandRatios.length; tenant++) {
             double evenDemand =
--- a/balancer/src/main/java/loadbalancer/routing/health/OutlierEjection.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/OutlierEjection.java
@@ -11,27 +11,28 @@
 import loadbalancer.routing.endpoint.PendingRequest;
 
 /**
- * Decides which endpoints get no attempts for a while: those that fail, reject, stall or cannot be
- * connected to. Without it they would win the comparison of queue lengths, since an endpoint that
- * fails at once has always the shortest queue.
+ * Decides which endpoints temporarily get no attempts: those that fail, reject, stall or cannot be
+ * connected to. Without ejection they would be preferred, because an endpoint that fails
+ * immediately always has the shortest queue.
  *
- * <p>After an ejection an endpoint is half-open: it gets one attempt at a time until some in a row
- * have succeeded. Where most endpoints seem unhealthy the fault is more likely elsewhere; then, in
- * panic mode, all that can be connected to are used.
+ * <p>After an ejection an endpoint is half-open: it gets one attempt at a time until several in a
+ * row have succeeded. If most endpoints seem unhealthy, the cause is more likely elsewhere; in this
+ * panic mode all endpoints that accept connections are used.
  *
- * <p>The state of an endpoint is in {@link EndpointState}; this class holds what concerns all of
- * them. Confined to the thread of the routing policy.
+ * <p>{@link EndpointState} holds the state of each endpoint; this class holds only the state shared
+ * by all endpoints. Confined to the thread of the routing policy.
  */
 public final class OutlierEjection {
-    // Two failures within some ten recent attempts exceed both: far beyond any usual failure rate
+    // Two failures in about ten recent attempts exceed both thresholds. Usual failure rates are far
+    // below that.
     private static final double MIN_EJECTION_FAILURES = 1.6;
     private static final double MIN_EJECTION_FAILURE_RATIO = 0.15;
 
     private static final int MAX_REJECTION_BACKOFF_DOUBLINGS = 3;
     private static final int UNREACHABLE_CONNECT_FAILURES = 2;
-    // An attempt stalls after this multiple of its class's usual latency
+    // Multiple of the usual latency of a request class after which an attempt counts as stalled.
     private static final double STALL_LATENCY_MULTIPLE = 3;
-    // Another balancer's report is ignored for so long after a success here
+    // Time after a local success during which reports of other balancers are ignored.
     private static final long REPORT_OVERRULED_MICROS = EjectionBackoff.BASE_EJECTION_MICROS;
     private static final long REPORTED_EJECTION_MICROS = EjectionBackoff.BASE_EJECTION_MICROS;
 
@@ -39,15 +40,15 @@
     private final LatencyTracker latencies;
     private final long tickMicros;
     private boolean panicMode;
-    // None can be connected to: then it is this balancer that is isolated
+    // No endpoint accepts connections, so this balancer itself is probably isolated.
     private boolean allUnreachable;
 
     /**
-     * No endpoint is ejected yet.
+     * Creates an instance without ejected endpoints.
      *
      * @param random source of the jitter of ejections and backoffs
-     * @param latencies what is usual, for stalls
-     * @param tickMicros interval of timer events, which is added to the time of a stall
+     * @param latencies usual latencies by request class, from which stalls are detected
+     * @param tickMicros interval of timer events, which is added to the stall timeout
      */
     public OutlierEjection(SplittableRandom random, LatencyTracker latencies, long tickMicros) {
         this.random = random;
@@ -55,13 +56,11 @@
         this.tickMicros = tickMicros;
     }
 
-    // ---------------------------------------------------------------- queries
-
     /**
-     * Whether the health of an endpoint allows an attempt of a request.
+     * Returns whether the health of an endpoint allows an attempt for a request.
      *
-     * @param anyIdempotentClass whether any class is idempotent; then only requests of such classes
-     *     are sent to half-open endpoints
+     * @param anyIdempotentClass whether any request class is idempotent; then only requests of
+     *     idempotent classes are sent to half-open endpoints
      */
     public boolean allowsAttempt(
             EndpointState endpoint, PendingRequest request, boolean anyIdempotentClass, long now) {
@@ -74,10 +73,10 @@
         if (!endpoint.isHalfOpen()) {
             return true;
         }
-        boolean isSafeProbe =
+        boolean isSuitableProbe =
                 request.requestClass().idempotency() == Idempotency.IDEMPOTENT
                         || !anyIdempotentClass;
-        return endpoint.inFlight() == 0 && isSafeProbe;
+        return endpoint.inFlight() == 0 && isSuitableProbe;
     }
 
     private boolean isUnhealthy(EndpointState endpoint, long now) {
@@ -97,7 +96,7 @@
                 && now - endpoint.lastSuccessAtMicros() > stallTimeoutMicros;
     }
 
-    /** Whether connects to an endpoint fail, while others can be connected to. */
+    /** Returns whether connects to an endpoint fail while other endpoints accept connections. */
     public boolean isUnreachable(EndpointState endpoint) {
         return hasFailingConnects(endpoint) && !allUnreachable;
     }
@@ -106,23 +105,21 @@
         return endpoint.consecutiveConnectFailures() >= UNREACHABLE_CONNECT_FAILURES;
     }
 
-    /** Whether by the last evidence nothing answers at an endpoint: no connection, or a stall. */
+    /** Returns whether the last connect to an endpoint failed or its oldest attempt stalls. */
     public boolean isUnresponsive(EndpointState endpoint, long now) {
         return endpoint.consecutiveConnectFailures() > 0 || isStalled(endpoint, now);
     }
 
-    /** Whether an endpoint adds nothing to the capacity now. */
+    /** Returns whether an endpoint currently adds nothing to the capacity. */
     public boolean isUnavailable(EndpointState endpoint, long now) {
         return isUnreachable(endpoint) || (endpoint.isEjected(now) && !panicMode);
     }
 
-    // ---------------------------------------------------------------- periodic scan
-
     /**
-     * Decides on panic mode. It counts only endpoints that can be connected to: a lost zone of more
-     * than half of the fleet must not bring its own endpoints back into use.
+     * Enters or leaves panic mode. Counts only endpoints that accept connections, because the loss
+     * of a zone with more than half of the fleet must not bring the lost endpoints back into use.
      *
-     * @param activeEndpoints of the listed endpoints those that may be unhealthy
+     * @param activeEndpoints the listed endpoints that may be unhealthy
      * @param listedCount number of listed endpoints
      */
     public void update(List<EndpointState> activeEndpoints, int listedCount, long now) {
@@ -138,12 +135,10 @@
         panicMode = 2 * unhealthyReachableCount > reachableCount;
     }
 
-    // ---------------------------------------------------------------- events
-
     /**
-     * Another balancer of this zone cannot connect to an endpoint: ejects it here too, unless an
-     * attempt has just succeeded. Otherwise each balancer would find a lost zone by itself, at the
-     * cost of two failed attempts for each endpoint.
+     * Ejects an endpoint to which another balancer of this zone cannot connect, unless an attempt
+     * has recently succeeded here. Without such reports each balancer would detect a lost zone by
+     * itself, at the cost of two failed attempts per endpoint.
      */
     public void onReportedUnreachable(EndpointState endpoint, long now) {
         boolean isNewEvidence =
@@ -157,9 +152,9 @@
     }
 
     /**
-     * An attempt succeeded.
+     * Handles the success of an attempt.
      *
-     * @param onRecovered runs if this success ends the half-open state
+     * @param onRecovered is run if this success ends the half-open state
      */
     public void onSuccess(EndpointState endpoint, Runnable onRecovered) {
         if (endpoint.advanceRecovery()) {
@@ -168,9 +163,11 @@
     }
 
     /**
-     * An endpoint rejected an attempt: it gets no other for a short backoff with jitter. It rejects
-     * in no time and would have the shortest queue, while each retry costs it a handshake; so the
-     * backoff grows with each rejection in a row.
+     * Handles the rejection of an attempt: the endpoint gets no attempts during a short backoff
+     * with jitter. An endpoint that rejects immediately would have the shortest queue, and each
+     * retry costs it a handshake, so the backoff grows with each consecutive rejection.
+     *
+     * @param usualLatencyMicros backoff after the first rejection, without jitter
      */
     public void onRejected(EndpointState endpoint, double usualLatencyMicros, long now) {
         int doublings = Math.min(MAX_REJECTION_BACKOFF_DOUBLINGS, endpoint.consecutiveRejections());
@@ -181,13 +178,13 @@
     }
 
     /**
-     * An attempt failed: it costs the endpoint accomplishment, its slot counts as occupied for a
-     * while, and enough failures eject the endpoint.
+     * Handles the failure of an attempt: it lowers the endpoint's accomplishment, its slot counts
+     * as occupied for a while, and enough failures eject the endpoint.
      *
-     * @param failureWeight share of a whole failure that it counts for; 0 if it says nothing about
-     *     the endpoint as a whole
-     * @param penaltyMicros for how long its slot counts as occupied
-     * @param countScale weight of one event now
+     * @param failureWeight weight of this failure from 0 to 1; 0 if it says nothing about the
+     *     endpoint as a whole
+     * @param penaltyMicros time for which the attempt's slot counts as occupied
+     * @param countScale current weight of one event in the decayed counts
      * @param onEjected accepts the length of an ejection that begins now, in µs without jitter
      */
     public void onFailure(
@@ -212,8 +209,9 @@
                 && failures > MIN_EJECTION_FAILURE_RATIO * outcomes;
     }
 
-    // Returns the length of the ejection without jitter. It does not grow where connects fail: a
-    // failed connect costs little, and a lost zone may be back before the list says so.
+    // Returns the length of the ejection without jitter. After failed connects the length does not
+    // grow: a failed connect costs little, and a lost zone may be back before the endpoint list
+    // shows it.
     private long eject(EndpointState endpoint, long now) {
         boolean connectsFail = endpoint.consecutiveConnectFailures() > 0;
         int priorEjections = connectsFail ? 0 : endpoint.consecutiveEjections();
--- a/balancer/src/main/java/loadbalancer/routing/health/SlowStart.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/SlowStart.java
@@ -5,27 +5,29 @@
 import loadbalancer.routing.endpoint.EndpointState;
 
 /**
- * Slow start (the operators' rule 4): an endpoint that was started recently gets a part of what a
- * warm one of the same weight gets, which grows linearly with its age.
+ * Limits the attempts to recently started endpoints (slow start, the operators' rule 4). Such an
+ * endpoint gets a fraction of the traffic of a warm endpoint of the same weight; the fraction grows
+ * linearly with its age.
  *
- * <p>Each endpoint that warms up has a token bucket here, which is filled at this balancer's part
- * of the rate and from which each attempt takes a token; so the bound holds for the sum of all
+ * <p>Each warming endpoint has a token bucket at this balancer, and each attempt takes a token. The
+ * bucket is refilled at this balancer's share of the rate, so the limit holds for the sum of all
  * balancers. Confined to the thread of the routing policy.
  */
 public final class SlowStart {
-    // Rate of a warming endpoint over its exact part of a warm one's
+    // Factor by which the rate of a warming endpoint may exceed its ramp fraction of the warm rate.
     private static final double RAMP_MARGIN = 1.6;
-    // Successes of a warm endpoint within the shortest latency objective, before any is measured
+    // Successes of a warm endpoint during the shortest latency objective that are assumed while the
+    // measured rate is lower or missing.
     private static final double INITIAL_SUCCESSES_PER_OBJECTIVE = 2;
     private static final double MICROS_PER_SECOND = 1e6;
-    // Part of the overload window in which a bucket fills up
+    // A bucket fills up in the overload window divided by this number.
     private static final double FILL_WINDOW_DIVISOR = 3;
 
     private final RoutingSettings settings;
     private final double minWarmRatePerSecond;
-    private double warmRatePerSecondAndWeight;
+    private double warmRatePerSecondPerWeight;
 
-    /** Starts without a measured rate of warm endpoints. */
+    /** Creates an instance without a measured rate of warm endpoints. */
     public SlowStart(RoutingSettings settings, long shortestLatencyObjectiveMicros) {
         this.settings = settings;
         this.minWarmRatePerSecond =
@@ -35,13 +37,13 @@
                         / settings.balancerCount();
     }
 
-    /** Part of its full capacity that an endpoint has by its age, from 0 to 1; 1: it is warm. */
+    /** Returns the fraction of its full capacity that an endpoint has at its age; 1 if warm. */
     public double rampFraction(EndpointState endpoint, long now) {
         RoutingBounds bounds = settings.bounds();
         long startedAtMicros = endpoint.descriptor().startedAtMicros();
         long ageMicros = now - startedAtMicros;
-        boolean hasLongBeenStarted = startedAtMicros <= 0;
-        if (hasLongBeenStarted
+        boolean startedLongAgo = startedAtMicros <= 0;
+        if (startedLongAgo
                 || bounds.slowStartMicros() <= 0
                 || ageMicros >= bounds.slowStartMicros()) {
             return 1;
@@ -51,7 +53,7 @@
                 + (1 - initialFraction) * Math.max(0, ageMicros) / bounds.slowStartMicros();
     }
 
-    /** Part of its full capacity that may be asked of an endpoint now. */
+    /** Returns the fraction of its full capacity that may be used now, from 0 to 1. */
     public double usableFraction(EndpointState endpoint, long now) {
         return Math.min(1, RAMP_MARGIN * rampFraction(endpoint, now));
     }
@@ -65,7 +67,7 @@
         double warmRatePerSecond =
                 Math.max(
                         minWarmRatePerSecond,
-                        warmRatePerSecondAndWeight * endpoint.descriptor().weight());
+                        warmRatePerSecondPerWeight * endpoint.descriptor().weight());
         double ratePerSecond = rampFraction * RAMP_MARGIN * warmRatePerSecond;
         double maxTokens =
                 ratePerSecond
@@ -78,20 +80,20 @@
         return endpoint.slowStartTokens() >= 1;
     }
 
-    // A bucket that holds less than one token keeps one for two thirds of the overload window and
-    // then loses it. If all balancers kept one in a quiet time, a burst would bring the endpoint as
-    // many attempts at once as there are balancers.
+    // A bucket with a capacity of less than one token keeps a token for two thirds of the overload
+    // window and then loses it. If every balancer kept a token while idle, a burst could send as
+    // many simultaneous attempts to the endpoint as there are balancers.
     private static double boundTokens(double tokens, double maxTokens) {
         return maxTokens >= 1 ? Math.min(maxTokens, tokens) : tokens % (1 + 2 * maxTokens);
     }
 
     /**
-     * Sets the rate of warm endpoints.
+     * Sets the measured rate of warm endpoints.
      *
-     * @param successesPerSecond of all warm endpoints at this balancer
-     * @param totalWeight of all warm endpoints
+     * @param successesPerSecond successes of all warm endpoints at this balancer
+     * @param totalWeight sum of the weights of all warm endpoints
      */
     public void updateWarmRate(double successesPerSecond, double totalWeight) {
-        warmRatePerSecondAndWeight = totalWeight <= 0 ? 0 : successesPerSecond / totalWeight;
+        warmRatePerSecondPerWeight = totalWeight <= 0 ? 0 : successesPerSecond / totalWeight;
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/health/ZoneFailover.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/ZoneFailover.java
@@ -9,31 +9,33 @@
 import loadbalancer.routing.endpoint.ZoneTally;
 
 /**
- * Failover of whole zones: stops using a zone when most of its observed endpoints are unresponsive,
- * and returns to it in steps. Endpoint by endpoint, a lost zone costs failed attempts for each of
- * them, and a zone that is back would get all of its requests at once.
+ * Decides on the failover of whole zones: stops using a zone when most of its observed endpoints
+ * are unresponsive, and returns to it in steps. Without it, a lost zone would cost failed attempts
+ * for each of its endpoints, and a zone that is back would get all of its requests at once.
  *
  * <pre>{@code
  * HEALTHY -> SUSPECT      more than half of the observed endpoints are unresponsive
- * SUSPECT -> HEALTHY      no longer, or for so long that single endpoints are at fault
- * SUSPECT -> FAILED_OVER  nearly all of them, for a while, and another zone serves
+ * SUSPECT -> HEALTHY      no longer more than half, or for so long that the cause is in single
+ *                         endpoints
+ * SUSPECT -> FAILED_OVER  nearly all observed endpoints are unresponsive for a while, and another
+ *                         zone serves
  * FAILED_OVER -> RECOVERING  probes succeed after the backoff, or no other zone serves, or the
  *                         capacity is short and a probe succeeded
  * RECOVERING -> HEALTHY   a quarter, a half, then all of the requests were admitted and served
- * RECOVERING -> FAILED_OVER  it fails again
+ * RECOVERING -> FAILED_OVER  the zone fails again
  * }</pre>
  *
- * <p>Each balancer decides for itself, and never fails over all zones. Confined to the thread of
+ * <p>Each balancer decides independently and never fails over all zones. Confined to the thread of
  * the routing policy.
  */
 public final class ZoneFailover {
-    // Of the observed endpoints, those that are unresponsive
+    // Fractions of the observed endpoints that are unresponsive.
     private static final double LOST_FRACTION = 0.8;
     private static final double SUSPECT_FRACTION = 0.5;
-    // Of the listed endpoints, those that must be observed
+    // Fraction of the listed endpoints that must be observed.
     private static final double MIN_OBSERVED_FRACTION = 0.2;
     private static final int MIN_OBSERVED_ENDPOINTS = 2;
-    // For how long a success shows that an endpoint responds
+    // Time for which a success is evidence that an endpoint responds.
     private static final long EVIDENCE_TTL_MICROS = 1_000_000;
 
     private static final long MIN_SUSPECT_MICROS = 200_000;
@@ -41,7 +43,7 @@
     private static final long SUSPECT_COOLDOWN_MICROS = 5_000_000;
 
     private static final long BASE_FAILOVER_MICROS = 500_000;
-    // Bounds a failover at 16 s
+    // Bounds the minimum length of a failover at 16 s.
     private static final int MAX_FAILOVER_DOUBLINGS = 5;
     private static final long HISTORY_EXPIRY_MICROS = 30_000_000;
     private static final long PROBE_INTERVAL_MICROS = 100_000;
@@ -50,19 +52,22 @@
     private static final double INITIAL_RECOVERY_FRACTION = 0.25;
     private static final long RECOVERY_STEP_MICROS = 250_000;
 
-    // Zone -1, of endpoints that name none, has index 0; it is never updated and stays healthy
-    private final List<ZoneHealth> healthByIndex = new ArrayList<>();
+    // Index 0 is zone -1, for endpoints without a zone. It is never updated and stays healthy.
+    private final List<ZoneHealth> healthByZoneIndex = new ArrayList<>();
 
-    /** State of a zone; {@code zone} -1 stands for endpoints that name none. */
+    /** Returns the state of a zone; zone -1 is for endpoints without a zone. */
     public ZoneHealth healthOf(int zone) {
         int index = zone + 1;
-        while (healthByIndex.size() <= index) {
-            healthByIndex.add(new ZoneHealth());
+        while (healthByZoneIndex.size() <= index) {
+            healthByZoneIndex.add(new ZoneHealth());
         }
-        return healthByIndex.get(index);
+        return healthByZoneIndex.get(index);
     }
 
-    /** Since when a success shows that an endpoint of a zone responds; not before a suspicion. */
+    /**
+     * Returns the time since which a success is evidence that an endpoint of a zone responds. While
+     * the zone is suspect, successes before the suspicion are no evidence.
+     */
     public long evidenceSinceMicros(int zone, long now) {
         ZoneHealth health = healthOf(zone);
         long suspectSinceMicros =
@@ -70,12 +75,10 @@
         return Math.max(suspectSinceMicros, now - EVIDENCE_TTL_MICROS);
     }
 
-    // ---------------------------------------------------------------- requests
-
     /**
-     * Whether a request may be sent to an endpoint's zone.
+     * Returns whether a request may be sent to the zone of an endpoint.
      *
-     * @param isIdempotent whether it may serve as a probe of a zone that is failed over
+     * @param isIdempotent whether the request may be a probe of a failed-over zone
      */
     public boolean allowsAttempt(
             EndpointState endpoint, PendingRequest request, boolean isIdempotent, long now) {
@@ -89,12 +92,16 @@
         };
     }
 
-    /** An attempt was sent to an endpoint. */
+    /** Handles the start of an attempt. */
     public void onAttemptStarted(EndpointState endpoint, long now) {
         healthOf(endpoint.descriptor().zone()).onAttemptStarted(now);
     }
 
-    /** An attempt succeeded, or found nothing to connect to; other outcomes do not count. */
+    /**
+     * Handles the success or the failed connect of an attempt; not called for other outcomes.
+     *
+     * @param succeeded whether the attempt succeeded; false after a failed connect
+     */
     public void onAttemptEnded(EndpointState endpoint, boolean succeeded) {
         ZoneHealth health = healthOf(endpoint.descriptor().zone());
         if (succeeded) {
@@ -104,14 +111,12 @@
         }
     }
 
-    // ---------------------------------------------------------------- transitions
-
     /**
-     * Decides on the status of each zone.
+     * Updates the status of each zone.
      *
-     * @param tallies of each zone, by its number
-     * @param isCapacityShort whether the endpoints in use cannot carry the traffic
-     * @param log accepts a line for each change of a status
+     * @param tallies counts of responding and unresponsive endpoints, indexed by zone
+     * @param isCapacityShort whether the available endpoints cannot serve the traffic
+     * @param log accepts a line for each status change
      */
     public void update(
             List<ZoneTally> tallies, boolean isCapacityShort, long now, Consumer<String> log) {
@@ -184,7 +189,8 @@
             boolean isCapacityShort,
             boolean anotherZoneServes,
             long now) {
-        // All at once where it is needed: the budgets of slow start bound what its endpoints get
+        // A recovery under short capacity admits all requests at once. The budgets of slow start
+        // still limit the load of the zone's endpoints.
         health.setInitialRecoveryFraction(isCapacityShort ? 1 : INITIAL_RECOVERY_FRACTION);
         boolean isNeeded = !anotherZoneServes || (isCapacityShort && health.successes() > 0);
         int requiredSuccesses = Math.min(SUCCESSES_TO_RECOVER, tally.endpoints());
@@ -228,8 +234,8 @@
                 && tally.observed() >= minObserved;
     }
 
-    // Whether endpoints respond in another zone, which is healthy itself. Otherwise this balancer
-    // may be the one that is isolated.
+    // Returns whether another zone is healthy and most of its observed endpoints respond.
+    // Otherwise this balancer itself may be isolated.
     private boolean isAnotherZoneServing(int zone, List<ZoneTally> tallies) {
         for (int other = 0; other < tallies.size(); other++) {
             ZoneTally tally = tallies.get(other);
--- a/balancer/src/main/java/loadbalancer/routing/health/ZoneHealth.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/ZoneHealth.java
@@ -1,9 +1,10 @@
 package loadbalancer.routing.health;
 
 /**
- * State of one zone at this balancer: its status, since when it has it, and what attempts have
- * shown in that period. {@link ZoneFailover} decides on transitions. A period begins with each
- * status and with each step of a recovery. Confined to the thread of the routing policy.
+ * Holds the state of one zone at this balancer: its status, the start of the current period, and
+ * the outcomes of attempts in that period. A period begins with each status change and with each
+ * step of a recovery. {@link ZoneFailover} decides on transitions. Confined to the thread of the
+ * routing policy.
  */
 public final class ZoneHealth {
     private ZoneStatus status = ZoneStatus.HEALTHY;
@@ -15,7 +16,7 @@
     private int successes;
     private int connectFailures;
 
-    /** Part of the requests that may be sent to the zone, from 0 to 1. */
+    /** Returns the fraction of the requests that may be sent to the zone, from 0 to 1. */
     public double admittedFraction() {
         return admittedFraction;
     }
@@ -24,7 +25,7 @@
         return status;
     }
 
-    /** Start of the status, or of the step of a recovery. */
+    /** Returns when the current status, or the current step of a recovery, began. */
     long periodStartMicros() {
         return periodStartMicros;
     }
@@ -40,12 +41,12 @@
         connectFailures = 0;
     }
 
-    /** Attempts that succeeded in this period. */
+    /** Returns the number of attempts that succeeded in this period. */
     int successes() {
         return successes;
     }
 
-    /** Attempts in this period that found nothing to connect to. */
+    /** Returns the number of attempts that failed to connect in this period. */
     int connectFailures() {
         return connectFailures;
     }
@@ -66,7 +67,7 @@
         lastProbedAtMicros = now;
     }
 
-    /** Until when the zone is not suspected again. */
+    /** Returns the time until which the zone is not suspected again. */
     long suspectCooldownUntilMicros() {
         return suspectCooldownUntilMicros;
     }
@@ -75,7 +76,7 @@
         suspectCooldownUntilMicros = untilMicros;
     }
 
-    /** Failovers that count for the backoff. */
+    /** Returns the number of failovers that count for the backoff. */
     int recentFailovers() {
         return recentFailovers;
     }
@@ -84,24 +85,24 @@
         recentFailovers = 0;
     }
 
-    /** Admits nothing, and makes the next failover longer. */
+    /** Stops admitting requests and lengthens the next failover. */
     void onFailover() {
         recentFailovers++;
         admittedFraction = 0;
     }
 
-    /** Sets the part that is admitted when the recovery begins. */
+    /** Sets the fraction of requests that is admitted when the recovery begins. */
     void setInitialRecoveryFraction(double fraction) {
         admittedFraction = fraction;
     }
 
-    /** Doubles the part that is admitted, and starts a period. */
+    /** Doubles the admitted fraction and starts a new period. */
     void advanceRecovery(long now) {
         admittedFraction = Math.min(1, 2 * admittedFraction);
         startPeriod(now);
     }
 
-    /** Takes over the state of another zone; for models that explore many states. */
+    /** Copies the state of another zone. Model checkers use it to restore explored states. */
     void copyFrom(ZoneHealth source) {
         status = source.status;
         periodStartMicros = source.periodStartMicros;
--- a/balancer/src/main/java/loadbalancer/routing/health/ZoneStatus.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/ZoneStatus.java
@@ -1,13 +1,13 @@
 package loadbalancer.routing.health;
 
-/** How this balancer uses a zone. The names are part of log lines. */
+/** States how this balancer uses a zone. The names are part of log lines. */
 enum ZoneStatus {
-    /** Used as any other. */
+    /** The zone is used without restriction. */
     HEALTHY,
-    /** Used, but most of its endpoints seem unresponsive. */
+    /** The zone is used, but most of its observed endpoints are unresponsive. */
     SUSPECT,
-    /** Not used but for probes. */
+    /** The zone is used only for probes. */
     FAILED_OVER,
-    /** Used for a growing part of the requests. */
+    /** The zone is used for a growing fraction of the requests. */
     RECOVERING
 }
