--- a/balancer/src/test/java/loadbalancer/routing/EmbeddingExample.java
+++ b/balancer/src/test/java/loadbalancer/routing/EmbeddingExample.java
@@ -19,7 +19,7 @@
 import loadbalancer.routing.api.RoutingPolicy;
 import loadbalancer.routing.api.RoutingSettings;
 
-/** The README's example: a caller that embeds the module. */
+/** Shows how to embed the routing module. The README contains a part of this code. */
 final class EmbeddingExample {
     private EmbeddingExample() {}
 
@@ -70,7 +70,7 @@
         return sentRequests;
     }
 
-    /** Carries out what the module asks for; here it only writes sends down. */
+    /** Receives the actions of the policy; this example only records sent requests. */
     private record RecordingActions(List<String> sentRequests) implements RoutingActions {
         @Override
         public void send(String requestId, String endpointId, long timeoutMicros) {
--- a/balancer/src/test/java/loadbalancer/routing/EndpointEjectionTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/EndpointEjectionTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.routing.api.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that fail, reject or stall are ejected, and used again once they recover. */
+/** Tests that endpoints that fail, reject or stall are avoided, and used again after recovery. */
 class EndpointEjectionTest {
     @Test
     void fastFailingEndpointIsEjectedAndRecovers() {
@@ -23,7 +23,8 @@
         harness.serveConcurrently(200, 20_000, Map.of("s1", AttemptOutcome.ERROR));
         assertTrue(
                 harness.countSentTo("s1", measuredFrom) < 20,
-                "4 s of failures took " + harness.countSentTo("s1", measuredFrom));
+                "attempts sent to s1 in 4 s of failures: "
+                        + harness.countSentTo("s1", measuredFrom));
         assertTrue(
                 harness.logLines.stream()
                         .anyMatch(line -> line.contains("endpoint ejected: endpoint=s1 ")));
@@ -35,8 +36,8 @@
 
     @Test
     void rejectingEndpointIsEjected() {
-        // A hung endpoint fills up, then turns attempts away: 8% of attempts were lost on such
-        // ones.
+        // Guards against attempts lost at a hung endpoint, whose queue fills up before it rejects:
+        // 8% of the attempts were lost at such endpoints.
         RoutingEngineHarness harness = withEndpoints(11, 6, NON_IDEMPOTENT);
         harness.serveConcurrently(100, 20_000, Map.of());
         long measuredFrom = harness.now;
@@ -46,12 +47,14 @@
                         .anyMatch(line -> line.contains("endpoint ejected: endpoint=s1 ")));
         assertTrue(
                 harness.countSentTo("s1", measuredFrom) < 40,
-                "6 s of refusals took " + harness.countSentTo("s1", measuredFrom));
+                "attempts sent to s1 in 6 s of rejections: "
+                        + harness.countSentTo("s1", measuredFrom));
     }
 
     @Test
-    void rejectingEndpointCoolsDown() {
-        // It answers in no time, so it won again and again: two of five attempts were rejected.
+    void rejectingEndpointGetsBackoff() {
+        // Guards against preferring an endpoint that rejects: its queue was always the shortest,
+        // and two of five attempts were rejected.
         RoutingEngineHarness harness = withEndpoints(11, 6, NON_IDEMPOTENT);
         harness.serveConcurrently(50, 50_000, Map.of());
         SentAttempt rejectedAttempt = harness.request("full", 0);
@@ -73,7 +76,7 @@
         harness.advanceTime(200_000);
         long measuredFrom = harness.now;
         for (int i = 0; i < 40; i++) {
-            // Three at a time: the third finds all queues alike
+            // With three requests at a time, the third finds queues of equal length.
             for (int j = 0; j < 3; j++) {
                 harness.request("n" + i + "/" + j, 0);
             }
@@ -100,6 +103,6 @@
                                 .filter(attempt -> attempt.sentAtMicros >= measuredFrom)
                                 .count()
                         >= 10,
-                "requests are still sent");
+                "fewer than 10 attempts sent after all endpoints had failed");
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/LargeFleetRoutingTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/LargeFleetRoutingTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The decisions of one of many balancers before many endpoints. */
+/** Tests the decisions of one balancer in a large fleet of balancers and endpoints. */
 class LargeFleetRoutingTest {
     private static final RequestClass NON_IDEMPOTENT =
             RoutingEngineHarness.requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Brings requests of all tenants in turn, each served after {@code latencyMicros}; returns
-     * those refused.
+     * Sends requests of all tenants in turn, each served after {@code latencyMicros}; returns the
+     * number of rejected requests.
      */
     private static long driveTraffic(
             RoutingEngineHarness harness,
@@ -67,13 +67,15 @@
 
     @Test
     void survivorsServeTrafficOfLostBalancers() {
-        // With ten of fourteen killed a balancer got eight times its traffic: 70% of it was refused
-        // for 3 s.
+        // Guards against wrong quotas after the loss of balancers. With ten of fourteen killed, a
+        // balancer got eight times its traffic and rejected 70% of it for 3 s.
         RoutingEngineHarness harness = harness(14, 60);
         driveTraffic(harness, 60, 8, 300_000);
         driveTraffic(harness, 400, 2, 300_000);
         long rejected = driveTraffic(harness, 400, 2, 300_000);
-        assertTrue(rejected < 160, rejected + " of 800 were refused from 2 s on");
+        assertTrue(
+                rejected < 160,
+                rejected + " of 800 requests rejected, starting 2 s after the loss");
     }
 
     @Test
@@ -81,13 +83,13 @@
         RoutingEngineHarness harness = harness(14, 60);
         driveTraffic(harness, 60, 8, 300_000);
         long rejected = driveTraffic(harness, 60, 4, 300_000);
-        assertTrue(rejected <= 24, rejected + " of 240 were refused within the share");
+        assertTrue(rejected <= 24, rejected + " of 240 requests rejected within the quota");
     }
 
     @Test
     void newBalancerFeedsWarmingEndpoint() {
-        // Two seconds' answers were taken as ten seconds': new endpoints idled while the old ones
-        // were overrun.
+        // Guards against a warm rate that is too low at a new balancer. With the successes of 2 s
+        // divided by 10 s, new endpoints were idle while the others were overloaded.
         RoutingEngineHarness harness = harness(14, 9);
         List<Endpoint> warmingEndpoints =
                 List.of(
@@ -100,12 +102,15 @@
         long sentCount = harness.countSentTo("cold", measuredFrom);
         assertTrue(
                 sentCount >= 6 && sentCount <= 20,
-                "a tenth of 100 would be 10, its part 5 to 11: " + sentCount);
+                "attempts sent to the warming endpoint, even share 10, its fraction 5 to 11: "
+                        + sentCount);
     }
 
     /**
-     * Of 400 requests, those whose every attempt met one of the endpoints that {@code
-     * isUnreachable} names.
+     * Sends 400 requests and returns how many of them are not served. Attempts at unreachable
+     * endpoints fail to connect; all others succeed.
+     *
+     * @param isUnreachable whether connects to the endpoint of this id fail
      */
     private static long countUnserved(
             RoutingEngineHarness harness, Predicate<String> isUnreachable) {
@@ -135,16 +140,15 @@
     @ParameterizedTest
     @CsvSource({"60, 12", "60, 40", "10, 6", "10, 7", "2, 1"})
     void lostZoneGetsNoTraffic(int endpointCount, int lostCount) {
-        // With 38 of 60 endpoints gone all were used, and two balancers had 1,500 failed connects
-        // in
-        // 2 s.
+        // Guards against panic mode after the loss of a zone. With 38 of 60 endpoints lost, all
+        // were used, and two balancers had 1,500 failed connects in 2 s.
         RoutingEngineHarness harness = harness(14, endpointCount);
         countUnserved(harness, s -> false);
         countUnserved(harness, s -> Integer.parseInt(s.substring(1)) < lostCount);
         long measuredFrom = harness.now;
         long unservedCount =
                 countUnserved(harness, s -> Integer.parseInt(s.substring(1)) < lostCount);
-        long wastedCount =
+        long failedConnectCount =
                 harness.sentAttempts.stream()
                         .filter(
                                 attempt ->
@@ -154,8 +158,11 @@
                                                         < lostCount)
                         .count();
         assertTrue(
-                wastedCount < 200 && unservedCount < 8,
-                wastedCount + " wasted, " + unservedCount + " unserved of 400");
+                failedConnectCount < 200 && unservedCount < 8,
+                failedConnectCount
+                        + " failed connects, "
+                        + unservedCount
+                        + " of 400 requests not served");
     }
 
     @Test
@@ -163,14 +170,18 @@
         RoutingEngineHarness harness = harness(14, 10);
         countUnserved(harness, endpointId -> false);
         countUnserved(harness, endpointId -> true);
-        assertTrue(countUnserved(harness, endpointId -> false) < 150, "reachable again");
-        assertTrue(countUnserved(harness, endpointId -> false) < 4, "as before");
+        assertTrue(
+                countUnserved(harness, endpointId -> false) < 150,
+                "too many requests not served directly after endpoints are back");
+        assertTrue(
+                countUnserved(harness, endpointId -> false) < 4,
+                "requests are not served although all endpoints are back");
     }
 
     @Test
-    void rejectingEndpointBacksOffLonger() {
-        // 740 attempts a second were rejected, each for the price of a handshake at a full
-        // endpoint.
+    void rejectingEndpointGetsGrowingBackoff() {
+        // Guards against a constant backoff: 740 attempts a second were rejected, each at the cost
+        // of a handshake at a full endpoint.
         RoutingEngineHarness harness = harness(14, 6);
         driveTraffic(harness, 100, 2, 100_000);
         long measuredFrom = harness.now;
@@ -189,10 +200,12 @@
                     .forEach(attempt -> harness.endAttempt(attempt, AttemptOutcome.OK));
         }
         long sentCount = harness.countSentTo("s1", measuredFrom);
-        assertTrue(sentCount >= 3 && sentCount <= 8, "it is tried now and then: " + sentCount);
+        assertTrue(
+                sentCount >= 3 && sentCount <= 8,
+                "attempts sent to the rejecting endpoint: " + sentCount);
     }
 
-    /** One of fourteen, that hears the others and reaches sixty endpoints. */
+    /** Returns a harness for one of fourteen balancers, with gossip and sixty endpoints. */
     private static RoutingEngineHarness gossipingHarness() {
         RoutingSettings baseSettings =
                 RoutingEngineHarness.settings(
@@ -220,8 +233,11 @@
     }
 
     /**
-     * Brings 100 requests a second while another balancer tells of {@code remoteRate} and of lost
-     * endpoints.
+     * Sends 100 requests a second while another balancer reports its traffic and lost endpoints;
+     * returns the number of rejected requests.
+     *
+     * @param remoteRate requests per second that the other balancer reports
+     * @param lostCount number of endpoints that the other balancer reports as unreachable
      */
     private static long countRejectedWithGossip(
             RoutingEngineHarness harness,
@@ -246,32 +262,32 @@
 
     @Test
     void excessLoadIsShedBeforeResponsesAreLate() {
-        // With two thirds of the endpoints lost refusal began when the first answers came late,
-        // seconds after.
+        // Guards against a late reaction: with two thirds of the endpoints lost, load was shed only
+        // when the first responses were late, seconds after the loss.
         RoutingEngineHarness harness = gossipingHarness();
-        assertTrue(countRejectedWithGossip(harness, 4, 1_100, 0, 20_000) < 60, "all in reach");
+        assertTrue(
+                countRejectedWithGossip(harness, 4, 1_100, 0, 20_000) < 60,
+                "too many rejections while all endpoints are reachable");
         harness.advanceTime(1_100_000);
         countRejectedWithGossip(harness, 0.5, 1_100, 40, 20_000);
         long rejected = countRejectedWithGossip(harness, 1, 1_100, 40, 20_000);
         assertTrue(
                 rejected > 45 && rejected < 75,
-                "56 of 100 are more than can be carried: " + rejected);
+                "rejected of 100, of which 56 exceed the capacity: " + rejected);
         harness.advanceTime(2_500_000);
         countRejectedWithGossip(harness, 0.5, 1_100, 0, 20_000);
         rejected = countRejectedWithGossip(harness, 1, 1_100, 0, 20_000);
-        assertTrue(rejected < 20, "back in reach: " + rejected);
+        assertTrue(rejected < 20, "rejected of 100 after all endpoints are back: " + rejected);
     }
 
     @Test
     void lateResponsesAloneDoNotShedLoad() {
-        // Balancers just back met late answers, and turned 95% away for four seconds after queues
-        // were gone.
+        // Guards against shedding by latency alone: restarted balancers got late responses and
+        // rejected 95% of the requests for 4 s after the queues were empty.
         RoutingEngineHarness harness = gossipingHarness();
         countRejectedWithGossip(harness, 4, 300, 0, 20_000);
         long rejected = countRejectedWithGossip(harness, 10, 300, 0, 2_000_000);
-        assertTrue(
-                rejected < 40,
-                "a third of what is promised comes: " + rejected + " of 1000 refused");
+        assertTrue(rejected < 40, rejected + " of 1000 requests rejected at a third of the quotas");
     }
 
     @Test
@@ -290,7 +306,7 @@
                                                 && Integer.parseInt(attempt.endpointId.substring(1))
                                                         < 40)
                         .count();
-        assertTrue(sentCount == 0, sentCount + " sent to lost ones");
+        assertTrue(sentCount == 0, sentCount + " attempts sent to lost endpoints");
         harness.advanceTime(2_500_000);
         driveTraffic(harness, 100, 2, 20_000);
         long remeasuredFrom = harness.now;
@@ -303,6 +319,6 @@
                                         attempt.sentAtMicros >= remeasuredFrom
                                                 && Integer.parseInt(attempt.endpointId.substring(1))
                                                         < 40),
-                "those that answer stay in use");
+                "endpoints that respond are not used after a report");
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/LoadSheddingTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/LoadSheddingTest.java
@@ -17,31 +17,36 @@
 import loadbalancer.routing.api.RoutingSettings;
 import org.junit.jupiter.api.Test;
 
-/** Load is shed by its priority while answers are late, and admitted again after that. */
+/** Tests that load is shed by priority while responses are late, and admitted again afterwards. */
 class LoadSheddingTest {
     @Test
     void overloadShedsLoadAndRecovers() {
-        // A limit on attempts in flight, about one for most balancers, refused most of a calm day.
+        // Guards against a limit on attempts in flight: it was about one for most balancers and
+        // rejected most requests under normal load.
         RoutingEngineHarness harness = withEndpoints(11, 6, IDEMPOTENT);
-        assertEquals(40, harness.serveSequentially(40, 0, 0, 50_000), "a calm day is served whole");
+        assertEquals(
+                40,
+                harness.serveSequentially(40, 0, 0, 50_000),
+                "not all requests were sent under normal load");
         harness.serveSequentially(30, 0, 0, 900_000);
         int sentUnderOverload = harness.serveSequentially(20, 0, 0, 900_000);
         assertTrue(
                 sentUnderOverload < 14,
-                "with all late a part is rejected at once: sent " + sentUnderOverload + " of 20");
+                "sent " + sentUnderOverload + " of 20 while all responses are late");
         harness.serveSequentially(200, 0, 0, 50_000);
-        assertTrue(harness.serveSequentially(40, 0, 0, 50_000) >= 39, "and let in again");
+        assertTrue(
+                harness.serveSequentially(40, 0, 0, 50_000) >= 39,
+                "requests are still shed after the overload");
     }
 
     @Test
     void concurrencyRecoversAfterOverload() {
-        // Idle endpoints kept their old overload ratio, which held the limit down for 20 s after
-        // the load had
-        // gone.
+        // Guards against an outdated overload ratio: idle endpoints kept theirs, which limited the
+        // concurrency for 20 s after the end of the load.
         RoutingEngineHarness harness = withEndpoints(11, 6, IDEMPOTENT);
         harness.serveConcurrently(200, 30_000, Map.of());
         for (int i = 0; i < 60; i++) {
-            // Everything takes ten times as long
+            // Responses take more than ten times as long as before.
             harness.request("slow" + i, 0);
             harness.advanceTime(50_000);
             harness.sentAttempts.stream()
@@ -58,7 +63,7 @@
         harness.advanceTime(4_000_000);
         int sentAtOnce = 0;
         for (int i = 0; i < 10 * 12; i++) {
-            // Twelve at a time
+            // Requests arrive in groups of twelve.
             sentAtOnce += harness.request("after" + i, 0) != null ? 1 : 0;
             while (i % 12 == 11
                     && i < 9 * 12
@@ -76,7 +81,8 @@
 
     @Test
     void staleOverloadEstimateExpires() {
-        // Refusing nearly all left no answers to learn from: the balancer never came back.
+        // Guards against permanent shedding: with nearly all requests rejected there were no new
+        // samples, and the balancer never recovered.
         RoutingEngineHarness harness = withEndpoints(11, 6, IDEMPOTENT);
         harness.serveSequentially(60, 0, 0, 1_800_000);
         harness.advanceTime(20_000_000);
@@ -85,13 +91,12 @@
 
     @Test
     void lateResponsesDoNotShedEverything() {
-        // Late answers counted twice their objective: refusal rose to 86% in seconds, fell back and
-        // rose
-        // again.
+        // Guards against oscillation. When late responses were sampled with twice their objective,
+        // rejections rose to 86% within seconds, fell, and rose again.
         RoutingEngineHarness harness = withEndpoints(11, 6, IDEMPOTENT);
         harness.serveSequentially(40, 0, 0, 50_000);
         for (int i = 0; i < 20; i++) {
-            // Two seconds of late answers, ten a second
+            // The loop sends ten requests a second for 2 s, and all responses are late.
             SentAttempt sent = harness.request("late" + i, 0);
             harness.advanceTime(100_000);
             if (sent != null) {
@@ -110,7 +115,7 @@
         }
         assertTrue(
                 harness.serveSequentially(40, 0, 0, 1_000) >= 35,
-                "most of the level is still to come");
+                "too much load is shed after 2 s of late responses");
     }
 
     @Test
@@ -135,13 +140,13 @@
         int highPrioritySent = harness.serveSequentially(10, 1, 0, 1_000);
         assertTrue(
                 highPrioritySent >= 8 && lowPrioritySent <= 2,
-                "sent: " + highPrioritySent + " dear, " + lowPrioritySent + " cheap");
+                "sent: " + highPrioritySent + " of high, " + lowPrioritySent + " of low priority");
     }
 
     @Test
     void perRequestWeightShedsClassesAlike() {
-        // The light class starved for the heavy one: 10% of its worth was served by a half idle
-        // fleet.
+        // Guards against starvation of the class of low weight: 10% of its value was served while
+        // half of the fleet was idle.
         RequestClass highPriority =
                 new RequestClass(
                         Idempotency.NON_IDEMPOTENT,
@@ -183,6 +188,6 @@
         int highPrioritySent = harness.serveSequentially(60, 1, 0, 1_000);
         assertTrue(
                 lowPrioritySent >= highPrioritySent / 2,
-                "sent: " + highPrioritySent + " dear, " + lowPrioritySent + " cheap");
+                "sent: " + highPrioritySent + " of high, " + lowPrioritySent + " of low priority");
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/RandomizedOrderingAndPlacementTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RandomizedOrderingAndPlacementTest.java
@@ -20,12 +20,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Order and placement over random legal sequences of events, against a checker of its own. */
+/** Tests key ordering and placement with random legal event sequences and a separate checker. */
 class RandomizedOrderingAndPlacementTest {
-    /**
-     * Knows the requests of a key in the order taken and what was sent; says what is wrong with a
-     * send.
-     */
+    /** Tracks the requests of each key in order of acceptance, and checks each sent attempt. */
     private static final class OrderingChecker {
         private final Map<String, List<String>> accepted = new LinkedHashMap<>();
         private final Map<String, String> keyByRequest = new LinkedHashMap<>();
@@ -57,7 +54,9 @@
                     return requestId + " was sent before " + earlierId + " was over";
                 }
                 if (cooldownUntil.getOrDefault(earlierId, 0L) > now) {
-                    return requestId + " was sent while the key rests after " + earlierId;
+                    return requestId
+                            + " was sent during the cooldown of the key after "
+                            + earlierId;
                 }
             }
             inFlightCounts.merge(requestId, 1, Integer::sum);
@@ -73,7 +72,7 @@
                             || requestClass.allowedMachineTypes().contains(endpoint.machineType());
             return zoneAllowed && machineTypeAllowed
                     ? null
-                    : "sent to " + endpoint.id() + ", which is not open to the class";
+                    : "sent to " + endpoint.id() + ", which the placement of the class excludes";
         }
     }
 
@@ -86,23 +85,25 @@
         assertTrue(checker.checkSend("b", 1).contains("before a was over"));
         checker.answered.put("a", true);
         assertTrue(
-                checker.checkSend("b", 1).contains("before a was over"), "an attempt is still out");
+                checker.checkSend("b", 1).contains("before a was over"),
+                "an attempt of request a is still in flight");
         checker.attemptEnded("a", AttemptOutcome.TIMEOUT, 2);
-        assertTrue(checker.checkSend("b", 3).contains("rests"));
+        assertTrue(checker.checkSend("b", 3).contains("during the cooldown"));
         assertEquals(null, checker.checkSend("b", 2 + RoutingEngineHarness.KEY_COOLDOWN_MICROS));
-        RequestClass boundClass = requestClass(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0));
+        RequestClass placedClass =
+                requestClass(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0));
         assertTrue(
                 OrderingChecker.checkPlacement(
-                                boundClass, new Endpoint("s", EndpointStatus.UP, 0, 1, 0, 0, 0))
+                                placedClass, new Endpoint("s", EndpointStatus.UP, 0, 1, 0, 0, 0))
                         != null);
         assertTrue(
                 OrderingChecker.checkPlacement(
-                                boundClass, new Endpoint("s", EndpointStatus.UP, 0, 1, 0, 1, 1))
+                                placedClass, new Endpoint("s", EndpointStatus.UP, 0, 1, 0, 1, 1))
                         != null);
         assertEquals(
                 null,
                 OrderingChecker.checkPlacement(
-                        boundClass, new Endpoint("s", EndpointStatus.UP, 0, 1, 0, 0, 1)));
+                        placedClass, new Endpoint("s", EndpointStatus.UP, 0, 1, 0, 0, 1)));
     }
 
     private static RequestClass requestClass(
@@ -175,10 +176,10 @@
             }
             checkedAttempts = checkNewAttempts(run, checkedAttempts);
         }
-        assertTrue(checkedAttempts > 500, "enough was sent: " + checkedAttempts);
+        assertTrue(checkedAttempts > 500, "too few attempts were checked: " + checkedAttempts);
     }
 
-    /** A run of random events, with what is known of its requests and endpoints. */
+    /** Holds the harness, the checker, and the requests and endpoints of a random run. */
     private record RandomRun(
             RoutingEngineHarness harness,
             OrderingChecker checker,
@@ -203,7 +204,7 @@
         return endpointsById;
     }
 
-    /** The client of a request disconnects, unless the request has its final response. */
+    /** Disconnects the client of a request unless the request has its final response. */
     private static void disconnect(
             RoutingEngineHarness harness, OrderingChecker checker, String requestId) {
         if (harness.finalResponses.putIfAbsent(requestId, "gone") == null) {
--- a/balancer/src/test/java/loadbalancer/routing/RandomizedRoutingInvariantsTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RandomizedRoutingInvariantsTest.java
@@ -24,24 +24,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The four rules over random legal events, judged by a checker that is itself shown to catch
- * violations.
+ * Tests four rules with random legal events: one response by the deadline, safe retries, no use of
+ * draining endpoints, and the slow start budget. The checker itself is tested to detect violations.
  */
 class RandomizedRoutingInvariantsTest {
     private static final long RESPONSE_SLACK_MICROS = 20_000;
 
-    /** What is known of one request. */
+    /** Holds the state of one request and of its attempts. */
     private static final class TrackedRequest {
         RequestClass requestClass;
         long deadline;
         String finalResponse;
         final List<Endpoint> endpoints = new ArrayList<>();
         final List<Long> sentAt = new ArrayList<>();
-        // Null while out
+        // Outcome by attempt number; null while the attempt is in flight.
         final List<AttemptOutcome> outcomes = new ArrayList<>();
     }
 
-    /** Takes what happens in its order; each call says what rule is broken, or null. */
+    /** Receives events in order; each check returns a description of the violation, or null. */
     private static final class InvariantChecker {
         private final Map<String, TrackedRequest> requests = new HashMap<>();
 
@@ -65,7 +65,7 @@
                         request.outcomes.get(i) == null || !request.outcomes.get(i).neverRan();
                 if (mayHaveRun
                         && request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
-                    return "an unsafe effect may happen twice";
+                    return "a non-idempotent request may run twice";
                 }
                 boolean outsideScope =
                         switch (request.requestClass.deduplicationScope()) {
@@ -78,7 +78,7 @@
                         && (outsideScope
                                 || now - request.sentAt.get(i)
                                         >= request.requestClass.idempotencyWindowMicros())) {
-                    return "a keyed request left its group or window";
+                    return "a request was resent outside its deduplication scope or window";
                 }
             }
             request.endpoints.add(endpoint);
@@ -122,7 +122,14 @@
         }
     }
 
-    /** Most sends to a warming endpoint within any window, against its budget of all balancers. */
+    /**
+     * Checks the attempts sent to a warming endpoint in any overload window against its budget;
+     * returns a description of the violation, or null.
+     *
+     * @param sendTimes times of the attempts in µs
+     * @param startedAt start time of the endpoint in µs
+     * @param warmPerSecond rate of a warm endpoint
+     */
     static String checkSlowStartBudget(
             List<Long> sendTimes, long startedAt, double warmPerSecond, RoutingBounds bounds) {
         for (int i = 0; i < sendTimes.size(); i++) {
@@ -145,7 +152,7 @@
                                     / 1e6
                             + 2;
             if (sentInWindow > allowed && windowStart - startedAt < bounds.slowStartMicros()) {
-                return sentInWindow + " sends in a window that bears " + allowed;
+                return sentInWindow + " attempts sent in a window, allowed: " + allowed;
             }
         }
         return null;
@@ -173,7 +180,9 @@
                 100);
         assertTrue(checker.checkSent("k", firstEndpoint, false, 0).contains("draining"));
         assertNull(checker.checkSent("k", firstEndpoint, true, 0));
-        assertTrue(checker.checkSent("k", secondEndpoint, true, 0).contains("group"));
+        assertTrue(
+                checker.checkSent("k", secondEndpoint, true, 0)
+                        .contains("outside its deduplication scope"));
         assertTrue(checker.checkSent("k", firstEndpoint, true, 2_000_000).contains("window"));
         assertTrue(checker.checkNothingLost(100 + RESPONSE_SLACK_MICROS + 1).contains("lost"));
         assertTrue(
@@ -237,7 +246,7 @@
             assertNull(checker.checkNothingLost(harness.now));
         }
         assertEquals(0, harness.duplicateFinalResponses);
-        assertTrue(checkedAttempts > 800, "enough was sent: " + checkedAttempts);
+        assertTrue(checkedAttempts > 800, "too few attempts were checked: " + checkedAttempts);
     }
 
     private static List<RequestClass> requestClassesOfAllKinds() {
@@ -253,7 +262,7 @@
                         Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE));
     }
 
-    /** A success in two of three cases, otherwise any outcome but the last of the enum. */
+    /** Returns OK in two of three cases, otherwise any outcome except the last of the enum. */
     static AttemptOutcome randomOutcome(SplittableRandom random) {
         AttemptOutcome[] allOutcomes = AttemptOutcome.values();
         return random.nextInt(3) > 0
@@ -261,7 +270,7 @@
                 : allOutcomes[random.nextInt(allOutcomes.length - 1)];
     }
 
-    /** Times out the attempts of requests past their deadline; returns the attempts checked. */
+    /** Times out attempts past their request's deadline; returns the number of checked attempts. */
     private static int endOverdueAttempts(
             RoutingEngineHarness harness,
             InvariantChecker checker,
@@ -330,7 +339,7 @@
                                 EndpointListKind.CACHED, RoutingEngineHarness.endpoints(5));
         long startedAt = 0;
         for (int i = 0; i < 1500; i++) {
-            // 40 answers a second from each of 5
+            // Each of the five warm endpoints serves 40 requests a second.
             if (i == 500) {
                 harness.updateEndpoints(
                         EndpointListKind.DELTA,
@@ -353,7 +362,9 @@
                         .filter(attempt -> attempt.endpointId.equals("cold"))
                         .map(attempt -> attempt.sentAtMicros)
                         .toList();
-        assertTrue(sendTimes.size() > 20, "it is used: " + sendTimes.size());
+        assertTrue(
+                sendTimes.size() > 20,
+                "attempts sent to the warming endpoint: " + sendTimes.size());
         assertNull(checkSlowStartBudget(sendTimes, startedAt, 40, settings.bounds()));
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/RoutingEngineHarness.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingEngineHarness.java
@@ -23,22 +23,25 @@
 import loadbalancer.routing.api.RoutingSettings;
 import loadbalancer.routing.api.Tenant;
 
-/** Drives one routing policy by hand and records the actions that it asks for. */
+/**
+ * Drives one routing policy with a simulated clock and records the actions that it requests. Used
+ * by one test thread.
+ */
 public final class RoutingEngineHarness implements RoutingActions {
     static final long START_MICROS = 1_000_000_000L;
     static final long LATENCY_OBJECTIVE_MICROS = 600_000;
     public static final long DEADLINE_MICROS = 3_000_000;
     static final long KEY_COOLDOWN_MICROS = 100_000;
 
-    /** A class whose requests may be repeated everywhere. */
+    /** Request class whose requests may be repeated at any endpoint. */
     public static final RequestClass IDEMPOTENT =
             requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
 
-    /** A class whose requests must not be repeated. */
+    /** Request class whose requests must not be repeated. */
     public static final RequestClass NON_IDEMPOTENT =
             requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
 
-    /** An attempt that was sent; {@code ended} once its outcome was reported. */
+    /** Represents a sent attempt; {@code ended} is set when its outcome is reported. */
     public static final class SentAttempt {
         public final String requestId;
         final int attemptNumber;
@@ -68,34 +71,34 @@
     final List<String> cancelledAttempts = new ArrayList<>();
     public final List<String> logLines = new ArrayList<>();
     public final List<byte[]> gossipMessages = new ArrayList<>();
-    // To whom each of them
+    // Receivers of the gossip messages, in the same order.
     public final List<Integer> gossipReceivers = new ArrayList<>();
     public long now = START_MICROS;
-    long timerAt = Long.MAX_VALUE;
+    long timerAtMicros = Long.MAX_VALUE;
     int watchCount;
     int duplicateFinalResponses;
-    // In-flight figure that outcomes carry, if any
+    // In-flight count in the load reports of outcomes, or NaN for none.
     double reportedInFlight = Double.NaN;
 
     public RoutingEngineHarness(RoutingSettings settings, long seed) {
         policy = new RoutingEngine(settings, seed);
     }
 
-    /** A policy with so many endpoints, which may be none. */
+    /** Returns a harness whose policy has the given number of endpoints, which may be 0. */
     static RoutingEngineHarness withEndpoints(
             long seed, int endpointCount, RequestClass... requestClasses) {
         return new RoutingEngineHarness(settings(requestClasses), seed)
                 .updateEndpoints(EndpointListKind.CACHED, endpoints(endpointCount));
     }
 
-    /** A policy with six endpoints that has served requests of its class for a while. */
+    /** Returns a harness whose policy has six endpoints and has served 60 requests of the class. */
     static RoutingEngineHarness warmedUp(long seed, RequestClass requestClass) {
         RoutingEngineHarness harness = withEndpoints(seed, 6, requestClass);
         harness.warmUp(60, 0, 40_000);
         return harness;
     }
 
-    /** A class with the harness's latency objective, deadline and window for retries. */
+    /** Returns a class with the latency objective, deadline and window of the harness. */
     public static RequestClass requestClass(Idempotency idempotency, DeduplicationScope scope) {
         return new RequestClass(
                 idempotency,
@@ -113,7 +116,7 @@
         return settings(1, true, DiscoveryMode.PUSH, List.of(), requestClasses);
     }
 
-    /** Settings of the first of so many balancers, with pushed lists or not; else usual values. */
+    /** Returns settings for rank 0 of the given number of balancers; the rest are usual values. */
     public static RoutingSettings settings(
             int balancerCount,
             boolean hedgingAllowed,
@@ -150,7 +153,9 @@
         return new Endpoint(id, EndpointStatus.UP, 0, 1, 0, 0, 0);
     }
 
-    /** Endpoints s0, s1, ... that are up, in two zones, cells and machine types in turn. */
+    /**
+     * Returns endpoints s0, s1, ... that are up and alternate between two zones, cells and types.
+     */
     public static List<Endpoint> endpoints(int endpointCount) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < endpointCount; i++) {
@@ -164,7 +169,7 @@
         return this;
     }
 
-    /** Sends a request in and returns the attempt made at once, or null. */
+    /** Submits a request and returns the attempt that is sent immediately, or null. */
     public SentAttempt request(String requestId, int classIndex) {
         return request(requestId, classIndex, 0, DEADLINE_MICROS);
     }
@@ -173,12 +178,12 @@
         return request(requestId, classIndex, tenantIndex, remainingMicros, false);
     }
 
-    /** A marked resubmission. */
+    /** Submits a request that is marked as a resubmission. */
     SentAttempt resubmit(String requestId, int classIndex, long remainingMicros) {
         return request(requestId, classIndex, 0, remainingMicros, true);
     }
 
-    /** A request that concerns a key. */
+    /** Submits a request with a key. */
     SentAttempt requestWithKey(String requestId, int classIndex, String key) {
         return request(requestId, classIndex, 0, key, DEADLINE_MICROS, false);
     }
@@ -213,7 +218,7 @@
         return sentAttempts.size() > sentBefore ? sentAttempts.get(sentAttempts.size() - 1) : null;
     }
 
-    /** Ends an attempt; a success is its request's final response, as the caller passes it on. */
+    /** Ends an attempt; a success becomes the final response of its request. */
     public void endAttempt(SentAttempt sent, AttemptOutcome outcome) {
         sent.ended = true;
         boolean closed = outcome == AttemptOutcome.OK || finalResponses.containsKey(sent.requestId);
@@ -237,18 +242,18 @@
                 this);
     }
 
-    /** Lets time pass, with the timer events that the policy asked for. */
+    /** Advances the clock and delivers the timer events that the policy has scheduled. */
     public void advanceTime(long durationMicros) {
         long until = now + durationMicros;
-        while (timerAt <= until) {
-            now = timerAt;
-            timerAt = Long.MAX_VALUE;
+        while (timerAtMicros <= until) {
+            now = timerAtMicros;
+            timerAtMicros = Long.MAX_VALUE;
             policy.onTimer(now, this);
         }
         now = until;
     }
 
-    /** Serves requests one after another so that the policy learns what is usual. */
+    /** Serves requests one after another so that the policy learns the usual latency. */
     void warmUp(int requestCount, int classIndex, long latencyMicros) {
         for (int i = 0; i < requestCount; i++) {
             SentAttempt sent = request("warm-" + now + "-" + i, classIndex);
@@ -258,9 +263,10 @@
     }
 
     /**
-     * Serves four requests at a time, each round with one latency.
+     * Serves four concurrent requests per round.
      *
-     * @param failureOutcomes how attempts end, by endpoint; OK at the others
+     * @param latencyMicros time after which the attempts of a round end
+     * @param failureOutcomes outcomes by endpoint; attempts at other endpoints end with OK
      */
     void serveConcurrently(
             int rounds, long latencyMicros, Map<String, AttemptOutcome> failureOutcomes) {
@@ -282,8 +288,8 @@
     }
 
     /**
-     * Serves requests one by one, each answered after its latency; returns how many of them were
-     * sent.
+     * Serves requests one by one, each after the given latency; returns the number of requests that
+     * were sent immediately.
      */
     int serveSequentially(int requestCount, int classIndex, int tenantIndex, long latencyMicros) {
         int sentCount = 0;
@@ -302,7 +308,7 @@
         return sentCount;
     }
 
-    /** The attempts that were sent to an endpoint from that time on. */
+    /** Returns the number of attempts sent to an endpoint since the given time. */
     public long countSentTo(String endpointId, long sinceMicros) {
         return sentAttempts.stream()
                 .filter(
@@ -378,7 +384,7 @@
 
     @Override
     public void scheduleTimer(long delayMicros) {
-        timerAt = Math.min(timerAt, now + delayMicros);
+        timerAtMicros = Math.min(timerAtMicros, now + delayMicros);
     }
 
     @Override
--- a/balancer/src/test/java/loadbalancer/routing/RoutingInvariantsTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingInvariantsTest.java
@@ -25,10 +25,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The rules of the service over random but legal sequences of events. */
+/** Tests the invariants of routing with random legal event sequences. */
 class RoutingInvariantsTest {
-    private static final int STEPS = 6000;
-    private static final int ENDPOINTS = 8;
+    private static final int STEP_COUNT = 6000;
+    private static final int ENDPOINT_COUNT = 8;
     private static final List<RequestClass> REQUEST_CLASSES =
             List.of(
                     IDEMPOTENT,
@@ -38,14 +38,14 @@
                     requestClass(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE));
 
     /**
-     * Odd but legal: late outcomes, lists that are stale, empty or partial, restarts, clients that
-     * leave.
+     * Covers unusual legal events: late outcomes, endpoint lists that are stale, empty or partial,
+     * endpoint restarts, and client disconnects.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void randomEventsKeepTheInvariants(long seed) {
         RandomEvents events = new RandomEvents(seed);
-        for (int step = 0; step < STEPS; step++) {
+        for (int step = 0; step < STEP_COUNT; step++) {
             events.next(step);
             events.endExpiredAttempts();
             events.checkNewAttempts();
@@ -54,7 +54,7 @@
         events.checkFinalResponses();
     }
 
-    /** Delivers random events to one policy and keeps what is needed to check its actions. */
+    /** Delivers random events to one policy and records what is needed to check its actions. */
     private static final class RandomEvents {
         private final SplittableRandom random;
         private final boolean hedgingAllowed;
@@ -80,7 +80,7 @@
                             seed);
             harness.updateEndpoints(
                     EndpointListKind.CACHED,
-                    RoutingEngineHarness.endpoints(random.nextInt(ENDPOINTS)));
+                    RoutingEngineHarness.endpoints(random.nextInt(ENDPOINT_COUNT)));
         }
 
         void next(int step) {
@@ -92,7 +92,7 @@
             } else if (eventRoll < 90 && !deadlineByRequest.isEmpty()) {
                 disconnectClient("r" + random.nextInt(step + 1));
             } else if (eventRoll < 93) {
-                changeEndpoint("s" + random.nextInt(ENDPOINTS));
+                changeEndpoint("s" + random.nextInt(ENDPOINT_COUNT));
             } else if (eventRoll < 94) {
                 harness.updateEndpoints(EndpointListKind.FAILED, List.of());
             } else {
@@ -167,7 +167,7 @@
             }
         }
 
-        /** Attempts whose own time-out or request's deadline has come end, as on the wire. */
+        /** Ends the attempts whose timeout or request deadline has passed, as a caller would. */
         void endExpiredAttempts() {
             for (SentAttempt attempt : new ArrayList<>(harness.sentAttempts)) {
                 long deadline = deadlineByRequest.get(attempt.requestId);
@@ -203,18 +203,20 @@
                                 .getOrDefault(attempt.requestId, Map.of())
                                 .get(earlier.attemptNumber);
                 boolean inFlight = outcome == null;
-                assertTrue(hedgingAllowed || !inFlight, "two attempts at once");
+                assertTrue(
+                        hedgingAllowed || !inFlight,
+                        "two attempts in flight with hedging disabled");
                 if (inFlight || !outcome.neverRan()) {
                     assertTrue(
                             requestClass.idempotency() != Idempotency.NON_IDEMPOTENT,
-                            "a request that is not idempotent was sent twice");
+                            "a non-idempotent request was sent twice");
                     assertTrue(
                             requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY
                                     || attempt.sentAtMicros - earlier.sentAtMicros
                                             < requestClass.idempotencyWindowMicros(),
-                            "sent after its window");
+                            "sent after its idempotency window");
                 }
-                assertTrue(outcome != AttemptOutcome.OK, "sent after it was served");
+                assertTrue(outcome != AttemptOutcome.OK, "sent after a successful attempt");
             }
         }
 
@@ -233,7 +235,7 @@
             for (String requestId : deadlineByRequest.keySet()) {
                 assertTrue(
                         harness.finalResponses.containsKey(requestId),
-                        "no answer for " + requestId);
+                        "no final response to " + requestId);
             }
         }
     }
--- a/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/RoutingPolicyEmbeddingTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What users of the library rely on. */
+/** Tests what code that embeds the routing module relies on. */
 class RoutingPolicyEmbeddingTest {
     private static final RequestClass IDEMPOTENT =
             RoutingEngineHarness.requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
@@ -43,7 +43,7 @@
         String readmeCode = readme.substring(codeStart, readme.indexOf("```\n", codeStart));
         assertTrue(
                 example.contains(readmeCode.strip()),
-                "the README shows the code of EmbeddingExample.java");
+                "README.md differs from the code of EmbeddingExample.java");
         assertEquals(List.of("send r1 to a:80"), EmbeddingExample.run());
     }
 
@@ -138,10 +138,11 @@
                 1_000);
     }
 
-    /** Settings unlike any deployment: sensible behaviour, every request answered. */
+    /** With unusual settings every request gets one response, and at least 90% are served. */
     @ParameterizedTest
     @CsvSource({
-        // endpoints, balancers, objective, deadline, attempts, copies, rate a second, latency
+        // Columns: endpoints, balancers, latency objective, deadline, attempts, hedging, requests
+        // per second, latency. Times are in microseconds.
         "1, 1, 600000, 1200000, 3, true, 20, 20000",
         "60, 12, 600000, 1200000, 3, true, 200, 40000",
         "5, 2, 4000, 10000, 3, true, 500, 1000",
@@ -198,7 +199,9 @@
             assertEquals(0, harness.duplicateFinalResponses);
             long servedCount =
                     harness.finalResponses.values().stream().filter("ok"::equals).count();
-            assertTrue(servedCount >= 360, "served " + servedCount + " of 400, " + idempotency);
+            assertTrue(
+                    servedCount >= 360,
+                    "served " + servedCount + " of 400 requests, class " + idempotency);
         }
     }
 
@@ -222,7 +225,7 @@
                                                     ? AttemptOutcome.ERROR
                                                     : AttemptOutcome.OK));
             if (i % 50 == 0) {
-                // Machines come and go under new names
+                // Endpoints are replaced by new ones with other ids.
                 harness.updateEndpoints(
                         EndpointListKind.COMPLETE,
                         List.of(
@@ -244,7 +247,7 @@
     }
 
     @Test
-    void onCallPageQuotesLogLinesOfThePolicy() throws IOException {
+    void onCallPageContainsLogLinesOfThePolicy() throws IOException {
         String sources =
                 Files.readString(Path.of("src/main/java/loadbalancer/routing/PolicyLog.java"))
                         + Files.readString(
@@ -274,8 +277,8 @@
                         " max_balancers=",
                         "endpoint list too long: unused=",
                         " max_endpoints=")) {
-            assertTrue(sources.contains(line), "the policy writes: " + line);
-            assertTrue(onCallPage.contains(line.strip()), "docs/on-call.md names: " + line);
+            assertTrue(sources.contains(line), "not found in the log lines of the policy: " + line);
+            assertTrue(onCallPage.contains(line.strip()), "not found in docs/on-call.md: " + line);
         }
     }
 
--- a/balancer/src/test/java/loadbalancer/routing/TenantQuotaTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/TenantQuotaTest.java
@@ -11,11 +11,12 @@
 import loadbalancer.routing.api.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** Requests within a tenant's quota precede those over it. */
+/** Tests that requests within a tenant's quota have priority over those that exceed it. */
 class TenantQuotaTest {
     @Test
     void tenantOverQuotaLosesOnlyItsExcess() {
-        // All requests of a tenant over its share were marked, so its share starved too.
+        // Guards against marking all requests of a tenant over its quota as over quota: then even
+        // those within its quota were not served.
         RoutingEngineHarness harness =
                 new RoutingEngineHarness(
                                 RoutingEngineHarness.settings(
@@ -29,7 +30,7 @@
                                 EndpointListKind.CACHED, RoutingEngineHarness.endpoints(2));
         Map<Integer, int[]> servedByTenant = Map.of(0, new int[2], 1, new int[2]);
         for (int i = 0; i < 1200; i++) {
-            // Tenant 0 brings 80 a second, tenant 1 20
+            // Tenant 0 sends 80 requests a second, tenant 1 sends 20.
             int tenant = i % 5 == 4 ? 1 : 0;
             servedByTenant.get(tenant)[0]++;
             harness.request(tenant + "-" + i, 0, tenant, 2_000_000);
@@ -47,20 +48,22 @@
                         servedByTenant.get(requestId.charAt(0) - '0')[1]++;
                     }
                 });
-        double overQuotaRate = servedByTenant.get(0)[1] / 12.0;
-        double withinQuotaFraction = servedByTenant.get(1)[1] / (double) servedByTenant.get(1)[0];
+        double overQuotaTenantRate = servedByTenant.get(0)[1] / 12.0;
+        double withinQuotaTenantFraction =
+                servedByTenant.get(1)[1] / (double) servedByTenant.get(1)[0];
         assertTrue(
-                withinQuotaFraction > 0.1,
-                "the tenant within its share comes first: " + withinQuotaFraction);
+                withinQuotaTenantFraction > 0.1,
+                "served fraction of the tenant within its quota: " + withinQuotaTenantFraction);
         assertTrue(
-                overQuotaRate >= 12,
-                "the other keeps most of its share of 20 a second: " + overQuotaRate);
+                overQuotaTenantRate >= 12,
+                "served per second of the tenant over its quota of 20 a second: "
+                        + overQuotaTenantRate);
     }
 
     @Test
     void excessOfOneTenantDoesNotRaiseQuotas() {
-        // A tenant at three times its share made all shares 1.75 times as wide: endpoints were
-        // overdriven.
+        // Guards against higher quotas for all tenants because of one: a tenant at three times its
+        // quota raised the quotas of all tenants 1.75 times, and endpoints were overloaded.
         List<Tenant> tenants = List.of(new Tenant(8.4), new Tenant(8.4), new Tenant(8.4));
         RoutingEngineHarness harness =
                 new RoutingEngineHarness(
@@ -71,13 +74,13 @@
                                 EndpointListKind.CACHED, RoutingEngineHarness.endpoints(6));
         int sentCount = 0;
         for (int i = 0; i < 60; i++) {
-            // 71 s of 270 ms each: this balancer's part of a share is 60
+            // About 71 s pass, in which this balancer's share of a quota is 60 requests.
             sentCount += harness.serveSequentially(3, 0, 0, 270_000);
             harness.serveSequentially(i % 10 < 7 ? 1 : 0, 0, 1, 270_000);
             harness.serveSequentially(i % 10 < 7 ? 1 : 0, 0, 2, 270_000);
         }
         assertTrue(
                 sentCount >= 55 && sentCount <= 80,
-                "its share of 60 is served, not its excess: " + sentCount);
+                "sent of 180 requests, of which 60 are within the quota: " + sentCount);
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/admission/PendingQueueTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/admission/PendingQueueTest.java
@@ -10,7 +10,7 @@
 import loadbalancer.routing.endpoint.PendingRequest;
 import org.junit.jupiter.api.Test;
 
-/** {@link PendingQueue}: order of the requests that wait for an endpoint. */
+/** Tests the order of the requests in {@link PendingQueue}. */
 class PendingQueueTest {
     private final PendingQueue queue = new PendingQueue(PendingRequest::latencyObjectiveAtMicros);
 
--- a/balancer/src/test/java/loadbalancer/routing/admission/RetryAfterTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/admission/RetryAfterTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The Retry-After of rejected requests. */
+/** Tests the Retry-After time of rejected requests. */
 class RetryAfterTest {
-    /** It is the time for which an overload is remembered, up to the maximum of the settings. */
+    /** Retry-After is the lifetime of overload samples, 2 s, bounded by the configured maximum. */
     @ParameterizedTest
     @CsvSource({"0, 0", "1, 1", "1999999, 1999999", "2000000, 2000000", "2500000, 2000000"})
     void rejectionCarriesBoundedRetryAfter(long maxRetryAfterMicros, long expectedMicros) {
--- a/balancer/src/test/java/loadbalancer/routing/health/SlowStartTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/health/SlowStartTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** {@link SlowStart}: the budget of a warming endpoint holds for the sum of all balancers. */
+/** Tests that the {@link SlowStart} budget of an endpoint holds for the sum of all balancers. */
 class SlowStartTest {
     private static final RequestClass IDEMPOTENT =
             RoutingEngineHarness.requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
@@ -45,10 +45,10 @@
     }
 
     /**
-     * Sends requests to all balancers in turn, which succeed at once.
+     * Sends requests to all balancers in turn; each attempt succeeds immediately.
      *
-     * @param sentToWarm its element 0 is increased by those that went to warm endpoints
-     * @return number of those that went to the warming endpoint
+     * @param sentToWarm element 0 is increased by the number of attempts sent to warm endpoints
+     * @return number of attempts sent to the warming endpoint
      */
     private static int driveTraffic(
             List<RoutingEngineHarness> fleet,
@@ -70,7 +70,7 @@
         return sentToWarming;
     }
 
-    /** Tokens that each balancer kept in an idle time must not add up to a burst. */
+    /** Guards against a burst from tokens that each balancer kept while idle. */
     @ParameterizedTest
     @ValueSource(ints = {20, 100, 1_000})
     void burstAfterIdleKeepsSlowStartBudget(int balancerCount) {
@@ -90,16 +90,17 @@
                 sentToWarming += sent != null && sent.endpointId.equals(WARMING_ENDPOINT) ? 1 : 0;
             }
         }
-        // The settings allow it in a window of 1 s 2.5 times its part of what a warm one gets
+        // In a window of 1 s the settings allow 2.5 times the warming endpoint's fraction of the
+        // rate of a warm endpoint.
         double budget =
                 2.5 * (0.2 + 0.8 * idleSeconds / 20) * requestsPerSecond / WARM_ENDPOINT_COUNT;
         double allowed = budget + 2 * Math.sqrt(budget) + 2;
         assertTrue(
                 sentToWarming <= allowed,
-                sentToWarming + " at once where " + allowed + " are allowed in 1 s");
+                sentToWarming + " attempts sent at once, allowed in 1 s: " + allowed);
     }
 
-    /** Under steady load a warming endpoint gets at least a third of its part. */
+    /** Under steady load a warming endpoint gets a third to 2.5 times its expected share. */
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
     void steadyLoadUsesSlowStartBudget(int balancerCount) {
@@ -112,18 +113,20 @@
         int[] sentToWarm = new int[1];
         int sentToWarming = driveTraffic(fleet, requestsPerSecond, 4, sentToWarm);
         double capacityFraction = 0.2 + 0.8 * 6 / 20;
-        double fairShare = capacityFraction * sentToWarm[0] / WARM_ENDPOINT_COUNT;
+        double expectedShare = capacityFraction * sentToWarm[0] / WARM_ENDPOINT_COUNT;
         assertTrue(
-                sentToWarming >= fairShare / 3, sentToWarming + " where its part is " + fairShare);
+                sentToWarming >= expectedShare / 3,
+                sentToWarming + " attempts, expected share " + expectedShare);
         assertTrue(
-                sentToWarming <= 2.5 * fairShare,
-                sentToWarming + " where its part is " + fairShare);
+                sentToWarming <= 2.5 * expectedShare,
+                sentToWarming + " attempts, expected share " + expectedShare);
     }
 
     /**
-     * The settings ramp up from 0.2 in 20 s; the margin lets an endpoint have 1.6 times as much.
+     * The settings ramp up from 0.2 in 20 s. The usable fraction is 1.6 times the ramp fraction, at
+     * most 1.
      */
-    @ParameterizedTest(name = "{0} s after the start: {1} of full capacity, {2} of it usable")
+    @ParameterizedTest(name = "{0} s after the start: {1} of full capacity, {2} usable")
     @CsvSource({"0, 0.2, 0.32", "5, 0.4, 0.64", "10, 0.6, 0.96", "19, 0.96, 1", "20, 1, 1"})
     void capacityGrowsLinearlyWithAge(
             int ageSeconds, double expectedRampFraction, double expectedUsableFraction) {
--- a/balancer/src/test/java/loadbalancer/routing/health/ZoneFailoverTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/health/ZoneFailoverTest.java
@@ -20,7 +20,7 @@
 import loadbalancer.routing.endpoint.ZoneTally;
 import org.junit.jupiter.api.Test;
 
-/** {@link ZoneFailover}: single transitions, and an exploration of all states. */
+/** Tests single transitions of {@link ZoneFailover}, and explores its states for violations. */
 class ZoneFailoverTest {
     private static final ZoneTally HEALTHY = new ZoneTally(10, 0, 6);
     private static final ZoneTally HALF_FAILED = new ZoneTally(10, 5, 3);
@@ -70,20 +70,20 @@
     }
 
     @Test
-    void recoveryAdvancesInStepsByServedRequests() {
+    void recoveryAdvancesAfterSuccessInEachStep() {
         update(4, HEALTHY, LOST);
         update(20, HEALTHY, IDLE);
-        // No probe has succeeded yet
+        // No probe has succeeded yet.
         assertEquals(ZoneStatus.FAILED_OVER, zones.healthOf(1).status());
         zones.onAttemptEnded(endpoint(1), true);
         update(1, HEALTHY, HEALTHY);
-        // One success is not enough
+        // Two successful probes are required.
         assertEquals(ZoneStatus.FAILED_OVER, zones.healthOf(1).status());
         zones.onAttemptEnded(endpoint(1), true);
         update(1, HEALTHY, HEALTHY);
         assertEquals(0.25, zones.healthOf(1).admittedFraction());
         update(10, HEALTHY, HEALTHY);
-        // Nothing has succeeded in this step
+        // No attempt has succeeded in this recovery step.
         assertEquals(0.25, zones.healthOf(1).admittedFraction());
         for (double expectedFraction : new double[] {0.5, 1}) {
             zones.onAttemptEnded(endpoint(1), true);
@@ -98,7 +98,7 @@
         update(4, HEALTHY, LOST);
         assertEquals(ZoneStatus.FAILED_OVER, zones.healthOf(1).status());
         zones.update(List.of(HEALTHY, HEALTHY), true, now += UPDATE_INTERVAL_MICROS, logLines::add);
-        // Even then a probe has to succeed first
+        // A probe must succeed first, even if the capacity is short.
         assertEquals(ZoneStatus.FAILED_OVER, zones.healthOf(1).status());
         zones.onAttemptEnded(endpoint(1), true);
         zones.update(List.of(HEALTHY, HEALTHY), true, now += UPDATE_INTERVAL_MICROS, logLines::add);
@@ -135,9 +135,9 @@
     }
 
     @Test
-    void partialLossAndOwnIsolationKeepZone() {
+    void partialLossOrIsolationDoesNotFailOver() {
         update(60, HEALTHY, HALF_FAILED);
-        // Single endpoints are at fault
+        // A partial loss that lasts is attributed to single endpoints, not to the zone.
         assertEquals(ZoneStatus.HEALTHY, zones.healthOf(1).status());
         update(10, LOST, LOST, LOST);
         assertTrue(
@@ -152,15 +152,13 @@
                     logLines::add);
         }
         assertEquals(ZoneStatus.FAILED_OVER, other.healthOf(1).status());
-        // That of endpoints that name none
+        // Zone -1 is for endpoints without a zone.
         assertEquals(ZoneStatus.HEALTHY, other.healthOf(-1).status());
     }
 
-    // ---------------------------------------------------------------- exploration of all states
-
     private static final List<ZoneTally> OBSERVATIONS = List.of(HEALTHY, HALF_FAILED, LOST, IDLE);
 
-    /** State of three zones at an instant. */
+    /** Holds the state of three zones at a point in time. */
     private record ZoneModel(List<ZoneHealth> zones, long now) {}
 
     private static ZoneFailover restore(ZoneModel model) {
@@ -192,7 +190,7 @@
     }
 
     private interface TransitionCheck {
-        /** What is wrong with a step from one state to the next, or null. */
+        /** Returns a description of the violation in a transition, or null. */
         String findViolation(ZoneModel before, ZoneModel after, List<ZoneTally> observed);
     }
 
@@ -294,7 +292,7 @@
                         60_000,
                         ZoneFailoverTest::checkTransition,
                         (failover, before) -> {
-                            // Recovers at once
+                            // The planted fault skips the recovery steps.
                             replaceStatus(
                                     failover.healthOf(1),
                                     ZoneStatus.RECOVERING,
@@ -306,7 +304,8 @@
                         60_000,
                         ZoneFailoverTest::checkTransition,
                         (failover, before) -> {
-                            // Takes its own isolation for the loss of zones
+                            // The planted fault fails over every suspect zone, as if an isolated
+                            // balancer took its isolation for the loss of all zones.
                             for (int i = 0; i < 3; i++) {
                                 replaceStatus(
                                         failover.healthOf(i),
@@ -320,6 +319,8 @@
                         60_000,
                         ZoneFailoverTest::checkTransition,
                         (failover, before) -> {
+                            // The planted fault keeps a zone suspect instead of ending the
+                            // suspicion.
                             ZoneHealth zoneBefore = before.zones.get(0);
                             ZoneHealth zone = failover.healthOf(0);
                             if (zoneBefore.status() == ZoneStatus.SUSPECT
