--- a/balancer/src/main/java/loadbalancer/routing/endpoint/ActiveEndpoints.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ActiveEndpoints.java
@@ -5,23 +5,24 @@
 import java.util.function.Predicate;
 
 /**
- * The listed endpoints that may not be in the steady state: warming up, with recent attempts,
- * ejected or unreachable. All others are warm, idle and healthy, so periodic scans of the fleet
- * need only these. An endpoint is added by the event that ends its steady state, and removed when a
- * scan finds it steady again. Confined to the thread of the routing policy.
+ * Tracks the listed endpoints that may not be in the steady state because they are warming up, have
+ * recent attempts, are ejected or are unreachable. All others are warm, idle and healthy, so that
+ * periodic scans of the fleet can skip them. An endpoint is added by the event that ends its steady
+ * state, and removed when a scan finds it steady again. Confined to the thread of the routing
+ * policy.
  */
 final class ActiveEndpoints {
-    // Older successes have decayed to nothing
+    // The decayed count of successes older than this is negligible.
     private static final long QUIET_PERIOD_MICROS = 12 * (long) TrafficCounters.DECAY_MICROS;
 
     private final List<EndpointState> endpoints = new ArrayList<>();
 
-    /** The active endpoints in list order; not to be modified by the caller. */
+    /** Returns the active endpoints in list order; the caller must not modify the list. */
     List<EndpointState> endpoints() {
         return endpoints;
     }
 
-    /** Adds an endpoint, if it is listed and not yet active. */
+    /** Adds an endpoint if it is listed and not yet active. */
     void add(EndpointState endpoint) {
         if (!endpoint.isActive() && endpoint.isListed()) {
             endpoint.setActive(true);
@@ -29,7 +30,7 @@
         }
     }
 
-    /** Removes an endpoint that is no longer listed. */
+    /** Removes an endpoint that is no longer listed, if it is active. */
     void remove(EndpointState endpoint) {
         if (endpoint.isActive()) {
             endpoint.setActive(false);
@@ -37,7 +38,7 @@
         }
     }
 
-    /** Removes those that are steady and warm. */
+    /** Removes the endpoints that are steady and warm. */
     void removeSteady(Predicate<EndpointState> isWarm, long now) {
         long quietSinceMicros = now - QUIET_PERIOD_MICROS;
         endpoints.removeIf(
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/Attempt.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/Attempt.java
@@ -3,9 +3,9 @@
 import loadbalancer.routing.api.Endpoint;
 
 /**
- * One dispatch of a request to an endpoint. {@link #recordStart} and {@link #recordEnd} keep the
- * counts of request, endpoint and class in step; each is called once, in this order. Confined to
- * the thread of the routing policy.
+ * One dispatch of a request to an endpoint. {@link #recordStart} and {@link #recordEnd} update the
+ * counts of the request, the endpoint and the class together; each is called once, in this order.
+ * Confined to the thread of the routing policy.
  */
 public final class Attempt {
     private final EndpointState endpoint;
@@ -16,7 +16,7 @@
     private boolean inFlight = true;
     private boolean mayHaveRun = true;
 
-    /** An attempt that is about to be sent at {@code sentAtMicros}. */
+    /** Creates an attempt that is about to be sent at {@code sentAtMicros}. */
     public Attempt(EndpointState endpoint, PendingRequest request, long sentAtMicros) {
         this.endpoint = endpoint;
         this.descriptorAtSend = endpoint.descriptor();
@@ -25,37 +25,40 @@
         this.classEjection = endpoint.classHealth(request.classIndex()).ejection();
     }
 
-    /** The endpoint that the attempt is sent to. */
+    /** Returns the endpoint that the attempt is sent to. */
     public EndpointState endpoint() {
         return endpoint;
     }
 
-    /** The endpoint's entry in the list at the time of the send; gives its zone and cell then. */
+    /** Returns the endpoint's list entry as of the send, with its zone and cell at that time. */
     public Endpoint descriptorAtSend() {
         return descriptorAtSend;
     }
 
-    /** The request that the attempt is made for. */
+    /** Returns the request that the attempt belongs to. */
     public PendingRequest request() {
         return request;
     }
 
-    /** When it was sent; for a request with a body, when that was complete. */
+    /** Returns when the attempt was sent or, if later, when the request's body was complete. */
     public long sentAtMicros() {
         return sentAtMicros;
     }
 
-    /** The endpoint's ejection state for the request's class. */
+    /** Returns the endpoint's ejection state for the request's class. */
     public ClassEjection classEjection() {
         return classEjection;
     }
 
-    /** Whether the outcome is still unknown. */
+    /** Returns whether the outcome is still unknown. */
     public boolean isInFlight() {
         return inFlight;
     }
 
-    /** Whether the endpoint may have executed the request; true until the outcome excludes it. */
+    /**
+     * Returns whether the endpoint may have executed the request; true until the outcome excludes
+     * it.
+     */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
@@ -63,7 +66,7 @@
     /**
      * Counts the attempt as sent.
      *
-     * @param accomplishmentIncrement weight of one dispatch now
+     * @param accomplishmentIncrement current weight of one dispatch
      */
     public void recordStart(double accomplishmentIncrement) {
         classEjection.onAttemptStarted();
@@ -71,7 +74,12 @@
         endpoint.onDispatched(this, accomplishmentIncrement);
     }
 
-    /** Counts the attempt as ended. */
+    /**
+     * Counts the attempt as ended.
+     *
+     * @param mayHaveRunAfterOutcome whether the endpoint may have executed the request, given the
+     *     outcome
+     */
     public void recordEnd(boolean mayHaveRunAfterOutcome) {
         inFlight = false;
         mayHaveRun = mayHaveRunAfterOutcome;
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/ClassEjection.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ClassEjection.java
@@ -5,19 +5,20 @@
 import java.util.function.LongConsumer;
 
 /**
- * Outlier ejection of one request class of one endpoint, as a circuit breaker: closed, open while
- * ejected, then half-open until enough attempts in a row succeed.
+ * Outlier ejection of one request class at one endpoint. It works as a circuit breaker: closed,
+ * open while the class is ejected, then half-open until enough consecutive attempts succeed.
  *
- * <p>An endpoint that fails one class may serve the others: ejecting it as a whole would lose its
- * capacity for them. The failure ratio is a moving mean over attempts, not over time; over time a
- * busy endpoint with a good past would have to fail dozens of attempts first.
+ * <p>An endpoint that fails one class may still serve the others, and ejecting it as a whole would
+ * lose its capacity for them. The failure ratio is a moving mean over attempts. With a mean over
+ * time, a busy endpoint with many past successes would have to fail dozens of attempts before it
+ * was ejected.
  *
  * <p>Confined to the thread of the routing policy.
  */
 public final class ClassEjection {
-    // Weight of one attempt in the failure ratio
+    // Weight of one attempt in the failure ratio.
     private static final double FAILURE_RATIO_SMOOTHING = 0.1;
-    // Two failures within some five attempts exceed it
+    // Two failures within about five attempts exceed this ratio.
     private static final double MAX_FAILURE_RATIO = 0.15;
     private static final long REMOTE_EJECTION_DELAY_MICROS = 1_000_000;
 
@@ -28,12 +29,12 @@
     private int halfOpenSuccessesLeft;
     private int inFlight;
 
-    /** Whether the class is ejected. */
+    /** Returns whether the class is ejected. */
     public boolean isEjected(long now) {
         return ejectedUntilMicros > now;
     }
 
-    /** Whether an attempt may be sent now; while half-open, one at a time. */
+    /** Returns whether an attempt may be sent now; while half-open, only one may be in flight. */
     public boolean allowsAttempt(long now) {
         return !isEjected(now) && (halfOpenSuccessesLeft == 0 || inFlight == 0);
     }
@@ -49,7 +50,7 @@
     /**
      * Counts a successful attempt.
      *
-     * @param onRecovered runs if this success ends the half-open state
+     * @param onRecovered called if this success ends the half-open state
      */
     public void onSuccess(Runnable onRecovered) {
         failureRatio -= FAILURE_RATIO_SMOOTHING * failureRatio;
@@ -60,14 +61,15 @@
         }
     }
 
-    /** End of the last ejection that this balancer decided itself; 0 if there was none. */
+    /** Returns when the last ejection decided by this balancer ends or ended, or 0 if none. */
     public long locallyEjectedUntilMicros() {
         return locallyEjectedUntilMicros;
     }
 
     /**
-     * Another balancer has ejected the class: this one ejects it too, for a little longer, so that
-     * the attempt with which the other one probes the endpoint decides for both.
+     * Ejects the class because another balancer has ejected it. The ejection lasts a little longer
+     * than the other balancer's, so that the other balancer probes the endpoint first and the
+     * result of that probe serves both.
      */
     public void onRemoteEjection(long remoteEjectedUntilMicros) {
         if (remoteEjectedUntilMicros > ejectedUntilMicros) {
@@ -77,10 +79,10 @@
     }
 
     /**
-     * Counts a failed attempt and ejects the class if it fails too many.
+     * Counts a failed attempt and ejects the class if its failure ratio is too high.
      *
-     * @param random source of the jitter of an ejection
-     * @param onEjected accepts the length of an ejection that begins now, in µs without jitter
+     * @param random source of the jitter of the ejection
+     * @param onEjected receives the duration of an ejection that begins now, in µs without jitter
      */
     public void onFailure(long now, SplittableRandom random, LongConsumer onEjected) {
         failureRatio += FAILURE_RATIO_SMOOTHING * (1 - failureRatio);
@@ -96,10 +98,10 @@
     }
 
     /**
-     * Whether most of the listed endpoints have ejected a class, so that the fault is more likely
-     * in its requests and the ejections are to be ignored.
+     * Returns whether a class is ejected at more than half of the listed endpoints. Its requests
+     * are then more likely at fault than the endpoints, and the ejections should be ignored.
      *
-     * @param activeEndpoints of the listed endpoints those that may be ejected
+     * @param activeEndpoints the listed endpoints that may be ejected
      * @param listedCount number of listed endpoints
      */
     public static boolean isMajorityEjected(
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EjectionBackoff.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EjectionBackoff.java
@@ -3,28 +3,36 @@
 import java.util.SplittableRandom;
 
 /**
- * How long an endpoint, or one class of it, is ejected: exponentially longer with each ejection in
- * a row, with jitter at the end. Used for both so that they behave alike. Stateless.
+ * Computes how long an endpoint, or one request class at it, is ejected. The duration doubles with
+ * each consecutive ejection up to a bound, and jitter is added to the end. Endpoint and class
+ * ejections share this class so that they behave alike. Stateless.
  */
 public final class EjectionBackoff {
-    /** Length of a first ejection; doubles with each that follows. */
+    /** Duration of the first ejection; it doubles with each consecutive ejection. */
     public static final long BASE_EJECTION_MICROS = 1_000_000;
 
-    /** Successes that end the half-open state after an ejection. */
+    /** Number of successes that end the half-open state after an ejection. */
     public static final int SUCCESSES_TO_RECOVER = 3;
 
-    // Bounds an ejection at 16 s
+    // Limits an ejection to 16 s, without jitter.
     private static final int MAX_EJECTION_DOUBLINGS = 4;
     private static final int JITTER_DIVISOR = 4;
 
     private EjectionBackoff() {}
 
-    /** Length of an ejection without its jitter, after so many ejections in a row. */
+    /**
+     * Returns the duration of an ejection in µs, without jitter.
+     *
+     * @param priorEjections number of consecutive ejections before this one
+     */
     public static long ejectionMicros(int priorEjections) {
         return BASE_EJECTION_MICROS << Math.min(MAX_EJECTION_DOUBLINGS, priorEjections);
     }
 
-    /** End of an ejection that begins now; draws the jitter, up to a quarter of its length. */
+    /**
+     * Returns when an ejection that begins now ends; draws a jitter of up to a quarter of its
+     * duration.
+     */
     public static long ejectedUntilMicros(long now, long ejectionMicros, SplittableRandom random) {
         return now + ejectionMicros + random.nextLong(ejectionMicros / JITTER_DIVISOR);
     }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointListEntry.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointListEntry.java
@@ -4,14 +4,14 @@
 import loadbalancer.util.Hashing;
 
 /**
- * What the registry, the hash ring and their walks store with each endpoint: its place in the list,
- * its number of ring points and the marks of walks. A superclass of {@link EndpointState}, and not
- * an object of its own, since a fleet has thousands of them. Confined to the thread of the routing
- * policy.
+ * Data that the registry and the hash ring store for each endpoint: its list position, its number
+ * of ring points and its visit marks. It is a superclass of {@link EndpointState} and not a
+ * separate object to save memory, since a fleet has thousands of endpoints. Confined to the thread
+ * of the routing policy.
  */
 abstract class EndpointListEntry {
     private final long listPosition;
-    // Null while the endpoint is not listed
+    // Null while the endpoint is not listed.
     private Endpoint listedDescriptor;
     private boolean isActive;
     private int lastListGeneration;
@@ -22,10 +22,10 @@
         this.listPosition = listPosition;
     }
 
-    /** Hash of the endpoint's id, from which its ring points follow. */
+    /** Returns the hash of the endpoint's id, from which its ring points are derived. */
     abstract long idHash();
 
-    /** Place in the order of listed endpoints. */
+    /** Returns the position in the order of listed endpoints. */
     long listPosition() {
         return listPosition;
     }
@@ -34,7 +34,7 @@
         return listedDescriptor != null;
     }
 
-    /** The descriptor that totals and ring were last updated with; null while not listed. */
+    /** Returns the descriptor last applied to totals and ring, or null while not listed. */
     Endpoint listedDescriptor() {
         return listedDescriptor;
     }
@@ -43,12 +43,12 @@
         listedDescriptor = newListedDescriptor;
     }
 
-    /** Whether the endpoint list of this generation named the endpoint. */
-    boolean isNamedByList(int listGeneration) {
+    /** Returns whether the endpoint list of this generation contained the endpoint. */
+    boolean isInList(int listGeneration) {
         return lastListGeneration == listGeneration;
     }
 
-    void setNamedByList(int listGeneration) {
+    void markInList(int listGeneration) {
         lastListGeneration = listGeneration;
     }
 
@@ -64,17 +64,22 @@
         return ringPointCount;
     }
 
-    /** Adds the endpoint's next point of the hash ring; returns the point. */
+    /** Increments the number of ring points; returns the point that is added. */
     long addRingPoint() {
         return Hashing.mix(idHash() + ringPointCount++);
     }
 
-    /** Takes back the point that was added last; returns the point. */
+    /** Decrements the number of ring points; returns the point that was added last. */
     long removeRingPoint() {
         return Hashing.mix(idHash() + --ringPointCount);
     }
 
-    /** Marks the endpoint as visited by a walk of the subset; false if it was already. */
+    /**
+     * Marks the endpoint as visited by a traversal in subset order.
+     *
+     * @param generation number of the traversal
+     * @return whether this traversal had not visited it before
+     */
     boolean markSubsetVisited(int generation) {
         boolean isFirstVisit = subsetVisitGeneration != generation;
         subsetVisitGeneration = generation;
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointRegistry.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointRegistry.java
@@ -18,18 +18,21 @@
 import loadbalancer.routing.api.RoutingSettings;
 
 /**
- * The endpoints that discovery has named, and what follows from the list alone: the hash ring, the
- * totals and the order. An update costs by what it changes, not by the length of the list: totals,
- * ring and order are updated in place. Confined to the thread of the routing policy.
+ * Holds the endpoints of the endpoint list and the structures derived from it: the hash ring, the
+ * totals and the list order. All of these are updated in place, so the cost of an update depends on
+ * the number of changed entries and not on the length of the list. Confined to the thread of the
+ * routing policy.
  *
- * <p>An endpoint is listed while its status is {@link EndpointStatus#UP}. One that is removed with
- * attempts in flight stays known by its id until an update after they have ended.
+ * <p>An endpoint is listed while its status is {@link EndpointStatus#UP}. An endpoint that is
+ * removed while it has attempts in flight can still be looked up by its id until the first update
+ * after these attempts have ended.
  */
 public final class EndpointRegistry {
-    /** Most endpoints that are held; the memory of the process is sized for them. */
+    /** Maximum number of endpoints; the memory of the process is sized for it. */
     static final int MAX_ENDPOINTS = 20_000;
 
-    // With more endpoints added or removed at once, sorting is cheaper than inserting each
+    // Above this number of added or removed endpoints, sorting the list is cheaper than inserting
+    // each endpoint into it.
     private static final int MAX_INCREMENTAL_UPDATES = 64;
     private static final double MIN_TOTAL_WEIGHT = 1e-9;
 
@@ -44,14 +47,15 @@
     private final RingPointAllocator ringPoints;
     private double meanWeight = 1;
     private int listGeneration;
-    // Endpoints that count towards the maximum, during an update those read so far
+    // Number of endpoints that count towards the maximum. During an update, it includes only the
+    // entries processed so far.
     private int endpointCount;
     private long nextListPosition;
 
     /**
-     * An empty registry.
+     * Creates an empty registry.
      *
-     * @param random source of tie breakers and of the initial budgets of slow start
+     * @param random source of the tie breakers and of the initial slow start budgets
      */
     public EndpointRegistry(RoutingSettings settings, SplittableRandom random) {
         this.random = random;
@@ -60,19 +64,19 @@
         this.ringPoints = new RingPointAllocator(ring);
     }
 
-    // Balancers are spaced evenly on the ring, by their rank.
+    // Returns the ring point at which this balancer's subset starts. The starting points of all
+    // balancers are spaced evenly, ordered by rank.
     private static long subsetStart(RoutingSettings settings) {
         double ringFraction = (settings.rank() + 0.5) / settings.balancerCount();
         return (long) (ringFraction * 0x1p64 - 0x1p63);
     }
 
-    // ---------------------------------------------------------------- updates of the list
-
     /**
-     * Takes in an endpoint list.
+     * Applies an endpoint list.
      *
-     * @param isDelta whether {@code endpoints} are changes only, and all others stay as they are
-     * @param log accepts a line if endpoints are left out because there are too many
+     * @param isDelta whether {@code endpoints} contains changes only; endpoints that it does not
+     *     contain are then kept as they are
+     * @param log receives a line if endpoints are left out because the list is too long
      */
     public void update(List<Endpoint> endpoints, boolean isDelta, long now, Consumer<String> log) {
         listGeneration++;
@@ -83,7 +87,7 @@
             rejectedCount += upsert(endpoint, isDelta, now, changed) ? 0 : 1;
         }
         if (!isDelta) {
-            removeUnnamed(changed);
+            removeMissing(changed);
         }
         List<EndpointState> addedOrRemoved = new ArrayList<>();
         for (EndpointState endpoint : changed) {
@@ -93,7 +97,7 @@
         meanWeight = totals.meanWeight();
         ringPoints.updateMeanWeight(meanWeight);
         changed.forEach(ringPoints::updatePoints);
-        removedWithInFlight.removeIf(this::isReplacedOrForgotten);
+        removedWithInFlight.removeIf(this::releaseRemoved);
         if (rejectedCount > 0) {
             log.accept(
                     "endpoint list too long: unused="
@@ -103,11 +107,11 @@
         }
     }
 
-    // False where the endpoint is left out because there are too many.
+    // Adds or updates one endpoint. Returns false if it is left out because there are too many.
     private boolean upsert(
             Endpoint endpoint, boolean isDelta, long now, List<EndpointState> changed) {
         EndpointState known = endpointsById.get(endpoint.id());
-        boolean isCounted = known != null && (isDelta || known.isNamedByList(listGeneration));
+        boolean isCounted = known != null && (isDelta || known.isInList(listGeneration));
         if (!isCounted) {
             if (endpointCount >= MAX_ENDPOINTS) {
                 return false;
@@ -120,14 +124,15 @@
             changed.add(current);
         } else if (isRestarted(known, endpoint)) {
             current = add(endpoint, known.listPosition(), now);
-            // Before the new one: both have the same place in the order
+            // The old endpoint is removed before the new one is added, since both have the same
+            // list position.
             markRemoved(known, changed);
             changed.add(current);
         } else if (!known.descriptor().equals(endpoint)) {
             known.updateDescriptor(endpoint);
             changed.add(known);
         }
-        current.setNamedByList(listGeneration);
+        current.markInList(listGeneration);
         return true;
     }
 
@@ -146,9 +151,9 @@
         return added;
     }
 
-    private void removeUnnamed(List<EndpointState> changed) {
+    private void removeMissing(List<EndpointState> changed) {
         for (EndpointState endpoint : endpointsById.values()) {
-            if (!endpoint.isNamedByList(listGeneration) && !isRemoved(endpoint)) {
+            if (!endpoint.isInList(listGeneration) && !isRemoved(endpoint)) {
                 markRemoved(endpoint, changed);
             }
         }
@@ -163,7 +168,7 @@
         return endpoint.descriptor().status() == EndpointStatus.REMOVED;
     }
 
-    // Brings totals, ring and active endpoints up to date with the endpoint's descriptor.
+    // Updates totals, ring and active endpoints to match the endpoint's current descriptor.
     @SuppressWarnings("ReferenceEquality")
     private void updateAggregates(EndpointState endpoint, List<EndpointState> addedOrRemoved) {
         Endpoint descriptor = endpoint.descriptor();
@@ -172,7 +177,7 @@
         if (isRemoved(endpoint)) {
             removedWithInFlight.add(endpoint);
         }
-        // By identity: a descriptor that was replaced by an equal one still counts as a change
+        // Compares by identity, since a descriptor replaced by an equal one counts as a change.
         if (current == previous) {
             return;
         }
@@ -210,9 +215,9 @@
         }
     }
 
-    // Whether an endpoint need not be held as removed: it is listed again, it was replaced, or its
-    // last attempt has ended; then it is forgotten here.
-    private boolean isReplacedOrForgotten(EndpointState endpoint) {
+    // Returns true if the endpoint no longer has to be kept as removed: it is listed again, it was
+    // replaced, or its last attempt has ended. In the last case, this also deletes it from the map.
+    private boolean releaseRemoved(EndpointState endpoint) {
         String id = endpoint.descriptor().id();
         if (!isRemoved(endpoint) || endpointsById.get(id) != endpoint) {
             return true;
@@ -220,50 +225,50 @@
         return endpoint.inFlight() == 0 && endpointsById.remove(id, endpoint);
     }
 
-    // ---------------------------------------------------------------- endpoints
-
-    /** The endpoint of an id, or null if none is known. */
+    /** Returns the endpoint with the given id, or null if there is none. */
     public EndpointState get(String id) {
         return endpointsById.get(id);
     }
 
-    /** The listed endpoints in list order; not to be modified by the caller. */
+    /** Returns the listed endpoints in list order; the caller must not modify the list. */
     public List<EndpointState> listedEndpoints() {
         return listedEndpoints;
     }
 
     /**
-     * The listed endpoints that may not be in the steady state (warming up, with recent attempts,
-     * ejected, unreachable), in list order; not to be modified by the caller.
+     * Returns, in list order, the listed endpoints that may not be in the steady state because they
+     * are warming up, have recent attempts, are ejected or are unreachable. The caller must not
+     * modify the list.
      */
     public List<EndpointState> activeEndpoints() {
         return activeEndpoints.endpoints();
     }
 
-    /** Removes the steady and warm ones of the active endpoints; returns those left. */
+    /** Removes the active endpoints that are steady and warm, and returns the remaining ones. */
     public List<EndpointState> removeSteadyEndpoints(Predicate<EndpointState> isWarm, long now) {
         activeEndpoints.removeSteady(isWarm, now);
         return activeEndpoints.endpoints();
     }
 
-    /** The ring of the listed endpoints. */
+    /** Returns the hash ring of the listed endpoints. */
     public HashRing ring() {
         return ring;
     }
 
-    // ---------------------------------------------------------------- totals of the fleet
-
-    /** Mean weight of the listed endpoints; 1 without any. */
+    /** Returns the mean weight of the listed endpoints, or 1 if there are none. */
     public double meanWeight() {
         return meanWeight;
     }
 
-    /** The paper's p: share of endpoints that are of the fast machine types, from 0 to 1. */
+    /**
+     * Returns the fraction of endpoints with a fast machine type, from 0 to 1; the parameter p of
+     * the JSQ-DAS paper.
+     */
     public double fastFraction() {
         return totals.fastFraction();
     }
 
-    /** Total weight of the warm listed endpoints; those that are not active are warm. */
+    /** Returns the total weight of the warm listed endpoints; inactive endpoints are warm. */
     public double warmWeight(Predicate<EndpointState> isWarm) {
         double weight = totals.weight();
         for (EndpointState endpoint : activeEndpoints.endpoints()) {
@@ -272,7 +277,7 @@
         return weight;
     }
 
-    /** Decayed successes of the warm listed endpoints; those that are not active have had none. */
+    /** Returns the decayed successes of the warm listed endpoints; inactive endpoints have none. */
     public double warmSuccesses(Predicate<EndpointState> isWarm) {
         double successes = 0;
         for (EndpointState endpoint : activeEndpoints.endpoints()) {
@@ -282,10 +287,10 @@
     }
 
     /**
-     * Mean of a value over the listed endpoints, by their weights.
+     * Returns the mean of a value over the listed endpoints, weighted by endpoint weight.
      *
-     * @param steadyValueOfZone value of the steady endpoints of a zone
-     * @param activeValue value of an active endpoint
+     * @param steadyValueOfZone gives the value of the steady endpoints of a zone
+     * @param activeValue gives the value of an active endpoint
      */
     public double weightedMean(
             IntToDoubleFunction steadyValueOfZone, ToDoubleFunction<EndpointState> activeValue) {
@@ -299,10 +304,11 @@
     }
 
     /**
-     * What is known of each zone that endpoints name, by its number.
+     * Returns the tally of each zone, indexed by zone number.
      *
-     * @param isUnresponsive whether nothing answers at an endpoint
-     * @param evidenceSinceMicros for a zone, since when a success shows that an endpoint responds
+     * @param isUnresponsive tests whether an endpoint does not respond
+     * @param evidenceSinceMicros gives, for a zone, the earliest time in µs at which a success
+     *     counts as evidence that an endpoint responds
      */
     public List<ZoneTally> zoneTallies(
             Predicate<EndpointState> isUnresponsive, IntToLongFunction evidenceSinceMicros) {
@@ -310,19 +316,17 @@
                 totals, activeEndpoints.endpoints(), isUnresponsive, evidenceSinceMicros);
     }
 
-    /** Divides the decayed counts of all endpoints, when the weight of one event is reset. */
+    /** Divides the decayed counts of all endpoints; called when the event weight is reset. */
     public void rescale(double scale) {
         for (EndpointState endpoint : endpointsById.values()) {
             endpoint.rescale(scale);
         }
     }
 
-    // ---------------------------------------------------------------- snapshots
-
     /**
-     * What is known of each listed endpoint.
+     * Returns a snapshot of each listed endpoint.
      *
-     * @param scale weight of one event now; counts are stored as if it were 1
+     * @param scale current weight of one event; counts are stored as if it were 1
      */
     public List<EndpointSnapshot> snapshot(double scale, long now) {
         return listedEndpoints.stream()
@@ -331,10 +335,10 @@
     }
 
     /**
-     * Restores what was known of endpoints that are known now and are still the same processes.
+     * Restores the state of the endpoints that are known and still run the process of the snapshot.
      *
-     * @param scale weight by which the snapshots' counts now count
-     * @param ageMicros age of the snapshots
+     * @param scale current weight of one event, by which the stored counts are multiplied
+     * @param ageMicros age of the snapshots in µs
      */
     public void restore(List<EndpointSnapshot> snapshots, double scale, long ageMicros, long now) {
         for (EndpointSnapshot snapshot : snapshots) {
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointSnapshots.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointSnapshots.java
@@ -4,14 +4,14 @@
 import java.util.stream.IntStream;
 import loadbalancer.routing.api.PolicySnapshot.EndpointSnapshot;
 
-/** Converts between the state of an endpoint and what a snapshot holds of it. */
+/** Converts between {@link EndpointState} and {@link EndpointSnapshot}. Stateless. */
 final class EndpointSnapshots {
     private EndpointSnapshots() {}
 
     /**
-     * What is worth restoring of an endpoint.
+     * Returns a snapshot of an endpoint.
      *
-     * @param scale weight of one event now; counts are stored as if it were 1
+     * @param scale current weight of one event; counts are stored as if it were 1
      */
     static EndpointSnapshot capture(EndpointState endpoint, double scale, long now) {
         return new EndpointSnapshot(
@@ -33,17 +33,17 @@
                 .toList();
     }
 
-    /** Whether a snapshot was taken of the process that now runs at the endpoint. */
+    /** Returns whether a snapshot is of the process that now runs at the endpoint. */
     static boolean isOfSameProcess(EndpointState endpoint, EndpointSnapshot snapshot) {
         return endpoint.descriptor().startedAtMicros() == snapshot.startedAtMicros();
     }
 
     /**
-     * Restores what a snapshot of the same process holds. Ejections continue for what is left of
-     * them; the endpoint is half-open afterwards, as after any ejection.
+     * Restores an endpoint from a snapshot of the same process. Ejections resume for their
+     * remaining time, and the endpoint is half-open afterwards, as after any ejection.
      *
-     * @param scale weight by which the snapshot's counts now count
-     * @param ageMicros age of the snapshot
+     * @param scale current weight of one event, by which the stored counts are multiplied
+     * @param ageMicros age of the snapshot in µs
      */
     static void restore(
             EndpointState endpoint,
@@ -66,7 +66,8 @@
         for (int classIndex = 0; classIndex < classCount; classIndex++) {
             long ejectedForMicros = classEjectedForMicros.get(classIndex);
             if (ejectedForMicros > ageMicros) {
-                // As one by another balancer: neither its backoff nor its failure ratio is stored
+                // Treated as an ejection by another balancer, since the snapshot contains neither
+                // the class's backoff nor its failure ratio.
                 endpoint.classHealth(classIndex)
                         .onRemoteEjection(now + ejectedForMicros - ageMicros);
             }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointState.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointState.java
@@ -7,23 +7,22 @@
 import loadbalancer.util.Hashing;
 
 /**
- * What this balancer knows of one endpoint: its entry in the endpoint list, its load, its recent
- * successes and failures, and its health.
+ * State of one endpoint as this balancer sees it: its entry in the endpoint list, its load, its
+ * recent successes and failures, and its health.
  *
  * <p>Counts named "decayed" are exponentially weighted: the increment of one event grows with time
- * (see {@link TrafficCounters#scale()}), so that old counts lose weight without being touched.
- * Instants are µs of the clock that the routing policy is driven by. Confined to the thread of the
- * routing policy.
+ * (see {@link TrafficCounters#scale()}), so that old counts lose weight without being updated.
+ * Points in time are µs of the routing policy's clock. Confined to the thread of the routing
+ * policy.
  */
 public final class EndpointState extends EndpointListEntry {
-    /** Upper bound of a plausible load report, in requests. */
+    /** Exclusive upper bound of a plausible load report, in requests. */
     private static final double MAX_REPORTED_IN_FLIGHT = 1e6;
 
     private static final double LATENCY_RATIO_DECAY_MICROS = 10e6;
     private static final double LATENCY_RATIO_SMOOTHING = 0.25;
     private static final double MAX_LATENCY_RATIO_SAMPLE = 4;
 
-    // Identity
     private Endpoint descriptor;
     private final long idHash;
     private final int tieBreaker;
@@ -33,8 +32,8 @@
     private EndpointState nextOfSameWeight;
     private int visitGeneration;
 
-    // Load. Both queues stay null until they are first needed, which for most endpoints of a large
-    // fleet is never.
+    // Both queues are null until first used, which saves memory: in a large fleet, most endpoints
+    // never need them.
     private int inFlight;
     private double accomplishment;
     private ArrayDeque<Attempt> dispatchedAttempts;
@@ -44,7 +43,6 @@
     private double latencyRatio = 1;
     private long latencyRatioAtMicros;
 
-    // Health
     private final ClassHealth[] classHealth;
     private double decayedSuccesses;
     private double decayedFailures;
@@ -57,20 +55,21 @@
     private int consecutiveEjections;
     private int halfOpenSuccessesLeft;
 
-    // Slow start
     private double slowStartTokens;
     private long slowStartTokensAtMicros;
 
-    /** An endpoint outside of a registry, for tests and models. */
+    /** Creates an endpoint that belongs to no registry, for tests and models. */
     public EndpointState(Endpoint descriptor, int tieBreaker, int classCount) {
         this(descriptor, tieBreaker, classCount, new ActiveEndpoints(), 0);
     }
 
     /**
-     * @param tieBreaker random, orders endpoints of equal accomplishment
+     * Creates an endpoint of a registry.
+     *
+     * @param tieBreaker random number that orders endpoints of equal accomplishment
      * @param classCount number of request classes
-     * @param activeEndpoints notified when this endpoint leaves the steady state
-     * @param listPosition place in the order of listed endpoints
+     * @param activeEndpoints receives this endpoint when it leaves the steady state
+     * @param listPosition position in the order of listed endpoints
      */
     EndpointState(
             Endpoint descriptor,
@@ -89,20 +88,18 @@
         this.tieBreaker = tieBreaker;
     }
 
-    // ---------------------------------------------------------------- identity
-
-    /** The entry of the endpoint list as last received. */
+    /** Returns the endpoint's entry in the endpoint list, as last received. */
     public Endpoint descriptor() {
         return descriptor;
     }
 
-    /** Hash of the endpoint's id; the same on every balancer. */
+    /** Returns the hash of the endpoint's id, which is the same on every balancer. */
     @Override
     public long idHash() {
         return idHash;
     }
 
-    /** Random number that orders endpoints of equal accomplishment. */
+    /** Returns the random number that orders endpoints of equal accomplishment. */
     public int tieBreaker() {
         return tieBreaker;
     }
@@ -111,17 +108,19 @@
         descriptor = newDescriptor;
     }
 
-    // ---------------------------------------------------------------- scans and searches
-
     /**
-     * Registers the endpoint as active: it has left its steady state, or is about to, so periodic
-     * scans must include it.
+     * Registers the endpoint as active, so that periodic scans include it. Called when the endpoint
+     * leaves its steady state or is about to.
      */
     public void markActive() {
         activeEndpoints.add(this);
     }
 
-    /** Puts this endpoint in front of a chain of endpoints of its weight ({@code head} or null). */
+    /**
+     * Inserts this endpoint at the front of the linked list of endpoints of the same weight.
+     *
+     * @param head current first endpoint of the list, or null if it is empty
+     */
     void linkBefore(EndpointState head) {
         nextOfSameWeight = head;
         if (head != null) {
@@ -129,7 +128,7 @@
         }
     }
 
-    /** Takes this endpoint out of the chain of its weight. */
+    /** Removes this endpoint from the linked list of endpoints of the same weight. */
     void unlinkFromSameWeight() {
         if (nextOfSameWeight != null) {
             nextOfSameWeight.previousOfSameWeight = previousOfSameWeight;
@@ -145,26 +144,29 @@
         return previousOfSameWeight == null;
     }
 
-    /** The next endpoint of the same weight, or null at the end of the chain. */
+    /** Returns the next endpoint of the same weight, or null at the end of the linked list. */
     EndpointState nextOfSameWeight() {
         return nextOfSameWeight;
     }
 
-    /** Marks the endpoint as visited by a search for candidates; false if it was already. */
+    /**
+     * Marks the endpoint as visited by a search for candidates.
+     *
+     * @param generation number of the search
+     * @return whether this search had not visited it before
+     */
     public boolean markVisited(int generation) {
         boolean isFirstVisit = visitGeneration != generation;
         visitGeneration = generation;
         return isFirstVisit;
     }
 
-    // ---------------------------------------------------------------- load
-
-    /** Attempts of this balancer that are in flight at the endpoint. */
+    /** Returns the number of this balancer's attempts that are in flight at the endpoint. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** Accomplishment as JSQ-DAS defines it: the decayed count of dispatches. */
+    /** Returns the accomplishment as JSQ-DAS defines it: the decayed count of dispatches. */
     public double accomplishment() {
         return accomplishment;
     }
@@ -172,7 +174,7 @@
     /**
      * Counts an attempt that is sent to the endpoint.
      *
-     * @param accomplishmentIncrement weight of one dispatch now
+     * @param accomplishmentIncrement current weight of one dispatch
      */
     void onDispatched(Attempt attempt, double accomplishmentIncrement) {
         dispatchedAttempts = dispatchedAttempts == null ? new ArrayDeque<>(1) : dispatchedAttempts;
@@ -183,13 +185,13 @@
         slowStartTokens--;
     }
 
-    /** Counts the end of an attempt, which is no longer in flight itself. */
+    /** Counts the end of an attempt, which must already be marked as no longer in flight. */
     void onAttemptEnded() {
         inFlight--;
         dropEndedAttempts();
     }
 
-    /** The attempt that has been in flight for longest, or null. */
+    /** Returns the attempt that has been in flight the longest, or null if there is none. */
     public Attempt oldestInFlight() {
         dropEndedAttempts();
         return dispatchedAttempts == null ? null : dispatchedAttempts.peekFirst();
@@ -203,7 +205,10 @@
         }
     }
 
-    /** Counts a slot as occupied until then: the endpoint may still run the failed attempt. */
+    /**
+     * Counts one slot as occupied until {@code untilMicros}, since the endpoint may still be
+     * running a failed attempt.
+     */
     public void addPenalty(long untilMicros) {
         if (penaltyExpiriesMicros == null) {
             penaltyExpiriesMicros = new ArrayDeque<>(1);
@@ -212,7 +217,7 @@
         markActive();
     }
 
-    /** Slots that still count as occupied after failed attempts. */
+    /** Returns the number of slots that still count as occupied after failed attempts. */
     public int penaltySlots(long now) {
         while (penaltyExpiriesMicros != null && penaltyExpiriesMicros.peekFirst() <= now) {
             penaltyExpiriesMicros.pollFirst();
@@ -231,17 +236,20 @@
         }
     }
 
-    /** Requests in flight at the endpoint from all balancers, by its last load report. */
+    /** Returns the requests in flight from all balancers, according to the last load report. */
     public double reportedInFlight() {
         return reportedInFlight;
     }
 
-    /** When the last load report came in; 0 if there was none. */
+    /** Returns when the last load report was received, or 0 if there was none. */
     public long reportedAtMicros() {
         return reportedAtMicros;
     }
 
-    /** Moving mean of latency over usual latency; decays towards 1 without samples. */
+    /**
+     * Returns the moving mean of the ratio of measured to usual latency. Without new samples, it
+     * decays towards 1.
+     */
     public double latencyRatio(long now) {
         double decay = Math.exp(-(now - latencyRatioAtMicros) / LATENCY_RATIO_DECAY_MICROS);
         return 1 + (latencyRatio - 1) * decay;
@@ -255,29 +263,27 @@
         latencyRatioAtMicros = now;
     }
 
-    // ---------------------------------------------------------------- successes and failures
-
-    /** Health for the class of this number. */
+    /** Returns the health for the request class with the given index. */
     public ClassHealth classHealth(int classIndex) {
         return classHealth[classIndex];
     }
 
-    /** Number of request classes. */
+    /** Returns the number of request classes. */
     public int classCount() {
         return classHealth.length;
     }
 
-    /** Decayed count of successful attempts. */
+    /** Returns the decayed count of successful attempts. */
     public double decayedSuccesses() {
         return decayedSuccesses;
     }
 
-    /** Decayed count of failed attempts. */
+    /** Returns the decayed count of failed attempts. */
     public double decayedFailures() {
         return decayedFailures;
     }
 
-    /** When an attempt last succeeded; at first, when the endpoint was listed. */
+    /** Returns when an attempt last succeeded, or when the endpoint was listed if none has. */
     public long lastSuccessAtMicros() {
         return lastSuccessAtMicros;
     }
@@ -285,7 +291,7 @@
     /**
      * Counts a successful attempt.
      *
-     * @param increment weight of one success now
+     * @param increment current weight of one success
      */
     public void recordSuccess(double increment, long now) {
         decayedSuccesses += increment;
@@ -293,11 +299,11 @@
     }
 
     /**
-     * Counts a failed attempt, which also loses the endpoint one dispatch of accomplishment.
+     * Counts a failed attempt, and reduces the accomplishment by one dispatch.
      *
-     * @param failureWeight share of a whole failure that it counts for
-     * @param countScale weight of one event now
-     * @param penaltyUntilMicros until when the attempt's slot counts as occupied
+     * @param failureWeight fraction of a full failure that it counts as
+     * @param countScale current weight of one event
+     * @param penaltyUntilMicros time until which the attempt's slot counts as occupied
      */
     public void recordFailure(double failureWeight, double countScale, long penaltyUntilMicros) {
         accomplishment = Math.max(0, accomplishment - countScale);
@@ -305,41 +311,39 @@
         decayedFailures += failureWeight * countScale;
     }
 
-    /** Divides the decayed counts, when the weight of one event is reset. */
+    /** Divides the decayed counts; called when the event weight is reset. */
     void rescale(double scale) {
         accomplishment /= scale;
         decayedSuccesses /= scale;
         decayedFailures /= scale;
     }
 
-    // ---------------------------------------------------------------- reachability
-
-    /** Failed connects since one last succeeded. */
+    /** Returns the number of failed connects since the last successful one. */
     public int consecutiveConnectFailures() {
         return consecutiveConnectFailures;
     }
 
-    /** Whether only another balancer has found the endpoint unreachable, not this one. */
+    /** Returns whether another balancer has found the endpoint unreachable and this one has not. */
     public boolean isReportedUnreachable() {
         return reportedUnreachable;
     }
 
-    /** A connection was established, or an existing one was used. */
+    /** Records that a connection was established or an existing one was used. */
     public void onConnected() {
         consecutiveConnectFailures = 0;
         reportedUnreachable = false;
     }
 
-    /** A connection could not be established. */
+    /** Records that a connection could not be established. */
     public void onConnectFailed() {
         consecutiveConnectFailures++;
         reportedUnreachable = false;
     }
 
     /**
-     * Another balancer reported the endpoint unreachable: ejects it.
+     * Ejects the endpoint because another balancer reported it unreachable.
      *
-     * @param connectFailures number of failed connects that the report stands for
+     * @param connectFailures number of failed connects that the report counts as
      */
     public void onReportedUnreachable(int connectFailures, long untilMicros) {
         markActive();
@@ -348,27 +352,23 @@
         enterEjection(untilMicros);
     }
 
-    // ---------------------------------------------------------------- rejections
-
-    /** Rejected attempts since one last succeeded. */
+    /** Returns the number of rejected attempts since the last successful one. */
     public int consecutiveRejections() {
         return consecutiveRejections;
     }
 
-    /** The endpoint rejected an attempt and gets no other before the backoff ends. */
+    /** Records a rejected attempt; the endpoint gets no other before the backoff ends. */
     public void onRejected(long backoffUntilMicros) {
         consecutiveRejections++;
         rejectionBackoffUntilMicros = backoffUntilMicros;
     }
 
-    /** Whether the endpoint gets no attempt since it has just rejected one. */
+    /** Returns whether the endpoint gets no attempts because it has recently rejected one. */
     public boolean isInRejectionBackoff(long now) {
         return rejectionBackoffUntilMicros > now;
     }
 
-    // ---------------------------------------------------------------- ejection
-
-    /** Whether the endpoint as a whole is ejected. */
+    /** Returns whether the endpoint as a whole is ejected. */
     public boolean isEjected(long now) {
         return ejectedUntilMicros > now;
     }
@@ -377,20 +377,20 @@
         return ejectedUntilMicros;
     }
 
-    /** Ejections that count for the backoff, since the endpoint last recovered. */
+    /** Returns the number of ejections since the last recovery that count for the backoff. */
     public int consecutiveEjections() {
         return consecutiveEjections;
     }
 
-    /** Whether the endpoint is or was ejected and has not yet recovered. */
+    /** Returns whether the endpoint is ejected, or was ejected and has not recovered yet. */
     public boolean isHalfOpen() {
         return halfOpenSuccessesLeft > 0;
     }
 
     /**
-     * Ejects the endpoint; afterwards it is half-open.
+     * Ejects the endpoint; it is half-open afterwards.
      *
-     * @param lengthensBackoff whether the next ejection is to be longer
+     * @param lengthensBackoff whether the next ejection will be longer
      */
     public void eject(long untilMicros, boolean lengthensBackoff) {
         if (lengthensBackoff) {
@@ -405,9 +405,9 @@
     }
 
     /**
-     * An attempt succeeded: ends the run of rejections and counts towards recovery.
+     * Counts a successful attempt towards recovery, and resets the count of rejections.
      *
-     * @return whether the endpoint has recovered by it
+     * @return whether the endpoint has recovered with this attempt
      */
     public boolean advanceRecovery() {
         consecutiveRejections = 0;
@@ -419,14 +419,12 @@
         return false;
     }
 
-    // ---------------------------------------------------------------- slow start
-
-    /** Tokens of the slow start budget, in attempts, as of {@link #slowStartTokensAtMicros}. */
+    /** Returns the slow start budget in attempts, as of {@link #slowStartTokensAtMicros}. */
     public double slowStartTokens() {
         return slowStartTokens;
     }
 
-    /** When the slow start budget was last refilled. */
+    /** Returns when the slow start budget was last refilled. */
     public long slowStartTokensAtMicros() {
         return slowStartTokensAtMicros;
     }
@@ -437,17 +435,16 @@
         slowStartTokensAtMicros = now;
     }
 
-    // ---------------------------------------------------------------- as a whole
-
     /**
-     * Starts the slow start budget and the time without success; called once, when first listed.
+     * Initializes the slow start budget and the time since the last success; called once, when the
+     * endpoint is first listed.
      */
     void start(double initialSlowStartTokens, long now) {
         refillSlowStartTokens(initialSlowStartTokens, now);
         lastSuccessAtMicros = now;
     }
 
-    /** Replaces the decayed counts by those of a snapshot. */
+    /** Replaces the decayed counts with those of a snapshot. */
     void restoreCounts(
             double restoredAccomplishment, double restoredSuccesses, double restoredFailures) {
         markActive();
@@ -456,7 +453,7 @@
         decayedFailures = restoredFailures;
     }
 
-    /** Continues an ejection of a snapshot. */
+    /** Resumes an ejection that a snapshot contains. */
     void restoreEjection(
             long untilMicros, int restoredConsecutiveEjections, int restoredConnectFailures) {
         consecutiveEjections = restoredConsecutiveEjections;
@@ -465,8 +462,8 @@
     }
 
     /**
-     * Whether the endpoint, leaving its slow start aside, is as one that was never sent to, or not
-     * since {@code quietSinceMicros}: idle, reachable, neither ejected nor in backoff.
+     * Returns whether the endpoint is steady: idle, reachable, neither ejected nor in backoff, and
+     * without successes since {@code quietSinceMicros}. Slow start is not considered.
      */
     boolean isSteady(long quietSinceMicros, long now) {
         boolean hasRecentSuccess = decayedSuccesses > 0 && lastSuccessAtMicros > quietSinceMicros;
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointTotals.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/EndpointTotals.java
@@ -7,18 +7,19 @@
 import loadbalancer.routing.api.Endpoint;
 
 /**
- * Number and weight of the listed endpoints: in total, by machine type and by zone, updated as they
- * are added and removed.
+ * Number and weight of the listed endpoints in total, by machine type and by zone, updated as
+ * endpoints are added and removed.
  *
- * <p>Weights are summed exactly, as the decimals that the list gives. So an endpoint that is added
- * and removed leaves no trace, no sum is ever computed anew, and machine types of equal mean weight
- * do not differ by rounding. Confined to the thread of the routing policy.
+ * <p>Weights are summed exactly, as the decimal numbers of the endpoint list. Adding and removing
+ * an endpoint therefore leaves no rounding error, sums never have to be recomputed, and machine
+ * types of equal mean weight do not differ by rounding. Confined to the thread of the routing
+ * policy.
  */
 final class EndpointTotals {
-    // The paper's p where there is one machine type only
+    // Parameter p of the JSQ-DAS paper if there are fewer than two machine types.
     private static final double DEFAULT_FAST_FRACTION = 0.5;
 
-    /** Number and weight of some of the endpoints. */
+    /** Number and weight of a group of endpoints. */
     private static final class Subtotal {
         private int endpointCount;
         private BigDecimal exactWeight = BigDecimal.ZERO;
@@ -54,7 +55,10 @@
             return weight;
         }
 
-        /** Whether the mean weight is at least that of {@code other}; compared without division. */
+        /**
+         * Returns whether the mean weight is at least that of {@code other}. Compares without
+         * division, which would round.
+         */
         boolean hasMeanWeightOfAtLeast(Subtotal other) {
             BigDecimal scaledWeight = exactWeight.multiply(BigDecimal.valueOf(other.endpointCount));
             BigDecimal scaledOther = other.exactWeight.multiply(BigDecimal.valueOf(endpointCount));
@@ -68,7 +72,7 @@
     private double fastFraction = DEFAULT_FAST_FRACTION;
     private boolean isFastFractionCached = true;
 
-    /** Counts an endpoint that is listed from here on. */
+    /** Adds an endpoint to the totals. */
     void add(Endpoint endpoint) {
         isFastFractionCached = false;
         total.add(endpoint);
@@ -76,7 +80,7 @@
         subtotal(byZone, endpoint.zone()).add(endpoint);
     }
 
-    /** Takes back an endpoint that was added with the same values. */
+    /** Removes an endpoint that was added with the same values. */
     void remove(Endpoint endpoint) {
         isFastFractionCached = false;
         total.remove(endpoint);
@@ -96,28 +100,31 @@
         }
     }
 
-    /** Weight of all endpoints. */
+    /** Returns the total weight of all endpoints. */
     double weight() {
         return total.weight();
     }
 
-    /** Mean weight of all endpoints; 1 without any. */
+    /** Returns the mean weight of all endpoints, or 1 if there are none. */
     double meanWeight() {
         return total.endpointCount == 0 ? 1 : total.weight() / total.endpointCount;
     }
 
-    /** Number of zones: all up to the highest number that an endpoint names. */
+    /** Returns the number of zones, which is one more than the highest zone number in use. */
     int zoneCount() {
         return byZone.isEmpty() ? 0 : 1 + Math.max(-1, byZone.lastKey());
     }
 
-    /** Number of endpoints in a zone. */
+    /** Returns the number of endpoints in a zone. */
     int endpointsInZone(int zone) {
         Subtotal subtotal = byZone.get(zone);
         return subtotal == null ? 0 : subtotal.endpointCount;
     }
 
-    /** Sum of a value of each zone, weighted by its endpoints; in the order of zone numbers. */
+    /**
+     * Returns the sum of a value over all zones, each multiplied by the zone's weight. Adds in the
+     * order of zone numbers.
+     */
     double weightedSum(IntToDoubleFunction valueOfZone) {
         double sum = 0;
         for (Map.Entry<Integer, Subtotal> zone : byZone.entrySet()) {
@@ -127,8 +134,8 @@
     }
 
     /**
-     * The paper's p: the share of endpoints whose machine type has a mean weight of at least the
-     * mean of all.
+     * Returns the fraction of endpoints whose machine type has a mean weight of at least the
+     * overall mean; the parameter p of the JSQ-DAS paper.
      */
     double fastFraction() {
         if (!isFastFractionCached) {
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/HashRing.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/HashRing.java
@@ -5,20 +5,21 @@
 import java.util.NoSuchElementException;
 
 /**
- * A consistent hash ring: endpoints at points that follow from their ids, so that a change of the
- * list moves few of them. A point is any {@code long}, in signed order, and the ring closes from
- * {@link Long#MAX_VALUE} to {@link Long#MIN_VALUE}.
+ * A consistent hash ring. The points of an endpoint are derived from its id, so that a change of
+ * the list moves few points. A point is any {@code long}, in signed order; {@link Long#MIN_VALUE}
+ * follows {@link Long#MAX_VALUE}.
  *
- * <p>Points are spread evenly by their hash. So the ring is cut into a power of two of equal
- * buckets, each a short sorted array: insertion touches one bucket, and no node is needed for each
- * point, as in a tree. Confined to the thread of the routing policy.
+ * <p>Hashing spreads the points evenly. The ring is therefore divided into equal buckets, whose
+ * number is a power of two and each of which is a short sorted array. An insertion changes one
+ * bucket, and points need no node objects as they would in a tree. Confined to the thread of the
+ * routing policy.
  */
 public final class HashRing {
     private static final int MAX_MEAN_BUCKET_POINTS = 32;
     private static final int MIN_MEAN_BUCKET_POINTS = 4;
     private static final int BUCKET_GROWTH_POINTS = 4;
 
-    // Leading bits of a point that number its bucket
+    // Number of leading bits of a point that give its bucket index.
     private int bucketBits;
     private long[][] bucketPoints = {{}};
     private EndpointState[][] bucketEndpoints = {{}};
@@ -27,14 +28,16 @@
     private long pointChanges;
     private final SubsetOrder subsetOrder;
 
-    /** An empty ring. {@code subsetStart}: the point from which this balancer takes its subset. */
+    /**
+     * Creates an empty ring.
+     *
+     * @param subsetStart point at which this balancer's subset starts
+     */
     HashRing(long subsetStart) {
         this.subsetOrder = new SubsetOrder(this, subsetStart);
     }
 
-    // ---------------------------------------------------------------- points
-
-    /** Adds or removes points of an endpoint until it has {@code targetCount}. */
+    /** Adds or removes points of an endpoint until it has {@code targetCount} of them. */
     void setPointCount(EndpointState endpoint, int targetCount) {
         while (endpoint.ringPointCount() < targetCount) {
             insert(endpoint.addRingPoint(), endpoint);
@@ -44,7 +47,7 @@
         }
     }
 
-    /** Points inserted or removed so far: the cost of all changes of the list. */
+    /** Returns the number of points inserted or removed so far; the cost of all list changes. */
     long pointChanges() {
         return pointChanges;
     }
@@ -53,7 +56,7 @@
         return bucketBits == 0 ? 0 : (int) ((point ^ Long.MIN_VALUE) >>> (Long.SIZE - bucketBits));
     }
 
-    // As Arrays.binarySearch: negative where the bucket has no such point.
+    // Returns the result of Arrays.binarySearch, which is negative if the bucket lacks the point.
     private int indexInBucket(int bucket, long point) {
         return Arrays.binarySearch(bucketPoints[bucket], 0, bucketSizes[bucket], point);
     }
@@ -67,7 +70,7 @@
         int bucket = bucketOf(point);
         int searchResult = indexInBucket(bucket, point);
         if (searchResult >= 0) {
-            // Two endpoints with one point: the later one gets it
+            // If two endpoints have the same point, the later one gets it.
             bucketEndpoints[bucket][searchResult] = endpoint;
             return;
         }
@@ -96,7 +99,7 @@
         int bucket = bucketOf(point);
         int index = indexInBucket(bucket, point);
         if (index < 0 || bucketEndpoints[bucket][index] != endpoint) {
-            // Another endpoint has the point
+            // Another endpoint has this point.
             return;
         }
         onPointChanged(point);
@@ -111,7 +114,7 @@
         }
     }
 
-    // Cuts the ring into twice or half as many buckets as before.
+    // Redistributes all points over twice or half as many buckets as before.
     private void rebucket(int newBucketBits) {
         long[][] oldBucketPoints = bucketPoints;
         EndpointState[][] oldBucketEndpoints = bucketEndpoints;
@@ -153,19 +156,17 @@
         subsetOrder.onPointChanged(point);
     }
 
-    // ---------------------------------------------------------------- walks
-
     /**
-     * The endpoints of all points, once round the ring from {@code point} on; an endpoint comes as
-     * often as it has points. Valid until the next update of the list.
+     * Returns an iterator over the endpoints of all points, once around the ring starting at {@code
+     * point}; an endpoint occurs once for each of its points. Valid until the next list update.
      */
     public Iterator<EndpointState> iteratorFrom(long point) {
         return pointIterator(point);
     }
 
     /**
-     * Each endpoint once, by its first point from the start of this balancer's subset on. Valid
-     * until the next update of the list.
+     * Returns an iterator over all endpoints, each once, in the order of their first points from
+     * the start of this balancer's subset. Valid until the next list update.
      */
     public Iterator<EndpointState> subsetIterator() {
         return subsetOrder.iterator();
@@ -175,7 +176,7 @@
         return new PointIterator(point);
     }
 
-    /** Walks all points once, from one on. */
+    /** Iterates over all points of the ring once, starting at a given point. */
     final class PointIterator implements Iterator<EndpointState> {
         private int bucket;
         private int index;
@@ -198,7 +199,11 @@
             return bucketEndpoints[bucket][index++];
         }
 
-        /** The point of the endpoint that {@link #next} returns next. */
+        /**
+         * Returns the point of the endpoint that {@link #next} returns next.
+         *
+         * @throws NoSuchElementException if all points have been visited
+         */
         long peekPoint() {
             if (remaining <= 0) {
                 throw new NoSuchElementException("no more points on the ring");
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/InvalidZoneTallyException.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/InvalidZoneTallyException.java
@@ -1,6 +1,6 @@
 package loadbalancer.routing.endpoint;
 
-/** A {@link ZoneTally} counts more endpoints as observed than as listed. */
+/** Thrown if a {@link ZoneTally} would have more observed endpoints than listed ones. */
 public final class InvalidZoneTallyException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/KeyQueue.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/KeyQueue.java
@@ -3,15 +3,15 @@
 import java.util.ArrayDeque;
 
 /**
- * Open requests of one idempotency key whose class asks for order: only the head may be sent. After
- * an attempt that may still be running at an endpoint, the next request waits for a cooldown.
- * Confined to the thread of the routing policy.
+ * Queue of the open requests of one idempotency key, for classes that require order. Only the
+ * request at the head may be sent. After an attempt that may still be running at an endpoint, the
+ * next request waits for a cooldown. Confined to the thread of the routing policy.
  */
 public final class KeyQueue {
     private final ArrayDeque<PendingRequest> requests = new ArrayDeque<>();
     private long cooldownUntilMicros;
 
-    /** Adds a request behind all others of its key. */
+    /** Adds a request at the end of the queue. */
     public void add(PendingRequest request) {
         requests.add(request);
     }
@@ -21,18 +21,21 @@
         requests.remove(request);
     }
 
-    /** Whether a request may be sent: it is the head, and has attempts or no cooldown to await. */
+    /**
+     * Returns whether a request may be sent: it is at the head, and either it already has attempts
+     * or the cooldown is over.
+     */
     public boolean allowsAttempt(PendingRequest request, long now) {
         return requests.peekFirst() == request
                 && (now >= cooldownUntilMicros || request.hasAttempts());
     }
 
-    /** An attempt may still be running: no other request is sent until then. */
+    /** Extends the cooldown to {@code untilMicros}, since an attempt may still be running. */
     public void extendCooldown(long untilMicros) {
         cooldownUntilMicros = Math.max(cooldownUntilMicros, untilMicros);
     }
 
-    /** Whether nothing needs the queue any longer: no request, and no cooldown. */
+    /** Returns whether the queue can be discarded: it is empty and the cooldown is over. */
     public boolean isDisposable(long now) {
         return requests.isEmpty() && now >= cooldownUntilMicros;
     }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/LatencyTracker.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/LatencyTracker.java
@@ -5,16 +5,18 @@
 import loadbalancer.routing.api.RequestClass;
 
 /**
- * Usual values of each request class: the latency of its successes, its work hints, and the time
- * that clients give their first attempts. Confined to the thread of the routing policy.
+ * Tracks typical values of each request class: the latency of its successes, its work hints, and
+ * the time that clients allow for their first attempts. Confined to the thread of the routing
+ * policy.
  */
 public final class LatencyTracker {
-    // Weight of one sample in the moving means
+    // Weight of one sample in the moving means.
     private static final double SMOOTHING = 0.03;
-    private static final double SNAPSHOT_TRUST_DECAY_MICROS = 60e6;
-    // Before any sample the latency objective divided by this counts as usual
+    private static final double SNAPSHOT_WEIGHT_DECAY_MICROS = 60e6;
+    // Before the first sample, the usual latency is the latency objective divided by this.
     private static final double OBJECTIVE_PER_INITIAL_LATENCY = 4.0;
-    // Part of the class's deadline by which the remaining time of equal attempts may differ
+    // Attempts whose remaining times differ by at most the class's deadline divided by this count
+    // as having the same remaining time.
     private static final int DEADLINE_TOLERANCE_DIVISOR = 32;
 
     private final List<RequestClass> requestClasses;
@@ -23,7 +25,7 @@
     private final long[] maxFirstAttemptMicros;
     private double shortestUsualMicros;
 
-    /** Starts with a latency that follows from each class's objective. */
+    /** Creates a tracker whose initial latencies are derived from the latency objectives. */
     public LatencyTracker(List<RequestClass> requestClasses) {
         this.requestClasses = requestClasses;
         this.usualMicros =
@@ -37,12 +39,14 @@
         return requestClass.latencyObjectiveMicros() / OBJECTIVE_PER_INITIAL_LATENCY;
     }
 
-    /** Moving mean of a class's latency, in µs. */
+    /** Returns the moving mean of a class's latency, in µs. */
     public double usualMicros(int classIndex) {
         return usualMicros[classIndex];
     }
 
-    /** Usual latency of the quickest class as of the last {@link #updateShortest}, in µs. */
+    /**
+     * Returns the lowest usual latency of any class, in µs, as of the last {@link #updateShortest}.
+     */
     public double shortestUsualMicros() {
         return shortestUsualMicros;
     }
@@ -52,40 +56,40 @@
         shortestUsualMicros = Arrays.stream(usualMicros).min().getAsDouble();
     }
 
-    /** The usual latency of each class, in µs. */
+    /** Returns the usual latency of each class, in µs. */
     public List<Double> snapshot() {
         return Arrays.stream(usualMicros).boxed().toList();
     }
 
     /**
-     * Moves the usual latencies towards those of a snapshot, the less the older it is. A snapshot
-     * of another number of classes is ignored.
+     * Moves the usual latencies towards those of a snapshot; an older snapshot has less effect. A
+     * snapshot with a different number of classes is ignored.
      *
-     * @param savedMicros as {@link #snapshot} gave them
-     * @param ageMicros age of the snapshot
+     * @param savedMicros result of {@link #snapshot}, in µs
+     * @param ageMicros age of the snapshot in µs
      */
     public void restore(List<Double> savedMicros, long ageMicros) {
         if (savedMicros.size() == usualMicros.length) {
-            double trust = Math.exp(-ageMicros / SNAPSHOT_TRUST_DECAY_MICROS);
+            double snapshotWeight = Math.exp(-ageMicros / SNAPSHOT_WEIGHT_DECAY_MICROS);
             for (int classIndex = 0; classIndex < usualMicros.length; classIndex++) {
-                restore(classIndex, savedMicros.get(classIndex), trust);
+                restore(classIndex, savedMicros.get(classIndex), snapshotWeight);
             }
         }
         updateShortest();
     }
 
-    private void restore(int classIndex, double savedMicros, double trust) {
+    private void restore(int classIndex, double savedMicros, double snapshotWeight) {
         double maxMicros = (double) requestClasses.get(classIndex).deadlineMicros();
         double plausibleMicros = Math.max(1, Math.min(maxMicros, savedMicros));
-        usualMicros[classIndex] += trust * (plausibleMicros - usualMicros[classIndex]);
+        usualMicros[classIndex] += snapshotWeight * (plausibleMicros - usualMicros[classIndex]);
     }
 
-    /** Adds the latency of a success. */
+    /** Adds the latency of a successful attempt, in µs. */
     public void recordLatency(int classIndex, long latencyMicros) {
         usualMicros[classIndex] += SMOOTHING * (latencyMicros - usualMicros[classIndex]);
     }
 
-    /** Adds a work hint; returns it as a multiple of the mean, which includes it already. */
+    /** Adds a work hint; returns its ratio to the mean, which already includes it. */
     public double recordWorkHint(int classIndex, long workHint) {
         double mean = meanWorkHints[classIndex];
         meanWorkHints[classIndex] += (mean > 0 ? SMOOTHING : 1) * (workHint - mean);
@@ -93,12 +97,13 @@
     }
 
     /**
-     * Time since the client's first attempt, in µs, where a resubmission reveals it.
+     * Returns the time since the client's first attempt in µs, or 0 if it is unknown.
      *
-     * <p>A client gives each attempt the same time, or what is left of the class's deadline. Only
-     * one whose remaining time differs from that of first attempts therefore tells how much of the
-     * deadline has passed.
+     * <p>A client allows the same time for each attempt, or what remains of the class's deadline. A
+     * resubmission therefore reveals how much of the deadline has passed only if its remaining time
+     * differs from that of first attempts.
      *
+     * @param remainingMicros time until the client's deadline, in µs
      * @param resubmission whether the client marked the request as sent before
      */
     public long elapsedSinceFirstAttemptMicros(
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/ListOrder.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ListOrder.java
@@ -4,17 +4,17 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The order of listed endpoints: that in which the endpoint lists first named them. */
+/** Order of the listed endpoints: the order in which they first appeared in endpoint lists. */
 final class ListOrder {
     static final Comparator<EndpointState> COMPARATOR =
             Comparator.comparingLong(EndpointState::listPosition);
 
     private ListOrder() {}
 
-    /** Index at which an ordered list holds an endpoint, or would have to. */
+    /** Returns the index of an endpoint in an ordered list, or the index to insert it at. */
     static int indexOf(List<EndpointState> ordered, EndpointState endpoint) {
         int lastIndex = ordered.size() - 1;
-        // Most often it belongs at the end
+        // Handles the most frequent case, a new endpoint at the end, without a search.
         if (lastIndex < 0 || ordered.get(lastIndex).listPosition() < endpoint.listPosition()) {
             return lastIndex + 1;
         }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/PendingRequest.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/PendingRequest.java
@@ -11,8 +11,8 @@
  * A request without a final response, or with attempts in flight. Confined to the thread of the
  * routing policy.
  *
- * <p>States: open until {@link #close}; while open either in the {@code PendingQueue} or with an
- * attempt in flight. It is finished once it is closed and its last attempt has ended.
+ * <p>A request is open until {@link #close}. While open, it is either in the {@code PendingQueue}
+ * or has an attempt in flight. It is finished when it is closed and its last attempt has ended.
  */
 public final class PendingRequest {
     private final String id;
@@ -30,14 +30,16 @@
     private boolean closed;
     private boolean queued;
     private boolean streaming;
-    // Null where the class asks for no order
+    // Null if the class requires no order.
     private KeyQueue keyQueue;
 
     /**
-     * @param classIndex number of {@code requestClass} in the settings
-     * @param keyHash hash of the request's key, 0 without one
-     * @param remainingMicros time until the client's deadline
-     * @param latencyObjectiveAtMicros when the latency objective ends; not after the deadline
+     * Creates an open request.
+     *
+     * @param classIndex index of {@code requestClass} in the settings
+     * @param keyHash hash of the request's key, or 0 if it has none
+     * @param remainingMicros time until the client's deadline, in µs
+     * @param latencyObjectiveAtMicros when the latency objective ends; limited to the deadline
      * @param overQuota whether the tenant has used up its quota
      */
     public PendingRequest(
@@ -59,69 +61,80 @@
         this.lowPriority = overQuota || latencyObjectiveAtMicros <= arrivedAtMicros;
     }
 
-    /** The id that the routing policy's caller gave it. */
+    /** Returns the id that the routing policy's caller assigned. */
     public String id() {
         return id;
     }
 
-    /** Number of its class in the settings. */
+    /** Returns the index of the request's class in the settings. */
     public int classIndex() {
         return classIndex;
     }
 
-    /** Its class. */
+    /** Returns the request's class. */
     public RequestClass requestClass() {
         return requestClass;
     }
 
-    /** Hash of its key, 0 without one. */
+    /** Returns the hash of the request's key, or 0 if it has none. */
     public long keyHash() {
         return keyHash;
     }
 
-    /** When it came in; for a request with a body, when that was complete. */
+    /** Returns when the request arrived or, if it has a body, when the body was complete. */
     public long arrivedAtMicros() {
         return arrivedAtMicros;
     }
 
-    /** When its client gives up. */
+    /** Returns when the client gives up. */
     public long deadlineMicros() {
         return deadlineMicros;
     }
 
-    /** When its latency objective ends. */
+    /** Returns when the latency objective ends. */
     public long latencyObjectiveAtMicros() {
         return latencyObjectiveAtMicros;
     }
 
-    /** Whether it is over its tenant's quota, or came in after its latency objective had ended. */
+    /**
+     * Returns whether the request is over its tenant's quota or arrived after its latency objective
+     * had ended.
+     */
     public boolean isLowPriority() {
         return lowPriority;
     }
 
-    /** Expected latency by its work hint, as a multiple of the usual one of its class. */
+    /**
+     * Returns the latency expected from the work hint, as a multiple of the usual latency of the
+     * class.
+     */
     public double expectedLatencyRatio() {
         return expectedLatencyRatio;
     }
 
-    /** Sets {@link #expectedLatencyRatio()}; 1 until then. */
+    /** Sets {@link #expectedLatencyRatio()}, which is 1 initially. */
     public void expectLatencyRatio(double ratio) {
         expectedLatencyRatio = ratio;
     }
 
-    // ---------------------------------------------------------------- body and response
-
-    /** Whether the body is still being received. */
+    /** Returns whether the body is still being received. */
     public boolean isUploading() {
         return uploading;
     }
 
-    /** The body is received for longer than the head; {@link #startClock} ends this state. */
+    /**
+     * Records that the body is still incomplete after the head was received; {@link #startClock}
+     * ends this state.
+     */
     public void onUploadStarted() {
         uploading = true;
     }
 
-    /** The body is complete: the time of the request and its attempts starts now. */
+    /**
+     * Records that the body is complete, and restarts the times of the request and its attempts.
+     *
+     * @param remainingMicros time until the client's deadline, in µs
+     */
     public void startClock(long now, long remainingMicros) {
         latencyObjectiveAtMicros += now - arrivedAtMicros;
         arrivedAtMicros = now;
@@ -130,68 +143,64 @@
         attempts.forEach(attempt -> attempt.restartClock(now));
     }
 
-    /** Whether a response is being passed on to the client. */
+    /** Returns whether a response is being forwarded to the client. */
     public boolean isStreaming() {
         return streaming;
     }
 
-    /** The response is being passed on; the attempt is not cancelled from here on. */
+    /** Records that the response is being forwarded; the attempt is no longer cancelled. */
     public void onStreamStarted() {
         streaming = true;
     }
 
-    /** Whether it has got its final response, or its client is gone. */
+    /** Returns whether the request got its final response or its client is gone. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** It needs no further attempt. */
+    /** Closes the request, which needs no further attempts. */
     public void close() {
         closed = true;
     }
 
-    /** Whether it is closed and no attempt is in flight. */
+    /** Returns whether the request is closed and has no attempt in flight. */
     public boolean isFinished() {
         return closed && attemptsInFlight == 0;
     }
 
-    // ---------------------------------------------------------------- queues
-
-    /** Whether it is in the queue of requests that wait for an endpoint. */
+    /** Returns whether the request is queued, waiting for an endpoint. */
     public boolean isQueued() {
         return queued;
     }
 
-    /** It has been put into the queue. */
+    /** Records that the request was put into the queue. */
     public void onQueued() {
         queued = true;
     }
 
-    /** It has been taken out of the queue. */
+    /** Records that the request was taken out of the queue. */
     public void onDequeued() {
         queued = false;
     }
 
-    /** The queue of its key, or null where its class asks for no order. */
+    /** Returns the queue of the request's key, or null if its class requires no order. */
     public KeyQueue keyQueue() {
         return keyQueue;
     }
 
-    /** Joins the queue of its key, at the end. */
+    /** Adds the request at the end of the queue of its key. */
     public void joinKeyQueue(KeyQueue queue) {
         keyQueue = queue;
         queue.add(this);
     }
 
-    /** Leaves the queue of its key, if it is in one. */
+    /** Removes the request from the queue of its key, if it is in one. */
     public void leaveKeyQueue() {
         if (keyQueue != null) {
             keyQueue.remove(this);
         }
     }
 
-    // ---------------------------------------------------------------- attempts
-
     void onAttemptStarted(Attempt attempt) {
         attempts.add(attempt);
         attemptsInFlight++;
@@ -201,32 +210,32 @@
         attemptsInFlight--;
     }
 
-    /** The attempt of this number, from 0 on. */
+    /** Returns the attempt with the given number, starting at 0. */
     public Attempt attempt(int attemptNumber) {
         return attempts.get(attemptNumber);
     }
 
-    /** The attempt that was sent last; there must be one. */
+    /** Returns the attempt that was sent last; there must be at least one. */
     public Attempt lastAttempt() {
         return attempts.get(attempts.size() - 1);
     }
 
-    /** Attempts so far, in flight or ended. */
+    /** Returns the number of attempts so far, in flight or ended. */
     public int attemptCount() {
         return attempts.size();
     }
 
-    /** Whether any attempt was made. */
+    /** Returns whether any attempt was made. */
     public boolean hasAttempts() {
         return !attempts.isEmpty();
     }
 
-    /** Attempts without an outcome. */
+    /** Returns the number of attempts without an outcome. */
     public int attemptsInFlight() {
         return attemptsInFlight;
     }
 
-    /** Whether an attempt was sent to the endpoint. */
+    /** Returns whether an attempt was sent to the endpoint. */
     public boolean wasSentTo(EndpointState endpoint) {
         for (Attempt attempt : attempts) {
             if (attempt.endpoint() == endpoint) {
@@ -236,7 +245,9 @@
         return false;
     }
 
-    /** The earliest attempt that an endpoint may have executed, or null. */
+    /**
+     * Returns the earliest attempt that an endpoint may have executed, or null if there is none.
+     */
     public Attempt firstAttemptThatMayHaveRun() {
         for (Attempt attempt : attempts) {
             if (attempt.mayHaveRun()) {
@@ -247,8 +258,8 @@
     }
 
     /**
-     * Whether the client may send it again without a second execution: no attempt may have run, or
-     * repetition is safe by its class.
+     * Returns whether the client can safely send the request again: no attempt can have been
+     * executed, or repeating it is safe according to its class.
      */
     public boolean isSafeToResubmit() {
         boolean isDeduplicatedEverywhere =
@@ -259,7 +270,7 @@
                 || isDeduplicatedEverywhere;
     }
 
-    /** A number in [0, 1), always the same for this request and zone. */
+    /** Returns a pseudorandom number in [0, 1) that is fixed for this request and zone. */
     public double zoneSample(int zone) {
         return (Hashing.mix(Hashing.hash(id) + zone) >>> 11) * 0x1p-53;
     }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/RingPointAllocator.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/RingPointAllocator.java
@@ -3,18 +3,18 @@
 import java.util.TreeMap;
 
 /**
- * Decides how many points of the ring each listed endpoint has: in proportion to its weight over
- * the mean weight. A change of the list moves the mean a little, which changes the number of points
- * of few weights; only these are looked up and their endpoints updated. Confined to the thread of
- * the routing policy.
+ * Decides how many points each listed endpoint has on the ring, in proportion to the ratio of its
+ * weight to the mean weight. A list change shifts the mean weight slightly, which changes the
+ * number of points for few weights. Only the endpoints of these weights are looked up and updated.
+ * Confined to the thread of the routing policy.
  */
 final class RingPointAllocator {
     private static final int POINTS_AT_MEAN_WEIGHT = 8;
     private static final int MAX_POINTS = 8 * POINTS_AT_MEAN_WEIGHT;
-    // Widens the range of weights that are looked up, since their bounds are rounded
+    // Widens the range of weights that are looked up, since its bounds are rounded.
     private static final double ROUNDING_MARGIN = 1e-9;
 
-    /** The listed endpoints of one weight, chained through themselves. */
+    /** The listed endpoints of one weight, as a linked list through {@link EndpointState}. */
     private static final class WeightGroup {
         EndpointState head;
         int pointCount;
@@ -33,14 +33,16 @@
         return (int) Math.max(1, Math.min(MAX_POINTS, points));
     }
 
-    /** Adds a listed endpoint to those of its weight; {@link #updatePoints} gives it its points. */
+    /**
+     * Adds a listed endpoint to the group of its weight; {@link #updatePoints} assigns its points.
+     */
     void add(EndpointState endpoint, double weight) {
         WeightGroup group = groupsByWeight.computeIfAbsent(weight, unused -> new WeightGroup());
         endpoint.linkBefore(group.head);
         group.head = endpoint;
     }
 
-    /** Removes an endpoint that was added with this weight; its points stay. */
+    /** Removes an endpoint that was added with this weight; its points stay on the ring. */
     void remove(EndpointState endpoint, double weight) {
         boolean isFirst = endpoint.isFirstOfSameWeight();
         EndpointState next = endpoint.nextOfSameWeight();
@@ -52,7 +54,7 @@
         }
     }
 
-    /** Gives an endpoint that was changed the points that it is due: none if it is not listed. */
+    /** Sets the number of points of a changed endpoint, which is 0 if it is not listed. */
     void updatePoints(EndpointState endpoint) {
         if (!endpoint.isListed()) {
             ring.setPointCount(endpoint, 0);
@@ -64,7 +66,7 @@
         ring.setPointCount(endpoint, pointCount);
     }
 
-    /** Sets the mean weight and updates the endpoints whose number of points changes by it. */
+    /** Sets the mean weight and updates the endpoints whose number of points it changes. */
     void updateMeanWeight(double newMeanWeight) {
         if (meanWeight == newMeanWeight) {
             return;
@@ -74,14 +76,14 @@
         double lowerScale = lowerMean / POINTS_AT_MEAN_WEIGHT;
         double upperScale = upperMean / POINTS_AT_MEAN_WEIGHT;
         meanWeight = newMeanWeight;
-        // The number of points is rounded, so it changes where its exact value ends in .5
+        // The number of points is rounded, so it changes where its exact value ends in .5.
         for (int pointCount = 1; pointCount < MAX_POINTS; pointCount++) {
             updateGroups((pointCount + 0.5) * lowerScale, (pointCount + 0.5) * upperScale);
         }
     }
 
     private void updateGroups(double minWeight, double maxWeight) {
-        // By key: an entry would be a copy made for each look-up
+        // Iterates by key, since TreeMap allocates a copy of the entry for each entry lookup.
         Double weight = groupsByWeight.ceilingKey(minWeight);
         while (weight != null && weight <= maxWeight) {
             updateGroup(weight, groupsByWeight.get(weight));
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/SubsetOrder.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/SubsetOrder.java
@@ -6,21 +6,22 @@
 
 /**
  * The endpoints of a {@link HashRing} in the order of their first points from the start of this
- * balancer's subset on. Caches the order as far as walks have gone; a changed point invalidates it
- * only if it lies on the cached arc. Confined to the thread of the routing policy.
+ * balancer's subset. Caches the order as far as iterators have advanced. A changed point
+ * invalidates the cache only if the point lies on the cached arc. Confined to the thread of the
+ * routing policy.
  */
 final class SubsetOrder {
-    // Endpoints that a walk is extended by, at least
-    private static final int MIN_LOOKAHEAD = 16;
+    // Minimum number of endpoints by which the cached arc is extended.
+    private static final int MIN_EXTENSION = 16;
 
     private final HashRing ring;
     private final long start;
-    private EndpointState[] endpoints = new EndpointState[MIN_LOOKAHEAD];
+    private EndpointState[] endpoints = new EndpointState[MIN_EXTENSION];
     private int size;
-    // Length of the cached arc, from the start on; unsigned
+    // Length of the cached arc from the start, as an unsigned number.
     private long coveredDistance;
     private boolean coversRing;
-    // Distinguishes the marks of this walk from those of walks before
+    // Distinguishes the visit marks of the current cache from those of earlier ones.
     private int visitGeneration = 1;
 
     SubsetOrder(HashRing ring, long start) {
@@ -28,7 +29,7 @@
         this.start = start;
     }
 
-    /** Each endpoint once; valid until the next change of the ring. */
+    /** Returns an iterator over all endpoints, each once; valid until the next ring change. */
     Iterator<EndpointState> iterator() {
         return new Iterator<>() {
             private int index;
@@ -48,13 +49,14 @@
         };
     }
 
-    // Extends the cached arc by half of its endpoints; false if it covers the whole ring.
+    // Extends the cached arc by half of its endpoints, or by the minimum if that is more. Returns
+    // false if there are no further endpoints.
     private boolean extend() {
         if (coversRing) {
             return false;
         }
         int oldSize = size;
-        int targetSize = size + Math.max(MIN_LOOKAHEAD, size / 2);
+        int targetSize = size + Math.max(MIN_EXTENSION, size / 2);
         long firstPoint = size == 0 ? start : start + coveredDistance + 1;
         HashRing.PointIterator points = ring.pointIterator(firstPoint);
         while (points.hasNext() && size < targetSize) {
@@ -84,7 +86,7 @@
         return Long.compareUnsigned(distance, coveredDistance) <= 0;
     }
 
-    /** A point of the ring was inserted or is about to be removed. */
+    /** Handles a point that was inserted or removed, or is about to be. */
     void onPointChanged(long point) {
         if (size == 0) {
             coversRing = false;
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/TrafficCounters.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/TrafficCounters.java
@@ -6,13 +6,13 @@
 /**
  * Exponentially decayed counts of this balancer's traffic.
  *
- * <p>Counts of endpoints and keys are not decayed one by one. Instead the weight of one event, the
- * {@link #scale}, grows by the same factor, so that a timer event costs nothing for each of them;
- * {@link #compact} brings all back to a scale of 1 before it grows too large. Confined to the
- * thread of the routing policy.
+ * <p>Counts of endpoints and keys are not decayed one by one. Instead, the weight of one event, the
+ * {@link #scale}, grows by the inverse factor, so that a timer event costs nothing per endpoint or
+ * key. {@link #compact} resets the scale to 1 before it grows too large. Confined to the thread of
+ * the routing policy.
  */
 public final class TrafficCounters {
-    /** Time constant of all counts. */
+    /** Time constant of the decay of all counts. */
     public static final double DECAY_MICROS = 10e6;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -26,7 +26,7 @@
     private long startedAtMicros;
     private long decayedAtMicros;
 
-    /** Sets the time from which on traffic is counted. */
+    /** Sets the time at which counting starts. */
     public void start(long now) {
         startedAtMicros = now;
         decayedAtMicros = now;
@@ -42,12 +42,12 @@
         return retainedFraction;
     }
 
-    /** µs since the last {@link #decay}. */
+    /** Returns the time since the last {@link #decay}, in µs. */
     public long microsSinceDecay(long now) {
         return now - decayedAtMicros;
     }
 
-    /** Forgets keys without recent requests, and resets the scale where it has grown too large. */
+    /** Drops keys without recent requests, and resets the scale if it has grown too large. */
     public void compact(EndpointRegistry registry) {
         requestsByKey.values().removeIf(count -> count < scale / 2);
         if (scale > MAX_SCALE) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Counts requests, without resubmissions. */
+    /** Counts arrived requests; the caller leaves out resubmissions. */
     public void recordArrivals(int requests) {
         arrivals += requests;
     }
@@ -72,33 +72,42 @@
         rejections += attempts;
     }
 
-    /** Weight of one event now, in the counts of endpoints and keys. */
+    /** Returns the current weight of one event in the counts of endpoints and keys. */
     public double scale() {
         return scale;
     }
 
-    /** Arrival rate of this balancer, over the time constant; too low until that has passed. */
+    /**
+     * Returns this balancer's arrival rate, averaged over the time constant. Too low until that
+     * time has passed since the start.
+     */
     public double requestsPerSecond() {
         return arrivals / DECAY_MICROS * MICROS_PER_SECOND;
     }
 
-    /** Whether the attempts of {@link #recordRejections} exceed a fraction of the requests. */
+    /**
+     * Returns whether the attempts counted by {@link #recordRejections} exceed a fraction of the
+     * requests.
+     */
     public boolean isRejectedFractionAbove(double fraction) {
         return rejections > fraction * arrivals;
     }
 
-    /** Fraction of this balancer's requests that are for the key, without the first of them. */
+    /** Returns the fraction of this balancer's requests that have the key, less one request. */
     public double keyTrafficFraction(long keyHash) {
         double keyRequests = requestsByKey.getOrDefault(keyHash, 0.0) / scale;
         return Math.max(0, keyRequests - 1) / Math.max(1, arrivals);
     }
 
-    /** Arrival rate of this balancer, corrected for a start less than the time constant ago. */
+    /** Returns this balancer's arrival rate, corrected for the short time since a recent start. */
     public double biasCorrectedRequestsPerSecond(long now) {
         return arrivals * biasCorrectedRatePerCount(now);
     }
 
-    /** Rate that a decayed count of 1 at an endpoint stands for, corrected in the same way. */
+    /**
+     * Returns the rate per second that a decayed count of 1 at an endpoint corresponds to,
+     * corrected for the short time since a recent start.
+     */
     public double biasCorrectedSuccessesPerSecond(long now) {
         return biasCorrectedRatePerCount(now) / scale;
     }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/ZoneTallies.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ZoneTallies.java
@@ -5,7 +5,10 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 
-/** Counts the unresponsive and the responding endpoints of each zone. */
+/**
+ * Counts the unresponsive and the responding endpoints of each zone. Confined to the thread of the
+ * routing policy.
+ */
 final class ZoneTallies {
     private final int[] unresponsiveByZone;
     private final int[] respondingByZone;
@@ -16,11 +19,13 @@
     }
 
     /**
-     * A tally for each zone of the totals, by its number.
+     * Returns the tally of each zone of the totals, indexed by zone number.
      *
-     * @param activeEndpoints the only ones that can count as anything
-     * @param isUnresponsive whether nothing answers at an endpoint
-     * @param evidenceSinceMicros for a zone, since when a success shows that an endpoint responds
+     * @param activeEndpoints the active endpoints; all others are neither unresponsive nor
+     *     responding
+     * @param isUnresponsive tests whether an endpoint does not respond
+     * @param evidenceSinceMicros gives, for a zone, the earliest time in µs at which a success
+     *     counts as evidence that an endpoint responds
      */
     static List<ZoneTally> of(
             EndpointTotals totals,
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/ZoneTally.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/ZoneTally.java
@@ -1,17 +1,18 @@
 package loadbalancer.routing.endpoint;
 
 /**
- * What is known of the listed endpoints of one zone.
+ * Counts of the listed endpoints of one zone by their observed state. Immutable.
  *
- * @param endpoints number that are listed
- * @param unresponsive number that do not respond: connects fail, or attempts stall
- * @param responding number that have responded recently; disjoint from {@code unresponsive}
+ * @param endpoints number of listed endpoints
+ * @param unresponsive number of endpoints that do not respond: connects fail or attempts stall
+ * @param responding number of endpoints that have responded recently; disjoint from {@code
+ *     unresponsive}
  */
 public record ZoneTally(int endpoints, int unresponsive, int responding) {
     /**
      * Checks the counts.
      *
-     * @throws InvalidZoneTallyException if more endpoints are observed than listed
+     * @throws InvalidZoneTallyException if there are more observed endpoints than listed ones
      */
     public ZoneTally {
         if (unresponsive + responding > endpoints) {
@@ -19,7 +20,7 @@
         }
     }
 
-    /** Endpoints of which anything is known. */
+    /** Returns the number of endpoints that are either unresponsive or responding. */
     public int observed() {
         return unresponsive + responding;
     }
--- a/balancer/src/main/java/loadbalancer/util/EventRateLimiter.java
+++ b/balancer/src/main/java/loadbalancer/util/EventRateLimiter.java
@@ -1,8 +1,8 @@
 package loadbalancer.util;
 
 /**
- * Fixed-window rate limiter: admits a bounded number of events in each window of time. Pure: the
- * caller gives the time, which must not go back. Confined to the thread of its owner.
+ * Fixed-window rate limiter that admits a limited number of events in each time window. Reads no
+ * clock: the caller passes the time, which must not decrease. Confined to the thread of its owner.
  */
 public final class EventRateLimiter {
     private final int maxEventsPerWindow;
@@ -17,18 +17,18 @@
         this.alignsWindows = alignsWindows;
     }
 
-    /** A limiter whose windows begin at the multiples of {@code windowMicros}. */
+    /** Creates a limiter whose windows begin at multiples of {@code windowMicros}. */
     public static EventRateLimiter withAlignedWindows(int maxEventsPerWindow, long windowMicros) {
         return new EventRateLimiter(maxEventsPerWindow, windowMicros, true);
     }
 
-    /** A limiter whose windows begin with the first event after the end of the one before. */
+    /** Creates a limiter whose windows begin with the first event after the previous window. */
     public static EventRateLimiter withWindowsFromFirstEvent(
             int maxEventsPerWindow, long windowMicros) {
         return new EventRateLimiter(maxEventsPerWindow, windowMicros, false);
     }
 
-    /** Whether an event at {@code nowMicros} is within the limit; if so, counts it. */
+    /** Returns whether an event at {@code nowMicros} is within the limit; if so, counts it. */
     public boolean tryAcquire(long nowMicros) {
         if (nowMicros >= windowEndMicros) {
             startWindow(nowMicros);
--- a/balancer/src/main/java/loadbalancer/util/Hashing.java
+++ b/balancer/src/main/java/loadbalancer/util/Hashing.java
@@ -13,7 +13,7 @@
 
     private Hashing() {}
 
-    /** Hash of a text: 64-bit FNV-1a over its UTF-16 code units, then {@link #mix}. */
+    /** Returns the hash of a text: 64-bit FNV-1a over its UTF-16 code units, then {@link #mix}. */
     public static long hash(String text) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
@@ -22,7 +22,10 @@
         return mix(hash);
     }
 
-    /** Spreads close numbers over all 64 bits; a variant of the finalizer of SplitMix64. */
+    /**
+     * Returns a hash that spreads close numbers over all 64 bits; a variant of the finalizer of
+     * SplitMix64.
+     */
     public static long mix(long value) {
         long mixed = ((value + GOLDEN_GAMMA) ^ (value >>> 30)) * MIX_MULTIPLIER_1;
         mixed = (mixed ^ (mixed >>> 27)) * MIX_MULTIPLIER_2;
