--- a/balancer/src/main/java/loadbalancer/routing/endpoint/Attempt.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/Attempt.java
@@ -88,7 +88,7 @@
         classEjection.onAttemptEnded();
     }
 
-    void restartClock(long now) {
+    void resetSentAt(long now) {
         sentAtMicros = now;
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/PendingRequest.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/PendingRequest.java
@@ -140,7 +140,7 @@
         arrivedAtMicros = now;
         deadlineMicros = now + remainingMicros;
         uploading = false;
-        attempts.forEach(attempt -> attempt.restartClock(now));
+        attempts.forEach(attempt -> attempt.resetSentAt(now));
     }
 
     /** Returns whether a response is being forwarded to the client. */
--- a/balancer/src/test/java/loadbalancer/routing/endpoint/ActiveEndpointsTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/ActiveEndpointsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** {@link ActiveEndpoints}: an endpoint that is not among them is steady. */
+/** Tests {@link ActiveEndpoints}: every endpoint that it does not contain is steady. */
 class ActiveEndpointsTest {
     private static final int ENDPOINT_COUNT = 300;
     private static final long LISTED_AT_MICROS = 1_000_000_000;
@@ -44,8 +44,9 @@
         registry.update(List.of(endpoint.descriptor().withStatus(status)), true, NOW, line -> {});
     }
 
-    // One event of each kind, at endpoints that were steady; returns the attempt.
-    private Attempt disturbFiveEndpoints() {
+    // Applies events of each kind that ends the steady state to five steady endpoints. Returns the
+    // attempt that is in flight at one of them.
+    private Attempt activateFiveEndpoints() {
         registry.removeSteadyEndpoints(endpoint -> true, LISTED_AT_MICROS);
         outlierEjection.onReportedUnreachable(endpoints.get(250), NOW);
         outlierEjection.onReportedUnreachable(endpoints.get(7), NOW);
@@ -66,7 +67,7 @@
 
     @Test
     void eventsMakeEndpointsActiveInListOrder() {
-        disturbFiveEndpoints();
+        activateFiveEndpoints();
         List<EndpointState> expectedActive =
                 List.of(
                         endpoints.get(7),
@@ -80,7 +81,7 @@
 
     @Test
     void onlyListedEndpointsAreActive() {
-        disturbFiveEndpoints();
+        activateFiveEndpoints();
         updateStatus(endpoints.get(100), EndpointStatus.DRAINING);
         assertEquals(4, registry.activeEndpoints().size());
         failAttempt(endpoints.get(100));
@@ -89,10 +90,13 @@
         assertEquals(5, registry.activeEndpoints().size());
     }
 
-    /** One that is reported unreachable stays active until an attempt proves otherwise. */
+    /**
+     * An endpoint that is reported unreachable stays active, since only an attempt can show that it
+     * is reachable again.
+     */
     @Test
-    void endpointsBecomeSteadyWhenAllHasEnded() {
-        Attempt attempt = disturbFiveEndpoints();
+    void endpointsBecomeSteadyAfterAttemptsAndEjectionsEnd() {
+        Attempt attempt = activateFiveEndpoints();
         updateStatus(endpoints.get(100), EndpointStatus.DRAINING);
         failAttempt(endpoints.get(100));
         updateStatus(endpoints.get(100), EndpointStatus.UP);
--- a/balancer/src/test/java/loadbalancer/routing/endpoint/ClassEjectionTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/ClassEjectionTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.routing.api.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** {@link ClassEjection}: endpoints that fail one class of requests and serve the others. */
+/** Tests {@link ClassEjection} with endpoints that fail one request class and serve the other. */
 class ClassEjectionTest {
     private static final int FAILING_CLASS = 1;
     private static final RequestClass NON_IDEMPOTENT =
@@ -25,8 +25,8 @@
                     .updateEndpoints(EndpointListKind.CACHED, RoutingEngineHarness.endpoints(8));
     private int requestCount;
 
-    // Both classes in turn, 100 requests/s; two thirds of the failing class fail at these
-    // endpoints.
+    // Sends requests of both classes alternately, at 100 requests/s. At the failing endpoints, two
+    // thirds of the requests of the failing class fail.
     private void serveRequests(int requests, Set<String> failingEndpoints) {
         for (int i = 0; i < requests; i++) {
             RoutingEngineHarness.SentAttempt attempt =
@@ -54,25 +54,28 @@
     @Test
     void endpointIsEjectedOnlyForItsFailingClass() {
         Set<String> failingEndpoints = Set.of("s0", "s1", "s2");
-        // Ten seconds of successes
+        // Ten seconds of successes.
         serveRequests(1000, Set.of());
         harness.sentAttempts.clear();
         serveRequests(1000, failingEndpoints);
         long failingClassCount = countSent(failingEndpoints, FAILING_CLASS);
         assertTrue(
-                failingClassCount < 60, failingClassCount + " of 500 to endpoints that fail them");
+                failingClassCount < 60,
+                failingClassCount + " of 500 requests sent to endpoints that fail them");
         long otherClassCount = countSent(failingEndpoints, 0);
-        assertTrue(otherClassCount > 100, otherClassCount + " of 500 to endpoints that serve them");
+        assertTrue(
+                otherClassCount > 100,
+                otherClassCount + " of 500 requests sent to endpoints that serve them");
         harness.advanceTime(20_000_000);
         harness.sentAttempts.clear();
         serveRequests(1000, Set.of());
         long recoveredClassCount = countSent(failingEndpoints, FAILING_CLASS);
         assertTrue(
                 recoveredClassCount > 100,
-                recoveredClassCount + " of 500 to endpoints that serve them again");
+                recoveredClassCount + " of 500 requests sent to endpoints that serve them again");
     }
 
-    /** Then the class itself is more likely at fault. */
+    /** If a class fails at most endpoints, the class itself is more likely at fault. */
     @Test
     void classFailingOnMostEndpointsEjectsNone() {
         Set<String> failingEndpoints = Set.of("s0", "s1", "s2", "s3", "s4", "s5");
--- a/balancer/src/test/java/loadbalancer/routing/endpoint/EjectionBackoffTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/EjectionBackoffTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** {@link EjectionBackoff}: lengths of ejections and their jitter. */
+/** Tests {@link EjectionBackoff}: duration of ejections and their jitter. */
 class EjectionBackoffTest {
-    @ParameterizedTest(name = "{0} ejections before: {1} µs")
+    @ParameterizedTest(name = "after {0} ejections: {1} µs")
     @CsvSource({"0, 1000000", "1, 2000000", "3, 8000000", "4, 16000000", "5, 16000000"})
-    void lengthDoublesUpToItsBound(int priorEjections, long expectedMicros) {
+    void durationDoublesUpToItsMaximum(int priorEjections, long expectedMicros) {
         assertEquals(expectedMicros, EjectionBackoff.ejectionMicros(priorEjections));
     }
 
--- a/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointListBenchmark.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointListBenchmark.java
@@ -15,10 +15,10 @@
 import loadbalancer.routing.api.RoutingSettings;
 
 /**
- * What the routing policy spends on its endpoint list, by the number of endpoints: CPU time and
- * allocated bytes for a timer event with a look at them, for one changed entry and for a complete
- * list, and live heap for each endpoint. Run by hand as {@code docs/design/list.md} describes; also
- * the fixture of {@link EndpointListCostTest}.
+ * Measures the cost of the endpoint list to the routing policy, by the number of endpoints: CPU
+ * time and allocated bytes of a timer event that scans the endpoints, of a request, of one changed
+ * entry and of a complete list, and live heap per endpoint. Run by hand as described in {@code
+ * docs/design/list.md}; also the fixture of {@link EndpointListCostTest}.
  */
 final class EndpointListBenchmark {
     static final long REFRESH_INTERVAL_MICROS = 100_000;
@@ -35,7 +35,7 @@
         harness.updateEndpoints(EndpointListKind.COMPLETE, endpoints);
     }
 
-    /** Four request classes; a balancer without peers. */
+    /** Returns settings with four request classes, for a balancer without peers. */
     static RoutingSettings settings() {
         return RoutingEngineHarness.settings(
                 RoutingEngineHarness.requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
@@ -66,12 +66,12 @@
                 index % 3);
     }
 
-    /** One timer event with a look at the endpoints. */
-    void advanceIdle() {
+    /** Runs one timer event that scans the endpoints, without requests. */
+    void runIdleTimerEvent() {
         harness.advanceTime(REFRESH_INTERVAL_MICROS);
     }
 
-    /** One endpoint drains; by the next call it is up again. */
+    /** Changes one endpoint to draining, and at the next call back to up. */
     void applyChange() {
         int index = (int) (changeCount / 2 * 7919 % endpoints.size());
         harness.updateEndpoints(
@@ -84,12 +84,12 @@
                                         : EndpointStatus.UP)));
     }
 
-    /** The same list, as a complete one. */
+    /** Applies the unchanged list as a complete list. */
     void applyCompleteList() {
         harness.updateEndpoints(EndpointListKind.COMPLETE, endpoints);
     }
 
-    /** One request after 2 ms, which succeeds at once. */
+    /** Advances the time by 2 ms and sends one request, which succeeds immediately. */
     void serveRequest() {
         harness.advanceTime(2_000);
         RoutingEngineHarness.SentAttempt sent = harness.request("r" + requestCount++, 0);
@@ -100,7 +100,7 @@
         harness.logLines.clear();
     }
 
-    /** Mean bytes that a run of the task allocates on this thread. */
+    /** Returns the mean number of bytes that a run of the task allocates on this thread. */
     static long allocatedBytes(Runnable task, int iterations) {
         long bytesBefore = THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
         for (int i = 0; i < iterations; i++) {
@@ -125,7 +125,7 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    /** Live heap of the routing policy for each endpoint. */
+    /** Returns the live heap of the routing policy per endpoint, in bytes. */
     static long liveHeapBytesPerEndpoint(int endpointCount) {
         List<Endpoint> endpoints = endpoints(endpointCount);
         RoutingEngineHarness harness = new RoutingEngineHarness(settings(), 7);
@@ -133,7 +133,7 @@
         harness.updateEndpoints(EndpointListKind.COMPLETE, endpoints);
         harness.advanceTime(2 * REFRESH_INTERVAL_MICROS);
         long bytesPerEndpoint = (liveHeapBytes() - heapBefore) / endpointCount;
-        // Keeps it reachable until here
+        // Keeps the harness reachable until the heap is measured.
         harness.updateEndpoints(EndpointListKind.FAILED, List.of());
         return bytesPerEndpoint;
     }
@@ -150,17 +150,17 @@
     }
 
     public static void main(String[] sizes) {
-        // Loads the classes
+        // Loads the classes before the measurements.
         liveHeapBytesPerEndpoint(1_000);
         for (String size : sizes) {
             int endpointCount = Integer.parseInt(size);
             System.out.printf(
                     Locale.ROOT,
-                    "%6d endpoints, live heap      %10d bytes each%n",
+                    "%6d endpoints, live heap      %10d bytes per endpoint%n",
                     endpointCount,
                     liveHeapBytesPerEndpoint(endpointCount));
             EndpointListBenchmark benchmark = new EndpointListBenchmark(endpointCount);
-            measure("idle look", endpointCount, benchmark::advanceIdle, 500);
+            measure("idle timer event", endpointCount, benchmark::runIdleTimerEvent, 500);
             measure("request", endpointCount, benchmark::serveRequest, 500);
             measure("one change", endpointCount, benchmark::applyChange, 200);
             measure(
@@ -171,7 +171,7 @@
                         benchmark.serveRequest();
                     },
                     200);
-            measure("whole list", endpointCount, benchmark::applyCompleteList, 20);
+            measure("complete list", endpointCount, benchmark::applyCompleteList, 20);
         }
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointListCostTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointListCostTest.java
@@ -10,19 +10,22 @@
 import loadbalancer.routing.api.EndpointStatus;
 import org.junit.jupiter.api.Test;
 
-/** Work that must not grow with the endpoint list: counted, since times depend on the machine. */
+/**
+ * Tests that certain work does not grow with the endpoint list. Counts allocations and visits,
+ * since times depend on the machine.
+ */
 class EndpointListCostTest {
     private static final int SMALL_LIST = 1_000;
     private static final int LARGE_LIST = 14_000;
     private static final int ITERATIONS = 200;
     private static final int ROUNDS = 8;
-    private static final int TRAVERSED_ENDPOINTS = 40;
+    private static final int ITERATED_ENDPOINTS = 40;
     private static final double MAX_GROWTH_FACTOR = 1.5;
 
     private static EndpointListBenchmark steadyBenchmark(int endpointCount) {
         EndpointListBenchmark benchmark = new EndpointListBenchmark(endpointCount);
-        benchmark.advanceIdle();
-        benchmark.advanceIdle();
+        benchmark.runIdleTimerEvent();
+        benchmark.runIdleTimerEvent();
         return benchmark;
     }
 
@@ -31,9 +34,9 @@
         return EndpointListBenchmark.allocatedBytes(() -> operation.accept(benchmark), ITERATIONS);
     }
 
-    // Both sizes in turn, the least of each: the compiler removes allocations from one moment to
-    // the next, so that a single measurement of each may compare code of two stages. The margin is
-    // far below a list or an array of all endpoints.
+    // Measures both sizes alternately and compares the minimum of each. The JIT compiler may remove
+    // allocations at any time, so single measurements could compare differently compiled code. The
+    // margin is far below the size of a list or an array of all endpoints.
     private static void assertNearlyConstant(Consumer<EndpointListBenchmark> operation) {
         EndpointListBenchmark smallList = steadyBenchmark(SMALL_LIST);
         EndpointListBenchmark largeList = steadyBenchmark(LARGE_LIST);
@@ -48,7 +51,7 @@
                 smallListBytes
                         + " bytes at "
                         + SMALL_LIST
-                        + ", "
+                        + " endpoints, "
                         + largeListBytes
                         + " at "
                         + LARGE_LIST);
@@ -56,7 +59,7 @@
 
     @Test
     void idleAllocationIsIndependentOfListSize() {
-        assertNearlyConstant(EndpointListBenchmark::advanceIdle);
+        assertNearlyConstant(EndpointListBenchmark::runIdleTimerEvent);
     }
 
     @Test
@@ -73,9 +76,9 @@
                 });
     }
 
-    /** A periodic look at endpoints that were never sent to visits none of them. */
+    /** A periodic scan visits no endpoint that has never received an attempt. */
     @Test
-    void idleUpdateVisitsNoSteadyEndpoint() {
+    void idleScanVisitsNoSteadyEndpoint() {
         EndpointRegistry registry =
                 new EndpointRegistry(EndpointListBenchmark.settings(), new SplittableRandom(1));
         registry.update(EndpointListBenchmark.endpoints(LARGE_LIST), false, 0, line -> {});
@@ -100,10 +103,11 @@
                 },
                 zone -> 0);
         assertTrue(
-                visited[0] == 0 && registry.activeEndpoints().isEmpty(), visited[0] + " visited");
+                visited[0] == 0 && registry.activeEndpoints().isEmpty(),
+                visited[0] + " endpoints visited");
     }
 
-    /** A changed entry moves its own points of the ring only. */
+    /** A changed entry moves only its own points on the ring. */
     @Test
     void changedEntryMovesOnlyItsRingPoints() {
         EndpointRegistry registry =
@@ -122,35 +126,36 @@
                         .filter(i -> endpoints.get(i).ringPointCount() != pointsBefore[i])
                         .boxed()
                         .toList();
-        assertTrue(movedIndexes.equals(List.of(77)), movedIndexes + " moved");
+        assertTrue(
+                movedIndexes.equals(List.of(77)), movedIndexes + " changed their number of points");
         assertTrue(
                 registry.ring().pointChanges() - movesBefore == pointsBefore[77],
                 registry.ring().pointChanges() - movesBefore + " points moved");
     }
 
-    /** A walk of the subset visits few endpoints ahead, also after a change of the list. */
+    /** Iterating over the subset visits few endpoints in advance, even after a list change. */
     @Test
-    void traversalVisitsFewExtraEndpoints() {
+    void subsetIterationVisitsFewExtraEndpoints() {
         EndpointRegistry registry =
                 new EndpointRegistry(EndpointListBenchmark.settings(), new SplittableRandom(1));
         registry.update(EndpointListBenchmark.endpoints(LARGE_LIST), false, 0, line -> {});
         Iterator<EndpointState> iterator = registry.ring().subsetIterator();
         EndpointState firstEndpoint = iterator.next();
         assertTrue(
-                visitedEndpoints(registry) <= 2 * TRAVERSED_ENDPOINTS,
-                visitedEndpoints(registry) + " visited");
+                visitedEndpoints(registry) <= 2 * ITERATED_ENDPOINTS,
+                visitedEndpoints(registry) + " endpoints visited");
         registry.update(
                 List.of(firstEndpoint.descriptor().withStatus(EndpointStatus.DRAINING)),
                 true,
                 0,
                 line -> {});
         iterator = registry.ring().subsetIterator();
-        for (int i = 0; i < TRAVERSED_ENDPOINTS; i++) {
+        for (int i = 0; i < ITERATED_ENDPOINTS; i++) {
             iterator.next();
         }
         assertTrue(
-                visitedEndpoints(registry) <= 2 * TRAVERSED_ENDPOINTS,
-                visitedEndpoints(registry) + " visited");
+                visitedEndpoints(registry) <= 2 * ITERATED_ENDPOINTS,
+                visitedEndpoints(registry) + " endpoints visited");
     }
 
     private static long visitedEndpoints(EndpointRegistry registry) {
@@ -166,11 +171,11 @@
 
     @Test
     void liveHeapPerEndpointIsBounded() {
-        // Loads the classes
+        // Loads the classes before the measurement.
         EndpointListBenchmark.liveHeapBytesPerEndpoint(SMALL_LIST);
         long bytesPerEndpoint = EndpointListBenchmark.liveHeapBytesPerEndpoint(LARGE_LIST);
         assertTrue(
                 bytesPerEndpoint > 0 && bytesPerEndpoint <= 600,
-                bytesPerEndpoint + " bytes for each endpoint");
+                bytesPerEndpoint + " bytes per endpoint");
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointRegistryTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointRegistryTest.java
@@ -21,7 +21,7 @@
 import loadbalancer.util.Hashing;
 import org.junit.jupiter.api.Test;
 
-/** {@link EndpointRegistry}: incremental updates give what building it anew would give. */
+/** Tests {@link EndpointRegistry}: incremental updates give the same result as a rebuild. */
 class EndpointRegistryTest {
     private static final double[][] WEIGHT_SETS = {
         {1}, {1, 1.5, 2, 0.5}, {1, 1.35, 1.7, 2.05}, {0.8}, {3, 1, 0.1, 12}
@@ -64,7 +64,7 @@
                 random.nextInt(4) - 1);
     }
 
-    // The ring by its definition, as a sorted map of all points.
+    // Computes the order of the ring independently, from a sorted map of all points.
     private static List<String> expectedRing(
             List<Endpoint> upEndpoints, double meanWeight, long fromPoint) {
         TreeMap<Long, String> points = new TreeMap<>();
@@ -85,14 +85,15 @@
         upEndpoints.forEach(
                 endpoint ->
                         weightsByMachineType
-                                .computeIfAbsent(endpoint.machineType(), k -> new ArrayList<>())
+                                .computeIfAbsent(
+                                        endpoint.machineType(), machineType -> new ArrayList<>())
                                 .add(endpoint.weight()));
         double meanWeight = upEndpoints.stream().mapToDouble(Endpoint::weight).average().orElse(1);
         double fastCount =
                 weightsByMachineType.values().stream()
                         .filter(
-                                k ->
-                                        k.stream().mapToDouble(w -> w).average().orElse(0)
+                                typeWeights ->
+                                        typeWeights.stream().mapToDouble(w -> w).average().orElse(0)
                                                 >= meanWeight * (1 - 1e-12))
                         .mapToInt(List::size)
                         .sum();
@@ -129,19 +130,19 @@
         List<String> expectedOrder = expectedRing(upEndpoints, incremental.meanWeight(), point);
         assertEquals(expectedOrder, endpointIds(incremental.ring().iteratorFrom(point)), step);
         assertEquals(expectedOrder, endpointIds(rebuilt.ring().iteratorFrom(point)), step);
-        List<String> expectedHomeOrder =
+        List<String> expectedSubsetOrder =
                 expectedRing(upEndpoints, incremental.meanWeight(), 0).stream().distinct().toList();
-        // Mostly as far as a request walks, sometimes round the whole ring
+        // Usually iterates as far as a request does, and sometimes around the whole ring.
         int steps =
                 random.nextInt(4) == 0
-                        ? expectedHomeOrder.size()
-                        : Math.min(expectedHomeOrder.size(), random.nextInt(30));
+                        ? expectedSubsetOrder.size()
+                        : Math.min(expectedSubsetOrder.size(), random.nextInt(30));
         Iterator<EndpointState> iterator = incremental.ring().subsetIterator();
         for (int i = 0; i < steps; i++) {
-            assertEquals(expectedHomeOrder.get(i), iterator.next().descriptor().id(), step);
+            assertEquals(expectedSubsetOrder.get(i), iterator.next().descriptor().id(), step);
         }
-        assertEquals(steps < expectedHomeOrder.size(), iterator.hasNext(), step);
-        assertEquals(expectedHomeOrder, endpointIds(rebuilt.ring().subsetIterator()), step);
+        assertEquals(steps < expectedSubsetOrder.size(), iterator.hasNext(), step);
+        assertEquals(expectedSubsetOrder, endpointIds(rebuilt.ring().subsetIterator()), step);
     }
 
     @Test
@@ -174,7 +175,9 @@
         }
     }
 
-    /** An endpoint that is removed with an attempt in flight is the same if it comes back. */
+    /**
+     * An endpoint that was removed with an attempt in flight keeps its state if it is listed again.
+     */
     @Test
     void removedEndpointWithInFlightIsReused() {
         EndpointRegistry registry = newRegistry();
@@ -203,7 +206,7 @@
         assertEquals(first.descriptor().id(), registry.listedEndpoints().get(2).descriptor().id());
         assertTrue(
                 first != registry.listedEndpoints().get(2),
-                "a new state after the attempt has ended");
+                "the endpoint must have a new state after its attempt has ended");
     }
 
     @Test
@@ -253,7 +256,7 @@
                 IntStream.range(0, EndpointRegistry.MAX_ENDPOINTS)
                         .mapToObj(i -> RoutingEngineHarness.upEndpoint("other-" + i))
                         .toList();
-        // The endpoints before make room
+        // The previous endpoints are removed and do not count towards the limit.
         harness.updateEndpoints(EndpointListKind.COMPLETE, replacements);
         harness.updateEndpoints(EndpointListKind.DELTA, List.of(replacements.get(0)));
         assertEquals(List.of(), harness.logLines);
--- a/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointStateTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/EndpointStateTest.java
@@ -10,7 +10,7 @@
 import loadbalancer.routing.api.LoadReport;
 import org.junit.jupiter.api.Test;
 
-/** {@link EndpointState}, with the counts that {@link Attempt} keeps there. */
+/** Tests {@link EndpointState} and the counts that {@link Attempt} updates in it. */
 class EndpointStateTest {
     private static final long NOW = 10_000_000;
 
@@ -95,14 +95,14 @@
     }
 
     @Test
-    void ejectionWithoutBackoffLeavesNextOneAsShort() {
+    void ejectionWithoutBackoffDoesNotLengthenNextOne() {
         endpoint.eject(NOW + 1_000_000, false);
         assertTrue(endpoint.isHalfOpen());
         assertEquals(0, endpoint.consecutiveEjections());
     }
 
     @Test
-    void connectEndsReportOfUnreachability() {
+    void connectResultReplacesReportOfUnreachability() {
         endpoint.onReportedUnreachable(2, NOW + 1_000_000);
         assertTrue(endpoint.isReportedUnreachable());
         assertTrue(endpoint.isEjected(NOW) && endpoint.isHalfOpen());
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void successEndsRunOfRejections() {
+    void successResetsConsecutiveRejections() {
         endpoint.onRejected(NOW + 100);
         endpoint.onRejected(NOW + 200);
         assertEquals(2, endpoint.consecutiveRejections());
@@ -138,7 +138,7 @@
     @Test
     void latencyRatioDecaysTowardsOne() {
         endpoint.recordLatencyRatio(100, NOW);
-        // One sample counts for at most 4 times the usual latency, and with a weight of a quarter
+        // A sample is limited to 4 times the usual latency and has a weight of one quarter.
         assertEquals(1.75, endpoint.latencyRatio(NOW), 1e-9);
         assertEquals(1 + 0.75 / Math.E, endpoint.latencyRatio(NOW + 10_000_000), 1e-9);
     }
--- a/balancer/src/test/java/loadbalancer/routing/endpoint/KeyQueueTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/KeyQueueTest.java
@@ -6,7 +6,7 @@
 import loadbalancer.routing.api.Idempotency;
 import org.junit.jupiter.api.Test;
 
-/** {@link KeyQueue}: order of requests with one key. */
+/** Tests {@link KeyQueue}: the order of requests with the same key. */
 class KeyQueueTest {
     private static final long NOW = 10_000_000;
 
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void onlyHeadIsAllowed() {
+    void onlyHeadMayBeSent() {
         PendingRequest first = queuedRequest("r1");
         PendingRequest second = queuedRequest("r2");
         assertTrue(queue.allowsAttempt(first, NOW));
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void cooldownDelaysNextRequestButNoRetry() {
+    void cooldownDelaysNextRequestButNotRetries() {
         PendingRequest retried = queuedRequest("r1");
         EndpointState endpoint = EndpointFixtures.endpoint("s0", 0);
         new Attempt(endpoint, retried, NOW).recordStart(1);
--- a/balancer/src/test/java/loadbalancer/routing/endpoint/ZoneTallyTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/endpoint/ZoneTallyTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** {@link ZoneTally}: its counts fit each other. */
+/** Tests that the counts of a {@link ZoneTally} are consistent. */
 class ZoneTallyTest {
     @Test
-    void observedEndpointsAreThoseWithEvidence() {
+    void observedEndpointsAreUnresponsiveOrResponding() {
         assertEquals(9, new ZoneTally(10, 6, 3).observed());
     }
 
--- a/balancer/src/test/java/loadbalancer/util/EventRateLimiterTest.java
+++ b/balancer/src/test/java/loadbalancer/util/EventRateLimiterTest.java
@@ -7,6 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Tests {@link EventRateLimiter} with both kinds of windows. */
 class EventRateLimiterTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int RANDOM_EVENTS = 20_000;
@@ -50,7 +51,7 @@
         }
     }
 
-    /** The count by the number of the second, which is what an aligned window amounts to. */
+    /** Aligned windows of one second are equivalent to a count per second of the clock. */
     @Test
     void alignedWindowsCountBySecond() {
         EventRateLimiter limiter = EventRateLimiter.withAlignedWindows(20, SECOND_MICROS);
@@ -66,9 +67,9 @@
         }
     }
 
-    /** A minimum interval between events, which is what a window of one event amounts to. */
+    /** Windows of one event are equivalent to a minimum interval between events. */
     @Test
-    void windowsOfOneEventKeepAnInterval() {
+    void windowsOfOneEventEnforceMinimumInterval() {
         EventRateLimiter limiter = EventRateLimiter.withWindowsFromFirstEvent(1, SECOND_MICROS);
         SplittableRandom random = new SplittableRandom(8);
         long nowMicros = 0;
--- a/balancer/src/test/java/loadbalancer/util/HashingTest.java
+++ b/balancer/src/test/java/loadbalancer/util/HashingTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** {@link Hashing}: values that balancers of all versions agree on. */
+/** Tests that {@link Hashing} gives fixed values, which balancers of all versions must share. */
 class HashingTest {
     @ParameterizedTest(name = "hash of \"{0}\"")
     @CsvSource({
