--- a/balancer/src/main/java/loadbalancer/dispatch/AttemptRunner.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/AttemptRunner.java
@@ -11,8 +11,8 @@
 import loadbalancer.upstream.UpstreamResponseListener;
 
 /**
- * Runs the attempts of requests: starts each and its timeout, and reports its one outcome to the
- * policy. Event loop thread only.
+ * Runs the attempts of all requests: starts each attempt and its timeout, and reports the outcome
+ * of each attempt to the policy exactly once. Event loop thread only.
  */
 final class AttemptRunner {
     private final DispatchContext context;
@@ -32,17 +32,17 @@
         this.policyEvents = policyEvents;
     }
 
-    /** Sets the pool that attempts are sent by; once, before the first one. */
+    /** Sets the pool that sends the attempts. Called once, before the first attempt. */
     void attach(UpstreamPool pool) {
         upstreamPool = pool;
     }
 
-    // ---------------------------------------------------------------- start
-
     /**
-     * Starts an attempt; one that may not be sent ends at once as {@link AttemptOutcome#NOT_SENT}.
+     * Starts an attempt. An attempt that may not be sent ends at once as {@link
+     * AttemptOutcome#NOT_SENT}.
      *
-     * @param timeoutMicros how long it may take, or 0: as long as the request's deadline allows
+     * @param timeoutMicros the timeout of the attempt in µs, limited by the request's deadline; 0
+     *     if only the deadline limits it
      */
     void send(Exchange exchange, String endpointId, long timeoutMicros) {
         responses.closeIfDisconnected(exchange);
@@ -85,7 +85,8 @@
     }
 
     /**
-     * The body of the request is complete: the time of its attempts starts at {@code nowMicros}.
+     * Restarts the latency measurement and the timeouts of the attempts in flight at {@code
+     * nowMicros}, when the request's body is complete.
      */
     void restartTimeouts(Exchange exchange, long nowMicros) {
         for (ExchangeAttempt attempt : exchange.attempts()) {
@@ -122,13 +123,12 @@
         }
     }
 
-    // ---------------------------------------------------------------- end
-
     /**
-     * Stops waiting for an attempt.
+     * Ends an attempt without waiting for its response.
      *
-     * @param outcomeIfWritten its outcome where the request's last byte has been written; before
-     *     that nothing can have run
+     * @param outcomeIfWritten the outcome if the request's last byte has been written. Otherwise
+     *     the outcome is {@link AttemptOutcome#NOT_SENT}, since an incomplete request can't have
+     *     run.
      */
     void abandon(ExchangeAttempt attempt, AttemptOutcome outcomeIfWritten) {
         if (!attempt.hasEnded()) {
@@ -181,9 +181,8 @@
                                         + (exchange.isClosed() ? ", the request was closed" : ""));
     }
 
-    // ---------------------------------------------------------------- streamed responses
-
-    // A streamed response that has begun is the final one; to the policy the attempt has ended
+    // A streamed response is final from its start, so the attempt is reported to the policy as OK
+    // at that time.
     private void onStreamStarted(
             ExchangeAttempt attempt,
             HttpResponse responseHead,
@@ -200,8 +199,8 @@
         policyEvents.attemptEnded(attempt, AttemptOutcome.OK, latencyMicros, load);
     }
 
-    // A response that has begun can't be retried: the policy only learns that the endpoint aborted
-    // it
+    // The request can't be retried once its response has begun. The policy is only told if the
+    // endpoint aborted the response.
     private void onStreamEnded(ExchangeAttempt attempt, AttemptOutcome outcome) {
         if (outcome == AttemptOutcome.RESET) {
             context.events()
--- a/balancer/src/main/java/loadbalancer/dispatch/DispatchContext.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/DispatchContext.java
@@ -6,7 +6,10 @@
 import loadbalancer.admin.Metrics;
 import loadbalancer.config.BootSettings;
 
-/** What the parts of one dispatcher share; {@code log} takes lines for the operators. */
+/**
+ * Holds the services that the classes of one dispatcher share. {@code log} takes lines for the
+ * operators. Event loop thread only.
+ */
 record DispatchContext(
         EventLoop loop,
         BootSettings boot,
--- a/balancer/src/main/java/loadbalancer/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/Dispatcher.java
@@ -15,9 +15,9 @@
 import loadbalancer.upstream.UpstreamPool;
 
 /**
- * Connects the sockets to the routing policy: takes requests, endpoint lists and messages of other
- * balancers, hands them to the policy as events and carries out the actions that it asks for. It
- * decides nothing. All methods belong to the event loop's thread.
+ * Connects the network side to the routing policy: passes requests, endpoint lists and messages of
+ * other balancers to the policy as events and executes the actions that the policy requests. It
+ * makes no routing decisions. Event loop thread only.
  */
 public final class Dispatcher {
     private final RoutingPolicy policy;
@@ -29,7 +29,7 @@
     private final PolicyActions actions;
     private UpstreamPool upstreamPool;
 
-    /** {@link #attach} comes before the first event. */
+    /** Creates a dispatcher; {@link #attach} must be called before the first event. */
     public Dispatcher(
             EventLoop loop,
             BootSettings boot,
@@ -49,8 +49,9 @@
     }
 
     /**
-     * Sets what the dispatcher works with, once. {@code discoveryClient} and {@code peerTransport}
-     * are null for a warm-up, which has neither discovery nor peers.
+     * Sets the pool, the discovery client and the peer transport. Called once. {@code
+     * discoveryClient} and {@code peerTransport} are null for a warm-up, which has neither
+     * discovery nor peers.
      */
     public void attach(
             UpstreamPool pool, DiscoveryClient discoveryClient, PeerTransport peerTransport) {
@@ -60,70 +61,70 @@
     }
 
     /**
-     * The time in µs since 1970 by a monotonic clock: comparable with an endpoint's start, and it
-     * never goes back.
+     * Returns the time in µs since 1970 by a monotonic clock. It never goes back and is comparable
+     * with an endpoint's start time.
      */
     public long nowMicros() {
         return context.nowMicros();
     }
 
-    // ---------------------------------------------------------------- requests
-
     /**
-     * Takes a request, which gets one final response by {@code responseSender}.
+     * Accepts a request. Its one final response is sent through {@code responseSender}.
      *
-     * @return what the client side reports the request's further events to
+     * @return the handle by which the client side reports further events of the request
      */
     public RequestHandle submitRequest(ProxyRequest proxyRequest, ResponseSender responseSender) {
         return lifecycle.submit(proxyRequest, responseSender);
     }
 
-    /** The number of requests accepted since the start. */
+    /** Returns the number of requests accepted since the start. */
     public long acceptedRequestCount() {
         return requests.acceptedRequestCount();
     }
 
-    /** The number of requests that have no final response yet. */
+    /** Returns the number of requests without a complete final response. */
     public int pendingRequestCount() {
         return requests.pendingRequestCount();
     }
 
-    /** Runs {@code callback} on the loop as soon as no final response is owed. */
+    /**
+     * Runs {@code callback} on the event loop each time the last pending request is settled, and
+     * now if no request is pending.
+     */
     public void whenIdle(Runnable callback) {
         requests.whenIdle(callback);
     }
 
-    /** Whether clients send requests, to this balancer or to others that report them. */
+    /**
+     * Returns whether clients use the fleet: this balancer has accepted a request, or other
+     * balancers report requests.
+     */
     public boolean isInService() {
         return requests.acceptedRequestCount() > 0 || policy.remoteRequestsPerSecond() > 0;
     }
 
-    // ---------------------------------------------------------------- endpoints and peers
-
-    /** Takes an endpoint list or a delta. */
+    /** Applies a complete endpoint list or a delta and passes it to the policy. */
     public void onEndpointListUpdate(EndpointListKind kind, EndpointList endpointList) {
         upstreamPool.updateEndpoints(endpointList, nowMicros());
         policyEvents.endpointListReceived(kind, endpointList);
     }
 
-    /** A poll or a watch that the routing policy asked for has failed. */
+    /** Tells the policy that a poll or a watch that it requested has failed. */
     public void onDiscoveryFailed() {
         policyEvents.endpointListReceived(EndpointListKind.FAILED, null);
     }
 
-    /** The number of listed endpoints that get no requests now. */
+    /** Returns the number of listed endpoints that are currently ejected. */
     public int avoidedEndpointCount() {
         return policy.ejectedEndpointCount(nowMicros());
     }
 
-    /** Takes a message of the balancer of number {@code sender}. */
+    /** Passes a message of the balancer with the number {@code sender} to the policy. */
     public void onPeerMessage(int sender, byte[] payload) {
         policyEvents.peerMessageReceived(sender, payload);
     }
 
-    // ---------------------------------------------------------------- life cycle
-
-    /** What the policy asks to be restored after a crash; null where there is nothing. */
+    /** Returns the policy's state to restore after a crash, or null if there is none. */
     public PolicySnapshot policySnapshot() {
         return policy.snapshot(nowMicros());
     }
@@ -133,12 +134,12 @@
         policyEvents.restore(snapshot, ageMicros);
     }
 
-    /** The policy gets no event from here on, and so asks for nothing. */
+    /** Stops passing events to the policy, so that it requests no further actions. */
     public void retire() {
         policyEvents.retire();
     }
 
-    /** The counters since the start, for the log. */
+    /** Returns the counters since the start, for the log. */
     public String summary() {
         return requests.acceptedRequestCount()
                 + " requests accepted, "
--- a/balancer/src/main/java/loadbalancer/dispatch/Exchange.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/Exchange.java
@@ -8,17 +8,20 @@
 
 /**
  * One client request with its attempts and the state of its final response. It owns the timer of
- * its fallback response, which is cancelled when the final response is settled. Event loop thread
- * only.
+ * its fallback response, which is cancelled when the final response is sent or begins to stream.
+ * Event loop thread only.
  */
 final class Exchange {
     /**
-     * How long before its deadline a request is failed if nothing else has answered it: the
-     * response must reach the client in time.
+     * Time between the fallback response and the client's deadline, so that the response reaches
+     * the client in time.
      */
     private static final long FALLBACK_RESPONSE_MARGIN_MICROS = 6_000;
 
-    /** How long before the fallback response the last attempt ends: the policy may answer first. */
+    /**
+     * Time between the end of the last attempt and the fallback response, so that the policy can
+     * respond first.
+     */
     private static final long FINAL_ATTEMPT_MARGIN_MICROS = 6_000;
 
     private enum ResponseState {
@@ -26,7 +29,7 @@
         PENDING,
         /** The final response has begun and is being streamed. */
         STREAMING,
-        /** Nothing more is owed to the client. */
+        /** The final response is complete, or the request has ended without one. */
         SETTLED
     }
 
@@ -36,10 +39,10 @@
     private final List<ExchangeAttempt> attempts = new ArrayList<>(2);
     private int attemptsInFlight;
     private long deadlineMicros;
-    // The body is still arriving: the client's deadline does not count yet
+    // True while the body is still arriving. The time until the deadline starts at its end.
     private boolean uploading;
     private ResponseState responseState = ResponseState.PENDING;
-    // Whose response is or was streamed, or null
+    // The attempt whose response is or was streamed, or null.
     private ExchangeAttempt streamingAttempt;
     private BodyRelay responseBody;
     private Future<?> fallbackTimer;
@@ -68,20 +71,22 @@
         return responseSender;
     }
 
-    // ---------------------------------------------------------------- deadline
-
-    /** The client's deadline in µs by the dispatcher's clock. */
+    /** Returns the client's deadline in µs by the dispatcher's clock. */
     long deadlineMicros() {
         return deadlineMicros;
     }
 
-    /** The delay in µs from the start of the request's time to its fallback response. */
+    /**
+     * Returns the delay in µs of the fallback response, from the arrival of the request or from the
+     * end of its upload.
+     */
     long fallbackDelayMicros() {
         return Math.max(0, proxyRequest.timeLeftMicros() - FALLBACK_RESPONSE_MARGIN_MICROS);
     }
 
     /**
-     * How long an attempt that starts at {@code nowMicros} may take, in µs; not positive: no time.
+     * Returns the longest duration in µs of an attempt that starts at {@code nowMicros}; 0 or less
+     * if no time is left.
      */
     long maxAttemptMicros(long nowMicros) {
         return deadlineMicros
@@ -90,7 +95,7 @@
                 - nowMicros;
     }
 
-    /** Replaces the timer; the caller cancels or has run the one before. */
+    /** Sets the timer of the fallback response. The previous timer must be cancelled or done. */
     void setFallbackTimer(Future<?> timer) {
         fallbackTimer = timer;
     }
@@ -99,8 +104,6 @@
         fallbackTimer.cancel(false);
     }
 
-    // ---------------------------------------------------------------- upload
-
     boolean isUploading() {
         return uploading;
     }
@@ -109,14 +112,15 @@
         uploading = false;
     }
 
-    /** The request's time starts at {@code nowMicros}, when its body is complete. */
+    /**
+     * Restarts the time until the deadline at {@code nowMicros}, when the request's body is
+     * complete.
+     */
     void restartDeadline(long nowMicros) {
         deadlineMicros = nowMicros + proxyRequest.timeLeftMicros();
     }
 
-    // ---------------------------------------------------------------- attempts
-
-    /** The attempts in the order of their numbers; none may be added meanwhile. */
+    /** Returns the attempts in the order of their numbers. None may be added while iterating. */
     Iterable<ExchangeAttempt> attempts() {
         return attempts;
     }
@@ -144,9 +148,10 @@
         return attemptsInFlight > 0;
     }
 
-    // ---------------------------------------------------------------- final response
-
-    /** Whether the final response has been sent or has begun. */
+    /**
+     * Returns whether the final response has been sent or has begun, or the request has ended
+     * without one.
+     */
     boolean isClosed() {
         return responseState != ResponseState.PENDING;
     }
@@ -155,47 +160,45 @@
         return responseState == ResponseState.STREAMING;
     }
 
-    /**
-     * Whether nothing of the request is left: it has its final response and no attempt in flight.
-     */
+    /** Returns whether the request is closed and has no attempt in flight. */
     boolean isFinished() {
         return isClosed() && attemptsInFlight == 0;
     }
 
-    /** PENDING to SETTLED. */
+    /** Changes the response state from PENDING to SETTLED. */
     void settle() {
         leavePending(ResponseState.SETTLED);
     }
 
-    /** PENDING to STREAMING. */
+    /** Changes the response state from PENDING to STREAMING. */
     void startStreaming(ExchangeAttempt attempt, BodyRelay body) {
         leavePending(ResponseState.STREAMING);
         streamingAttempt = attempt;
         responseBody = body;
     }
 
-    /** STREAMING to SETTLED. */
+    /** Changes the response state from STREAMING to SETTLED. */
     void finishStreaming() {
         responseState = ResponseState.SETTLED;
     }
 
     private void leavePending(ResponseState nextState) {
-        assert !isClosed() : "a second final answer for " + proxyRequest.clientRequestId();
+        assert !isClosed() : "second final response for request " + proxyRequest.clientRequestId();
         responseState = nextState;
         cancelFallbackTimer();
     }
 
-    /** The attempt whose response is or was streamed; null where none was. */
+    /** Returns the attempt whose response is or was streamed, or null. */
     ExchangeAttempt streamingAttempt() {
         return streamingAttempt;
     }
 
-    /** The body of the response that is or was streamed; null where none was. */
+    /** Returns the body of the response that is or was streamed, or null. */
     BodyRelay responseBody() {
         return responseBody;
     }
 
-    /** The history of the request, for the log. */
+    /** Returns the number of attempts and the time left, for the log. */
     String describe(long nowMicros) {
         return attempts.size()
                 + " attempts, "
--- a/balancer/src/main/java/loadbalancer/dispatch/ExchangeAttempt.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/ExchangeAttempt.java
@@ -13,7 +13,7 @@
     private final String endpointId;
     private long startedAtMicros;
     private long timeoutMicros;
-    // Null until the pool has returned it: the attempt may end before
+    // Null until the pool has returned it. The attempt may end before that.
     private UpstreamRequest upstreamRequest;
     private Future<?> timeoutTask;
     private boolean ended;
@@ -29,7 +29,7 @@
         return exchange;
     }
 
-    /** Counted from 0 within the request. */
+    /** Returns the number of the attempt, counted from 0 within its request. */
     int number() {
         return number;
     }
@@ -42,7 +42,9 @@
         return nowMicros - startedAtMicros;
     }
 
-    /** The latency counts from {@code nowMicros}: the request's body is complete only now. */
+    /**
+     * Restarts the latency measurement at {@code nowMicros}, when the request's body is complete.
+     */
     void restart(long nowMicros) {
         startedAtMicros = nowMicros;
     }
@@ -69,7 +71,11 @@
         upstreamRequest = request;
     }
 
-    /** Gives up what is under way; whether the request's last byte had been written. */
+    /**
+     * Abandons the upstream request, if there is one.
+     *
+     * @return whether the request's last byte had been written
+     */
     boolean abandonUpstreamRequest() {
         return upstreamRequest != null && upstreamRequest.abandon();
     }
@@ -78,7 +84,7 @@
         return ended;
     }
 
-    /** Ends the attempt, once. */
+    /** Ends the attempt. Called once. */
     void end() {
         ended = true;
         cancelTimeout();
--- a/balancer/src/main/java/loadbalancer/dispatch/ExchangeLifecycle.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/ExchangeLifecycle.java
@@ -5,8 +5,9 @@
 import loadbalancer.routing.api.AttemptOutcome;
 
 /**
- * A client's request from its submission on: the end of its upload, its disconnect, and the
- * fallback response where the policy leaves it without one. Event loop thread only.
+ * Handles the events of a client's request: its submission, the end of its upload, the client's
+ * disconnect, and the fallback response if the policy does not respond in time. Event loop thread
+ * only.
  */
 final class ExchangeLifecycle {
     private final DispatchContext context;
@@ -29,7 +30,7 @@
         this.policyEvents = policyEvents;
     }
 
-    /** The number of requests that the policy has left without a response. */
+    /** Returns the number of requests that the policy has left without a response. */
     long fallbackResponseCount() {
         return fallbackResponseCount;
     }
@@ -71,7 +72,8 @@
                                 TimeUnit.MICROSECONDS));
     }
 
-    // From here on the time of the request and of its attempt counts
+    // The deadline of the request and the timeouts of its attempts count from the end of the
+    // upload.
     private void onUploadComplete(Exchange exchange) {
         exchange.markUploaded();
         if (exchange.isClosed()) {
@@ -97,15 +99,15 @@
 
     private void onFallbackTimer(Exchange exchange) {
         if (exchange.isUploading() && exchange.hasAttemptsInFlight()) {
-            // The request's time has not started
+            // An attempt is streaming the upload, so the deadline does not count yet.
             scheduleFallback(exchange);
         } else if (!exchange.isClosed()) {
             sendFallbackResponse(exchange);
         }
     }
 
-    // The policy has not answered in time, or has failed on an event: the client gets a failure
-    // before its deadline
+    // The policy has not responded in time or has thrown an exception. The client receives a
+    // failure before its deadline.
     private void sendFallbackResponse(Exchange exchange) {
         fallbackResponseCount++;
         if (Long.bitCount(fallbackResponseCount) == 1) {
--- a/balancer/src/main/java/loadbalancer/dispatch/FinalResponses.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/FinalResponses.java
@@ -6,8 +6,8 @@
 import loadbalancer.proxy.BodyRelay;
 
 /**
- * Settles the one final response of each request: every way to end a request goes through {@link
- * #settle} or {@link #stream}. Event loop thread only.
+ * Sends the one final response of each request and counts and logs it. Every way to end a request
+ * goes through {@link #settle} or {@link #stream}. Event loop thread only.
  */
 final class FinalResponses {
     private final DispatchContext context;
@@ -25,14 +25,14 @@
         requests.onResponseSettled();
     }
 
-    /** Sends a buffered response. */
+    /** Sends a buffered response as the final response. */
     void serve(Exchange exchange, FullHttpResponse response) {
         settle(exchange);
         context.metrics().recordServed(exchange.proxyRequest().requestClass());
         exchange.responseSender().send(response);
     }
 
-    /** Starts to send a streamed response. */
+    /** Starts to send a streamed response as the final response. */
     void stream(
             ExchangeAttempt attempt,
             HttpResponse responseHead,
@@ -59,13 +59,17 @@
         }
     }
 
-    /** Nothing more of a streamed response is sent. */
+    /** Marks a streamed response as finished, after its end or the client's disconnect. */
     void finishStreaming(Exchange exchange) {
         exchange.finishStreaming();
         requests.onResponseSettled();
     }
 
-    /** Rejects a request as the policy asks for. */
+    /**
+     * Rejects a request at the policy's request.
+     *
+     * @param retryAfterMicros the value of Retry-After in µs, or 0 for no such header
+     */
     void reject(Exchange exchange, long retryAfterMicros) {
         settle(exchange);
         logFinalResponse(EventLog.Kind.REFUSED, exchange);
@@ -74,7 +78,7 @@
         requests.removeIfFinished(exchange);
     }
 
-    /** Fails a request as the policy asks for. */
+    /** Fails a request at the policy's request. */
     void fail(Exchange exchange) {
         settle(exchange);
         logFinalResponse(EventLog.Kind.FAILED, exchange);
@@ -111,9 +115,9 @@
     }
 
     /**
-     * Ends a request whose client has disconnected, even if the loop has not read that yet: what
-     * counts is the instant at which an attempt starts. The check reads the client's connection,
-     * and so may report the disconnect itself.
+     * Ends a request whose client has disconnected. This also detects a disconnect that the event
+     * loop has not read yet, because no attempt may start after a disconnect. The check reads the
+     * client's connection and may itself report the disconnect.
      */
     void closeIfDisconnected(Exchange exchange) {
         if (!exchange.isClosed() && !exchange.responseSender().isClientConnected()) {
--- a/balancer/src/main/java/loadbalancer/dispatch/MonotonicClock.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/MonotonicClock.java
@@ -1,6 +1,9 @@
 package loadbalancer.dispatch;
 
-/** The time in µs since 1970, which never goes back: the wall clock is read once, at the start. */
+/**
+ * Provides the time in µs since 1970. It never goes back, because the wall clock is read only once,
+ * at construction. Any thread may use it.
+ */
 final class MonotonicClock {
     private final long startUnixMicros = System.currentTimeMillis() * 1000;
     private final long startNanos = System.nanoTime();
--- a/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
@@ -9,8 +9,8 @@
 import loadbalancer.upstream.UpstreamPool;
 
 /**
- * Carries out what the routing policy asks for. Requests of which nothing is left are ignored.
- * Event loop thread only.
+ * Executes the actions that the routing policy requests. Actions on requests that are no longer in
+ * the table are ignored. Event loop thread only.
  */
 final class PolicyActions implements RoutingActions {
     private final DispatchContext context;
@@ -19,8 +19,9 @@
     private final AttemptRunner attempts;
     private final PolicyEvents policyEvents;
     private UpstreamPool upstreamPool;
-    // Null where there is none: a warm-up has neither discovery nor peers
+    // Null in a warm-up, which has no discovery.
     private DiscoveryClient discovery;
+    // Null in a warm-up, which has no peers.
     private PeerTransport peers;
 
     PolicyActions(
@@ -37,7 +38,8 @@
     }
 
     /**
-     * Sets what actions need, once; {@code discoveryClient} and {@code peerTransport} may be null.
+     * Sets the pool, the discovery client and the peer transport. Called once; {@code
+     * discoveryClient} and {@code peerTransport} may be null.
      */
     void attach(UpstreamPool pool, DiscoveryClient discoveryClient, PeerTransport peerTransport) {
         upstreamPool = pool;
@@ -45,8 +47,6 @@
         peers = peerTransport;
     }
 
-    // ---------------------------------------------------------------- requests
-
     @Override
     public void send(String requestId, String endpointId, long timeoutMicros) {
         Exchange exchange = requests.find(requestId);
@@ -79,8 +79,6 @@
         }
     }
 
-    // ---------------------------------------------------------------- endpoints
-
     @Override
     public void checkHealth(String endpointId) {
         long sentAtMicros = context.nowMicros();
@@ -112,8 +110,6 @@
         }
     }
 
-    // ---------------------------------------------------------------- peers, timers, log
-
     @Override
     public void sendToPeer(int peer, byte[] payload) {
         if (peers != null) {
--- a/balancer/src/main/java/loadbalancer/dispatch/PolicyEvents.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/PolicyEvents.java
@@ -13,9 +13,9 @@
 import loadbalancer.routing.api.RoutingPolicy;
 
 /**
- * Hands events to the routing policy, one at a time and in order. The policy is not re-entrant: an
- * event that happens while it handles another one, or while one of its actions is carried out,
- * waits until it has returned. Event loop thread only.
+ * Passes events to the routing policy, one at a time and in order. The policy is not re-entrant: an
+ * event that occurs while the policy handles another one, or while one of its actions is executed,
+ * waits until the policy has returned. Event loop thread only.
  */
 final class PolicyEvents {
     private final RoutingPolicy policy;
@@ -33,17 +33,17 @@
         this.log = log;
     }
 
-    /** Sets what the policy may ask for; once, before the first event. */
+    /** Sets the actions that the policy may request. Called once, before the first event. */
     void attach(RoutingActions routingActions) {
         actions = routingActions;
     }
 
-    /** The policy gets no event from here on, and so asks for nothing. */
+    /** Stops passing events to the policy, so that it requests no further actions. */
     void retire() {
         retired = true;
     }
 
-    /** The number of events that the policy has failed on. */
+    /** Returns the number of events on which the policy has thrown an exception. */
     long exceptionCount() {
         return exceptionCount;
     }
@@ -68,26 +68,24 @@
         }
     }
 
-    // A policy that fails on one event must not end the process; a request that this leaves without
-    // a response gets the fallback response
+    // An exception of the policy must not end the process. A request that it leaves without a
+    // response gets the fallback response.
     private void process(LongConsumer event) {
         try {
             event.accept(clock.nowMicros());
         } catch (RuntimeException e) {
             exceptionCount++;
             StackTraceElement[] trace = e.getStackTrace();
-            String place = trace.length == 0 ? "" : " at " + trace[0];
+            String location = trace.length == 0 ? "" : " at " + trace[0];
             log.accept(
                     "routing policy exception: count="
                             + exceptionCount
                             + " exception="
                             + e
-                            + place);
+                            + location);
         }
     }
 
-    // ---------------------------------------------------------------- requests
-
     void requestReceived(Exchange exchange) {
         submit(
                 now ->
@@ -121,14 +119,17 @@
         submit(now -> policy.onClientDisconnected(now, exchange.id(), actions));
     }
 
-    // ---------------------------------------------------------------- attempts
-
-    /** Whether an attempt that waited for its connection may still start. */
+    /** Returns whether an attempt that waited for its connection may still start. */
     boolean canStartAttempt(ExchangeAttempt attempt) {
         return policy.canStartAttempt(clock.nowMicros(), attempt.exchange().id(), attempt.number());
     }
 
-    /** The policy is given the state of the request at the time at which it gets the event. */
+    /**
+     * Reports the end of an attempt. Whether the request is closed is determined when the policy
+     * handles the event.
+     *
+     * @param load the load report that came with the response, or null
+     */
     void attemptEnded(
             ExchangeAttempt attempt, AttemptOutcome outcome, long latencyMicros, LoadReport load) {
         submit(
@@ -148,8 +149,6 @@
         submit(now -> policy.onResponseAborted(now, endpointId, actions));
     }
 
-    // ---------------------------------------------------------------- endpoints, peers, timers
-
     void healthCheckEnded(
             String endpointId, AttemptOutcome outcome, long sentAtMicros, LoadReport load) {
         submit(
@@ -158,7 +157,10 @@
                                 now, endpointId, outcome, now - sentAtMicros, load, actions));
     }
 
-    /** {@code endpointList} is null where the list could not be fetched. */
+    /**
+     * Passes an endpoint list to the policy; {@code endpointList} is null if it could not be
+     * fetched.
+     */
     void endpointListReceived(EndpointListKind kind, EndpointList endpointList) {
         submit(
                 now ->
--- a/balancer/src/main/java/loadbalancer/dispatch/RequestHandle.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestHandle.java
@@ -1,10 +1,12 @@
 package loadbalancer.dispatch;
 
-/** By which the client side reports on a request that it has submitted; event loop thread only. */
+/** Receives the client side's events of a submitted request. Event loop thread only. */
 public interface RequestHandle {
-    /** The client has disconnected before the end of its response. */
+    /** Called when the client has disconnected before the end of its response. */
     void onClientDisconnected();
 
-    /** All of the body of a request that was submitted before its end has arrived. */
+    /**
+     * Called when the body is complete, if the request was submitted while its body was arriving.
+     */
     void onBodyComplete();
 }
--- a/balancer/src/main/java/loadbalancer/dispatch/RequestTable.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestTable.java
@@ -6,7 +6,8 @@
 import loadbalancer.proxy.ProxyRequest;
 
 /**
- * The requests that have no final response yet or have attempts in flight. Event loop thread only.
+ * Holds the requests that have no final response yet or have attempts in flight. Event loop thread
+ * only.
  */
 final class RequestTable {
     private final EventLoop loop;
@@ -19,7 +20,7 @@
         this.loop = loop;
     }
 
-    /** Enters a request, which arrived at {@code nowMicros}, under an id of its own. */
+    /** Adds a request, which arrived at {@code nowMicros}, under a new unique id. */
     Exchange add(ProxyRequest proxyRequest, ResponseSender responseSender, long nowMicros) {
         String requestId = Long.toString(++acceptedRequestCount, Character.MAX_RADIX);
         Exchange exchange =
@@ -33,7 +34,7 @@
         return exchange;
     }
 
-    /** The request of that id, or null where nothing of it is left. */
+    /** Returns the request with that id, or null if it has been removed. */
     Exchange find(String requestId) {
         return exchanges.get(requestId);
     }
@@ -44,7 +45,7 @@
         }
     }
 
-    /** One request's final response is no longer owed. */
+    /** Records that a pending request has been settled. */
     void onResponseSettled() {
         pendingRequestCount--;
         if (pendingRequestCount == 0 && idleCallback != null) {
@@ -53,7 +54,8 @@
     }
 
     /**
-     * Runs {@code callback} on the loop each time that no final response is owed, and now if so.
+     * Runs {@code callback} on the event loop each time the last pending request is settled, and
+     * now if no request is pending.
      */
     void whenIdle(Runnable callback) {
         idleCallback = callback;
--- a/balancer/src/main/java/loadbalancer/dispatch/ResponseSender.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/ResponseSender.java
@@ -5,19 +5,19 @@
 import java.util.function.Consumer;
 import loadbalancer.proxy.BodyRelay;
 
-/** Receives the one final response to a request; event loop thread only. */
+/** Sends the one final response to a request's client. Event loop thread only. */
 public interface ResponseSender {
-    /** Whether the client is still connected, as of now. */
+    /** Checks the connection and returns whether the client is still connected. */
     boolean isClientConnected();
 
-    /** Sends a response of an upstream; the caller keeps it and releases it. */
+    /** Sends a response of an upstream. The caller keeps ownership and releases it. */
     void send(FullHttpResponse response);
 
     /**
      * Sends a response whose body is still arriving.
      *
-     * @param contentLength the length of the body in bytes, or -1 where it is unknown
-     * @param onFinished called once with whether all of it was sent
+     * @param contentLength the length of the body in bytes, or -1 if unknown
+     * @param onFinished called once, with true if the whole body was sent
      */
     void send(
             HttpResponse responseHead,
@@ -25,9 +25,13 @@
             BodyRelay body,
             Consumer<Boolean> onFinished);
 
-    /** Rejects the request; {@code retryAfterMicros} 0 gives no Retry-After. */
+    /**
+     * Rejects the request.
+     *
+     * @param retryAfterMicros the value of Retry-After in µs, or 0 for no such header
+     */
     void reject(long retryAfterMicros);
 
-    /** Fails the request: it may have run. */
+    /** Sends a failure. The request may have run on an upstream. */
     void fail();
 }
--- a/balancer/src/main/java/loadbalancer/upstream/EndpointPool.java
+++ b/balancer/src/main/java/loadbalancer/upstream/EndpointPool.java
@@ -4,14 +4,17 @@
 import java.util.ArrayDeque;
 
 /**
- * One endpoint: its address, until when it may be sent to, and its idle connections. Event loop
- * thread only.
+ * Holds the state of one endpoint: its address, the time until which it may receive requests, and
+ * its idle connections. Event loop thread only.
  */
 final class EndpointPool {
-    /** An idle connection used longer ago than this is preferred to one used more recently. */
+    /** Connections that have been idle for longer than this are preferred for reuse. */
     private static final long MIN_REUSE_IDLE_MICROS = 10_000;
 
-    /** Sending stops this long before the drain grace ends: the endpoint has a clock of its own. */
+    /**
+     * Time between the last request and the end of the drain grace period, since the endpoint
+     * measures that period with its own clock.
+     */
     private static final long DRAIN_SAFETY_MARGIN_MICROS = 50_000;
 
     private static final long NOT_DRAINING = Long.MAX_VALUE;
@@ -21,7 +24,7 @@
     private InetSocketAddress address;
     private long drainDeadlineMicros = NOT_DRAINING;
 
-    /** Ordered by their last use, the most recent last. */
+    // Ordered by last use, the most recent last.
     private final ArrayDeque<UpstreamConnection> idleConnections = new ArrayDeque<>(0);
 
     EndpointPool(PoolContext context, String id) {
@@ -33,12 +36,12 @@
         return id;
     }
 
-    /** Null where no endpoint list has given one. */
+    /** Returns the address, or null if no endpoint list has contained one. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Idle connections to the old address are closed where it changes. */
+    /** Sets the address and closes the idle connections if it has changed. */
     void updateAddress(InetSocketAddress newAddress) {
         if (!newAddress.equals(address)) {
             closeIdleConnections();
@@ -46,13 +49,15 @@
         }
     }
 
-    // ---------------------------------------------------------------- draining
-
     void markUp() {
         drainDeadlineMicros = NOT_DRAINING;
     }
 
-    /** Starts to drain; an earlier deadline stays. */
+    /**
+     * Starts draining. If the endpoint is draining already, the earlier deadline applies.
+     *
+     * @param graceMicros the drain grace period in µs
+     */
     void drain(long nowMicros, long graceMicros) {
         long marginMicros = Math.min(DRAIN_SAFETY_MARGIN_MICROS, graceMicros / 2);
         long deadlineMicros = nowMicros + Math.max(0, graceMicros - marginMicros);
@@ -60,7 +65,7 @@
         closeIdleConnections();
     }
 
-    /** Closes the idle connections; no request is sent from here on. */
+    /** Closes the idle connections and allows no further requests. */
     void shutDown() {
         drainDeadlineMicros = Long.MIN_VALUE;
         closeIdleConnections();
@@ -70,18 +75,16 @@
         return drainDeadlineMicros < NOT_DRAINING;
     }
 
-    /** Whether the time to send requests is over. */
+    /** Returns whether the endpoint may no longer receive requests. */
     boolean isDrained() {
         return context.nowMicros() >= drainDeadlineMicros;
     }
 
-    /** Whether the time to send requests was over before {@code timeMicros}. */
+    /** Returns whether the endpoint stopped receiving requests before {@code timeMicros}. */
     boolean wasDrainedBefore(long timeMicros) {
         return drainDeadlineMicros < timeMicros;
     }
 
-    // ---------------------------------------------------------------- idle connections
-
     int idleCount() {
         return idleConnections.size();
     }
@@ -94,7 +97,12 @@
         idleConnections.remove(connection);
     }
 
-    /** Takes an idle connection for a request, or null; unusable ones are closed on the way. */
+    /**
+     * Takes an idle connection out of the pool for a request. Connections found to be unusable are
+     * closed.
+     *
+     * @return the connection, or null if there is no usable one
+     */
     UpstreamConnection acquireIdle() {
         UpstreamConnection connection = pollIdle();
         while (connection != null && !connection.isReusable()) {
@@ -104,11 +112,9 @@
         return connection;
     }
 
-    // The most recently used of those idle for MIN_REUSE_IDLE_MICROS, else the one idle for
-    // longest. A
-    // second response may arrive milliseconds late: on a connection that is used again at once it
-    // would
-    // be taken for the next request's.
+    // Takes the most recently used connection that has been idle for MIN_REUSE_IDLE_MICROS, or else
+    // the longest idle one. An unsolicited second response may arrive some milliseconds late. On a
+    // connection that is reused at once it would be taken for the response to the next request.
     private UpstreamConnection pollIdle() {
         long idleSinceBefore = context.nowMicros() - MIN_REUSE_IDLE_MICROS;
         if (idleConnections.isEmpty()
@@ -125,18 +131,19 @@
         return candidate;
     }
 
-    /** The connection that has been idle for longest, still in the pool, or null. */
+    /** Returns the longest idle connection without taking it out of the pool, or null. */
     UpstreamConnection longestIdle() {
         return idleConnections.peekFirst();
     }
 
-    /** Takes out the connection that has been idle for longest and closes it. */
+    /** Removes and closes the longest idle connection. */
     void closeLongestIdle() {
         idleConnections.pollFirst().close();
     }
 
     /**
-     * Closes the connections that have been idle for too long or that their upstream has closed.
+     * Closes the connections that have been idle for too long or that the endpoint has closed,
+     * starting with the longest idle one and stopping at the first reusable one.
      */
     void closeExpiredConnections() {
         while (!idleConnections.isEmpty() && !idleConnections.peekFirst().isReusable()) {
--- a/balancer/src/main/java/loadbalancer/upstream/IdleConnectionEvictor.java
+++ b/balancer/src/main/java/loadbalancer/upstream/IdleConnectionEvictor.java
@@ -5,30 +5,33 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes idle connections: those idle for too long, by a timer that it owns, and the one idle for
- * longest where a descriptor is needed. Event loop thread only.
+ * Closes connections that have been idle for too long, by a timer that it owns, and the longest
+ * idle connection when a file descriptor is needed. Event loop thread only.
  */
 final class IdleConnectionEvictor {
     private static final long MIN_SWEEP_INTERVAL_MICROS = 10_000;
     private static final long MAX_SWEEP_INTERVAL_MICROS = 1_000_000;
     private static final int SWEEPS_PER_IDLE_TIMEOUT = 10;
 
-    /**
-     * An endpoint that has drained is forgotten after this time, so that the table stays bounded.
-     */
+    /** Time after which a drained endpoint is removed, so that the table stays bounded. */
     private static final long ENDPOINT_EXPIRY_MICROS = 60_000_000;
 
     private final PoolContext context;
     private final Collection<EndpointPool> endpointPools;
     private Future<?> sweepTask;
 
-    /** {@code endpointPools} is the pool's live view; expired endpoints are removed from it. */
+    /**
+     * Creates an evictor; {@link #start} starts its timer.
+     *
+     * @param endpointPools a live view of the pool's endpoints, from which drained endpoints are
+     *     removed
+     */
     IdleConnectionEvictor(PoolContext context, Collection<EndpointPool> endpointPools) {
         this.context = context;
         this.endpointPools = endpointPools;
     }
 
-    /** Starts the timer, where connections have a limit on their idle time. */
+    /** Starts the timer if the idle time of connections is limited. */
     void start() {
         if (context.maxIdleMicros() == Long.MAX_VALUE) {
             return;
@@ -51,9 +54,9 @@
         }
     }
 
-    // Connections are closed well before their upstream closes them: a request that meets a close
-    // is
-    // reset and may have run, and requests of most classes can't be retried then.
+    // Connections are closed well before their upstream closes them. A request that is sent while
+    // the upstream closes the connection is reset and may have run, and requests of most classes
+    // can't be retried then.
     private void sweep() {
         long expiredBefore = context.nowMicros() - ENDPOINT_EXPIRY_MICROS;
         endpointPools.removeIf(endpoint -> endpoint.wasDrainedBefore(expiredBefore));
@@ -62,7 +65,11 @@
         }
     }
 
-    /** Closes the connection that has been idle for longest; false where none is idle. */
+    /**
+     * Closes the longest idle connection of all endpoints.
+     *
+     * @return false if no connection is idle
+     */
     boolean closeLongestIdle() {
         EndpointPool ownerOfLongestIdle = null;
         long longestIdleSinceMicros = 0;
--- a/balancer/src/main/java/loadbalancer/upstream/PoolContext.java
+++ b/balancer/src/main/java/loadbalancer/upstream/PoolContext.java
@@ -8,7 +8,7 @@
 import loadbalancer.proxy.FileDescriptorBudget;
 
 /**
- * What the connections of one pool share: its services, its limits and the number of open
+ * Holds what the connections of one pool share: services, limits and the number of open
  * connections. Event loop thread only.
  */
 final class PoolContext {
@@ -58,7 +58,10 @@
         return bufferBudget;
     }
 
-    /** The idle time in µs from which a connection is no longer used; Long.MAX_VALUE: no limit. */
+    /**
+     * Returns the idle time in µs from which a connection is no longer used, or Long.MAX_VALUE if
+     * unlimited.
+     */
     long maxIdleMicros() {
         return maxIdleMicros;
     }
--- a/balancer/src/main/java/loadbalancer/upstream/ResponseReader.java
+++ b/balancer/src/main/java/loadbalancer/upstream/ResponseReader.java
@@ -25,14 +25,15 @@
 
 /**
  * Reads the responses on one connection, one after the other. A response is buffered and completes
- * its request once all that arrived with it has been read; a 200 response that is too long or too
- * slow for that is streamed. The last handler of its pipeline. Event loop thread only.
+ * its request once all bytes that arrived with it have been read. A 200 response that is too long
+ * or too slow to be buffered is streamed. It is the last handler of its pipeline. Event loop thread
+ * only.
  */
 final class ResponseReader extends SimpleChannelInboundHandler<HttpObject> {
-    /** Longer responses are streamed. */
+    /** Length in bytes above which a response is streamed. */
     private static final int MAX_BUFFERED_RESPONSE_BYTES = 64 * 1024;
 
-    /** A response of unknown length that takes longer is streamed. */
+    /** Time in ms after which a response of unknown length is streamed. */
     private static final long RESPONSE_BUFFERING_TIMEOUT_MS = 100;
 
     private static final String LOAD_REPORT_HEADER = "Srv-Load";
@@ -42,19 +43,19 @@
     private final UpstreamConnection connection;
     private final StrictFraming.ResponseDecoder decoder = new StrictFraming.ResponseDecoder();
 
-    // Null between responses
+    // Null between responses.
     private HttpResponse responseHead;
-    // The body so far while it is buffered
+    // The body received so far while it is buffered, or null.
     private ByteBuf bufferedBody;
-    // Runs while a body of unknown length is buffered
+    // Set while a body of unknown length is buffered, or null.
     private Future<?> bufferingTimeout;
-    // The body while it is streamed
+    // The body while it is streamed, or null.
     private BodyRelay download;
-    // A buffered response that has ended, until all that arrived with it has been read
+    // The complete buffered response, until all bytes that arrived with it have been read.
     private FullHttpResponse completeResponse;
-    // The streamed response has ended: the same
+    // True from the end of a streamed response until all bytes that arrived with it have been read.
     private boolean streamCompleted;
-    // Another response arrived behind the one that has ended
+    // True if another message has followed the complete response.
     private boolean hasExtraResponses;
 
     ResponseReader(PoolContext pool, UpstreamConnection connection) {
@@ -62,17 +63,15 @@
         this.connection = connection;
     }
 
-    /** The decoder that belongs before this handler. */
+    /** Returns the decoder that must precede this handler in the pipeline. */
     StrictFraming.ResponseDecoder decoder() {
         return decoder;
     }
 
-    // ---------------------------------------------------------------- reading
-
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         if (connection.request() == null || connection.isBroken()) {
-            // Abandoned meanwhile
+            // The request was abandoned or the connection has failed.
             return;
         }
         if (!message.decoderResult().isSuccess()) {
@@ -162,7 +161,8 @@
         }
     }
 
-    // Only a 200 response is streamed. The body of any other is dropped, as its status says enough.
+    // Only a 200 response is streamed. For any other response the status is enough and the body is
+    // dropped.
     private void startStreaming() {
         cancelBufferingTimeout();
         ByteBuf initialBody = bufferedBody;
@@ -175,7 +175,7 @@
             return;
         }
         if (!connection.isRequestWritten()) {
-            connection.failMalformed("served before the request was written");
+            connection.failMalformed("status 200 before the request was completely written");
             return;
         }
         bufferedBody = null;
@@ -189,12 +189,9 @@
                 LoadReportParser.parse(responseHead.headers().get(LOAD_REPORT_HEADER)));
     }
 
-    // ---------------------------------------------------------------- end of a response
-
-    // A response followed by a part of another message had a different length than its sender
-    // meant.
-    // Where only whole messages follow, the first belongs to the request and the connection is
-    // closed.
+    // If part of another message follows a response, the response did not have the length that its
+    // sender intended, and the attempt fails. If only whole messages follow, the first one is the
+    // response to the request and the connection is closed.
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         FullHttpResponse response = completeResponse;
@@ -207,10 +204,10 @@
         completeResponse = null;
         try {
             if (decoder.hasUndecodedBytes()) {
-                connection.failMalformed("more behind it");
+                connection.failMalformed("response followed by part of another message");
             } else if (connection.request() != null && !connection.isBroken()) {
                 if (hasExtraResponses) {
-                    connection.logMalformed("more than one, the first is passed on");
+                    connection.logMalformed("more than one response, the first is forwarded");
                 }
                 onResponseComplete(response);
             }
@@ -219,7 +216,7 @@
         }
     }
 
-    // All of the body has arrived; the client may still be reading it
+    // The whole body has arrived. The client may still be receiving it.
     private void onStreamComplete() {
         boolean reusable =
                 HttpUtil.isKeepAlive(responseHead)
@@ -238,7 +235,7 @@
     private void onResponseComplete(FullHttpResponse response) {
         boolean beforeUploadComplete = !connection.isRequestWritten();
         if (beforeUploadComplete && response.status().code() == 200) {
-            connection.failMalformed("served before the request was written");
+            connection.failMalformed("status 200 before the request was completely written");
             return;
         }
         resetResponseState();
@@ -255,7 +252,7 @@
                 classify(response), response, loadReport(response, completedRequest));
     }
 
-    // A health check's report may be its body
+    // A health check's response may carry the load report in its body instead of the header.
     private static LoadReport loadReport(FullHttpResponse response, UpstreamRequest request) {
         String loadReport = response.headers().get(LOAD_REPORT_HEADER);
         if (loadReport == null && request.isHealthCheck()) {
@@ -264,7 +261,7 @@
         return LoadReportParser.parse(loadReport);
     }
 
-    // Only the endpoint's own statement proves that a request did not run
+    // Only the endpoint's Srv-Declined header proves that a request did not run.
     private static AttemptOutcome classify(FullHttpResponse response) {
         int status = response.status().code();
         if (status == 200) {
@@ -287,8 +284,6 @@
         streamCompleted = false;
     }
 
-    // ---------------------------------------------------------------- end of the connection
-
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
@@ -297,7 +292,7 @@
         connection.closeBroken();
     }
 
-    // Runs after the decoder has delivered what the end of the input completes
+    // The decoder has already delivered a response that was completed by the end of the input.
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         if (completeResponse != null) {
@@ -314,6 +309,6 @@
         if (unsentUpload != null) {
             unsentUpload.discard();
         }
-        connection.failUnanswered();
+        connection.failPendingRequest();
     }
 }
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnection.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnection.java
@@ -10,12 +10,13 @@
 import loadbalancer.routing.api.AttemptOutcome;
 
 /**
- * One connection to an endpoint, from its connect to its close; it carries one request at a time
- * and is idle in between. It writes requests; {@link ResponseReader} reads their responses. As the
- * first handler of its pipeline it sees bytes before they are decoded. Event loop thread only.
+ * One connection to an endpoint, from connect to close. It carries one request at a time and is
+ * idle in between. It writes the requests, and {@link ResponseReader} reads their responses. It is
+ * the first handler of its pipeline, so that it receives bytes before they are decoded. Event loop
+ * thread only.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
-    /** How much of the request has been written: what decides whether it may have run. */
+    /** How much of the request has been written. Only a complete request may have run. */
     private enum WriteProgress {
         NOT_STARTED,
         STARTED,
@@ -25,11 +26,11 @@
     private final PoolContext pool;
     private final EndpointPool endpoint;
     private Channel channel;
-    // Null where the connection is idle or its request was abandoned
+    // Null if the connection is idle or its request was abandoned.
     private UpstreamRequest request;
     private WriteProgress writeProgress = WriteProgress.NOT_STARTED;
     private long idleSinceMicros;
-    // Nothing more that arrives is trusted
+    // True after a fault. Further input is ignored.
     private boolean broken;
 
     UpstreamConnection(PoolContext pool, EndpointPool endpoint) {
@@ -37,15 +38,13 @@
         this.endpoint = endpoint;
     }
 
-    // ---------------------------------------------------------------- connect
-
-    /** Takes the request to write once the connection is established. */
+    /** Sets the request to write once the connection is established. */
     void assign(UpstreamRequest newRequest) {
         request = newRequest;
         newRequest.setConnection(this);
     }
 
-    /** Takes over the channel that is being connected. */
+    /** Sets the channel, which is being connected, and handles the result of the connect. */
     void open(ChannelFuture connectFuture) {
         channel = connectFuture.channel();
         channel.closeFuture().addListener(closed -> onClosed());
@@ -60,10 +59,9 @@
                 });
     }
 
-    // Whether a request may be sent is decided at the instant of its write: the endpoint list, or
-    // what
-    // the request allows, may have changed while it waited, and the listener may abandon it when
-    // asked.
+    // Whether the request may be sent is checked right before its write, because the endpoint list
+    // or the state of the request may have changed while it waited. The listener may abandon the
+    // request during the check.
     private void onConnected() {
         UpstreamRequest pendingRequest = request;
         boolean mayStart =
@@ -73,15 +71,13 @@
             return;
         }
         UpstreamRequest unsentRequest = detachRequest();
-        // The established connection serves a later request
+        // The connection is kept for a later request.
         returnToPool();
         if (unsentRequest != null) {
             unsentRequest.completeWithoutResponse(AttemptOutcome.NOT_SENT);
         }
     }
 
-    // ---------------------------------------------------------------- request
-
     void write(UpstreamRequest nextRequest) {
         assign(nextRequest);
         writeProgress = WriteProgress.STARTED;
@@ -107,7 +103,7 @@
             onRequestWritten(uploadedRequest, true);
         }
 
-        // The client disconnected: its request stays incomplete
+        // The client has disconnected. Closing the connection keeps the request incomplete.
         @Override
         public void onAborted() {
             close();
@@ -129,12 +125,12 @@
         }
     }
 
-    /** The request that is under way, or null. */
+    /** Returns the current request, or null. */
     UpstreamRequest request() {
         return request;
     }
 
-    /** Whether the request's last byte has been written: from then on it may have run. */
+    /** Returns whether the request's last byte has been written, so that it may have run. */
     boolean isRequestWritten() {
         return writeProgress == WriteProgress.COMPLETE;
     }
@@ -145,7 +141,11 @@
         return detachedRequest;
     }
 
-    /** Gives the request up; the connection is closed if any of it has been written. */
+    /**
+     * Abandons the request and closes the connection if its write has started.
+     *
+     * @return whether the request may have run, because its last byte has been written
+     */
     boolean abandonRequest() {
         boolean mayHaveRun = isRequestWritten();
         request = null;
@@ -163,9 +163,11 @@
     }
 
     /**
-     * Ends the exchange after a whole response: the connection becomes idle or is closed. The
-     * caller completes the request that is returned afterwards, as its listener may send the next
-     * request over this connection; null where the request was abandoned.
+     * Ends the exchange after a complete response: the connection becomes idle or is closed. The
+     * caller completes the returned request afterwards, because its listener may send the next
+     * request over this connection.
+     *
+     * @return the request, or null if it was abandoned
      */
     UpstreamRequest finishExchange(boolean reusable) {
         UpstreamRequest finishedRequest = detachRequest();
@@ -177,8 +179,6 @@
         return finishedRequest;
     }
 
-    // ---------------------------------------------------------------- idle
-
     private void returnToPool() {
         writeProgress = WriteProgress.NOT_STARTED;
         idleSinceMicros = pool.nowMicros();
@@ -189,12 +189,14 @@
         }
     }
 
-    /** The time in µs at which the connection became idle. */
+    /** Returns the time in µs at which the connection became idle. */
     long idleSinceMicros() {
         return idleSinceMicros;
     }
 
-    /** Whether the idle connection can carry a request; it must be closed where it can't. */
+    /**
+     * Returns whether the idle connection can carry a request. If not, the caller must close it.
+     */
     boolean isReusable() {
         return isActive()
                 && pool.nowMicros() - idleSinceMicros < pool.maxIdleMicros()
@@ -202,16 +204,14 @@
                         && staleCheckChannel.hasUnreadInput());
     }
 
-    // ---------------------------------------------------------------- input
-
-    // Unsolicited bytes end the connection here: left in the decoder, or read just after the next
-    // request was written, they would be taken for that request's response.
+    // Closes the connection on unsolicited bytes. If they stayed in the decoder, or were read just
+    // after the next request was written, they would be taken for the response to that request.
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (request == null) {
             failMalformed("nobody asked");
         } else if (!isRequestWritten() && request.upload() == null) {
-            failMalformed("before the request was written");
+            failMalformed("bytes before the request was completely written");
         }
         if (broken) {
             ReferenceCountUtil.release(message);
@@ -227,8 +227,6 @@
         }
     }
 
-    // ---------------------------------------------------------------- close
-
     Channel channel() {
         return channel;
     }
@@ -245,13 +243,16 @@
         channel.close();
     }
 
-    /** Closes the connection after a fault: an end of input then completes no response. */
+    /** Closes the connection after a fault, so that the end of the input completes no response. */
     void closeBroken() {
         broken = true;
         close();
     }
 
-    /** Closes the connection on a malformed response; its request ends as one that may have run. */
+    /**
+     * Closes the connection on a malformed response and logs the reason once. The request then
+     * fails as described at {@link #failPendingRequest}.
+     */
     void failMalformed(String reason) {
         if (!broken) {
             broken = true;
@@ -269,14 +270,17 @@
     }
 
     /**
-     * The input has ended with the request under way: whether it may have run depends on the write.
+     * Fails the current request, if any, after the end of the input: as {@link
+     * AttemptOutcome#RESET} if it was completely written and so may have run, else as {@link
+     * AttemptOutcome#CONNECT_FAILED}.
      */
-    void failUnanswered() {
+    void failPendingRequest() {
         completeWithoutResponse(
                 isRequestWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
     }
 
-    // A request that was written to ends when the input does, after all that was decoded
+    // A request whose write has started is failed by ResponseReader, after the remaining input has
+    // been decoded.
     private void onClosed() {
         pool.onConnectionClosed();
         endpoint.removeIdle(this);
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
@@ -20,8 +20,10 @@
     private final SocketAddress inProcessAddress;
 
     /**
-     * {@code inProcessAddress}: where every endpoint is, within this process; null: each endpoint
-     * is at its own address.
+     * Creates a connector.
+     *
+     * @param inProcessAddress the address of all endpoints within this process, or null to connect
+     *     to each endpoint's own address
      */
     UpstreamConnector(
             PoolContext context, int connectTimeoutMillis, SocketAddress inProcessAddress) {
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamPool.java
@@ -18,14 +18,14 @@
 import loadbalancer.routing.api.EndpointStatus;
 
 /**
- * The connections to all endpoints of the list: sends a request over an idle connection or a new
- * one, one request at a time on each. All methods belong to the event loop's thread.
+ * Holds the connections to all endpoints of the list and sends each request over an idle or a new
+ * connection, one request at a time on each. Event loop thread only.
  */
 public final class UpstreamPool {
-    /** Connections are idle for at most this fraction of the upstreams' own idle timeout. */
+    /** Maximum idle time of a connection, as a fraction of the upstreams' own idle timeout. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.5;
 
-    /** Used where the settings give no limit. */
+    /** Connect timeout if the settings contain none. */
     private static final int DEFAULT_CONNECT_TIMEOUT_MS = 1_000;
 
     private final BootSettings boot;
@@ -35,7 +35,7 @@
     private final Map<String, EndpointPool> endpointPools = new HashMap<>();
     private final Set<String> listedEndpoints = new HashSet<>();
 
-    /** A pool that connects to the endpoints' own addresses. */
+    /** Creates a pool that connects to the endpoints' own addresses. */
     public UpstreamPool(
             EventLoop loop,
             BootSettings boot,
@@ -48,8 +48,10 @@
     }
 
     /**
-     * A pool for which every endpoint is at {@code inProcessAddress}, within this process; null:
-     * each endpoint is at its own address.
+     * Creates a pool.
+     *
+     * @param inProcessAddress the address of all endpoints within this process, or null to connect
+     *     to each endpoint's own address
      */
     public UpstreamPool(
             EventLoop loop,
@@ -88,7 +90,7 @@
                 : DEFAULT_CONNECT_TIMEOUT_MS;
     }
 
-    /** The number of connections, as the counters line of the log gives it. */
+    /** Returns the number of connections in the format of the log's counters line. */
     @Override
     public String toString() {
         int idleConnections =
@@ -96,16 +98,14 @@
         return context.openConnections() + " upstream connections (" + idleConnections + " idle)";
     }
 
-    // ---------------------------------------------------------------- endpoint list
-
-    /** The number of endpoints in the list, those that are draining included. */
+    /** Returns the number of endpoints in the list, including draining ones. */
     public int listedEndpoints() {
         return listedEndpoints.size();
     }
 
     /**
-     * Applies a complete list or a delta: endpoints that are not up, or that a complete list no
-     * longer names, begin to drain.
+     * Applies a complete endpoint list or a delta. Endpoints that are not up, or that are missing
+     * from a complete list, start draining.
      *
      * @param nowMicros the time in µs by the pool's clock
      */
@@ -146,12 +146,11 @@
         }
     }
 
-    // ---------------------------------------------------------------- requests
-
     /**
-     * Sends a request; it may end before this returns.
+     * Sends a request. It may end before this method returns.
      *
-     * @param timeoutMicros how long the caller will wait for the response; sent to the endpoint
+     * @param timeoutMicros the time in µs that the caller waits for the response, which is also
+     *     sent to the endpoint
      */
     public UpstreamRequest send(
             String endpointId,
@@ -163,7 +162,7 @@
         return request;
     }
 
-    /** Sends a health check; it ends after the connect timeout at the latest. */
+    /** Sends a health check, which ends after the connect timeout at the latest. */
     public void sendHealthCheck(
             String endpointId, boolean withLoadReport, UpstreamResponseListener listener) {
         UpstreamRequest request = UpstreamRequest.healthCheck(withLoadReport, listener);
@@ -187,9 +186,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- idle connections
-
-    /** Closes the idle connections to one endpoint. */
+    /** Closes the idle connections to an endpoint. */
     public void closeIdleConnections(String endpointId) {
         EndpointPool endpointPool = endpointPools.get(endpointId);
         if (endpointPool != null) {
@@ -197,12 +194,16 @@
         }
     }
 
-    /** Closes the connection that has been idle for longest; false where none is idle. */
+    /**
+     * Closes the longest idle connection of all endpoints.
+     *
+     * @return false if no connection is idle
+     */
     public boolean closeLongestIdle() {
         return evictor.closeLongestIdle();
     }
 
-    /** Closes all idle connections, and each other one when its request has ended. */
+    /** Closes all idle connections now and each other connection when its request has ended. */
     public void close() {
         evictor.stop();
         endpointPools.values().forEach(EndpointPool::shutDown);
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamRequest.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamRequest.java
@@ -22,7 +22,7 @@
 import loadbalancer.routing.api.LoadReport;
 
 /**
- * One attempt or health check, from hand-over to its single outcome. It completes once, or is
+ * One attempt or health check, from its start to its single outcome. It completes once or is
  * abandoned. Event loop thread only.
  */
 public final class UpstreamRequest {
@@ -31,7 +31,7 @@
     private final ProxyRequest proxyRequest;
     private final long timeoutMs;
     private final UpstreamResponseListener listener;
-    // Null while there is none and after the end
+    // Null until a connection is assigned, and after the end of the request.
     private UpstreamConnection connection;
     private Future<?> timeoutTask;
     private boolean completed;
@@ -43,13 +43,13 @@
         this.listener = listener;
     }
 
-    /** An attempt of a client's request, which tells the endpoint its timeout. */
+    /** Creates an attempt of a client's request, which sends its timeout to the endpoint. */
     static UpstreamRequest attempt(
             ProxyRequest proxyRequest, long timeoutMicros, UpstreamResponseListener listener) {
         return new UpstreamRequest(proxyRequest, Math.max(1, timeoutMicros / 1000), listener);
     }
 
-    /** A health check, without a deadline for the endpoint. */
+    /** Creates a health check, which sends no deadline to the endpoint. */
     static UpstreamRequest healthCheck(boolean withLoadReport, UpstreamResponseListener listener) {
         ProxyRequest proxyRequest =
                 new ProxyRequest(
@@ -70,12 +70,12 @@
         return timeoutMs == NO_DEADLINE;
     }
 
-    /** The client's id of the request, for the log; null where there is none. */
+    /** Returns the client's id of the request, for the log, or null if there is none. */
     String clientRequestId() {
         return proxyRequest.clientRequestId();
     }
 
-    /** The body that is streamed to the endpoint, or null where it is sent with the head. */
+    /** Returns the body that is streamed to the endpoint, or null if it is sent with the head. */
     BodyRelay upload() {
         return proxyRequest.upload();
     }
@@ -84,13 +84,11 @@
         connection = newConnection;
     }
 
-    // ---------------------------------------------------------------- outcome
-
     boolean mayStart() {
         return listener.mayStart();
     }
 
-    /** Ends the request after {@code timeoutMillis}; the timer is cancelled when it completes. */
+    /** Starts a timeout, which is cancelled when the request completes. */
     void startTimeout(EventLoop loop, int timeoutMillis) {
         timeoutTask = loop.schedule(this::onTimeout, timeoutMillis, TimeUnit.MILLISECONDS);
     }
@@ -103,10 +101,10 @@
     }
 
     /**
-     * Ends the request without calling the listener; a connection that any of it was written to is
-     * closed.
+     * Ends the request without calling the listener. The connection is closed if the write of the
+     * request has started.
      *
-     * @return whether the request may have run: its last byte has been written
+     * @return whether the request may have run, because its last byte has been written
      */
     public boolean abandon() {
         UpstreamConnection activeConnection = connection;
@@ -127,7 +125,10 @@
         complete(outcome, null, null);
     }
 
-    /** The caller keeps the response and releases it. */
+    /**
+     * Ends the request and calls the listener, unless the request has ended already. The caller
+     * keeps ownership of the response and releases it.
+     */
     void complete(AttemptOutcome outcome, FullHttpResponse response, LoadReport load) {
         if (timeoutTask != null) {
             timeoutTask.cancel(false);
@@ -139,9 +140,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- encoding
-
-    /** The message to write, without its body where that is streamed. */
+    /** Returns the HTTP request to write, without the body if that is streamed. */
     HttpRequest toHttpRequest(InetSocketAddress address) {
         HttpRequest httpRequest = newHttpRequest();
         HttpHeaders headers = httpRequest.headers();
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamResponseListener.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamResponseListener.java
@@ -6,32 +6,33 @@
 import loadbalancer.routing.api.AttemptOutcome;
 import loadbalancer.routing.api.LoadReport;
 
-/** Receives the outcome of one {@link UpstreamRequest}, on the event loop's thread. */
+/** Receives the outcome of one {@link UpstreamRequest}. Called on the event loop's thread. */
 public interface UpstreamResponseListener {
     /**
-     * Whether the request may still be written; asked right before its first byte if it had to wait
-     * for a connection. Where not, it ends as {@link AttemptOutcome#NOT_SENT}.
+     * Returns whether the request may still be written. Called right before its first byte is
+     * written if the request had to wait for a connection. If false, the request ends as {@link
+     * AttemptOutcome#NOT_SENT}.
      */
     default boolean mayStart() {
         return true;
     }
 
     /**
-     * The request has ended; called once, unless the request was abandoned.
+     * Called once when the request has ended, unless it was abandoned.
      *
-     * @param response a buffered response, valid during the call only and released by the pool;
-     *     null where none came or where it was streamed
+     * @param response the buffered response, valid only during the call and released by the pool;
+     *     null if there was none or it was streamed
      * @param load the load report that came with the response, or null
      */
     void onComplete(AttemptOutcome outcome, FullHttpResponse response, LoadReport load);
 
     /**
-     * A 200 response that is streamed has begun; {@link #onComplete} reports its end, without a
-     * response.
+     * Called when a 200 response begins to be streamed. {@link #onComplete} reports its end,
+     * without a response.
      *
-     * @param contentLength the length of the body in bytes, or -1 where it is unknown
+     * @param contentLength the length of the body in bytes, or -1 if unknown
      * @param body the body, now owned by the listener
-     * @param load the load report in the header fields, or null
+     * @param load the load report in the header, or null
      */
     default void onResponseStarted(
             HttpResponse responseHead, long contentLength, BodyRelay body, LoadReport load) {
