--- a/balancer/src/test/java/loadbalancer/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/loadbalancer/dispatch/DispatcherTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The final response of a request, with a client side that the test plays. */
+/** Tests the final response of a request, with a recording policy and a recording client side. */
 class DispatcherTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final RecordingPolicy policy = new RecordingPolicy();
@@ -53,7 +53,7 @@
         assertEquals(0, dispatcher.pendingRequestCount());
     }
 
-    /** Reading the connection for the check may report the disconnect before the check returns. */
+    /** The check reads the connection, so the disconnect may be reported before it returns. */
     @Test
     void disconnectReportedDuringTheCheckEndsTheRequestOnce() {
         submitRequest();
--- a/balancer/src/test/java/loadbalancer/dispatch/ExchangeAttemptTest.java
+++ b/balancer/src/test/java/loadbalancer/dispatch/ExchangeAttemptTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The timeout and the latency of one attempt, and what its end means to its request. */
+/** Tests the timeout and the latency of an attempt, and the effect of its end on its request. */
 class ExchangeAttemptTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final Exchange exchange =
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void streamedResponseNeedsNoTimeoutWhileTheAttemptGoesOn() {
+    void cancelledTimeoutDoesNotEndTheAttempt() {
         Future<?> timeoutTask = startTimeout();
         attempt.cancelTimeout();
         assertTrue(timeoutTask.isCancelled());
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void attemptWithoutTimeoutEndsTheSame() {
+    void attemptWithoutTimeoutCanEnd() {
         attempt.end();
         assertTrue(attempt.hasEnded());
     }
@@ -81,9 +81,9 @@
         assertEquals(500, attempt.latencyMicros(9_500));
     }
 
-    /** The pool may report its end before it has returned the request. */
+    /** The pool may report the end of the attempt before it has returned the upstream request. */
     @Test
-    void attemptThatWasNotHandedOverCannotHaveRun() {
+    void attemptWithoutUpstreamRequestCannotHaveRun() {
         assertFalse(attempt.abandonUpstreamRequest());
     }
 }
--- a/balancer/src/test/java/loadbalancer/dispatch/FinalResponsesTest.java
+++ b/balancer/src/test/java/loadbalancer/dispatch/FinalResponsesTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What each way to end a request sends, counts, logs, and tells the policy. */
+/** Tests what is sent, counted, logged and reported to the policy when a request ends. */
 class FinalResponsesTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final BootSettings boot =
@@ -81,7 +81,7 @@
         assertEquals(List.of("response"), sender.responses());
         assertCounted(1, 0, 0);
         assertEquals(0, requests.pendingRequestCount());
-        assertEquals(1, response.refCnt(), "the caller releases it");
+        assertEquals(1, response.refCnt(), "the caller releases the response");
         response.release();
     }
 
@@ -118,7 +118,7 @@
         assertSame(exchange, requests.find(exchange.id()));
     }
 
-    /** Its caller ends the attempts before the request is removed. */
+    /** The caller ends the attempts before it removes the request. */
     @Test
     void failureAtTheDeadlineIsSentAndKeptInTheTable() {
         responses.failAtDeadline(exchange);
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void streamedResponseIsOwedUntilItsEnd() {
+    void streamedResponseIsPendingUntilItsEnd() {
         startStream();
         assertEquals(List.of("stream"), sender.responses());
         assertTrue(exchange.isClosed());
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void brokenOffStreamCountsAsFailed() {
+    void incompleteStreamIsCountedAsFailed() {
         startStream();
         sender.finishStream(false);
         assertEquals(0, requests.pendingRequestCount());
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void endOfAStreamThatWasGivenUpCountsNothing() {
+    void endOfAnAbandonedStreamIsNotCounted() {
         startStream();
         responses.finishStreaming(exchange);
         sender.finishStream(false);
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void unreadDisconnectIsFoundByTheCheck() {
+    void unreadDisconnectIsDetectedByTheCheck() {
         sender.disconnect();
         responses.closeIfDisconnected(exchange);
         assertTrue(exchange.isClosed());
@@ -189,11 +189,11 @@
     }
 
     @Test
-    void connectionOfAnAnsweredRequestIsNotChecked() {
+    void connectionIsNotCheckedAfterTheFinalResponse() {
         responses.fail(exchange);
         sender.onConnectionCheck(
                 () -> {
-                    throw new AssertionError("checked");
+                    throw new AssertionError("the connection was checked");
                 });
         responses.closeIfDisconnected(exchange);
     }
--- a/balancer/src/test/java/loadbalancer/dispatch/PolicyEventsTest.java
+++ b/balancer/src/test/java/loadbalancer/dispatch/PolicyEventsTest.java
@@ -8,7 +8,7 @@
 import loadbalancer.routing.api.EndpointListKind;
 import org.junit.jupiter.api.Test;
 
-/** The order in which the policy is given its events, and what its failures do. */
+/** Tests the order of the policy's events and the handling of its exceptions. */
 class PolicyEventsTest {
     private final RecordingPolicy policy = new RecordingPolicy();
     private final List<String> logLines = new ArrayList<>();
@@ -16,14 +16,14 @@
             new PolicyEvents(policy, new MonotonicClock(), logLines::add);
 
     @Test
-    void eventDuringAnotherOneWaitsForItsEnd() {
+    void eventDuringAnotherEventIsDeferred() {
         policy.onTimer(() -> policyEvents.endpointListReceived(EndpointListKind.FAILED, null));
         policyEvents.timerExpired();
         assertEquals(List.of("timer begins", "timer ends", "list FAILED 0"), policy.events());
     }
 
     @Test
-    void failureOfThePolicyIsLoggedAndTheNextEventIsHandled() {
+    void exceptionOfThePolicyIsLoggedAndTheNextEventIsHandled() {
         policy.onTimer(
                 () -> {
                     policyEvents.endpointListReceived(EndpointListKind.FAILED, null);
--- a/balancer/src/test/java/loadbalancer/dispatch/RecordingPolicy.java
+++ b/balancer/src/test/java/loadbalancer/dispatch/RecordingPolicy.java
@@ -9,36 +9,39 @@
 import loadbalancer.routing.api.RoutingActions;
 import loadbalancer.routing.api.RoutingPolicy;
 
-/** A routing policy that records its events and asks for nothing by itself. */
+/** Routing policy that records its events and requests no actions. */
 public final class RecordingPolicy implements RoutingPolicy {
     private final List<String> events = new ArrayList<>();
     private Runnable timerHandler = () -> {};
     private RoutingActions actions;
     private String requestId;
 
-    /** What the policy was called with, in order. */
+    /** Returns the recorded events in order. */
     public List<String> events() {
         return events;
     }
 
-    /** Runs {@code handler} within each timer event. */
+    /** Sets a handler that runs during each timer event. */
     void onTimer(Runnable handler) {
         timerHandler = handler;
     }
 
-    /** The actions that came with the last request. */
+    /** Returns the actions that were passed with the last request. */
     public RoutingActions actions() {
         return actions;
     }
 
-    /** The id of the last request. */
+    /** Returns the id of the last request. */
     public String requestId() {
         return requestId;
     }
 
     @Override
     public void onEndpointList(
-            long now, EndpointListKind kind, List<Endpoint> endpoints, RoutingActions sink) {
+            long now,
+            EndpointListKind kind,
+            List<Endpoint> endpoints,
+            RoutingActions routingActions) {
         events.add("list " + kind + " " + endpoints.size());
     }
 
@@ -52,9 +55,9 @@
             long remainingMicros,
             long workHint,
             boolean resubmission,
-            RoutingActions sink) {
+            RoutingActions routingActions) {
         events.add("request");
-        actions = sink;
+        actions = routingActions;
         requestId = newRequestId;
     }
 
@@ -67,13 +70,13 @@
             long latencyMicros,
             boolean closed,
             LoadReport load,
-            RoutingActions sink) {
+            RoutingActions routingActions) {
         events.add("attempt " + attemptNumber + " " + outcome + (closed ? " closed" : ""));
     }
 
     @Override
     public void onStreamStarted(
-            long now, String streamedRequestId, int attemptNumber, RoutingActions sink) {
+            long now, String streamedRequestId, int attemptNumber, RoutingActions routingActions) {
         events.add("stream");
     }
 
@@ -84,17 +87,21 @@
 
     @Override
     public void onUploadCompleted(
-            long now, String uploadedRequestId, long remainingMicros, RoutingActions sink) {
+            long now,
+            String uploadedRequestId,
+            long remainingMicros,
+            RoutingActions routingActions) {
         events.add("upload completed");
     }
 
     @Override
-    public void onClientDisconnected(long now, String leftRequestId, RoutingActions sink) {
+    public void onClientDisconnected(
+            long now, String disconnectedRequestId, RoutingActions routingActions) {
         events.add("disconnected");
     }
 
     @Override
-    public void onTimer(long now, RoutingActions sink) {
+    public void onTimer(long now, RoutingActions routingActions) {
         events.add("timer begins");
         timerHandler.run();
         events.add("timer ends");
--- a/balancer/src/test/java/loadbalancer/dispatch/RecordingResponseSender.java
+++ b/balancer/src/test/java/loadbalancer/dispatch/RecordingResponseSender.java
@@ -8,7 +8,7 @@
 import loadbalancer.proxy.BodyRelay;
 
 /**
- * A client side that records what it is to send, and is connected until the test says otherwise.
+ * Response sender that records the responses. Its client stays connected until {@link #disconnect}.
  */
 final class RecordingResponseSender implements ResponseSender {
     private final List<String> responses = new ArrayList<>();
@@ -16,22 +16,22 @@
     private boolean connected = true;
     private Consumer<Boolean> onStreamFinished;
 
-    /** The final responses in the order in which they were given. */
+    /** Returns the final responses in the order of the calls. */
     List<String> responses() {
         return responses;
     }
 
-    /** The client disconnects. */
+    /** Simulates a disconnect of the client. */
     void disconnect() {
         connected = false;
     }
 
-    /** Runs {@code check} within each check of the connection. */
-    void onConnectionCheck(Runnable check) {
-        onConnectionCheck = check;
+    /** Sets a callback that runs during each check of the connection. */
+    void onConnectionCheck(Runnable callback) {
+        onConnectionCheck = callback;
     }
 
-    /** Ends the streamed response, as the client side does at its end. */
+    /** Reports the end of the streamed response. */
     void finishStream(boolean complete) {
         onStreamFinished.accept(complete);
     }
--- a/balancer/src/test/java/loadbalancer/dispatch/RequestTableTest.java
+++ b/balancer/src/test/java/loadbalancer/dispatch/RequestTableTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** How long a request stays in the table, and when the table counts as idle. */
+/** Tests how long a request stays in the table and when the table is idle. */
 class RequestTableTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final RequestTable requests = new RequestTable(channel.eventLoop());
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void requestsOfTheSameClientIdAreToldApart() {
+    void requestsWithTheSameClientIdGetDistinctIds() {
         Exchange first = addRequest(0);
         Exchange second = addRequest(0);
         assertNotEquals(first.id(), second.id());
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void idleCallbackRunsAtOnceWhereNoResponseIsOwed() {
+    void idleCallbackRunsAtOnceIfNoRequestIsPending() {
         AtomicInteger calls = new AtomicInteger();
         requests.whenIdle(calls::incrementAndGet);
         channel.runPendingTasks();
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void idleCallbackRunsEachTimeTheLastOwedResponseIsSettled() {
+    void idleCallbackRunsEachTimeTheLastPendingRequestIsSettled() {
         AtomicInteger calls = new AtomicInteger();
         addRequest(0);
         addRequest(0);
--- a/balancer/src/test/java/loadbalancer/upstream/EmbeddedUpstream.java
+++ b/balancer/src/test/java/loadbalancer/upstream/EmbeddedUpstream.java
@@ -21,11 +21,11 @@
 import loadbalancer.routing.api.LoadReport;
 
 /**
- * Connections to one endpoint, s1, over embedded channels. The test sets the clock, plays the
- * endpoint, and reads the outcomes of the requests.
+ * Opens connections to the endpoint s1 over embedded channels. The test advances the clock, acts as
+ * the endpoint and reads the outcomes of the requests.
  */
 final class EmbeddedUpstream implements AutoCloseable {
-    /** The idle time from which a connection is no longer used. */
+    /** Idle time in µs from which a connection is no longer used. */
     static final long MAX_IDLE_MICROS = 1_000_000;
 
     private final EmbeddedChannel loopChannel = new EmbeddedChannel();
@@ -69,17 +69,17 @@
         return endpoint;
     }
 
-    /** What the requests ended as, in order. */
+    /** Returns the outcomes of the requests, in order. */
     List<String> outcomes() {
         return outcomes;
     }
 
-    /** The number of malformed or unsolicited responses in the log. */
+    /** Returns the number of malformed or unsolicited responses in the event log. */
     long malformedCount() {
         return events.count(EventLog.Kind.UNREADABLE);
     }
 
-    /** The body that the last request's listener was given; null where none is streamed. */
+    /** Returns the body of the last streamed response, or null if none was streamed. */
     BodyRelay streamedResponse() {
         return streamedResponse;
     }
@@ -91,7 +91,7 @@
         loopChannel.runScheduledPendingTasks();
     }
 
-    /** Whether a timer runs on the event loop that the connections share. */
+    /** Returns whether a timer is scheduled on the event loop that the connections share. */
     boolean hasTimer() {
         return loopChannel.runScheduledPendingTasks() >= 0;
     }
@@ -105,12 +105,12 @@
                 proxyRequest, ProxyRequestFixtures.TIME_LEFT_MICROS, new RecordingListener());
     }
 
-    /** A connection that is established with {@code request} to write, or null for none. */
+    /** Opens an established connection that writes {@code request}, or is idle if that is null. */
     UpstreamConnection connect(UpstreamRequest request) {
         return connect(endpoint, request);
     }
 
-    /** An established connection that is idle from now on. */
+    /** Opens an established connection that is idle from now on. */
     UpstreamConnection connectIdle(EndpointPool owner) {
         return connect(owner, null);
     }
@@ -137,7 +137,7 @@
         return (EmbeddedChannel) connection.channel();
     }
 
-    /** What has been written to the endpoint since the last call. */
+    /** Returns what has been written to the endpoint since the last call. */
     static String written(UpstreamConnection connection) {
         StringBuilder text = new StringBuilder();
         ByteBuf part = channel(connection).readOutbound();
@@ -149,7 +149,7 @@
         return text.toString();
     }
 
-    /** Delivers bytes of the endpoint in one read. */
+    /** Delivers bytes from the endpoint in one read. */
     static void receive(UpstreamConnection connection, String text) {
         channel(connection).writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
     }
--- a/balancer/src/test/java/loadbalancer/upstream/EndpointPoolTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/EndpointPoolTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Which idle connection is used next, and until when an endpoint may be sent to. */
+/** Tests which idle connection is reused and until when an endpoint may receive requests. */
 class EndpointPoolTest {
     private final EmbeddedUpstream upstream = new EmbeddedUpstream();
     private final EndpointPool endpoint = upstream.endpoint();
@@ -24,10 +24,8 @@
         return upstream.connectIdle(endpoint);
     }
 
-    // ---------------------------------------------------------------- order of reuse
-
     @Test
-    void longestIdleIsReusedWhereAllWereUsedJustNow() {
+    void longestIdleConnectionIsReusedIfAllWereUsedRecently() {
         UpstreamConnection oldest = connectIdle();
         upstream.advanceMicros(1_000);
         connectIdle();
@@ -35,7 +33,7 @@
     }
 
     @Test
-    void mostRecentlyUsedOfThoseIdleForLongEnoughIsReused() {
+    void mostRecentlyUsedConnectionThatIsIdleForLongEnoughIsReused() {
         connectIdle();
         upstream.advanceMicros(1_000);
         UpstreamConnection idleForLongEnough = connectIdle();
@@ -45,7 +43,7 @@
     }
 
     @Test
-    void connectionsPassedOverKeepTheirOrder() {
+    void skippedConnectionsKeepTheirOrder() {
         UpstreamConnection longestIdle = connectIdle();
         upstream.advanceMicros(10_000);
         UpstreamConnection secondLast = connectIdle();
@@ -57,7 +55,7 @@
     }
 
     @Test
-    void connectionInUseIsNotGivenTwice() {
+    void connectionInUseIsNotAcquiredAgain() {
         connectIdle();
         endpoint.acquireIdle();
         assertEquals(0, endpoint.idleCount());
@@ -73,14 +71,12 @@
     }
 
     @Test
-    void connectionThatItsEndpointClosedLeavesThePool() {
+    void connectionClosedByItsEndpointIsRemoved() {
         UpstreamConnection closed = connectIdle();
         closed.channel().close();
         assertEquals(0, endpoint.idleCount());
     }
 
-    // ---------------------------------------------------------------- closes
-
     @Test
     void expiredConnectionsAreClosedAndYoungerOnesStay() {
         UpstreamConnection expired = connectIdle();
@@ -103,10 +99,8 @@
         assertEquals(new InetSocketAddress("127.0.0.1", 81), endpoint.address());
     }
 
-    // ---------------------------------------------------------------- draining
-
     @Test
-    void drainClosesIdleConnectionsAndEndsBeforeTheGrace() {
+    void drainClosesIdleConnectionsAndEndsBeforeTheGracePeriod() {
         UpstreamConnection connection = connectIdle();
         endpoint.drain(upstream.context().nowMicros(), 1_000_000);
         assertFalse(connection.isActive());
@@ -118,7 +112,7 @@
     }
 
     @Test
-    void marginOfAShortGraceIsHalfOfIt() {
+    void safetyMarginIsAtMostHalfOfTheGracePeriod() {
         endpoint.drain(upstream.context().nowMicros(), 60_000);
         upstream.advanceMicros(29_999);
         assertFalse(endpoint.isDrained());
@@ -127,7 +121,7 @@
     }
 
     @Test
-    void repeatedDrainDoesNotExtendTheTime() {
+    void repeatedDrainDoesNotExtendTheDeadline() {
         endpoint.drain(upstream.context().nowMicros(), 1_000_000);
         upstream.advanceMicros(900_000);
         endpoint.drain(upstream.context().nowMicros(), 1_000_000);
@@ -136,7 +130,7 @@
     }
 
     @Test
-    void endpointThatIsUpAgainIsSentTo() {
+    void endpointThatIsUpAgainMayReceiveRequests() {
         endpoint.drain(upstream.context().nowMicros(), 0);
         assertTrue(endpoint.isDrained());
         endpoint.markUp();
@@ -155,7 +149,7 @@
     }
 
     @Test
-    void shutDownEndsItAtOnce() {
+    void shutDownClosesIdleConnectionsAndDrainsAtOnce() {
         UpstreamConnection connection = connectIdle();
         endpoint.shutDown();
         assertFalse(connection.isActive());
--- a/balancer/src/test/java/loadbalancer/upstream/IdleConnectionEvictorTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/IdleConnectionEvictorTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** When idle connections are closed, by a clock and a timer that the test advances. */
+/** Tests when idle connections are closed, with a clock and a timer that the test advances. */
 class IdleConnectionEvictorTest {
     private final EmbeddedUpstream upstream = new EmbeddedUpstream();
     private final List<EndpointPool> endpoints = new ArrayList<>(List.of(upstream.endpoint()));
@@ -27,7 +27,7 @@
         return endpoint;
     }
 
-    /** Nothing is sent to it and nothing arrives: the timer alone closes it. */
+    /** Nothing is sent or received on the connection, so only the timer can close it. */
     @Test
     void connectionIdleForTooLongIsClosedByTheTimer() {
         evictor.start();
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void connectionInUseIsLeftAloneByTheTimer() {
+    void connectionInUseIsNotClosedByTheTimer() {
         evictor.start();
         UpstreamConnection connection = upstream.connect(upstream.request("r1"));
         upstream.advanceMicros(2 * EmbeddedUpstream.MAX_IDLE_MICROS);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void noSweepFollowsTheStop() {
+    void stoppedEvictorClosesNoConnections() {
         evictor.start();
         upstream.advanceMicros(3 * EmbeddedUpstream.MAX_IDLE_MICROS);
         evictor.stop();
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void drainedEndpointIsForgottenAfterAMinute() {
+    void drainedEndpointIsRemovedAfterAMinute() {
         evictor.start();
         EndpointPool removed = addEndpoint("s2");
         removed.drain(upstream.context().nowMicros(), 0);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void longestIdleOfAllEndpointsIsClosedFirst() {
+    void longestIdleConnectionOfAllEndpointsIsClosedFirst() {
         EndpointPool secondEndpoint = addEndpoint("s2");
         EndpointPool thirdEndpoint = addEndpoint("s3");
         UpstreamConnection longestIdle = upstream.connectIdle(secondEndpoint);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void nothingIsClosedWhereNoConnectionIsIdle() {
+    void nothingIsClosedIfNoConnectionIsIdle() {
         UpstreamConnection connection = upstream.connect(upstream.request("r1"));
         assertFalse(evictor.closeLongestIdle());
         assertTrue(connection.isActive());
--- a/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What becomes of a response, by its length, its end and what arrives with it. */
+/** Tests how responses are handled by length, ending and bytes that arrive with them. */
 class ResponseReaderTest {
     private static final String OK_HEAD = "HTTP/1.1 200 OK\r\n";
     private static final int MAX_BUFFERED_BYTES = 64 * 1024;
@@ -40,8 +40,8 @@
         connection.channel().close();
     }
 
-    /** Passes the streamed response on; its ends are recorded. */
-    private void passOn() {
+    /** Forwards the streamed response to the sink and records how it ends. */
+    private void forwardStreamedResponse() {
         upstream.streamedResponse()
                 .writeTo(
                         sink,
@@ -58,7 +58,7 @@
                         });
     }
 
-    private int passedOnBytes() {
+    private int readForwardedBytes() {
         int bytes = 0;
         HttpContent part = sink.readOutbound();
         while (part != null) {
@@ -79,8 +79,6 @@
         assertEquals(1, upstream.endpoint().idleCount());
     }
 
-    // ---------------------------------------------------------------- complete
-
     @Test
     void completeResponseEndsTheRequestAndTheConnectionIsIdle() {
         receive(OK_HEAD + "Content-Length: 5\r\n\r\nhel");
@@ -112,7 +110,7 @@
                     503,    'X: y',            ERROR
                     404,    'X: y',            ERROR
                     """)
-    void onlyTheEndpointsOwnStatementIsARejection(int status, String header, String outcome) {
+    void onlyADeclinedResponseWith503Or504IsARejection(int status, String header, String outcome) {
         receive("HTTP/1.1 " + status + " X\r\n" + header + "\r\nContent-Length: 1\r\n\r\nx");
         assertEquals(List.of(outcome + " x"), upstream.outcomes());
     }
@@ -124,58 +122,56 @@
     }
 
     @Test
-    void informationalResponsesComeBeforeTheResponse() {
+    void informationalResponseIsSkipped() {
         receive("HTTP/1.1 103 Early Hints\r\n\r\n" + OK_HEAD + "Content-Length: 1\r\n\r\nx");
         assertEquals(List.of("OK x"), upstream.outcomes());
     }
 
     @Test
-    void endpointThatClosesIsNotReused() {
+    void connectionIsNotReusedAfterConnectionClose() {
         receive(OK_HEAD + "Connection: close\r\nContent-Length: 1\r\n\r\nx");
         assertEquals(List.of("OK x"), upstream.outcomes());
         assertNotReused();
     }
 
     @Test
-    void responseDelimitedByTheCloseIsCompleteWithIt() {
+    void responseOfUnknownLengthIsCompletedByTheClose() {
         receive(OK_HEAD + "\r\nhello");
         assertEquals(List.of(), upstream.outcomes());
         closeByEndpoint();
         assertEquals(List.of("OK hello"), upstream.outcomes());
     }
 
-    // ---------------------------------------------------------------- too long or too slow
-
     @Test
-    void responseOfTheLimitIsBuffered() {
+    void responseAtTheLimitIsBuffered() {
         receive(OK_HEAD + "Content-Length: 65536\r\n\r\n" + "x".repeat(MAX_BUFFERED_BYTES));
         assertNull(upstream.streamedResponse());
         assertEquals(List.of("OK " + "x".repeat(MAX_BUFFERED_BYTES)), upstream.outcomes());
     }
 
     @Test
-    void longerResponseIsStreamedFromItsStart() {
+    void responseAboveTheLimitIsStreamedFromItsStart() {
         receive(OK_HEAD + "Content-Length: 65537\r\n\r\nx");
         assertEquals(List.of("stream of 65537"), upstream.outcomes());
-        passOn();
-        assertEquals(1, passedOnBytes());
+        forwardStreamedResponse();
+        assertEquals(1, readForwardedBytes());
         receive("x".repeat(MAX_BUFFERED_BYTES));
-        assertEquals(MAX_BUFFERED_BYTES, passedOnBytes());
+        assertEquals(MAX_BUFFERED_BYTES, readForwardedBytes());
         assertEquals(List.of("stream of 65537", "OK"), upstream.outcomes());
         assertEquals(List.of("complete"), relayEvents);
         assertReusable();
     }
 
     @Test
-    void chunkedResponseIsStreamedPastTheLimit() {
+    void chunkedResponseAboveTheLimitIsStreamed() {
         receive(OK_HEAD + "Transfer-Encoding: chunked\r\n\r\n");
         receive("10000\r\n" + "x".repeat(MAX_BUFFERED_BYTES) + "\r\n");
         assertEquals(List.of(), upstream.outcomes());
         receive("1\r\nx\r\n");
         assertEquals(List.of("stream of -1"), upstream.outcomes());
-        passOn();
+        forwardStreamedResponse();
         receive("0\r\n\r\n");
-        assertEquals(MAX_BUFFERED_BYTES + 1, passedOnBytes());
+        assertEquals(MAX_BUFFERED_BYTES + 1, readForwardedBytes());
         assertEquals(List.of("stream of -1", "OK"), upstream.outcomes());
     }
 
@@ -197,7 +193,7 @@
     }
 
     @Test
-    void bodyOfALongErrorIsDropped() {
+    void bodyOfALongErrorResponseIsDropped() {
         receive("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n");
         receive("x".repeat(MAX_BUFFERED_BYTES + 1));
         assertNull(upstream.streamedResponse());
@@ -205,8 +201,6 @@
         assertTrue(upstream.outcomes().get(0).startsWith("ERROR"), upstream.outcomes().toString());
     }
 
-    // ---------------------------------------------------------------- unsolicited bytes
-
     @Test
     void secondResponseInTheSameReadClosesTheConnection() {
         receive((OK_HEAD + "Content-Length: 2\r\n\r\nhi").repeat(2));
@@ -216,7 +210,7 @@
     }
 
     @Test
-    void partOfAMessageBehindTheResponseFailsTheAttempt() {
+    void partOfAMessageAfterTheResponseFailsTheAttempt() {
         receive(OK_HEAD + "Content-Length: 2\r\n\r\nhiHTTP/1.1 2");
         assertEquals(List.of("RESET"), upstream.outcomes());
         assertEquals(1, upstream.malformedCount());
@@ -224,10 +218,10 @@
     }
 
     @Test
-    void bytesBehindAStreamedResponseCloseTheConnection() {
+    void bytesAfterAStreamedResponseCloseTheConnection() {
         receive(OK_HEAD + "Content-Length: 65537\r\n\r\n");
         receive("x".repeat(MAX_BUFFERED_BYTES));
-        passOn();
+        forwardStreamedResponse();
         receive("x" + "HTTP/1.1 2");
         assertEquals(List.of("stream of 65537", "OK"), upstream.outcomes());
         assertNotReused();
@@ -246,10 +240,8 @@
         assertNotReused();
     }
 
-    // ---------------------------------------------------------------- broken off
-
     @Test
-    void responseThatBreaksOffFailsTheAttempt() {
+    void truncatedResponseFailsTheAttempt() {
         receive(OK_HEAD + "Content-Length: 5\r\n\r\nhel");
         closeByEndpoint();
         assertEquals(List.of("RESET"), upstream.outcomes());
@@ -262,15 +254,15 @@
     }
 
     @Test
-    void streamedResponseThatBreaksOffIsAborted() {
+    void truncatedStreamedResponseIsAborted() {
         receive(OK_HEAD + "Content-Length: 65537\r\n\r\nx");
-        passOn();
+        forwardStreamedResponse();
         closeByEndpoint();
         assertEquals(List.of("stream of 65537", "RESET"), upstream.outcomes());
         assertEquals(List.of("aborted"), relayEvents);
         assertTrue(
                 sink.outboundMessages().stream().noneMatch(LastHttpContent.class::isInstance),
-                "its end must not look complete");
+                "an aborted response must not end like a complete one");
     }
 
     @Test
--- a/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is written to an upstream, and how a connection ends. */
+/** Tests what is written to an upstream and how a connection ends. */
 class UpstreamConnectionTest {
     private static final String OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
@@ -40,7 +40,9 @@
                 upstream.request(ProxyRequestFixtures.streamedRequest("r1", upload, 100)));
     }
 
-    /** The idle limit does not pass, so nothing else closes the connection. */
+    /**
+     * The clock does not reach the idle limit, so only the unsolicited bytes can cause the close.
+     */
     @ParameterizedTest
     @ValueSource(strings = {OK_RESPONSE, "HTTP/1.1 2", "\r\n", "x"})
     void unsolicitedBytesCloseAnIdleConnection(String unsolicited) {
@@ -72,7 +74,10 @@
         assertTrue(connection.isRequestWritten());
     }
 
-    /** The policy may leave the attempt alone: the connection's close alone keeps it incomplete. */
+    /**
+     * The policy may not cancel the attempt, so the close of the connection must keep the request
+     * incomplete.
+     */
     @Test
     void abortedUploadClosesTheConnection() {
         UpstreamConnection connection = connectWithUpload();
@@ -103,7 +108,7 @@
     }
 
     @Test
-    void servedUploadThatIsNotCompleteIsMalformed() {
+    void okResponseToAnIncompleteUploadIsMalformed() {
         UpstreamConnection connection = connectWithUpload();
         EmbeddedUpstream.receive(connection, OK_RESPONSE);
         assertEquals(List.of("CONNECT_FAILED"), upstream.outcomes());
@@ -112,7 +117,7 @@
     }
 
     @Test
-    void earlyRejectionOfAnUploadIsPassedOnAndTheConnectionClosed() {
+    void earlyRejectionOfAnUploadIsReportedAndTheConnectionClosed() {
         UpstreamConnection connection = connectWithUpload();
         EmbeddedUpstream.receive(
                 connection, "HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 2\r\n\r\nno");
@@ -125,10 +130,10 @@
     void abandonedRequestClosesItsConnection() {
         UpstreamRequest request = upstream.request("r1");
         UpstreamConnection connection = upstream.connect(request);
-        assertTrue(request.abandon(), "its last byte has been written");
+        assertTrue(request.abandon(), "the last byte of the request has been written");
         assertFalse(connection.isActive());
         assertEquals(List.of(), upstream.outcomes());
-        assertFalse(request.abandon(), "there is nothing left to give up");
+        assertFalse(request.abandon(), "the request was already abandoned");
     }
 
     @Test
--- a/balancer/src/test/java/loadbalancer/upstream/UpstreamPoolTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamPoolTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Which idle connection of an endpoint is used, by a clock that the test sets. */
+/** Tests which idle connection of an endpoint is reused, with a clock that the test sets. */
 @Timeout(60)
 class UpstreamPoolTest {
     private final NioEventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
@@ -99,8 +99,8 @@
     }
 
     /**
-     * A second response may arrive some milliseconds late, least likely on the connection that has
-     * been idle for longest.
+     * An unsolicited second response may arrive some milliseconds late. It is least likely on the
+     * connection that has been idle for longest.
      */
     @Test
     void recentlyUsedConnectionIsAvoided() throws Exception {
@@ -112,16 +112,16 @@
         respondAndAwait(second, "b");
         clock.addAndGet(1_000);
         respondAndAwait(third, "c");
-        // All of them have just been used
+        // All three connections were used recently, so the longest idle one is reused.
         FakeHttpServer.ReceivedRequest next = sendRequest("d");
         assertEquals(first.connectionNumber(), next.connectionNumber());
         clock.addAndGet(9_500);
-        // The connection of b has been idle for long enough, that of c has not
+        // The connection of b has been idle for long enough, the connection of c has not.
         next = sendRequest("e");
         assertEquals(second.connectionNumber(), next.connectionNumber());
         respondAndAwait(next, "e");
         clock.addAndGet(20_000);
-        // The most recently used one: their upstream may close the others
+        // The most recently used one is reused, since the upstream may close the others first.
         assertEquals(second.connectionNumber(), sendRequest("f").connectionNumber());
     }
 }
