--- a/balancer/src/main/java/loadbalancer/routing/gossip/AggregatedRate.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/AggregatedRate.java
@@ -3,9 +3,10 @@
 import java.util.stream.IntStream;
 
 /**
- * Rate of a large fleet by {@link FleetLoadAggregator}, with the load reports of the own block as
- * its input. Blocks without a record, as those of an older version that broadcasts its reports, are
- * counted by the reports received of them.
+ * Estimates the remote rate of a large fleet with a {@link FleetLoadAggregator}, whose input is the
+ * load reports of the balancers in the own block. For blocks without a current record, such as
+ * blocks of an older version that broadcasts its reports, the rates in the received load reports
+ * are added. Confined to the thread of its {@link LoadGossip}.
  */
 final class AggregatedRate implements RemoteRateEstimator {
     private final int ownRank;
@@ -13,7 +14,7 @@
     private final BlockPartition partition;
     private final FleetLoadAggregator aggregator;
 
-    // Part of the last own record, which the total includes
+    // The own requests per second in the last record of the own block, which the total includes.
     private double lastLocalRate;
     private double estimate;
 
@@ -27,9 +28,11 @@
     @Override
     public void sendDue(long now, double localRate, FleetLoadAggregator.DatagramSender sender) {
         int ownBlock = partition.blockOf(ownRank);
-        int heardCount = (int) partition.balancersOf(ownBlock).filter(peers::contains).count();
+        int reportingPeerCount =
+                (int) partition.balancersOf(ownBlock).filter(peers::contains).count();
         lastLocalRate = localRate;
-        aggregator.ownBlock(now, 1 + heardCount, Math.round(localRate) + reportedRate(ownBlock));
+        aggregator.ownBlock(
+                now, 1 + reportingPeerCount, Math.round(localRate) + reportedRate(ownBlock));
         aggregator.tick(now, peers::contains, sender);
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/gossip/BlockPartition.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/BlockPartition.java
@@ -3,30 +3,33 @@
 import java.util.stream.IntStream;
 
 /**
- * Partition of the balancers of a fleet into blocks of consecutive numbers, for aggregation over
- * the fleet. It follows from the number of balancers alone, so no agreement is needed. Sizes of
- * blocks differ by one at most. Immutable.
+ * Partitions the balancers of a fleet into blocks of consecutive numbers, over which the fleet's
+ * load is aggregated. The partition is computed from the number of balancers, so the balancers need
+ * no agreement on it. Block sizes differ by at most one. Immutable.
  *
- * @param balancerCount of the fleet, at least 1
- * @param maxBlockSize balancers in a block at most, 1 to 255
+ * @param balancerCount number of balancers in the fleet, at least 1
+ * @param maxBlockSize maximum number of balancers in a block, 1 to 255
  */
 public record BlockPartition(int balancerCount, int maxBlockSize) {
-    /** Usual size of a block: balancers that a balancer hears directly. */
+    /** Default maximum block size. The balancers of a block exchange load reports directly. */
     public static final int DEFAULT_BLOCK_SIZE = 16;
 
-    /** Bound on the blocks: the records of the last step, past 64, have to fit in one datagram. */
+    /**
+     * Maximum number of blocks. A datagram of the last step holds a record for each block beyond 64
+     * blocks.
+     */
     public static final int MAX_BLOCKS = 64 + FleetLoadMessage.MAX_RECORDS;
 
-    /** Bound on the balancers of a fleet with blocks of the usual size. */
+    /** Maximum number of balancers in a fleet with blocks of the default size. */
     public static final int MAX_BALANCERS = MAX_BLOCKS * DEFAULT_BLOCK_SIZE;
 
     // The number of balancers of a block is one byte on the wire.
     private static final int MAX_BLOCK_SIZE = 255;
 
     /**
-     * Checks the bounds.
+     * Validates the sizes.
      *
-     * @throws FleetSizeException with the limit, if there are no balancers or too many
+     * @throws FleetSizeException if {@code balancerCount} or {@code maxBlockSize} is out of range
      */
     public BlockPartition {
         if (maxBlockSize < 1
@@ -37,38 +40,39 @@
         }
     }
 
-    /** Partition into blocks of the usual size. */
+    /** Creates a partition into blocks of the default size. */
     public BlockPartition(int balancerCount) {
         this(balancerCount, DEFAULT_BLOCK_SIZE);
     }
 
-    /** Number of blocks. */
+    /** Returns the number of blocks. */
     public int blockCount() {
         return (balancerCount + maxBlockSize - 1) / maxBlockSize;
     }
 
-    /** Block of the balancer with the number {@code balancer}. */
+    /** Returns the block of the balancer with the number {@code balancer}. */
     public int blockOf(int balancer) {
         return ((balancer + 1) * blockCount() - 1) / balancerCount;
     }
 
-    /** Number of the first balancer of {@code block}. */
+    /** Returns the number of the first balancer in {@code block}. */
     public int firstBalancer(int block) {
         return block * balancerCount / blockCount();
     }
 
-    /** Number of balancers of {@code block}. */
+    /** Returns the number of balancers in {@code block}. */
     public int blockSize(int block) {
         return firstBalancer(block + 1) - firstBalancer(block);
     }
 
-    /** Numbers of the balancers of {@code block}, in order. */
+    /** Returns the numbers of the balancers in {@code block}, in ascending order. */
     IntStream balancersOf(int block) {
         return IntStream.range(firstBalancer(block), firstBalancer(block + 1));
     }
 
     /**
-     * Steps after which a record has reached all of {@code blockCount} blocks: log2, rounded up.
+     * Returns the number of steps after which a record has reached all of {@code blockCount}
+     * blocks: log2 of the count, rounded up.
      */
     static int stepCount(int blockCount) {
         return Integer.SIZE - Integer.numberOfLeadingZeros(blockCount - 1);
--- a/balancer/src/main/java/loadbalancer/routing/gossip/DirectRateSum.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/DirectRateSum.java
@@ -1,6 +1,9 @@
 package loadbalancer.routing.gossip;
 
-/** Sum of the rates in the load reports that were received, and nothing more. */
+/**
+ * Estimates the remote rate as the sum of the rates in the received load reports. Confined to the
+ * thread of its {@link LoadGossip}.
+ */
 final class DirectRateSum implements RemoteRateEstimator {
     private final PeerLoadTable peers;
 
@@ -10,7 +13,7 @@
 
     @Override
     public void sendDue(long now, double localRate, FleetLoadAggregator.DatagramSender sender) {
-        // The load reports hold the rate.
+        // The load reports contain the rate, so no other datagrams are needed.
     }
 
     @Override
@@ -20,7 +23,7 @@
 
     @Override
     public void update(long now) {
-        // Computed on each read.
+        // The sum is computed on each read.
     }
 
     @Override
--- a/balancer/src/main/java/loadbalancer/routing/gossip/FleetLoadAggregator.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/FleetLoadAggregator.java
@@ -7,38 +7,41 @@
 import java.util.stream.IntStream;
 
 /**
- * Aggregates the request rate over a fleet by recursive doubling over blocks of balancers (the scan
- * of Hillis and Steele, as all-reduce uses it), in both directions of a ring.
+ * Aggregates the request rate over a fleet by recursive doubling over blocks of balancers (a
+ * Hillis-Steele scan, as used for all-reduce), in both directions of a ring of blocks.
  *
- * <p>Each balancer hears the others of its block directly and knows their sum. In step k of a round
- * it sends to the blocks 2^k further and 2^k back the records that it has of the 2^k blocks that
- * end with its own; after log2(blocks) steps each balancer has a record of every block. Records are
- * forwarded as they are instead of partial sums, so duplicated, late or detoured datagrams can't
- * count twice. Datagrams grow with the logarithm of the fleet, bytes by 0.6 a second per balancer
- * (a record of 5 bytes per block of 16, in both directions).
+ * <p>Each balancer receives load reports directly from the others in its block and knows the block
+ * sum. In step k of a round it sends to the blocks at distance 2^k forward and backward the records
+ * of the 2^k consecutive blocks that end with its own. After log2(blocks) steps each balancer has a
+ * record of every block. Records are forwarded unchanged instead of as partial sums, so duplicated,
+ * late or rerouted datagrams can't count twice. The number of datagrams grows with the logarithm of
+ * the fleet size, and their bytes by 0.6 per second for each balancer (a record of 5 bytes per
+ * block of 16, in both directions).
  *
- * <p>A record carries its age, without its time on the way. The youngest record of a block counts,
- * and none past {@link #EXPIRY_MICROS}. The ring consists of the blocks with a current record: lost
- * blocks leave it after that time, and each balancer probes one of them per round. The live
- * balancers of a block share out the receivers, differently each round.
+ * <p>A record contains its age, which excludes time in transit. The youngest record of a block
+ * counts, until it is older than {@link #EXPIRY_MICROS}. The ring consists of the blocks with a
+ * current record: unreachable blocks leave it when their record expires, and each balancer probes
+ * one of them per round. The live balancers of a block divide the receivers among themselves,
+ * differently in each round.
  *
- * <p>A pure state machine: time and datagrams in, datagrams out. Not thread-safe.
+ * <p>A pure state machine: time and datagrams are its input, datagrams its output. Not thread-safe;
+ * the routing policy calls it on the event loop's thread.
  */
 public final class FleetLoadAggregator {
-    /** Time in which all steps are made once. */
+    /** Duration of a round, in which each step is executed once. */
     public static final long ROUND_MICROS = 1_000_000;
 
     /** Age after which a record no longer counts. */
     public static final long EXPIRY_MICROS = 5_000_000;
 
-    // A block's mean rate per balancer counts for at most this multiple of the median block's: a
-    // faulty balancer may report nonsense.
+    // Upper bound on a block's mean rate per balancer, as a multiple of the median block's. It
+    // limits the effect of a faulty balancer that reports an implausible rate.
     private static final double MAX_RATE_SKEW = 8;
 
-    // Where more would be needed, three of four of the sender's block are lost.
+    // More receivers per sender are needed only if three quarters of the sender's block are down.
     private static final int MAX_TARGETS_PER_BLOCK = 4;
 
-    // Directions in which the records of a datagram follow one another round the ring.
+    // Directions around the ring in which the records of a datagram are ordered.
     private static final int BACKWARD = -1;
     private static final int FORWARD = 1;
 
@@ -46,7 +49,7 @@
     private final int ownRank;
     private final int ownBlock;
 
-    // The records, by block. No record yet: no balancer present.
+    // The record of each block, indexed by block. A present count of 0 means no record yet.
     private final int[] blockRates;
     private final int[] presentCounts;
     private final long[] observedAtMicros;
@@ -60,11 +63,11 @@
     }
 
     /**
-     * Load of several balancers together.
+     * Combined load of several balancers.
      *
-     * @param requestsPerSecond that they receive
-     * @param presentCount number of balancers
-     * @param ageMicros age of the oldest part
+     * @param requestsPerSecond requests per second that they receive
+     * @param presentCount number of balancers present
+     * @param ageMicros age of the oldest record included, µs
      */
     public record LoadTotal(double requestsPerSecond, int presentCount, long ageMicros) {}
 
@@ -79,7 +82,7 @@
         Arrays.fill(observedAtMicros, Long.MIN_VALUE / 2);
     }
 
-    /** Creates an independent copy of another aggregator in its present state. */
+    /** Creates an independent copy of another aggregator in its current state. */
     public FleetLoadAggregator(FleetLoadAggregator other) {
         this.partition = other.partition;
         this.ownRank = other.ownRank;
@@ -90,15 +93,21 @@
         this.lastStepIndex = other.lastStepIndex;
     }
 
-    /** The partition of the fleet into blocks. */
+    /** Returns the partition of the fleet into blocks. */
     public BlockPartition partition() {
         return partition;
     }
 
-    /** Sets the record of the own block: its present balancers and their rate at {@code now}. */
+    /**
+     * Sets the record of the own block.
+     *
+     * @param now µs
+     * @param presentCount number of balancers present in the own block, this one included
+     * @param requestsPerSecond requests per second that they receive together
+     */
     public void ownBlock(long now, int presentCount, long requestsPerSecond) {
         if (presentCounts[ownBlock] == 0) {
-            // At the start all blocks are presumed present for one expiry time.
+            // At the start all blocks are assumed to be present until EXPIRY_MICROS have passed.
             IntStream.range(0, presentCounts.length)
                     .filter(block -> presentCounts[block] == 0)
                     .forEach(block -> observedAtMicros[block] = now);
@@ -109,13 +118,13 @@
     }
 
     /**
-     * Sends what is due: at most one step per call, and each step once a round, at an instant that
-     * is the same for all balancers whose clocks agree.
+     * Executes the step that is due: at most one per call, and each step once per round. Balancers
+     * with synchronized clocks execute a step at the same time.
      *
      * @param now µs
-     * @param isAlive which of the other balancers of the own block are present; they share out the
-     *     receivers
-     * @param sender takes the datagrams
+     * @param isAlive whether another balancer of the own block is present; those present divide the
+     *     receivers among themselves
+     * @param sender sends the datagrams
      */
     public void tick(long now, IntPredicate isAlive, DatagramSender sender) {
         int stepCount = BlockPartition.stepCount(partition.blockCount());
@@ -143,14 +152,14 @@
         }
         int recordCount = Math.min(distance, ringSize - distance);
         blockSender.sendToBlock(ring.blockAt(distance), encodeRecords(ring, BACKWARD, recordCount));
-        // At half of the ring both directions lead to the same block.
+        // At a distance of half the ring, both directions lead to the same block.
         if (2 * distance != ringSize) {
             blockSender.sendToBlock(
                     ring.blockAt(-distance), encodeRecords(ring, FORWARD, recordCount));
         }
     }
 
-    // So that the halves of a fleet that was partitioned find each other again.
+    // Lets the two sides of a network partition find each other again after it heals.
     private void probeMissingBlock(Ring ring, long round, DatagramSender sender) {
         int[] missingBlocks =
                 IntStream.range(0, partition.blockCount())
@@ -167,7 +176,7 @@
                 encodeRecords(ring, BACKWARD, recordCount));
     }
 
-    // Records of the ring's next blocks in a direction, the own block first.
+    // Encodes the records of successive blocks in a direction of the ring, the own block first.
     private byte[] encodeRecords(Ring ring, int direction, int recordCount) {
         List<FleetLoadMessage.BlockRecord> records = new ArrayList<>(recordCount);
         for (int i = 0; i < recordCount; i++) {
@@ -182,7 +191,7 @@
         return new FleetLoadMessage(partition.balancerCount(), records).encode();
     }
 
-    /** The own block and the blocks with a current record, in the order of their numbers. */
+    /** The ring of the own block and all blocks with a current record, ordered by number. */
     private final class Ring {
         private final long now;
         private final int[] blocks;
@@ -197,21 +206,21 @@
             this.ownIndex = Arrays.binarySearch(blocks, ownBlock);
         }
 
-        /** The block that many places from the own one. */
+        /** Returns the block {@code distance} positions after the own block in the ring. */
         int blockAt(int distance) {
             return blocks[Math.floorMod(ownIndex + distance, blocks.length)];
         }
     }
 
     /**
-     * Sends to the receivers in another block that fall to this balancer. They differ each round,
-     * so that a path that is cut does not always affect the same receiver.
+     * Sends to the receivers in another block that are assigned to this balancer. The assignment
+     * changes each round, so that a broken network path does not always affect the same receiver.
      */
     private final class BlockSender {
         private final long round;
         private final DatagramSender sender;
         private final int aliveCount;
-        // Index of this balancer among those alive in its block
+        // Index of this balancer among the live balancers of its block.
         private final int ownAliveIndex;
 
         BlockSender(IntPredicate isAlive, long round, DatagramSender sender) {
@@ -240,10 +249,13 @@
     }
 
     /**
-     * Takes in a datagram.
+     * Processes a received datagram.
      *
-     * @return false, without any effect, if it is of another format, damaged, of a fleet of another
-     *     size, or has a record that can't be true
+     * @param now µs
+     * @param sender number of the balancer that sent it
+     * @param datagram an encoded {@code FleetLoadMessage}
+     * @return false if the datagram was ignored because it has another format, is damaged, comes
+     *     from a fleet of another size, or contains an impossible record
      */
     public boolean onDatagram(long now, int sender, byte[] datagram) {
         if (sender < 0 || sender >= partition.balancerCount()) {
@@ -252,21 +264,22 @@
         return FleetLoadMessage.decode(datagram, partition)
                 .map(
                         message -> {
-                            message.records().forEach(received -> takeIfNewer(now, received));
+                            message.records().forEach(received -> storeIfNewer(now, received));
                             return true;
                         })
                 .orElse(false);
     }
 
-    private void takeIfNewer(long now, FleetLoadMessage.BlockRecord received) {
+    private void storeIfNewer(long now, FleetLoadMessage.BlockRecord received) {
         int block = received.block();
-        long receivedAtMicros = now - received.ageMicros();
-        boolean isNewer = receivedAtMicros > observedAtMicros[block] || presentCounts[block] == 0;
+        long recordObservedAtMicros = now - received.ageMicros();
+        boolean isNewer =
+                recordObservedAtMicros > observedAtMicros[block] || presentCounts[block] == 0;
         if (block != ownBlock
                 && received.presentCount() > 0
                 && isNewer
                 && received.ageMicros() < EXPIRY_MICROS) {
-            observedAtMicros[block] = receivedAtMicros;
+            observedAtMicros[block] = recordObservedAtMicros;
             presentCounts[block] = received.presentCount();
             blockRates[block] = received.requestsPerSecond();
         }
@@ -276,12 +289,12 @@
         return now - observedAtMicros[block] < EXPIRY_MICROS;
     }
 
-    /** Whether there is a record of {@code block} that counts. */
+    /** Returns whether there is a record of {@code block} that has not expired. */
     public boolean hasCurrentRecord(long now, int block) {
         return presentCounts[block] > 0 && isCurrent(now, block);
     }
 
-    /** Load of {@code block} by its record; null without a record that counts. */
+    /** Returns the load of {@code block}, or null if there is no unexpired record of it. */
     public LoadTotal blockTotal(long now, int block) {
         return hasCurrentRecord(now, block)
                 ? new LoadTotal(
@@ -289,7 +302,10 @@
                 : null;
     }
 
-    /** Hash of the state relative to {@code now}; equal for states with the same future. */
+    /**
+     * Returns a hash of the state relative to {@code now}. States that behave the same from then on
+     * have equal hashes.
+     */
     public long fingerprint(long now) {
         long hash = ownRank;
         for (int block = 0; block < blockRates.length; block++) {
@@ -301,7 +317,7 @@
         return hash;
     }
 
-    /** Load of all blocks with a record that counts, the own block included. */
+    /** Returns the load of all blocks with an unexpired record, the own block included. */
     public LoadTotal total(long now) {
         double maxRatePerBalancer = maxRatePerBalancer(now);
         double requestsPerSecond = 0;
--- a/balancer/src/main/java/loadbalancer/routing/gossip/FleetLoadMessage.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/FleetLoadMessage.java
@@ -5,8 +5,7 @@
 import java.util.Optional;
 
 /**
- * Records of the load of blocks of balancers, and their encoding as a datagram of format 6.
- * Immutable.
+ * Load records of blocks of balancers, and their encoding as a datagram of format 6. Immutable.
  *
  * <p>Layout, integers big-endian:
  *
@@ -15,18 +14,18 @@
  * record, 5:         block, age in units of 50 ms, balancers present, request rate (2)
  * </pre>
  *
- * The rate is a floating-point number of 4 bits of exponent and 12 of mantissa: exact up to 4095
- * requests per second, within a part in 2,048 up to 134 million.
+ * The rate is a floating-point number with 4 bits of exponent and 12 bits of mantissa. It is exact
+ * up to 4095 requests per second, and its relative error is below 1/2048 up to 134 million.
  *
- * @param balancerCount of the sender's fleet
- * @param records at most {@link #MAX_RECORDS}
+ * @param balancerCount number of balancers in the sender's fleet
+ * @param records records of different blocks, at most {@link #MAX_RECORDS}
  */
 record FleetLoadMessage(int balancerCount, List<BlockRecord> records) {
     static final byte FORMAT = 6;
     static final int HEADER_BYTES = 4;
     static final int RECORD_BYTES = 5;
 
-    /** Records that fit in a datagram of 256 bytes. */
+    /** Maximum number of records; they fit in a datagram of 256 bytes. */
     static final int MAX_RECORDS = 50;
 
     static final long AGE_UNIT_MICROS = 50_000;
@@ -38,12 +37,12 @@
     private static final int MAX_EXPONENT = 15;
 
     /**
-     * Load of a block at an instant.
+     * Load of a block at one point in time.
      *
      * @param block number of the block
-     * @param ageMicros age of the record when it is sent
-     * @param presentCount balancers of the block that were present
-     * @param requestsPerSecond that they received together
+     * @param ageMicros age of the record when it is sent, µs
+     * @param presentCount number of balancers of the block that were present
+     * @param requestsPerSecond requests per second that they received together
      */
     record BlockRecord(int block, long ageMicros, int presentCount, int requestsPerSecond) {}
 
@@ -51,13 +50,13 @@
         records = List.copyOf(records);
     }
 
-    /** Whether a datagram has the format of these messages; it may be damaged all the same. */
+    /** Returns whether a datagram has format 6. The rest of the datagram is not checked. */
     static boolean hasFormat(byte[] datagram) {
         return datagram.length > 0 && datagram[0] == FORMAT;
     }
 
     /**
-     * Encodes this message. Ages are rounded up, so that forwarding does not make records younger.
+     * Encodes this message. Ages are rounded up so that forwarding does not make records younger.
      */
     byte[] encode() {
         byte[] datagram = new byte[HEADER_BYTES + RECORD_BYTES * records.size()];
@@ -82,8 +81,8 @@
     }
 
     /**
-     * Decodes a datagram; empty if it is of another format, damaged, of a fleet of another size, or
-     * has a record that can't be true in {@code partition}.
+     * Decodes a datagram. Returns empty if it has another format, is damaged, comes from a fleet of
+     * another size, or contains a record that is impossible in {@code partition}.
      */
     static Optional<FleetLoadMessage> decode(byte[] datagram, BlockPartition partition) {
         if (datagram.length < HEADER_BYTES || !hasFormat(datagram)) {
--- a/balancer/src/main/java/loadbalancer/routing/gossip/FleetSizeException.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/FleetSizeException.java
@@ -1,6 +1,8 @@
 package loadbalancer.routing.gossip;
 
-/** The size of a fleet or of its blocks is outside of what {@link BlockPartition} supports. */
+/**
+ * Thrown if the size of a fleet or of its blocks is outside the range of {@link BlockPartition}.
+ */
 public final class FleetSizeException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/loadbalancer/routing/gossip/GossipMessageSizeException.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/GossipMessageSizeException.java
@@ -1,6 +1,6 @@
 package loadbalancer.routing.gossip;
 
-/** A load report holds more entries than fit in a datagram. */
+/** Thrown if a load report has more entries than fit in a datagram. */
 public final class GossipMessageSizeException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/loadbalancer/routing/gossip/GossipTopology.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/GossipTopology.java
@@ -3,42 +3,43 @@
 import loadbalancer.routing.api.RoutingActions;
 
 /**
- * Which balancers receive the load reports of this one. In a small fleet all do. In a larger one
- * its neighbors by number do, as their parts of the hash ring overlap with its own, and the fleet's
- * rate is aggregated by {@link FleetLoadAggregator}. Immutable.
+ * Defines which balancers receive the load reports of this one. In a small fleet all others do. In
+ * a larger one its neighbors by number do, because their parts of the hash ring overlap with its
+ * own, and {@link FleetLoadAggregator} aggregates the fleet's rate. Immutable.
  *
  * @param ownRank number of this balancer
- * @param balancerCount of the fleet
+ * @param balancerCount number of balancers in the fleet
  */
 record GossipTopology(int ownRank, int balancerCount) {
-    // The other balancers of the own block are among them.
+    // At least the block size, so that the other balancers of the own block are neighbors.
     private static final int NEIGHBORS_PER_SIDE = BlockPartition.DEFAULT_BLOCK_SIZE;
     private static final int MAX_NEIGHBOR_MESSAGE_BYTES = 48;
     private static final int ALL_PEERS = -1;
 
-    /** Whether all balancers receive the reports. */
+    /** Returns whether all other balancers receive the reports. */
     boolean isBroadcast() {
         return balancerCount <= 2 * NEIGHBORS_PER_SIDE + 1;
     }
 
     /**
-     * Whether the fleet is too large to be aggregated; then only the neighbors' rates are known.
+     * Returns whether the fleet is too large for aggregation. In that case only the rates of the
+     * neighbors are known.
      */
-    boolean exceedsAggregation() {
+    boolean exceedsAggregationLimit() {
         return !isBroadcast() && balancerCount > BlockPartition.MAX_BALANCERS;
     }
 
-    /** Whether {@code balancer} is the number of another balancer of the fleet. */
+    /** Returns whether {@code balancer} is the number of another balancer in the fleet. */
     boolean isPeer(int balancer) {
         return balancer >= 0 && balancer < balancerCount && balancer != ownRank;
     }
 
-    /** Number of balancers that receive each report. */
+    /** Returns the number of balancers that receive each report. */
     int receiverCount() {
         return isBroadcast() ? balancerCount - 1 : 2 * NEIGHBORS_PER_SIDE;
     }
 
-    /** Bound on the size of a report. */
+    /** Returns the maximum size of a report in bytes. */
     int maxMessageBytes() {
         return isBroadcast() ? LoadGossipMessage.MAX_BYTES : MAX_NEIGHBOR_MESSAGE_BYTES;
     }
--- a/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossip.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossip.java
@@ -12,16 +12,16 @@
 import loadbalancer.routing.endpoint.EndpointState;
 
 /**
- * Exchange of load reports with the other balancers of the fleet, several times a second: attempts
- * in flight by endpoint, request classes ejected, unreachable endpoints, and the request rate.
- * Without it each balancer of a fleet of 14 knows a fourteenth of each endpoint's queue, and each
- * finds a failing endpoint by errors of its own.
+ * Exchanges load reports with the other balancers of the fleet, several times per second. A report
+ * contains the attempts in flight by endpoint, the ejected request classes, the unreachable
+ * endpoints and the request rate. Without reports each balancer in a fleet of 14 knows a fourteenth
+ * of each endpoint's queue, and detects a failing endpoint only by its own errors.
  *
- * <p>Reports may be lost: those received expire soon, and no decision requires any. Receivers are
- * defined by {@link GossipTopology}; with bounded neighbors the traffic of a balancer does not grow
- * with the fleet.
+ * <p>Reports may be lost: received reports expire soon, and no decision depends on having one.
+ * {@link GossipTopology} defines the receivers. In a large fleet their number is fixed, so the
+ * report traffic of a balancer does not grow with the fleet.
  *
- * <p>Confined to the thread of the routing policy. Times are µs of the policy's clock.
+ * <p>Confined to the thread of the routing policy. Times are in µs of the policy's clock.
  */
 public final class LoadGossip {
     private final GossipTopology topology;
@@ -31,43 +31,41 @@
     private final LoadReportBuilder reportBuilder;
     private final LoadReportSchedule schedule;
 
-    /** Creates the gossip of the balancer that {@code settings} describe, without any report. */
+    /** Creates the gossip of the balancer that {@code settings} describes, without any reports. */
     public LoadGossip(RoutingSettings settings) {
         this.topology = new GossipTopology(settings.rank(), settings.balancerCount());
         this.isEnabled = settings.limits().gossipAllowed() && settings.balancerCount() > 1;
         this.remoteRate =
-                topology.isBroadcast() || topology.exceedsAggregation()
+                topology.isBroadcast() || topology.exceedsAggregationLimit()
                         ? new DirectRateSum(peers)
                         : new AggregatedRate(topology, peers);
         this.reportBuilder = new LoadReportBuilder(settings.zone(), topology);
         this.schedule = new LoadReportSchedule(topology, settings.costs().gossip());
     }
 
-    // ------------------------------------------------------------ sending
-
     /**
-     * Sends the report and the datagrams of the aggregation that are due.
+     * Sends the load report and the aggregation datagrams that are due.
      *
      * @param now µs
-     * @param listedEndpoints those that are up
-     * @param isUnreachable selects those of them to which this balancer can't connect
-     * @param localRate requests a second that this balancer receives
-     * @param steadyLocalRate the same over a longer time
-     * @param random gives one draw per report
-     * @param actions takes the datagrams
+     * @param listedEndpoints listed endpoints that are up
+     * @param isUnreachable whether this balancer can't connect to an endpoint
+     * @param localRate requests per second that this balancer receives
+     * @param smoothedLocalRate the same, averaged over a longer time
+     * @param random provides one random number per report
+     * @param actions sends the datagrams
      */
     public void sendDue(
             long now,
             List<EndpointState> listedEndpoints,
             Predicate<EndpointState> isUnreachable,
             double localRate,
-            double steadyLocalRate,
+            double smoothedLocalRate,
             RandomGenerator random,
             RoutingActions actions) {
         if (!isEnabled) {
             return;
         }
-        if (topology.exceedsAggregation() && !reportBuilder.hasBuilt()) {
+        if (topology.exceedsAggregationLimit() && !reportBuilder.hasBuilt()) {
             actions.log(
                     "fleet too large to aggregate: balancers="
                             + topology.balancerCount()
@@ -82,23 +80,21 @@
                             .build(listedEndpoints, unreachableEndpoints, localRate, now)
                             .encode();
             topology.send(datagram, actions);
-            schedule.onSent(now, datagram.length, steadyLocalRate, random);
+            schedule.onSent(now, datagram.length, smoothedLocalRate, random);
         }
         remoteRate.sendDue(now, localRate, actions::sendToPeer);
     }
 
-    // ------------------------------------------------------------ receiving and expiry
-
     /**
-     * Takes in a datagram of another balancer.
+     * Processes a datagram received from another balancer.
      *
      * @param now µs
      * @param sender number of the balancer that sent it
-     * @param datagram a report or a datagram of the aggregation
-     * @param listedEndpoints those that are up
-     * @param onUnreachable takes each endpoint that the sender reports unreachable, with the
+     * @param datagram a load report or an aggregation datagram
+     * @param listedEndpoints listed endpoints that are up
+     * @param onUnreachable called with each endpoint that the sender reports as unreachable and the
      *     sender's zone
-     * @return false, without any effect, if the datagram can't be decoded or is not from a peer
+     * @return false if the datagram was ignored because it can't be decoded or is not from a peer
      */
     public boolean onMessage(
             long now,
@@ -151,7 +147,7 @@
     /**
      * Removes expired reports and updates the remote rate.
      *
-     * @return number of other balancers without a report
+     * @return number of other balancers without a current report
      */
     public int expireSilentPeers(long now) {
         peers.expire(now);
@@ -159,14 +155,12 @@
         return topology.balancerCount() - 1 - peers.peerCount();
     }
 
-    // ------------------------------------------------------------ what is known of the others
-
-    /** Requests a second that the other balancers receive, as far as known. */
+    /** Returns the known requests per second that the other balancers receive together. */
     public double remoteRate() {
         return remoteRate.requestsPerSecond();
     }
 
-    /** Attempts of the other balancers in flight at {@code endpoint}, as far as reported. */
+    /** Returns the reported number of attempts of other balancers in flight at {@code endpoint}. */
     public int remoteInFlight(EndpointState endpoint) {
         return peers.inFlight(endpointCode(endpoint));
     }
--- a/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossipMessage.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossipMessage.java
@@ -8,8 +8,8 @@
 /**
  * Load report of one balancer, and its encoding as a datagram of format 3. Immutable.
  *
- * <p>Endpoints are identified by {@link #endpointCode}, 13 bits of the hash of their id; in a large
- * fleet two endpoints may share a code.
+ * <p>Endpoints are identified by {@link #endpointCode}, which is 13 bits of the hash of their id.
+ * In a large fleet two endpoints may share a code.
  *
  * <p>Layout, integers big-endian:
  *
@@ -20,8 +20,8 @@
  * unreachable entry, 2:   endpoint code (2), up to the end of the datagram
  * </pre>
  *
- * @param zone of the sender, 0 to 255
- * @param requestsPerSecond that the sender receives, 0 to 65535 on the wire
+ * @param zone zone of the sender, 0 to 255
+ * @param requestsPerSecond requests per second that the sender receives, encoded as 0 to 65535
  * @param inFlightEntries attempts of the sender in flight, by endpoint
  * @param ejectionEntries request classes for which the sender has ejected an endpoint
  * @param unreachableCodes codes of the endpoints to which the sender can't connect
@@ -50,16 +50,18 @@
     private static final int MAX_IN_FLIGHT = (1 << IN_FLIGHT_BITS) - 1;
     private static final long EJECTION_UNIT_MICROS = 100_000;
 
-    /** Attempts of the sender in flight at an endpoint; more than seven are encoded as seven. */
+    /** The sender's attempts in flight at an endpoint. Values above 7 are encoded as 7. */
     record InFlightEntry(int endpointCode, int inFlight) {}
 
-    /** A request class for which the sender has ejected an endpoint, and for how much longer. */
+    /**
+     * A request class for which the sender has ejected an endpoint, and the remaining time in µs.
+     */
     record EjectionEntry(int endpointCode, int classIndex, long remainingMicros) {}
 
     /**
-     * Copies the lists.
+     * Copies the lists and checks their sizes.
      *
-     * @throws GossipMessageSizeException if they don't fit in {@link #MAX_BYTES}
+     * @throws GossipMessageSizeException if the entries don't fit in {@link #MAX_BYTES}
      */
     public LoadGossipMessage {
         inFlightEntries = List.copyOf(inFlightEntries);
@@ -75,7 +77,7 @@
         }
     }
 
-    /** Number of in-flight entries that fit in {@code bytes} beside the other entries. */
+    /** Returns the number of in-flight entries that fit in {@code bytes} with the other entries. */
     static int maxInFlightEntries(int bytes, int ejectionCount, int unreachableCount) {
         int otherBytes =
                 HEADER_BYTES
@@ -84,12 +86,12 @@
         return (bytes - otherBytes) / IN_FLIGHT_ENTRY_BYTES;
     }
 
-    /** Code of the endpoint whose id has the hash {@code idHash}. */
+    /** Returns the code of the endpoint whose id has the hash {@code idHash}. */
     public static int endpointCode(long idHash) {
         return (int) (idHash & (ENDPOINT_CODE_COUNT - 1));
     }
 
-    /** Encodes this message; values beyond the range of a field become the nearest in range. */
+    /** Encodes this message. Values out of a field's range are clamped to it. */
     public byte[] encode() {
         byte[] datagram = new byte[MAX_BYTES];
         datagram[0] = FORMAT;
@@ -125,7 +127,7 @@
         return WireBytes.writeByte(datagram, unitsOffset, (int) remainingUnits);
     }
 
-    /** Decodes a datagram; empty if it is of another format or damaged. */
+    /** Decodes a datagram. Returns empty if it has another format or is damaged. */
     static Optional<LoadGossipMessage> decode(byte[] datagram) {
         if (datagram.length < HEADER_BYTES
                 || datagram.length > MAX_BYTES
@@ -157,8 +159,10 @@
     private static List<InFlightEntry> readInFlightEntries(byte[] datagram, int endOffset) {
         List<InFlightEntry> entries = new ArrayList<>();
         for (int offset = HEADER_BYTES; offset < endOffset; offset += IN_FLIGHT_ENTRY_BYTES) {
-            int bits = WireBytes.readUnsignedShort(datagram, offset);
-            entries.add(new InFlightEntry(bits >> IN_FLIGHT_BITS, bits & MAX_IN_FLIGHT));
+            int encodedEntry = WireBytes.readUnsignedShort(datagram, offset);
+            entries.add(
+                    new InFlightEntry(
+                            encodedEntry >> IN_FLIGHT_BITS, encodedEntry & MAX_IN_FLIGHT));
         }
         return entries;
     }
--- a/balancer/src/main/java/loadbalancer/routing/gossip/LoadReportBuilder.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/LoadReportBuilder.java
@@ -9,12 +9,12 @@
 import loadbalancer.routing.gossip.LoadGossipMessage.InFlightEntry;
 
 /**
- * Builds the load reports of this balancer from the state of its endpoints. Where not all ejections
- * or unreachable endpoints fit, successive reports hold different ones. Confined to the thread of
- * its {@link LoadGossip}.
+ * Builds the load reports of this balancer from the state of its endpoints. If not all ejections or
+ * unreachable endpoints fit into a report to neighbors, successive reports contain different ones;
+ * a broadcast report contains the first ones. Confined to the thread of its {@link LoadGossip}.
  */
 final class LoadReportBuilder {
-    // The index of a class is one byte on the wire.
+    // A class index is encoded in one byte.
     private static final int MAX_REPORTED_CLASSES = 256;
 
     private final int zone;
@@ -28,7 +28,7 @@
         this.maxBytes = topology.maxMessageBytes();
     }
 
-    /** Whether a report has been built yet. */
+    /** Returns whether a report has been built. */
     boolean hasBuilt() {
         return builtCount > 0;
     }
@@ -36,9 +36,9 @@
     /**
      * Builds a report.
      *
-     * @param listedEndpoints those that are up
-     * @param unreachableEndpoints those to which this balancer can't connect
-     * @param requestsPerSecond that this balancer receives
+     * @param listedEndpoints listed endpoints that are up
+     * @param unreachableEndpoints endpoints to which this balancer can't connect
+     * @param requestsPerSecond requests per second that this balancer receives
      * @param now µs
      */
     LoadGossipMessage build(
@@ -51,11 +51,11 @@
                         listedEndpoints.stream()
                                 .flatMap(endpoint -> ejectionEntries(endpoint, now))
                                 .toList(),
-                        scaled(LoadGossipMessage.MAX_EJECTION_ENTRIES));
+                        scaleToMaxBytes(LoadGossipMessage.MAX_EJECTION_ENTRIES));
         List<Integer> unreachableCodes =
                 rotatingWindow(
                         unreachableEndpoints.stream().map(LoadReportBuilder::endpointCode).toList(),
-                        scaled(LoadGossipMessage.MAX_UNREACHABLE_CODES));
+                        scaleToMaxBytes(LoadGossipMessage.MAX_UNREACHABLE_CODES));
         int maxInFlightEntries =
                 LoadGossipMessage.maxInFlightEntries(
                         maxBytes, ejections.size(), unreachableCodes.size());
@@ -68,8 +68,8 @@
                 unreachableCodes);
     }
 
-    // A bound for a full message, for the size that this balancer may send.
-    private int scaled(int maxEntries) {
+    // Scales a limit for messages of the full size to the size that this balancer may send.
+    private int scaleToMaxBytes(int maxEntries) {
         return maxEntries * maxBytes / LoadGossipMessage.MAX_BYTES;
     }
 
@@ -95,7 +95,7 @@
                                         ejectedUntilMicros(endpoint, classIndex) - now));
     }
 
-    // Received ejections are not forwarded: a report holds what its sender observed itself.
+    // Received ejections are not forwarded: a report contains only its sender's own observations.
     private static long ejectedUntilMicros(EndpointState endpoint, int classIndex) {
         return endpoint.classHealth(classIndex).locallyEjectedUntilMicros();
     }
--- a/balancer/src/main/java/loadbalancer/routing/gossip/PeerLoadTable.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/PeerLoadTable.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * The last load report of each peer, until it expires, with the sum of their attempts in flight by
- * endpoint. Confined to the thread of its {@link LoadGossip}.
+ * Stores the last load report of each peer until it expires, and the sum of the peers' attempts in
+ * flight by endpoint code. Confined to the thread of its {@link LoadGossip}.
  */
 final class PeerLoadTable {
     private static final long EXPIRY_MICROS = 1_500_000;
 
-    // By endpoint code; always the sum over reportByPeer
+    // Indexed by endpoint code. Each value is the sum over the reports in reportByPeer.
     private final int[] inFlightByCode = new int[LoadGossipMessage.ENDPOINT_CODE_COUNT];
     private final Map<Integer, ReceivedReport> reportByPeer = new HashMap<>();
 
@@ -20,7 +20,7 @@
         }
     }
 
-    /** Replaces the report of {@code peer}. */
+    /** Stores a report of {@code peer}, received at {@code now}, and replaces the previous one. */
     void put(int peer, LoadGossipMessage message, long now) {
         ReceivedReport previous = reportByPeer.put(peer, new ReceivedReport(message, now));
         if (previous != null) {
@@ -29,7 +29,7 @@
         addInFlight(message, 1);
     }
 
-    /** Removes the reports of the peers that have not been heard for the expiry time. */
+    /** Removes the reports that were received more than the expiry time before {@code now}. */
     void expire(long now) {
         reportByPeer
                 .values()
@@ -49,30 +49,32 @@
         }
     }
 
-    /** Number of peers with a report. */
+    /** Returns the number of peers with a report. */
     int peerCount() {
         return reportByPeer.size();
     }
 
-    /** Whether there is a report of the balancer {@code peer}. */
+    /** Returns whether there is a report of the balancer {@code peer}. */
     boolean contains(int peer) {
         return reportByPeer.containsKey(peer);
     }
 
-    /** Requests a second that {@code peer} receives; 0 without a report. */
+    /** Returns the requests per second that {@code peer} receives, or 0 without a report. */
     int requestsPerSecond(int peer) {
         ReceivedReport report = reportByPeer.get(peer);
         return report == null ? 0 : report.message.requestsPerSecond();
     }
 
-    /** Requests a second that all peers with a report receive. */
+    /** Returns the requests per second that all peers with a report receive together. */
     int totalRequestsPerSecond() {
         return reportByPeer.values().stream()
                 .mapToInt(report -> report.message.requestsPerSecond())
                 .sum();
     }
 
-    /** Attempts of all peers with a report in flight at the endpoints with that code. */
+    /**
+     * Returns the attempts of all peers with a report in flight at endpoints with the given code.
+     */
     int inFlight(int endpointCode) {
         return inFlightByCode[endpointCode];
     }
