--- a/balancer/src/main/java/loadbalancer/routing/gossip/BlockPartition.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/BlockPartition.java
@@ -15,8 +15,8 @@
     public static final int DEFAULT_BLOCK_SIZE = 16;
 
     /**
-     * Maximum number of blocks. A datagram of the last step holds a record for each block beyond 64
-     * blocks.
+     * Maximum number of blocks. A datagram of the last step holds one record for each block beyond
+     * the 64th.
      */
     public static final int MAX_BLOCKS = 64 + FleetLoadMessage.MAX_RECORDS;
 
--- a/balancer/src/main/java/loadbalancer/simulator/EndpointListBuffers.java
+++ b/balancer/src/main/java/loadbalancer/simulator/EndpointListBuffers.java
@@ -9,8 +9,8 @@
 import loadbalancer.routing.api.EndpointStatus;
 
 /**
- * The numbered buffers of endpoint lists that LIST fills and SYNC refers to, shared by all
- * instances. Not thread-safe.
+ * Stores the numbered buffers of endpoint lists that LIST frames fill and SYNC frames refer to. All
+ * instances share them. Not thread-safe.
  */
 final class EndpointListBuffers {
     private static final int BUFFER_COUNT = 16;
@@ -22,10 +22,16 @@
     };
     private static final int UNKNOWN_INDEX = -1;
 
-    // By their number; only those that a LIST has filled
-    private final Map<Integer, List<Endpoint>> buffers = new HashMap<>();
+    // Indexed by buffer number. Contains only buffers that a LIST frame has filled.
+    private final Map<Integer, List<Endpoint>> listsByBuffer = new HashMap<>();
 
-    /** Reads the ITEM frames that {@code listFrame} announces into the buffer that it names. */
+    /**
+     * Reads the ITEM frames announced by {@code listFrame} into the buffer that it names.
+     *
+     * @throws WireFormatException if a frame is malformed, or fewer ITEM frames follow than
+     *     announced
+     * @throws IOException if the input can't be read
+     */
     void read(WireFrame listFrame, FrameReader frames) throws IOException {
         int bufferIndex = listFrame.withFields(BUFFER, ENTRIES).index(BUFFER, BUFFER_COUNT);
         int entryCount = listFrame.index(ENTRIES, Integer.MAX_VALUE);
@@ -37,11 +43,11 @@
             }
             endpoints.add(toEndpoint(frames.current().withFields(ITEM_FIELDS)));
         }
-        buffers.put(bufferIndex, List.copyOf(endpoints));
+        listsByBuffer.put(bufferIndex, List.copyOf(endpoints));
     }
 
     private static Endpoint toEndpoint(WireFrame item) {
-        // The status first: of several faults in a line it is the one that is reported
+        // The status is parsed first, so that of several faults in a line it is the one reported.
         EndpointStatus status = item.term(STATUS, "word", WireTerms.ENDPOINT_STATUSES);
         return new Endpoint(
                 item.text("Upstream"),
@@ -53,11 +59,16 @@
                 item.index("Locality", Integer.MAX_VALUE, UNKNOWN_INDEX));
     }
 
-    /** The list in the buffer that a frame's field {@code Buffer} names. */
+    /**
+     * Returns the list in the buffer that the frame's field {@code Buffer} names.
+     *
+     * @throws WireFormatException if no LIST frame has filled that buffer
+     */
     List<Endpoint> get(WireFrame frame) {
-        List<Endpoint> endpoints = buffers.get(frame.index(BUFFER, BUFFER_COUNT));
+        List<Endpoint> endpoints = listsByBuffer.get(frame.index(BUFFER, BUFFER_COUNT));
         if (endpoints == null) {
-            throw frame.malformed(BUFFER, "no LIST has that number: " + frame.rawValue(BUFFER));
+            throw frame.malformed(
+                    BUFFER, "no LIST has filled this buffer: " + frame.rawValue(BUFFER));
         }
         return endpoints;
     }
--- a/balancer/src/main/java/loadbalancer/simulator/FrameReader.java
+++ b/balancer/src/main/java/loadbalancer/simulator/FrameReader.java
@@ -4,21 +4,25 @@
 import java.io.IOException;
 
 /**
- * Reads the frames of the simulator's wire, one after another, and counts its lines. Not
+ * Reads the frames of the simulator's wire protocol one after another, and counts lines. Not
  * thread-safe.
  */
 final class FrameReader {
     private final BufferedReader input;
-    // Null before the first line, and from the end of the input on
+    // Null before the first line and after the end of the input.
     private WireFrame currentFrame;
     private long lineNumber;
 
-    /** {@code input} stays its caller's to close. */
+    /** Creates a reader of {@code input}, which the caller must close. */
     FrameReader(BufferedReader input) {
         this.input = input;
     }
 
-    /** Reads the next frame, which becomes the current one; false at the end of the input. */
+    /**
+     * Reads the next frame and makes it the current one. Returns false at the end of the input.
+     *
+     * @throws IOException if the input can't be read
+     */
     boolean advance() throws IOException {
         String text = input.readLine();
         lineNumber++;
@@ -26,12 +30,15 @@
         return currentFrame != null;
     }
 
-    /** The frame that the last {@link #advance} read; only if it returned true. */
+    /** Returns the frame read by the last {@link #advance}, or null if that returned false. */
     WireFrame current() {
         return currentFrame;
     }
 
-    /** The exception for a fault of the line that was asked for last, be it beyond the end. */
+    /**
+     * Creates the exception for a fault in the line that {@link #advance} read last, or at the end
+     * of the input.
+     */
     WireFormatException malformed(String message, String field, String problem) {
         return new WireFormatException(lineNumber, message, field, problem);
     }
--- a/balancer/src/main/java/loadbalancer/simulator/PolicyInstance.java
+++ b/balancer/src/main/java/loadbalancer/simulator/PolicyInstance.java
@@ -11,12 +11,12 @@
 import loadbalancer.routing.api.RoutingSettings;
 
 /**
- * One simulated balancer: its routing policy, and the decoding of the events that concern it. Not
+ * Decodes the events of one simulated balancer and passes them to its routing policy. Not
  * thread-safe.
  *
- * @param name the instance's name on the wire
- * @param policy its routing policy
- * @param bootSettings the settings that it was started with
+ * @param name the instance's name in the protocol
+ * @param policy the instance's routing policy
+ * @param bootSettings the settings with which the instance was started
  */
 record PolicyInstance(String name, RoutingPolicy policy, BootSettings bootSettings) {
     private static final String REQUEST = "Req";
@@ -32,11 +32,15 @@
     private static final String SENDER = "Src";
     private static final String PAYLOAD = "Data";
     private static final int UNKNOWN_WORK = -1;
-    // Bits of the field Options
+    // Bits of the field Options.
     private static final long HAS_WORK_HINT = 1;
     private static final long IS_RESUBMISSION = 2;
 
-    /** Hands the event in {@code frame} to the policy, whose actions go to {@code reply}. */
+    /**
+     * Passes the event in {@code frame} to the policy, which writes its actions to {@code reply}.
+     *
+     * @throws WireFormatException if the frame is malformed or has an unknown name
+     */
     void deliver(WireFrame frame, long nowMicros, EndpointListBuffers lists, ReplyWriter reply) {
         switch (frame.name()) {
             case "SYNC" -> onSync(frame, nowMicros, lists, reply);
@@ -58,7 +62,7 @@
             WireFrame frame, long nowMicros, EndpointListBuffers lists, ReplyWriter reply) {
         frame.withFields("How", "SeqNo", "Buffer");
         EndpointListKind kind = frame.term("How", "word", WireTerms.LIST_KINDS);
-        // Checked, but a policy has no use for it
+        // Validated only: the policy does not use the sequence number.
         frame.integer("SeqNo", 0);
         List<Endpoint> endpoints = kind == EndpointListKind.FAILED ? List.of() : lists.get(frame);
         policy.onEndpointList(nowMicros, kind, endpoints, reply);
@@ -89,7 +93,7 @@
 
     private void onResponse(WireFrame frame, long nowMicros, ReplyWriter reply) {
         frame.withFields(REQUEST, ATTEMPT, ENDPOINT, OUTCOME, LATENCY, CLOSED, LOAD_REPORT);
-        // Must be given, though the attempt's number says it too
+        // Validated only: the attempt number already identifies the endpoint.
         frame.text(ENDPOINT);
         policy.onAttemptEnded(
                 nowMicros,
@@ -129,7 +133,7 @@
         return frame.term(OUTCOME, "code", WireTerms.OUTCOMES);
     }
 
-    // Null where no report came with the event, as the policy's interface has it.
+    // Returns null if the event has no load report, as RoutingPolicy defines.
     private LoadReport loadReport(WireFrame frame) {
         if (frame.isAbsent(LOAD_REPORT)) {
             return null;
@@ -143,9 +147,9 @@
         }
         double[] reportValues = LoadReportParser.unknownValues();
         for (int i = 0; i < valueNames.size(); i++) {
-            int slot = LoadReportParser.fieldIndex(valueNames.get(i));
-            if (slot >= 0 && !values[i].equals("-")) {
-                reportValues[slot] = frame.parseNumber(LOAD_REPORT, values[i]);
+            int valueIndex = LoadReportParser.fieldIndex(valueNames.get(i));
+            if (valueIndex >= 0 && !values[i].equals("-")) {
+                reportValues[valueIndex] = frame.parseNumber(LOAD_REPORT, values[i]);
             }
         }
         return LoadReportParser.toLoadReport(reportValues);
--- a/balancer/src/main/java/loadbalancer/simulator/ReplyWriter.java
+++ b/balancer/src/main/java/loadbalancer/simulator/ReplyWriter.java
@@ -7,47 +7,51 @@
 import loadbalancer.routing.api.RoutingActions;
 
 /**
- * Collects the actions of one batch as lines of the simulator's wire, each under the line that
- * names its instance. Not thread-safe.
+ * Collects the actions of one batch as lines of the simulator's wire protocol. An ON_BEHALF line
+ * names the instance of the lines that follow it. Not thread-safe.
  */
 final class ReplyWriter implements RoutingActions {
     private static final String ALL_PEERS = "*";
     private static final String NO_PAYLOAD = "-";
 
-    private final StringBuilder text = new StringBuilder();
-    // Empty until the batch concerns an instance
+    private final StringBuilder batchLines = new StringBuilder();
+    // Empty until an instance is selected.
     private String currentInstance = "";
     private String writtenInstance = "";
 
-    /** Names the instance that further actions are of. */
+    /** Selects the instance to which the following actions belong. */
     void selectInstance(String name) {
         currentInstance = name;
     }
 
-    /** Reports a failure of the policy, which ends the session after this batch. */
+    /** Appends a failure of the policy. The session ends after this batch. */
     void appendFailure(RuntimeException failure) {
         StackTraceElement[] trace = failure.getStackTrace();
-        String place = trace.length == 0 ? "" : " at " + trace[0];
-        appendLine("BAIL_OUT", toSingleLine(failure + place));
+        String location = trace.length == 0 ? "" : " at " + trace[0];
+        appendLine("BAIL_OUT", toSingleLine(failure + location));
     }
 
-    /** Ends the batch and writes its lines to {@code output}, which stays open. */
+    /**
+     * Ends the batch, writes its lines to {@code output} and flushes it.
+     *
+     * @throws IOException if {@code output} can't be written
+     */
     void finish(OutputStream output) throws IOException {
-        text.append("DONE\n");
-        output.write(text.toString().getBytes(StandardCharsets.UTF_8));
+        batchLines.append("DONE\n");
+        output.write(batchLines.toString().getBytes(StandardCharsets.UTF_8));
         output.flush();
     }
 
     private void appendLine(String name, Object... values) {
         if (!currentInstance.equals(writtenInstance)) {
-            text.append("ON_BEHALF\t").append(currentInstance).append('\n');
+            batchLines.append("ON_BEHALF\t").append(currentInstance).append('\n');
             writtenInstance = currentInstance;
         }
-        text.append(name);
+        batchLines.append(name);
         for (Object value : values) {
-            text.append('\t').append(value);
+            batchLines.append('\t').append(value);
         }
-        text.append('\n');
+        batchLines.append('\n');
     }
 
     private static String toSingleLine(String message) {
--- a/balancer/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
+++ b/balancer/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -10,16 +10,16 @@
 import loadbalancer.routing.api.RoutingSettings;
 
 /**
- * Runs the routing policies of many simulated balancers on the simulator's wire: batches of events
- * come in, the policies' actions go out. It translates and decides nothing. Not thread-safe: one
- * thread calls {@link #run()}.
+ * Runs the routing policies of many simulated balancers over the simulator's wire protocol. It
+ * reads batches of events and writes the policies' actions, and makes no decisions of its own. Not
+ * thread-safe: one thread calls {@link #run()}.
  */
 public final class SimulatorAdapter {
     private static final String CLOCK = "Clock";
     private static final String INSTANCE = "Balancer";
     private static final String SEED = "InitSeed";
     private static final int FIRST_SETTING_POSITION = 2;
-    // No instance can have this name: a name on the wire has at least one character.
+    // Instance names in the protocol have at least one character.
     private static final String NO_INSTANCE = "";
 
     /** Creates the routing policy of a new instance. */
@@ -33,7 +33,11 @@
     private final Map<String, PolicyInstance> instances = new HashMap<>();
     private final EndpointListBuffers lists = new EndpointListBuffers();
 
-    /** {@code input} and {@code output} stay their caller's to close. */
+    /**
+     * Creates an adapter without instances. The caller must close {@code input} and {@code output}.
+     *
+     * @param factory creates the routing policy of each instance that is started
+     */
     public SimulatorAdapter(PolicyFactory factory, BufferedReader input, OutputStream output) {
         this.factory = factory;
         this.frames = new FrameReader(input);
@@ -41,40 +45,41 @@
     }
 
     /**
-     * Answers batch after batch until the input ends, or a policy has failed.
+     * Answers batches until the input ends or a policy fails.
      *
-     * @throws WireFormatException if the input breaks the wire's format; the batch gets no answer
+     * @throws WireFormatException if the input is malformed; the batch with the fault is not
+     *     answered
      * @throws IOException if input or output fails
      */
     public void run() throws IOException {
-        boolean policiesWork = true;
-        while (policiesWork && frames.advance()) {
+        boolean noPolicyFailed = true;
+        while (noPolicyFailed && frames.advance()) {
             WireFrame frame = frames.current();
             if (!frame.name().equals("TICK")) {
-                throw frame.malformed("TICK", "a batch begins with it");
+                throw frame.malformed("TICK", "a batch must begin with TICK");
             }
-            policiesWork = answerBatch(frame);
+            noPolicyFailed = answerBatch(frame);
         }
     }
 
-    // Whether no policy failed.
+    // Returns whether no policy failed.
     private boolean answerBatch(WireFrame tickFrame) throws IOException {
         ReplyWriter reply = new ReplyWriter();
-        boolean policiesWork = true;
+        boolean noPolicyFailed = true;
         try {
             processBatch(tickFrame.withFields(CLOCK).integer(CLOCK), reply);
         } catch (WireFormatException e) {
             throw e;
         } catch (RuntimeException e) {
-            policiesWork = false;
+            noPolicyFailed = false;
             reply.appendFailure(e);
         }
         reply.finish(output);
-        return policiesWork;
+        return noPolicyFailed;
     }
 
     private void processBatch(long nowMicros, ReplyWriter reply) throws IOException {
-        // Until an AT line names one
+        // Set by an AT line.
         String instanceName = NO_INSTANCE;
         while (frames.advance()) {
             WireFrame frame = frames.current();
--- a/balancer/src/main/java/loadbalancer/simulator/WireFormatException.java
+++ b/balancer/src/main/java/loadbalancer/simulator/WireFormatException.java
@@ -1,6 +1,9 @@
 package loadbalancer.simulator;
 
-/** Input that breaks the simulator's wire format, in one line with the place of the fault. */
+/**
+ * Thrown if input does not conform to the simulator's wire protocol. The message is one line that
+ * names the line number, the protocol message and the field.
+ */
 public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/loadbalancer/simulator/WireFrame.java
+++ b/balancer/src/main/java/loadbalancer/simulator/WireFrame.java
@@ -6,27 +6,27 @@
 import loadbalancer.config.NumberParser;
 
 /**
- * One line of the simulator's wire: the name of a message and its values, separated by tabs. Its
- * reader declares the message's fields once, then reads values by field. All methods that read
- * throw {@link WireFormatException} with line, message and field. Belongs to the thread that reads
- * the wire.
+ * One line of the simulator's wire protocol: the name of a message and its values, separated by
+ * tabs. The caller declares the names of the fields once, then reads values by field name. Methods
+ * that declare fields or parse a value throw {@link WireFormatException} with line, message and
+ * field if the line is malformed. Confined to the thread that reads the input.
  */
 final class WireFrame {
     private static final String SEPARATOR = "\t";
     private static final String ABSENT = "-";
-    private static final String[] NO_FIELDS = {};
+    private static final String[] NO_FIELD_NAMES = {};
 
     private final long lineNumber;
-    // The name, then the values
+    // The message name, followed by the values.
     private final String[] columns;
-    private String[] fields = NO_FIELDS;
+    private String[] fieldNames = NO_FIELD_NAMES;
 
     WireFrame(long lineNumber, String text) {
         this.lineNumber = lineNumber;
         this.columns = text.split(SEPARATOR, -1);
     }
 
-    /** The message's name. */
+    /** Returns the message name. */
     String name() {
         return columns[0];
     }
@@ -35,41 +35,54 @@
         return columns.length - 1;
     }
 
-    /** The exception for what is wrong with a field of this line. */
+    /** Creates the exception for a fault in a field of this line. */
     WireFormatException malformed(String field, String problem) {
         return new WireFormatException(lineNumber, name(), field, problem);
     }
 
-    /** Declares all fields; another number of values means that the line was cut or joined. */
+    /**
+     * Declares all fields of the message.
+     *
+     * @throws WireFormatException if the line has another number of values, because it was
+     *     truncated or joined with another line
+     */
     WireFrame withFields(String... names) {
         withLeadingFields(names);
         int surplus = valueCount() - names.length;
         if (surplus > 0) {
             throw malformed(
                     names.length == 0 ? "1" : names[names.length - 1],
-                    "is followed by " + surplus + " more value(s) than the message has");
+                    "is followed by " + surplus + " unexpected value(s)");
         }
         return this;
     }
 
-    /** Declares the first fields of a message whose further values have no names. */
+    /**
+     * Declares the leading fields of a message whose remaining values have no names.
+     *
+     * @throws WireFormatException if the line has fewer values
+     */
     WireFrame withLeadingFields(String... names) {
         if (valueCount() < names.length) {
             throw malformed(names[valueCount()], "is missing");
         }
-        fields = names;
+        fieldNames = names;
         return this;
     }
 
-    /** The value at a position, of which 1 is the first after the name. */
+    /** Returns the value at {@code position}; position 1 follows the message name. */
     String valueAt(int position) {
         return columns[position];
     }
 
-    /** The value of a declared field, be it as absent. */
+    /**
+     * Returns the value of a declared field as written, which may be the marker of an absent value.
+     *
+     * @throws IllegalStateException if the field is not declared
+     */
     String rawValue(String field) {
-        for (int i = 0; i < fields.length; i++) {
-            if (fields[i].equals(field)) {
+        for (int i = 0; i < fieldNames.length; i++) {
+            if (fieldNames[i].equals(field)) {
                 return valueAt(i + 1);
             }
         }
@@ -100,7 +113,7 @@
         return isAbsent(field) ? defaultValue : integer(field);
     }
 
-    /** A number from 0 to below {@code limit}. */
+    /** Returns the field's value, an integer from 0 to {@code limit} - 1. */
     int index(String field, int limit) {
         long value = integer(field);
         if (value < 0 || value >= limit) {
@@ -121,7 +134,7 @@
         return isAbsent(field) ? defaultValue : number(field);
     }
 
-    /** Parses a number that is a part of a field's value. */
+    /** Parses a number that is all or part of the field's value. */
     double parseNumber(String field, String value) {
         try {
             return NumberParser.parseFiniteDouble(value);
@@ -138,7 +151,12 @@
         };
     }
 
-    /** The constant that a term of the wire stands for; {@code kind} is what the term is called. */
+    /**
+     * Returns the constant to which the field's value maps.
+     *
+     * @param kind what the error message calls a value of this field
+     * @param terms the constants by the terms of the protocol
+     */
     <E> E term(String field, String kind, Map<String, E> terms) {
         String value = text(field);
         E constant = terms.get(value);
@@ -148,7 +166,7 @@
         return constant;
     }
 
-    /** Bytes in Base64; none where the field is absent. */
+    /** Decodes the field's Base64 value. Returns an empty array if the field is absent. */
     byte[] bytes(String field) {
         if (isAbsent(field)) {
             return new byte[0];
--- a/balancer/src/main/java/loadbalancer/simulator/WireSettingsParser.java
+++ b/balancer/src/main/java/loadbalancer/simulator/WireSettingsParser.java
@@ -6,13 +6,19 @@
 import loadbalancer.config.InvalidSettingException;
 import loadbalancer.config.SettingsReader;
 
-/** Reads the settings of a new instance from the path=value pairs of its ENLIST line. Stateless. */
+/**
+ * Parses the settings of a new instance from the path=value pairs of its ENLIST line. Stateless.
+ */
 final class WireSettingsParser {
     private static final String PAIRS = "BootInfo";
 
     private WireSettingsParser() {}
 
-    /** Reads the pairs from position {@code firstPairPosition} on; 1 is the first value. */
+    /**
+     * Parses all pairs from {@code firstPairPosition} on; position 1 is the first value.
+     *
+     * @throws WireFormatException if a pair is malformed or a setting is missing or invalid
+     */
     static BootSettings read(WireFrame frame, int firstPairPosition) {
         Map<String, String> values = new HashMap<>();
         for (int i = firstPairPosition; i <= frame.valueCount(); i++) {
--- a/balancer/src/main/java/loadbalancer/simulator/WireTerms.java
+++ b/balancer/src/main/java/loadbalancer/simulator/WireTerms.java
@@ -5,9 +5,9 @@
 import loadbalancer.routing.api.EndpointListKind;
 import loadbalancer.routing.api.EndpointStatus;
 
-/** The vocabulary of the simulator's wire, and the terms that the code has for it. Stateless. */
+/** Maps terms of the simulator's wire protocol to the constants of the routing API. Stateless. */
 final class WireTerms {
-    /** Field {@code How} of SYNC. */
+    /** Terms of the field {@code How} of SYNC. */
     static final Map<String, EndpointListKind> LIST_KINDS =
             Map.of(
                     "Persisted",
@@ -19,7 +19,7 @@
                     "Error",
                     EndpointListKind.FAILED);
 
-    /** Field {@code StageState} of ITEM. */
+    /** Terms of the field {@code StageState} of ITEM. */
     static final Map<String, EndpointStatus> ENDPOINT_STATUSES =
             Map.of(
                     "U",
@@ -29,7 +29,7 @@
                     "D",
                     EndpointStatus.REMOVED);
 
-    /** Field {@code Rc} of RESPONSE and PROBE_RESULT. */
+    /** Terms of the field {@code Rc} of RESPONSE and PROBE_RESULT. */
     static final Map<String, AttemptOutcome> OUTCOMES =
             Map.of(
                     "200",
@@ -49,7 +49,7 @@
                     "409",
                     AttemptOutcome.NOT_SENT);
 
-    /** The one timer of a policy, as SLEEP names it and DUE returns it. */
+    /** The nonce of a policy's only timer. SLEEP contains it and DUE returns it. */
     static final String TIMER_NONCE = "wake";
 
     private WireTerms() {}
--- a/balancer/src/main/java/loadbalancer/simulator/package-info.java
+++ b/balancer/src/main/java/loadbalancer/simulator/package-info.java
@@ -1,14 +1,15 @@
 /**
- * The routing policy on the simulator's wire. {@link loadbalancer.simulator.SimulatorAdapter} reads
- * batches of events as tab-separated lines, hands each event to the routing policy of the simulated
- * balancer that it concerns, and writes the policy's actions back. {@code WireFrame} is one line,
- * {@code WireTerms} translates the wire's vocabulary to the code's terms, and {@link
- * loadbalancer.simulator.WireFormatException} reports input that breaks the format.
+ * Adapter between the routing policy and the simulator's wire protocol. {@link
+ * loadbalancer.simulator.SimulatorAdapter} reads batches of events as tab-separated lines, passes
+ * each event to the routing policy of the simulated balancer that it concerns, and writes the
+ * policy's actions back. A {@code WireFrame} is one line of input, {@code WireTerms} maps terms of
+ * the protocol to constants, and {@link loadbalancer.simulator.WireFormatException} reports
+ * malformed input.
  *
- * <p>Everything here belongs to the thread that calls {@code SimulatorAdapter.run()}. The package
- * may use {@code routing.api} and {@code config}; it must not depend on sockets, the event loop or
- * the implementation of the routing policy, which its caller passes in. It holds no decisions, so
- * that what the simulator measures is what the real balancer decides. A key and a load report that
- * a message lacks are passed on as null, as {@code RoutingPolicy} has it.
+ * <p>All types are confined to the thread that calls {@code SimulatorAdapter.run()}. The package
+ * may use {@code routing.api} and {@code config}. It must not depend on sockets, the event loop or
+ * the implementation of the routing policy, which its caller passes in. It makes no decisions, so
+ * that the simulator measures the decisions of the real balancer. A key or a load report that is
+ * absent from a message is passed on as null, as {@code RoutingPolicy} defines.
  */
 package loadbalancer.simulator;
--- a/balancer/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
+++ b/balancer/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
@@ -163,7 +163,7 @@
             delimiter = '|',
             value = {
                 "TICK~x~GO | line 1: TICK: field Clock: not a whole number: 'x'",
-                "HELLO | line 1: HELLO: field TICK: a batch begins with it",
+                "HELLO | line 1: HELLO: field TICK: a batch must begin with TICK",
                 "TICK~1 | line 2: GO: field GO: the input ends within a batch",
                 "TICK~1~DUE~sweep | line 2: DUE: field Balancer: no AT line names the instance",
                 "TICK~1~AT~b/3~DUE~wake | line 3: DUE: field Balancer: no such instance is running: 'b/3'",
@@ -194,7 +194,7 @@
                 "INBOUND~a~5~-~-~1~-~0 | Priority: not between 0 and 0: 5",
                 "INBOUND~a~0~-~-~soon~-~0 | Ttl: not a whole number: 'soon'",
                 "SYNC~Some~1~0 | How: unknown word: 'Some'",
-                "SYNC~Partial~1~3 | Buffer: no LIST has that number: 3",
+                "SYNC~Partial~1~3 | Buffer: no LIST has filled this buffer: 3",
                 "MAIL~0~%%% | Data: not base64: '%%%'",
                 "NONSENSE~1 | NONSENSE: unknown message",
             })
