--- a/balancer/src/main/java/loadbalancer/simulator/FrameReader.java
+++ b/balancer/src/main/java/loadbalancer/simulator/FrameReader.java
@@ -39,7 +39,7 @@
      * Creates the exception for a fault in the line that {@link #advance} read last, or at the end
      * of the input.
      */
-    WireFormatException malformed(String message, String field, String problem) {
-        return new WireFormatException(lineNumber, message, field, problem);
+    WireFormatException malformed(String messageName, String field, String problem) {
+        return new WireFormatException(lineNumber, messageName, field, problem);
     }
 }
--- a/balancer/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
+++ b/balancer/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -19,7 +19,7 @@
     private static final String INSTANCE = "Balancer";
     private static final String SEED = "InitSeed";
     private static final int FIRST_SETTING_POSITION = 2;
-    // Instance names in the protocol have at least one character.
+    // Not a valid instance name: names in the protocol have at least one character.
     private static final String NO_INSTANCE = "";
 
     /** Creates the routing policy of a new instance. */
--- a/balancer/src/main/java/loadbalancer/simulator/WireFormatException.java
+++ b/balancer/src/main/java/loadbalancer/simulator/WireFormatException.java
@@ -7,7 +7,7 @@
 public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireFormatException(long lineNumber, String message, String field, String problem) {
-        super("line " + lineNumber + ": " + message + ": field " + field + ": " + problem);
+    WireFormatException(long lineNumber, String messageName, String field, String problem) {
+        super("line " + lineNumber + ": " + messageName + ": field " + field + ": " + problem);
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/gossip/BlockPartitionTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/BlockPartitionTest.java
@@ -29,11 +29,11 @@
 
     @Test
     void fleetBeyondTheLimitIsRejected() {
-        FleetSizeException rejection =
+        FleetSizeException exception =
                 assertThrows(
                         FleetSizeException.class,
                         () -> new BlockPartition(BlockPartition.MAX_BALANCERS + 1));
-        assertTrue(rejection.getMessage().contains("1824"), rejection.getMessage());
+        assertTrue(exception.getMessage().contains("1824"), exception.getMessage());
         assertThrows(FleetSizeException.class, () -> new BlockPartition(0));
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/gossip/FleetLoadMessageTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/FleetLoadMessageTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 
 class FleetLoadMessageTest {
-    // 12 bits of mantissa
+    // The mantissa has 12 bits.
     private static final double MAX_ROUNDING_ERROR = 1.0 / 2048;
 
     @Test
-    void compressedRatesKeepRelativePrecision() {
+    void encodedRatesKeepRelativePrecision() {
         SplittableRandom random = new SplittableRandom(13);
         for (int i = 0; i < 10_000; i++) {
             int rate = random.nextInt(1 << random.nextInt(1, 28));
--- a/balancer/src/test/java/loadbalancer/routing/gossip/GoldenFleetLoadTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/GoldenFleetLoadTest.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Datagrams of {@link FleetLoadAggregator}, byte for byte: one record and as many as fit, with
- * extreme values.
+ * Compares the datagrams of {@link FleetLoadAggregator} with golden files byte for byte: one
+ * record, and the maximum number of records, with extreme values.
  */
 class GoldenFleetLoadTest {
-    private static final String LONE = "sums/lone-block.hex";
-    private static final String FORWARD = "sums/most-records-forward.hex";
-    private static final String BACKWARD = "sums/most-records-backward.hex";
+    private static final String SINGLE_RECORD_FILE = "sums/lone-block.hex";
+    private static final String FORWARD_FILE = "sums/most-records-forward.hex";
+    private static final String BACKWARD_FILE = "sums/most-records-backward.hex";
 
-    private static final BlockPartition MOST_BLOCKS =
+    private static final BlockPartition MAX_PARTITION =
             new BlockPartition(BlockPartition.MAX_BALANCERS);
     private static final int BLOCK_COUNT = 114;
     private static final int RECORD_COUNT = 50;
@@ -31,26 +31,26 @@
     private record Datagram(int to, byte[] data) {}
 
     /**
-     * Requests a second of a block: the extremes of the encoded form, then values all over its
-     * range.
+     * Returns the requests per second of a block: extremes of the encoding for the first blocks,
+     * then values across its range.
      */
     private static long rate(int block) {
         long[] extremes = {Integer.MAX_VALUE, 0, 1, 4_095, 4_096, 4_097, 134_184_960, 134_184_959};
         return block < extremes.length ? extremes[block] : 37L * block * block;
     }
 
-    /** The rate of a block after encoding: literal where it loses digits. */
+    /** Returns the rate of a block after encoding and decoding, which truncates the low bits. */
     private static double receivedRate(int block) {
         return switch (block) {
             case 0 -> 134_184_960;
             case 5 -> 4_096;
-            default -> rate(block) < 4_096 ? rate(block) : roundedDown(rate(block));
+            default -> rate(block) < 4_096 ? rate(block) : truncateToMantissa(rate(block));
         };
     }
 
-    private static long roundedDown(long rate) {
-        int lostBits = 64 - Long.numberOfLeadingZeros(rate) - 12;
-        return rate >> lostBits << lostBits;
+    private static long truncateToMantissa(long rate) {
+        int truncatedBits = 64 - Long.numberOfLeadingZeros(rate) - 12;
+        return rate >> truncatedBits << truncatedBits;
     }
 
     private static int presentCount(int block) {
@@ -61,7 +61,7 @@
         return block == 1 ? 0 : Math.min(81, block) * AGE_UNIT_MICROS;
     }
 
-    /** Age of a record in the golden datagrams, whole units rounded up, µs. */
+    /** Returns the age of a record in the golden datagrams in µs, rounded up to whole units. */
     private static long receivedAgeMicros(int block) {
         if (block == 0) {
             return 0;
@@ -70,61 +70,68 @@
         return (micros + AGE_UNIT_MICROS - 1) / AGE_UNIT_MICROS * AGE_UNIT_MICROS;
     }
 
-    /** The datagram with which the first balancer of a block reports its own block. */
+    /** Returns the datagram in which the first balancer of a block reports its own block. */
     private static byte[] ownRecordDatagram(int block) {
         FleetLoadAggregator aggregator =
-                new FleetLoadAggregator(MOST_BLOCKS.firstBalancer(block), MOST_BLOCKS);
+                new FleetLoadAggregator(MAX_PARTITION.firstBalancer(block), MAX_PARTITION);
         aggregator.ownBlock(
                 FIRST_STEP_AT_MICROS - ageAtFirstStepMicros(block),
                 presentCount(block),
                 rate(block));
-        return sent(aggregator, FIRST_STEP_AT_MICROS).get(0).data();
+        return sentDatagrams(aggregator, FIRST_STEP_AT_MICROS).get(0).data();
     }
 
-    private static List<Datagram> sent(FleetLoadAggregator aggregator, long now) {
-        List<Datagram> sent = new ArrayList<>();
-        aggregator.tick(now, balancer -> true, (to, data) -> sent.add(new Datagram(to, data)));
-        return sent;
+    private static List<Datagram> sentDatagrams(FleetLoadAggregator aggregator, long now) {
+        List<Datagram> sentDatagrams = new ArrayList<>();
+        aggregator.tick(
+                now, balancer -> true, (to, data) -> sentDatagrams.add(new Datagram(to, data)));
+        return sentDatagrams;
     }
 
-    /** What balancer 0 of the largest fleet sends in the last step, knowing all blocks but one. */
-    private static List<Datagram> sentInLastStep() {
-        FleetLoadAggregator aggregator = new FleetLoadAggregator(0, MOST_BLOCKS);
+    /**
+     * Returns the datagrams that balancer 0 of the largest fleet sends in the last step, with the
+     * records of all blocks but one.
+     */
+    private static List<Datagram> datagramsOfLastStep() {
+        FleetLoadAggregator aggregator = new FleetLoadAggregator(0, MAX_PARTITION);
         aggregator.ownBlock(FIRST_STEP_AT_MICROS, presentCount(0), rate(0));
         for (int block = 1; block < BLOCK_COUNT; block++) {
             if (block != UNKNOWN_BLOCK) {
                 assertTrue(
                         aggregator.onDatagram(
                                 FIRST_STEP_AT_MICROS,
-                                MOST_BLOCKS.firstBalancer(block),
+                                MAX_PARTITION.firstBalancer(block),
                                 ownRecordDatagram(block)));
             }
         }
         aggregator.ownBlock(LAST_STEP_AT_MICROS, presentCount(0), rate(0));
-        return sent(aggregator, LAST_STEP_AT_MICROS);
+        return sentDatagrams(aggregator, LAST_STEP_AT_MICROS);
     }
 
     static byte[] forwardDatagram() {
-        return sentInLastStep().get(0).data();
+        return datagramsOfLastStep().get(0).data();
     }
 
     static byte[] backwardDatagram() {
-        List<Datagram> sent = sentInLastStep();
-        return sent.get(sent.size() - 1).data();
+        List<Datagram> sentDatagrams = datagramsOfLastStep();
+        return sentDatagrams.get(sentDatagrams.size() - 1).data();
     }
 
-    /** The only block left of three, whose own figures are older than the format can say. */
-    static byte[] loneDatagram() {
+    /**
+     * Returns the datagram of the only remaining block of three. Its own record is older than the
+     * maximum age of the format.
+     */
+    static byte[] singleRecordDatagram() {
         FleetLoadAggregator aggregator = new FleetLoadAggregator(0, new BlockPartition(34));
         aggregator.ownBlock(0, 11, 0);
-        return sent(aggregator, 20_000_000).get(0).data();
+        return sentDatagrams(aggregator, 20_000_000).get(0).data();
     }
 
-    private static void assertBlocks(String file, int first, int direction) {
+    private static void assertDecodedRecords(String file, int first, int direction) {
         byte[] data = GoldenFiles.bytes(file);
         assertEquals(4 + 5 * RECORD_COUNT, data.length);
         FleetLoadAggregator receiver =
-                new FleetLoadAggregator(MOST_BLOCKS.firstBalancer(57), MOST_BLOCKS);
+                new FleetLoadAggregator(MAX_PARTITION.firstBalancer(57), MAX_PARTITION);
         assertTrue(receiver.onDatagram(LAST_STEP_AT_MICROS, 0, data));
         for (int i = 0; i < RECORD_COUNT; i++) {
             int block = Math.floorMod(first + direction * i, BLOCK_COUNT);
@@ -145,35 +152,36 @@
     }
 
     @Test
-    void forwardBytesGiveValues() {
-        assertBlocks(FORWARD, 0, -1);
+    void forwardBytesDecodeToRecords() {
+        assertDecodedRecords(FORWARD_FILE, 0, -1);
     }
 
     @Test
-    void backwardBytesGiveValues() {
-        assertBlocks(BACKWARD, 0, 1);
+    void backwardBytesDecodeToRecords() {
+        assertDecodedRecords(BACKWARD_FILE, 0, 1);
     }
 
     @Test
-    void valuesGiveForwardBytes() {
-        assertEquals(GoldenFiles.text(FORWARD), GoldenFiles.hexLines(forwardDatagram()));
+    void recordsEncodeToForwardBytes() {
+        assertEquals(GoldenFiles.text(FORWARD_FILE), GoldenFiles.hexLines(forwardDatagram()));
     }
 
     @Test
-    void valuesGiveBackwardBytes() {
-        assertEquals(GoldenFiles.text(BACKWARD), GoldenFiles.hexLines(backwardDatagram()));
+    void recordsEncodeToBackwardBytes() {
+        assertEquals(GoldenFiles.text(BACKWARD_FILE), GoldenFiles.hexLines(backwardDatagram()));
     }
 
-    /** The greatest age of the format is past the time after which a record counts. */
+    /** A record with the maximum age of the format has expired. */
     @Test
-    void loneBytesAreAcceptedButDoNotCount() {
+    void singleExpiredRecordIsAcceptedButDoesNotCount() {
         FleetLoadAggregator receiver = new FleetLoadAggregator(33, new BlockPartition(34));
-        assertTrue(receiver.onDatagram(20_000_000, 0, GoldenFiles.bytes(LONE)));
+        assertTrue(receiver.onDatagram(20_000_000, 0, GoldenFiles.bytes(SINGLE_RECORD_FILE)));
         assertNull(receiver.blockTotal(20_000_000, 0));
     }
 
     @Test
-    void valuesGiveLoneBytes() {
-        assertEquals(GoldenFiles.text(LONE), GoldenFiles.hexLines(loneDatagram()));
+    void singleRecordEncodesToBytes() {
+        assertEquals(
+                GoldenFiles.text(SINGLE_RECORD_FILE), GoldenFiles.hexLines(singleRecordDatagram()));
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/gossip/GoldenLoadGossipTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/GoldenLoadGossipTest.java
@@ -17,14 +17,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Load reports between balancers, byte for byte: the codec's extremes, and what a balancer sends.
+ * Compares load reports between balancers with golden files byte for byte: extreme values of the
+ * encoding, and reports that a balancer sends.
  */
 class GoldenLoadGossipTest {
     private static final int MAX_CODE = 8_191;
-    private static final byte LOAD_REPORT = 3;
+    private static final byte LOAD_REPORT_FORMAT = 3;
     private static final int EJECTION_COUNT_OFFSET = 5;
 
-    /** The messages by the names of their golden files. */
+    /** Returns the messages by the names of their golden files. */
     static Map<String, LoadGossipMessage> messages() {
         Map<String, LoadGossipMessage> messages = new LinkedHashMap<>();
         messages.put("least.hex", new LoadGossipMessage(0, 0, List.of(), List.of(), List.of()));
@@ -64,45 +65,46 @@
         return IntStream.range(0, size).mapToObj(i -> new InFlightEntry(i * 65, i % 8)).toList();
     }
 
-    static List<String> names() {
+    static List<String> fileNames() {
         return List.copyOf(messages().keySet());
     }
 
     @ParameterizedTest
-    @MethodSource("names")
-    void bytesGiveValues(String name) {
+    @MethodSource("fileNames")
+    void bytesDecodeToMessage(String fileName) {
         assertEquals(
-                messages().get(name),
-                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/" + name)).orElseThrow());
+                messages().get(fileName),
+                LoadGossipMessage.decode(GoldenFiles.bytes("load-gossip/" + fileName))
+                        .orElseThrow());
     }
 
     @ParameterizedTest
-    @MethodSource("names")
-    void valuesGiveBytes(String name) {
+    @MethodSource("fileNames")
+    void messageEncodesToBytes(String fileName) {
         assertEquals(
-                GoldenFiles.text("load-gossip/" + name),
-                GoldenFiles.hexLines(messages().get(name).encode()));
+                GoldenFiles.text("load-gossip/" + fileName),
+                GoldenFiles.hexLines(messages().get(fileName).encode()));
     }
 
-    /** What is out of the format's range is written as the nearest value that it has. */
+    /** Values out of a field's range are encoded as the nearest value in range. */
     @Test
-    void valuesOutOfRangeGiveNearestBytes() {
-        LoadGossipMessage beyond =
+    void valuesOutOfRangeAreClamped() {
+        LoadGossipMessage aboveRange =
                 new LoadGossipMessage(
                         255,
                         65_536,
                         List.of(new InFlightEntry(5, 8)),
                         List.of(new EjectionEntry(5, 255, 25_600_000)),
                         List.of());
-        LoadGossipMessage below =
+        LoadGossipMessage belowRange =
                 new LoadGossipMessage(
                         0, -1, List.of(), List.of(new EjectionEntry(5, 0, 99_999)), List.of());
         assertEquals(
                 GoldenFiles.text("load-gossip/beyond-greatest.hex"),
-                GoldenFiles.hexLines(beyond.encode()));
+                GoldenFiles.hexLines(aboveRange.encode()));
         assertEquals(
                 GoldenFiles.text("load-gossip/below-least.hex"),
-                GoldenFiles.hexLines(below.encode()));
+                GoldenFiles.hexLines(belowRange.encode()));
         assertEquals(
                 new LoadGossipMessage(
                         255,
@@ -119,8 +121,11 @@
                         .orElseThrow());
     }
 
-    /** The last report with a failing class that a balancer of a fleet of that size sends. */
-    static byte[] sentInFleetOf(int balancerCount) {
+    /**
+     * Returns the last report with an ejected class that a balancer sends in a fleet of the given
+     * size.
+     */
+    static byte[] lastReportInFleetOf(int balancerCount) {
         RoutingEngineHarness harness =
                 GossipFixtures.harness(
                         balancerCount,
@@ -137,7 +142,7 @@
                 harness.endAttempt(attempt, outcome(attempt));
             }
         }
-        return lastReportOfFailures(harness);
+        return lastReportWithEjection(harness);
     }
 
     private static AttemptOutcome outcome(RoutingEngineHarness.SentAttempt attempt) {
@@ -150,24 +155,27 @@
         return failsOddRequests && isOddRequest ? AttemptOutcome.ERROR : AttemptOutcome.OK;
     }
 
-    private static byte[] lastReportOfFailures(RoutingEngineHarness harness) {
+    private static byte[] lastReportWithEjection(RoutingEngineHarness harness) {
         List<byte[]> reports =
                 harness.gossipMessages.stream()
-                        .filter(data -> data[0] == LOAD_REPORT && data[EJECTION_COUNT_OFFSET] > 0)
+                        .filter(
+                                data ->
+                                        data[0] == LOAD_REPORT_FORMAT
+                                                && data[EJECTION_COUNT_OFFSET] > 0)
                         .toList();
         return reports.get(reports.size() - 1);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {14, 100})
-    void balancerSendsBytes(int balancerCount) {
+    void balancerSendsGoldenBytes(int balancerCount) {
         assertEquals(
                 GoldenFiles.text("load-gossip/sent-in-fleet-of-" + balancerCount + ".hex"),
-                GoldenFiles.hexLines(sentInFleetOf(balancerCount)));
+                GoldenFiles.hexLines(lastReportInFleetOf(balancerCount)));
     }
 
     @Test
-    void bytesSentInSmallFleetGiveValues() {
+    void bytesSentInSmallFleetDecodeToMessage() {
         assertEquals(
                 new LoadGossipMessage(
                         9,
@@ -193,7 +201,7 @@
     }
 
     @Test
-    void bytesSentInLargeFleetGiveValues() {
+    void bytesSentInLargeFleetDecodeToMessage() {
         assertEquals(
                 new LoadGossipMessage(
                         9,
--- a/balancer/src/test/java/loadbalancer/routing/gossip/GossipFixtures.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/GossipFixtures.java
@@ -10,7 +10,7 @@
 import loadbalancer.routing.api.RoutingLimits;
 import loadbalancer.routing.api.RoutingSettings;
 
-/** Routing engines of a fleet, for tests of the gossip between them. */
+/** Creates routing engines of a fleet for tests of the gossip between them. */
 final class GossipFixtures {
     static final RequestClass NON_IDEMPOTENT =
             RoutingEngineHarness.requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
@@ -19,7 +19,7 @@
 
     private GossipFixtures() {}
 
-    /** The engine of the balancer {@code rank}, with that many endpoints listed. */
+    /** Creates the engine of balancer {@code rank} with {@code endpointCount} listed endpoints. */
     static RoutingEngineHarness harness(
             int balancerCount,
             int rank,
@@ -27,7 +27,7 @@
             boolean gossipAllowed,
             int endpointCount,
             RequestClass... requestClasses) {
-        RoutingSettings base =
+        RoutingSettings defaults =
                 RoutingEngineHarness.settings(
                         balancerCount, true, DiscoveryMode.PUSH, List.of(), requestClasses);
         RoutingLimits limits = new RoutingLimits(5, true, true, true, 250_000, 0, gossipAllowed);
@@ -36,18 +36,18 @@
                         balancerCount,
                         rank,
                         zone,
-                        base.requestClasses(),
-                        base.tenants(),
-                        base.overQuotaWeightFactor(),
-                        base.objectiveWeights(),
-                        base.costs(),
-                        base.weightPerWorkUnit(),
-                        base.discoveryMode(),
-                        base.loadReportSource(),
-                        base.keyAffinityEnabled(),
+                        defaults.requestClasses(),
+                        defaults.tenants(),
+                        defaults.overQuotaWeightFactor(),
+                        defaults.objectiveWeights(),
+                        defaults.costs(),
+                        defaults.weightPerWorkUnit(),
+                        defaults.discoveryMode(),
+                        defaults.loadReportSource(),
+                        defaults.keyAffinityEnabled(),
                         limits,
-                        base.bounds(),
-                        base.clockTickMicros());
+                        defaults.bounds(),
+                        defaults.clockTickMicros());
         return new RoutingEngineHarness(settings, SEED)
                 .updateEndpoints(
                         EndpointListKind.CACHED, RoutingEngineHarness.endpoints(endpointCount));
--- a/balancer/src/test/java/loadbalancer/routing/gossip/LoadGossipMessageTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/LoadGossipMessageTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Encoding and decoding of {@link LoadGossipMessage}: full, truncated and random datagrams. */
+/** Tests the encoding and decoding of {@link LoadGossipMessage}. */
 class LoadGossipMessageTest {
     private static final LoadGossipMessage.EjectionEntry EJECTION =
             new LoadGossipMessage.EjectionEntry(8191, 3, 1_500_000);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void valuesBeyondTheirBitsAreClamped() {
+    void valuesOutOfRangeAreClamped() {
         LoadGossipMessage decoded =
                 LoadGossipMessage.decode(
                                 new LoadGossipMessage(
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void truncatedOrForeignFormatIsNotDecoded() {
+    void truncatedOrUnknownFormatIsNotDecoded() {
         byte[] encoded =
                 new LoadGossipMessage(
                                 0,
--- a/balancer/src/test/java/loadbalancer/routing/gossip/LoadGossipTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/LoadGossipTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Exchange of load reports between routing engines, over {@link RoutingEngineHarness}. */
+/** Tests the exchange of load reports between routing engines in {@link RoutingEngineHarness}. */
 class LoadGossipTest {
     private static RoutingEngineHarness harness(
             int balancerCount, int rank, boolean gossipAllowed, int endpointCount) {
@@ -30,7 +30,7 @@
                 GossipFixtures.NON_IDEMPOTENT);
     }
 
-    /** Last report of balancer 1, which has many attempts in flight at the first two endpoints. */
+    /** Returns the last report of balancer 1, which has 12 attempts in flight at two endpoints. */
     private static byte[] busyPeerMessage() {
         RoutingEngineHarness peer = harness(14, 1, true, 2);
         for (int i = 0; i < 12; i++) {
@@ -40,7 +40,7 @@
         return peer.gossipMessages.get(peer.gossipMessages.size() - 1);
     }
 
-    /** How many of forty requests, served one after another, go to the first two endpoints. */
+    /** Serves 40 requests one after another. Returns how many go to the first two endpoints. */
     private static long countSentToFirstTwo(RoutingEngineHarness harness) {
         int sentBefore = harness.sentAttempts.size();
         for (int i = 0; i < 40; i++) {
@@ -56,11 +56,11 @@
 
     @Test
     void reportedRemoteQueuesAreAvoided() {
-        // By the own queues alone, requests met 5.7 attempts of all balancers: the mean of all
-        // endpoints.
+        // With only its local queues known, a balancer sent requests to endpoints with 5.7 attempts
+        // of all balancers on average, which is the mean over all endpoints.
         RoutingEngineHarness harness = harness(14, 0, true, 6);
         harness.policy.onPeerMessage(harness.now, 1, busyPeerMessage(), harness);
-        assertTrue(countSentToFirstTwo(harness) == 0, "requests at busy endpoints");
+        assertTrue(countSentToFirstTwo(harness) == 0, "requests sent to busy endpoints");
     }
 
     @Test
@@ -68,10 +68,11 @@
         RoutingEngineHarness harness = harness(14, 0, true, 6);
         harness.policy.onPeerMessage(harness.now, 1, busyPeerMessage(), harness);
         harness.advanceTime(2_000_000);
-        assertTrue(countSentToFirstTwo(harness) >= 6, "an expired report has no effect");
+        assertTrue(countSentToFirstTwo(harness) >= 6, "an expired report must have no effect");
         harness.policy.onPeerMessage(harness.now, 1, busyPeerMessage(), harness);
         harness.policy.onPeerMessage(harness.now, 1, new byte[] {3, 0, 0, 0, 0, 0}, harness);
-        assertTrue(countSentToFirstTwo(harness) >= 6, "the last report replaces the one before");
+        assertTrue(
+                countSentToFirstTwo(harness) >= 6, "the last report must replace the previous one");
     }
 
     @Test
@@ -90,15 +91,15 @@
                         new byte[] {3, 0, 0, 0, (byte) 255, 0, 0, 0})) {
             harness.policy.onPeerMessage(harness.now, 1, payload, harness);
         }
-        for (int fromBalancer : new int[] {-1, 0, 14, Integer.MAX_VALUE}) {
-            harness.policy.onPeerMessage(harness.now, fromBalancer, busyMessage, harness);
+        for (int sender : new int[] {-1, 0, 14, Integer.MAX_VALUE}) {
+            harness.policy.onPeerMessage(harness.now, sender, busyMessage, harness);
         }
         assertEquals(
                 1,
                 harness.logLines.stream()
                         .filter(line -> line.contains("gossip message ignored: from="))
                         .count());
-        assertTrue(countSentToFirstTwo(harness) >= 6, "a malformed report has an effect");
+        assertTrue(countSentToFirstTwo(harness) >= 6, "a malformed report must have no effect");
     }
 
     @Test
@@ -113,7 +114,7 @@
     }
 
     @Test
-    void nothingIsSentWhereForbiddenOrAlone() {
+    void nothingIsSentIfDisabledOrSingleBalancer() {
         for (RoutingEngineHarness harness :
                 List.of(harness(14, 0, false, 6), harness(1, 0, true, 6))) {
             harness.request("r", 0);
@@ -125,8 +126,10 @@
         assertFalse(harness.gossipMessages.isEmpty());
     }
 
-    /** Serves requests, twelve at a time; those at {@code s0} fail. Returns how many went there. */
-    private static long countSentToFailing(RoutingEngineHarness harness, int requestCount) {
+    /**
+     * Serves requests in batches of twelve; those at {@code s0} fail. Returns how many went there.
+     */
+    private static long countSentToFailingEndpoint(RoutingEngineHarness harness, int requestCount) {
         long measuredFrom = harness.now;
         for (int i = 0; i < requestCount; i++) {
             harness.request("e" + harness.now + "/" + i, 0);
@@ -149,10 +152,10 @@
 
     @Test
     void gossipedEjectionIsAppliedAtOnce() {
-        // Without gossip each of fourteen needs errors of its own: 60 errors a second, a twentieth
-        // of all requests.
+        // Without gossip each of 14 balancers ejects a failing endpoint only after its own errors.
+        // That caused 60 errors per second, a twentieth of all requests.
         RoutingEngineHarness reporter = harness(14, 1, true, 6);
-        assertTrue(countSentToFailing(reporter, 60) >= 2);
+        assertTrue(countSentToFailingEndpoint(reporter, 60) >= 2);
         reporter.advanceTime(130_000);
         RoutingEngineHarness harness = harness(14, 0, true, 6);
         harness.policy.onPeerMessage(
@@ -161,18 +164,18 @@
                 reporter.gossipMessages.get(reporter.gossipMessages.size() - 1),
                 harness);
         assertTrue(
-                countSentToFailing(harness(14, 0, true, 6), 60) >= 1,
-                "without the report it would receive requests");
-        assertEquals(0, countSentToFailing(harness, 60), "it is ejected at once");
+                countSentToFailingEndpoint(harness(14, 0, true, 6), 60) >= 1,
+                "without the report, s0 must receive requests");
+        assertEquals(0, countSentToFailingEndpoint(harness, 60), "s0 must be ejected at once");
         harness.advanceTime(3_000_000);
-        long sentCount = countSentToFailing(harness, 60);
-        assertTrue(sentCount == 1, "then one request tests it: " + sentCount);
+        long sentCount = countSentToFailingEndpoint(harness, 60);
+        assertTrue(sentCount == 1, "after the ejection, one request must test s0: " + sentCount);
     }
 
     @Test
     void receivedEjectionIsNotForwarded() {
         RoutingEngineHarness reporter = harness(14, 1, true, 6);
-        countSentToFailing(reporter, 60);
+        countSentToFailingEndpoint(reporter, 60);
         reporter.advanceTime(130_000);
         RoutingEngineHarness harness = harness(14, 0, true, 6);
         harness.policy.onPeerMessage(
@@ -189,19 +192,19 @@
     void remoteRateExpiresWithSilentPeers() {
         RoutingEngineHarness harness = harness(14, 0, true, 6);
         assertEquals(0, harness.policy.remoteRequestsPerSecond());
-        for (int fromBalancer : new int[] {1, 2, 2}) {
+        for (int sender : new int[] {1, 2, 2}) {
             byte[] payload = new LoadGossipMessage(0, 70, List.of(), List.of(), List.of()).encode();
-            harness.policy.onPeerMessage(harness.now, fromBalancer, payload, harness);
+            harness.policy.onPeerMessage(harness.now, sender, payload, harness);
         }
         assertEquals(140, harness.policy.remoteRequestsPerSecond());
         harness.advanceTime(2_000_000);
         assertEquals(0, harness.policy.remoteRequestsPerSecond());
     }
 
-    /** Counted work: what a balancer sends in 10 s under load, at any size of the fleet. */
+    /** Counts the datagrams and bytes that a balancer sends in 10 s under load, by fleet size. */
     @ParameterizedTest
     @ValueSource(ints = {34, 100, 400, 1_600})
-    void largeFleetGossipStaysWithinItsBudget(int balancerCount) {
+    void gossipInLargeFleetIsBounded(int balancerCount) {
         RoutingEngineHarness harness = harness(balancerCount, balancerCount - 1, true, 300);
         List<Integer> blockMembers =
                 IntStream.rangeClosed(2, 17).map(i -> balancerCount - i).boxed().toList();
@@ -210,10 +213,10 @@
             harness.advanceTime(10_000);
             if (i % 50 == 0) {
                 blockMembers.forEach(
-                        fromBalancer ->
+                        sender ->
                                 harness.policy.onPeerMessage(
                                         harness.now,
-                                        fromBalancer,
+                                        sender,
                                         new LoadGossipMessage(
                                                         0, 70, List.of(), List.of(), List.of())
                                                 .encode(),
@@ -294,10 +297,10 @@
                         .collect(Collectors.toSet());
         assertTrue(
                 unreachableCodes.size() > 7,
-                "no more than one report holds: " + unreachableCodes.size());
+                "no more codes than fit in one report: " + unreachableCodes.size());
     }
 
-    /** A fleet of a hundred, datagrams delivered every 50 ms, one in ten lost. */
+    /** Runs 100 balancers whose datagrams are delivered every 50 ms, with 10 % loss. */
     @Test
     void hundredBalancersConvergeOnTotalRate() {
         List<RoutingEngineHarness> fleet =
@@ -315,7 +318,7 @@
                     knownFraction > 0.8 && knownFraction < 1.2,
                     knownFraction + " of the true remote rate, at balancer " + rank);
         }
-        // Half of them crash: the others know it once the records of their blocks have expired.
+        // Half of the balancers crash. The others detect it when the records of the blocks expire.
         List<RoutingEngineHarness> survivors = fleet.subList(0, 50);
         runFleet(survivors, 7_000_000, random);
         double survivorRate = 0;
@@ -365,11 +368,11 @@
     }
 
     @Test
-    void broadcastsOfOldVersionsAreAccepted() {
+    void broadcastsOfOlderVersionsAreAccepted() {
         RoutingEngineHarness harness = harness(100, 0, true, 6);
-        for (int fromBalancer : new int[] {50, 51, 99}) {
+        for (int sender : new int[] {50, 51, 99}) {
             byte[] payload = new LoadGossipMessage(0, 70, List.of(), List.of(), List.of()).encode();
-            harness.policy.onPeerMessage(harness.now, fromBalancer, payload, harness);
+            harness.policy.onPeerMessage(harness.now, sender, payload, harness);
         }
         harness.advanceTime(300_000);
         assertEquals(210, harness.policy.remoteRequestsPerSecond(), 1);
--- a/balancer/src/test/java/loadbalancer/routing/gossip/SimulatedAggregatorFleet.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/SimulatedAggregatorFleet.java
@@ -6,8 +6,8 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet of {@link FleetLoadAggregator} in simulated time, whose datagrams are delayed, lost or
- * duplicated by a seeded generator.
+ * Simulates a fleet of {@link FleetLoadAggregator}s in virtual time. A seeded random generator
+ * delays, loses and duplicates their datagrams.
  */
 final class SimulatedAggregatorFleet {
     static final long TICK_MICROS = 50_000;
@@ -17,9 +17,9 @@
     final List<FleetLoadAggregator> aggregators = new ArrayList<>();
     final int[] rates;
     final boolean[] alive;
-    // How far the clock of each member is ahead
+    // Offset of each member's clock ahead of the simulated time.
     final long[] clockSkewMicros;
-    // By member
+    // Totals sent by each member.
     final int[] datagramsSent;
     final long[] bytesSent;
     double lossProbability;
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Replaces the process of a member by a new one, without any record. */
+    /** Restarts a member with a new aggregator without records. */
     void restart(int member) {
         aggregators.set(member, new FleetLoadAggregator(member, partition));
         alive[member] = true;
@@ -135,16 +135,17 @@
         return count;
     }
 
-    /** Greatest relative error of the total of any member that is alive. */
-    double worstError() {
-        double worst = 0;
+    /** Returns the maximum relative error of the total rate over all live members. */
+    double maxRelativeError() {
+        double maxError = 0;
         for (int i = 0; i < rates.length; i++) {
-            worst =
+            maxError =
                     alive[i]
                             ? Math.max(
-                                    worst, Math.abs(total(i).requestsPerSecond() / trueRate() - 1))
-                            : worst;
+                                    maxError,
+                                    Math.abs(total(i).requestsPerSecond() / trueRate() - 1))
+                            : maxError;
         }
-        return worst;
+        return maxError;
     }
 }
--- a/balancer/src/test/java/loadbalancer/simulator/GoldenSimulatorMessagesTest.java
+++ b/balancer/src/test/java/loadbalancer/simulator/GoldenSimulatorMessagesTest.java
@@ -34,9 +34,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each message of the simulator's wire, byte for byte, with the extremes of its fields: a policy
- * that records its events gives the values of the input, and one timer event makes it ask for each
- * action.
+ * Compares each message of the simulator's wire protocol with golden files byte for byte, with
+ * extreme values of its fields. A recording policy collects the decoded events of the input, and on
+ * a timer event it requests each action.
  */
 class GoldenSimulatorMessagesTest {
     private static final long NOW = 1_000_000;
@@ -47,7 +47,7 @@
     private final List<Long> seeds = new ArrayList<>();
     private String output;
 
-    /** One call of the policy. */
+    /** A call that the policy received. */
     private sealed interface Call {}
 
     private record EndpointList(long now, EndpointListKind kind, List<Endpoint> endpoints)
@@ -86,7 +86,7 @@
 
     private record TimerEvent(long now) implements Call {}
 
-    /** Records its events; on a timer event it asks for each action. */
+    /** Records the events that it receives, and requests each action on a timer event. */
     private static final class RecordingPolicy implements RoutingPolicy {
         private final List<Call> calls = new ArrayList<>();
 
@@ -149,8 +149,8 @@
         @Override
         public void onPeerMessage(long now, int from, byte[] data, RoutingActions actions) {
             List<Byte> bytes = new ArrayList<>();
-            for (byte each : data) {
-                bytes.add(each);
+            for (byte value : data) {
+                bytes.add(value);
             }
             calls.add(new PeerMessage(now, from, bytes));
         }
@@ -182,8 +182,8 @@
     @BeforeEach
     void run() throws IOException {
         SimulatorAdapter.PolicyFactory factory =
-                (given, seed) -> {
-                    settings.add(given);
+                (policySettings, seed) -> {
+                    settings.add(policySettings);
                     seeds.add(seed);
                     return policy;
                 };
@@ -195,7 +195,7 @@
         output = out.toString(StandardCharsets.UTF_8);
     }
 
-    private static RoutingSettings greatestSettings() {
+    private static RoutingSettings maximumSettings() {
         RequestClass keyed =
                 new RequestClass(
                         Idempotency.IDEMPOTENCY_KEY,
@@ -229,7 +229,7 @@
                 5_000);
     }
 
-    private static RoutingSettings leastSettings() {
+    private static RoutingSettings minimumSettings() {
         return new RoutingSettings(
                 1,
                 0,
@@ -296,7 +296,7 @@
         return new LoadReport(inFlight, queued, utilization, latency, throughput, errors);
     }
 
-    private static List<Call> attempts() {
+    private static List<Call> attemptEvents() {
         return List.of(
                 new AttemptEnd(
                         NOW,
@@ -333,7 +333,7 @@
                 new HealthCheckEnd(NOW, ENDPOINT, AttemptOutcome.TIMEOUT, 0, null));
     }
 
-    private static List<Call> gossipAndTime() {
+    private static List<Call> peerMessagesAndTimers() {
         return List.of(
                 new PeerMessage(NOW, 0, List.of()),
                 new PeerMessage(
@@ -343,23 +343,23 @@
     }
 
     @Test
-    void framesInGiveCalls() {
+    void inputFramesAreDecodedToCalls() {
         List<Call> expected = new ArrayList<>(endpointLists());
         expected.addAll(requests());
-        expected.addAll(attempts());
-        expected.addAll(gossipAndTime());
+        expected.addAll(attemptEvents());
+        expected.addAll(peerMessagesAndTimers());
         assertEquals(expected, policy.calls);
     }
 
     @Test
-    void framesInGiveSettings() {
-        assertEquals(List.of(greatestSettings(), leastSettings()), settings);
+    void inputFramesAreDecodedToSettings() {
+        assertEquals(List.of(maximumSettings(), minimumSettings()), settings);
         assertEquals(List.of(Long.MAX_VALUE, Long.MIN_VALUE), seeds);
     }
 
     @Test
-    void namesOfStartFrameAreRead() {
-        String start =
+    void namesInEnlistFrameAreRead() {
+        String enlistFrame =
                 GoldenFiles.text("simulator-wire/messages-in.tsv")
                         .lines()
                         .filter(line -> line.startsWith("ENLIST\t"))
@@ -367,7 +367,7 @@
                         .orElseThrow();
         assertEquals(
                 new BootSettings(
-                        greatestSettings(),
+                        maximumSettings(),
                         List.of(
                                 "throughput",
                                 "outstanding",
@@ -381,11 +381,11 @@
                         List.of("north", "south"),
                         List.of("small", "large"),
                         60_000_000),
-                WireSettingsParser.read(new WireFrame(1, start), 2));
+                WireSettingsParser.read(new WireFrame(1, enlistFrame), 2));
     }
 
     @Test
-    void actionsGiveFramesOut() {
+    void actionsAreEncodedAsOutputFrames() {
         assertEquals(GoldenFiles.text("simulator-wire/messages-out.tsv"), output);
     }
 }
--- a/balancer/src/test/java/loadbalancer/simulator/GoldenSimulatorSessionTest.java
+++ b/balancer/src/test/java/loadbalancer/simulator/GoldenSimulatorSessionTest.java
@@ -15,10 +15,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A session on the simulator's wire with the real routing policy, byte for byte: two balancers, a
- * restart, failing and overloaded endpoints, list changes and gossip. The wording of log lines is
- * no part of the wire and has a golden file of its own, in the words of the version that recorded
- * it ({@link RecordedLogLines}); the session's output has only the places of these lines.
+ * Compares the output of a simulator session with the real routing policy with golden files byte
+ * for byte. The session has two balancers, a restart, failing and overloaded endpoints, list
+ * changes and gossip. The text of log lines is not part of the wire protocol. It has a separate
+ * golden file with the wording of the version that recorded it ({@link RecordedLogLines}); the
+ * golden output contains only the positions of the log lines.
  */
 class GoldenSimulatorSessionTest {
     private static final String REMARK = "REMARK";
@@ -39,31 +40,31 @@
     }
 
     @Test
-    void framesInGiveFramesOut() throws IOException {
-        String withoutWording =
+    void inputFramesProduceOutputFrames() throws IOException {
+        String withoutLogText =
                 output().lines()
                         .map(line -> line.startsWith(REMARK + "\t") ? REMARK : line)
                         .collect(Collectors.joining("\n", "", "\n"));
-        assertEquals(GoldenFiles.text("simulator-wire/session-out.tsv"), withoutWording);
+        assertEquals(GoldenFiles.text("simulator-wire/session-out.tsv"), withoutLogText);
     }
 
     @Test
-    void framesInGiveLogLines() throws IOException {
-        String wording =
+    void inputFramesProduceLogLines() throws IOException {
+        String logLines =
                 output().lines()
                         .filter(line -> line.startsWith(REMARK + "\t"))
                         .map(line -> line.substring(REMARK.length() + 1))
                         .collect(Collectors.joining("\n", "", "\n"));
-        String recorded =
+        String expectedLogLines =
                 GoldenFiles.text("simulator-wire/session-remarks.txt")
                         .lines()
-                        .map(RecordedLogLines::inPresentWording)
+                        .map(RecordedLogLines::toCurrentWording)
                         .collect(Collectors.joining("\n", "", "\n"));
-        assertEquals(recorded, wording);
+        assertEquals(expectedLogLines, logLines);
     }
 
     @Test
-    void sessionHasTheMessagesThatTheRoutingPolicyMeets() {
+    void sessionContainsMessagesOfRoutingPolicy() {
         assertEquals(
                 Set.of(
                         "ACK_FIRST",
--- a/balancer/src/test/java/loadbalancer/simulator/RecordedLogLines.java
+++ b/balancer/src/test/java/loadbalancer/simulator/RecordedLogLines.java
@@ -5,8 +5,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Log lines of the routing policy as earlier versions wrote them, and as the present one does. The
- * golden files were recorded with the former: their figures must be the same, in these words.
+ * Translates log lines of the routing policy from the wording of earlier versions, with which the
+ * golden files were recorded, to the current wording. The values in the lines must be the same.
+ * Stateless.
  */
 final class RecordedLogLines {
     private static final List<Wording> WORDINGS =
@@ -20,23 +21,27 @@
                             "endpoint ejected: endpoint=$1 duration_ms=$2 reason=failures"));
 
     /**
-     * One kind of line.
+     * The wordings of one kind of log line.
      *
-     * @param earlier the whole line of an earlier version
-     * @param present the line of the present version, with the groups of {@code earlier}
+     * @param earlier pattern that matches the whole line of an earlier version
+     * @param current the line of the current version, with references to groups of {@code earlier}
      */
-    private record Wording(Pattern earlier, String present) {}
+    private record Wording(Pattern earlier, String current) {}
 
     private RecordedLogLines() {}
 
-    /** The line that the present version writes in place of a recorded one. */
-    static String inPresentWording(String recordedLine) {
+    /**
+     * Returns the line that the current version writes in place of a recorded one.
+     *
+     * @throws AssertionError if the recorded line matches no known wording
+     */
+    static String toCurrentWording(String recordedLine) {
         for (Wording wording : WORDINGS) {
             Matcher matcher = wording.earlier().matcher(recordedLine);
             if (matcher.matches()) {
-                return matcher.replaceAll(wording.present());
+                return matcher.replaceAll(wording.current());
             }
         }
-        throw new AssertionError("a recorded line of no known kind: " + recordedLine);
+        throw new AssertionError("unknown kind of recorded log line: " + recordedLine);
     }
 }
--- a/balancer/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
+++ b/balancer/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
@@ -16,7 +16,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** {@link SimulatorAdapter}: frames in, frames out, and the errors of malformed frames. */
+/**
+ * Tests the output frames of {@link SimulatorAdapter}, and the errors for malformed input frames.
+ */
 class SimulatorAdapterTest {
     private static final String ENLIST_SETTINGS =
             String.join(
@@ -198,7 +200,7 @@
                 "MAIL~0~%%% | Data: not base64: '%%%'",
                 "NONSENSE~1 | NONSENSE: unknown message",
             })
-    void malformedEventIsReportedWithField(String event, String expectedField) {
+    void malformedEventIsReportedWithField(String event, String expectedProblem) {
         String frames =
                 "TICK\t1\n"
                         + enlistFrames("balancer/0", ENLIST_SETTINGS)
@@ -208,7 +210,7 @@
                 assertThrows(WireFormatException.class, () -> runAdapter(frames)).getMessage();
         assertTrue(
                 message.startsWith("line 8: ")
-                        && message.endsWith("field " + expectedField.strip()),
+                        && message.endsWith("field " + expectedProblem.strip()),
                 message);
     }
 
@@ -282,6 +284,8 @@
                                 + "INBOUND\ta\t0\t-\tab\t600000\t-\t0\n"
                                 + "INBOUND\tb\t0\t-\tab\t600000\t-\t0\nGO\n");
         assertTrue(output.contains("DELIVER\ta\t10.0.0.7:80"), output);
-        assertTrue(!output.contains("DELIVER\tb"), "b is queued behind a: " + output);
+        assertTrue(
+                !output.contains("DELIVER\tb"),
+                "request b must be queued behind request a: " + output);
     }
 }
