--- a/balancer/src/main/java/loadbalancer/http/ClientConnection.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientConnection.java
@@ -16,23 +16,22 @@
 import loadbalancer.proxy.StrictFraming;
 
 /**
- * One connection of a client: its state between the reading of requests ({@link RequestReader}),
- * their processing ({@link RequestProcessor}) and the writing of responses ({@link
- * ResponseWriter}). One request is processed at a time; the ones that follow are queued. Belongs to
- * the event loop.
+ * One client connection. Coordinates the reading of requests ({@link RequestReader}), their
+ * processing ({@link RequestProcessor}) and the writing of responses ({@link ResponseWriter}).
+ * Processes one request at a time and queues pipelined ones. Confined to the event loop.
  */
 final class ClientConnection {
     private static final int MAX_PIPELINED_REQUESTS = 16;
-    // For a client to close a connection whose output has been shut down.
+    // The time for a client to close its side after the output has been shut down.
     private static final long CLOSE_TIMEOUT_MS = 1_000;
 
-    /** Where the request stands that gets the next response. */
+    /** The state of the request that gets the next response. */
     private enum RequestPhase {
-        /** None has been received completely. */
+        /** No request has been received completely. */
         NONE,
-        /** The first in the queue is processed at the end of this turn of the loop. */
+        /** The first queued request is processed at the end of this event loop iteration. */
         SCHEDULED,
-        /** It is being processed, or its response is being written. */
+        /** The request is being processed, or its response is being written. */
         PROCESSING
     }
 
@@ -46,17 +45,18 @@
     private final ArrayDeque<FullHttpRequest> pipelinedRequests = new ArrayDeque<>();
     private final long connectionNumber;
     private RequestPhase phase = RequestPhase.NONE;
-    // Whether a part of a next request has been received.
+    // Whether a part of the next request has been received.
     private boolean receiving;
-    // Whether no more requests are handled: what is received is dropped. Never reset.
+    // Whether no more requests are handled and received data is dropped. Never reset.
     private boolean closing;
-    // Null unless the dispatcher owes a final response.
+    // Null unless the dispatcher still has to provide a final response.
     private RequestHandle requestHandle;
-    // Of the request that is processed.
+    // The HTTP version of the request that is being processed.
     private HttpVersion httpVersion = HttpVersion.HTTP_1_1;
+    // The Req-Id of the request that is being processed; null if it has none.
     private String currentRequestId;
     private long requestCount;
-    // Of the accept, or the last receipt while unproven.
+    // The time of the accept, or of the last received bytes while the connection is unproven.
     private long lastProgressNanos = System.nanoTime();
 
     ClientConnection(Channel channel, FrontendContext context) {
@@ -69,7 +69,7 @@
         this.responseWriter = new ResponseWriter(this, channel);
     }
 
-    /** Installs the handlers and registers the connection. */
+    /** Installs the pipeline's handlers and registers the connection. */
     void open() {
         channel.pipeline()
                 .addLast(
@@ -85,7 +85,7 @@
         context.connections().enforceLimitWhileOpen();
     }
 
-    // The only place that releases requests which are not processed any more.
+    // The only method that releases requests that will not be processed any more.
     private void onClosed() {
         context.connections().remove(this);
         requestTimeout.cancel();
@@ -118,41 +118,49 @@
         return closing;
     }
 
-    /** Whether a request has been received completely and its response is not yet written. */
+    /**
+     * Returns whether a request has been received completely and its response is not yet written.
+     */
     boolean isRequestInProgress() {
         return phase != RequestPhase.NONE;
     }
 
-    /** Whether anything of a request has been received that has no response yet. */
+    /** Returns whether anything of a request has been received that has no response yet. */
     boolean holdsRequest() {
         return receiving || isRequestInProgress();
     }
 
-    /** The number of requests that have been processed. */
+    /** Returns the number of requests whose processing has begun. */
     long requestCount() {
         return requestCount;
     }
 
-    /** When an unproven connection was accepted or last received something. */
+    /**
+     * Returns the time in ns at which an unproven connection was accepted or last received bytes.
+     */
     long lastProgressNanos() {
         return lastProgressNanos;
     }
 
     /**
-     * Whether the client has disconnected, as of now. While a long body is received its relay
-     * watches for the client's close, within the bound on what is buffered.
+     * Returns whether the client has disconnected. Reads from the socket if necessary, except while
+     * a long body is received: its relay then detects the client's close, within its limit on
+     * buffered bytes.
      */
     boolean isDisconnected() {
         return reader.isRelayReading() ? !channel.isActive() : liveness.isDisconnected();
     }
 
-    /** Whether nothing has arrived either that the loop has not read yet, in a long turn. */
+    /**
+     * Reads bytes that the event loop has not read yet, as after a long iteration, and returns
+     * whether the client is connected and there were none.
+     */
     boolean confirmStalled() {
         long progressBefore = lastProgressNanos;
         return !liveness.isDisconnected() && lastProgressNanos == progressBefore;
     }
 
-    /** Bytes have been received that are not decoded yet. */
+    /** Handles the receipt of bytes, before they are decoded. */
     void onBytesReceived() {
         receiving = true;
         if (context.connections().markActive(this)) {
@@ -167,24 +175,24 @@
         receiving = true;
     }
 
-    /** Drops whatever follows; the connection is closed after the responses that are pending. */
+    /** Drops all further input; the connection is closed after the pending responses. */
     void acceptNoMoreRequests() {
         closing = true;
     }
 
-    /** The whole body of a streamed request has been received. */
+    /** Handles the end of a streamed request's body. */
     void onUploadReceived() {
         receiving = false;
         requestTimeout.cancel();
     }
 
-    /** A buffered request is complete. */
+    /** Processes or queues a buffered request that has been received completely. */
     void onRequestReceived(FullHttpRequest request) {
         receiving = false;
         requestTimeout.cancel();
         if (phase == RequestPhase.NONE) {
-            // Processed after all that this turn of the loop reads: the client may have closed
-            // behind its request, and then nothing is forwarded for it.
+            // Deferred until this event loop iteration has read everything: if the client closed
+            // the connection after its request, the request is not forwarded.
             phase = RequestPhase.SCHEDULED;
             pipelinedRequests.add(request.retain());
             context.loop().execute(this::processNextRequest);
@@ -195,7 +203,7 @@
                         EventLog.Kind.PIPELINED,
                         request.headers().get("Req-Id"),
                         () -> "behind " + currentRequestId + ", " + this);
-        // The scheduled request is in the queue, but not behind another one.
+        // The scheduled request is in the queue but does not count as pipelined.
         int scheduledRequests = phase == RequestPhase.SCHEDULED ? 1 : 0;
         if (pipelinedRequests.size() < MAX_PIPELINED_REQUESTS + scheduledRequests) {
             pipelinedRequests.add(request.retain());
@@ -232,31 +240,31 @@
         currentRequestId = request.headers().get("Req-Id");
     }
 
-    /** Processes a request whose body is streamed, at once. */
+    /** Processes a request with a streamed body immediately. */
     void forwardStreamedRequest(HttpRequest request, BodyRelay body) {
         beginRequest(request);
         context.requestProcessor().processStreamed(this, request, body);
     }
 
-    /** The dispatcher will owe a response to a proper request. */
-    void onProperRequest(HttpRequest request) {
+    /** Handles a valid request, before it is submitted to the dispatcher. */
+    void onValidRequest(HttpRequest request) {
         context.connections().markProven(this);
         httpVersion = request.protocolVersion();
     }
 
-    /** The dispatcher owes a final response, and is notified of the client's disconnect. */
+    /** Sets the handle by which the dispatcher learns of the client's disconnect. */
     void setRequestHandle(RequestHandle handle) {
         requestHandle = handle;
     }
 
-    /** The body of the streamed request has been received and handed over completely. */
+    /** Tells the dispatcher that the body of the streamed request is complete. */
     void onRequestBodyComplete() {
         if (requestHandle != null) {
             requestHandle.onBodyComplete();
         }
     }
 
-    /** Withdraws the request that is processed: its body turned out to be malformed or too long. */
+    /** Cancels the request in progress because its body is malformed or too long. */
     void cancelRequest() {
         phase = RequestPhase.NONE;
         RequestHandle cancelledHandle = requestHandle;
@@ -267,8 +275,8 @@
     }
 
     /**
-     * Rejects a request that is not complete. Where responses to earlier requests are pending, the
-     * connection is closed after them, without a response to this one.
+     * Rejects an incomplete request. If responses to earlier requests are pending, the connection
+     * is closed after them, without a response to this request.
      */
     void rejectIncompleteRequest(HttpRequest request, HttpResponseStatus status) {
         logRejection(request, status.toString());
@@ -292,7 +300,7 @@
         sendResponse(ResponseWriter.newTextResponse(status, text), keepAlive);
     }
 
-    /** Sends a final response; {@code keepAlive} is whether the client wishes to go on. */
+    /** Sends a final response; {@code keepAlive} is whether the client keeps the connection. */
     void sendResponse(FullHttpResponse response, boolean keepAlive) {
         requestHandle = null;
         if (phase == RequestPhase.NONE) {
@@ -304,7 +312,14 @@
         responseWriter.write(response, keepOpen, uploadUnfinished);
     }
 
-    /** Streams a final response; as {@link RequestProcessor} gets it from the dispatcher. */
+    /**
+     * Sends a final response whose body is streamed.
+     *
+     * @param contentLength the length of the body in bytes, or negative if it is unknown
+     * @param contentType the content type, or null
+     * @param keepAlive whether the client keeps the connection
+     * @param onFinished is given whether the response was complete
+     */
     void streamResponse(
             long contentLength,
             String contentType,
@@ -319,7 +334,7 @@
         responseWriter.stream(head, body, selfDelimited, keepOpen, onFinished);
     }
 
-    // Requests that have been received already are answered, also while draining or stopping.
+    // Requests that have already been received are answered even while draining or stopping.
     private boolean shouldKeepOpen(boolean keepAlive) {
         boolean hasQueuedRequests = !pipelinedRequests.isEmpty() || reader.hasWaitingUpload();
         boolean mayReceiveMore = !context.servingState().endsConnections() && !closing;
@@ -330,25 +345,26 @@
         responseWriter.onWritabilityChanged();
     }
 
-    /** A streamed response has been received completely from the upstream, and written. */
+    /** Handles the end of a streamed response, received from the upstream and written. */
     void onStreamComplete() {
         requestHandle = null;
     }
 
-    /** A response has been written; {@code keepOpen} is false where none follows. */
+    /** Handles the end of a response; closes the connection unless {@code keepOpen}. */
     void onResponseWritten(boolean keepOpen) {
         if (!keepOpen) {
             closeGracefully();
         } else if (pipelinedRequests.isEmpty()) {
             processNextRequest();
         } else {
-            // Not within the processing of the request before it.
+            // Deferred, so that it does not run within the processing of the previous request.
             context.loop().execute(this::processNextRequest);
         }
     }
 
     /**
-     * Ends the connection for a client's fault or for want of room, with a 408 where one is due.
+     * Closes the connection because of a timeout or at the connection limit. The client gets a 408
+     * first if its request has been received in part and no earlier one is in progress.
      */
     void drop(String reason) {
         context.events().record(EventLog.Kind.DROPPED, null, () -> reason + ", " + this);
@@ -360,14 +376,15 @@
         }
     }
 
+    /** Logs the close of a connection during a drain and closes it gracefully. */
     void closeForDrain() {
         context.events().record(EventLog.Kind.DROPPED, null, () -> "drained, " + this);
         closeGracefully();
     }
 
     /**
-     * Shuts the output down and closes the connection at the client's close, or after a bound. What
-     * is received from now on is not handled; the client sends it elsewhere.
+     * Shuts the output down and closes the connection once the client closes it or a timeout
+     * expires. Input received from now on is dropped; the client sends its requests elsewhere.
      */
     void closeGracefully() {
         context.connections().markClosing(this);
--- a/balancer/src/main/java/loadbalancer/http/ClientConnections.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientConnections.java
@@ -11,12 +11,13 @@
 import loadbalancer.proxy.FileDescriptorBudget;
 
 /**
- * All connections of clients, and the limit on their number: which of them are evicted where
- * descriptors run short, and whether new ones are accepted. Belongs to the event loop.
+ * Tracks all client connections and enforces the limit on their number: decides which connections
+ * are evicted when file descriptors run short, and whether new ones are accepted. Confined to the
+ * event loop.
  *
- * <p>An open connection is <em>unproven</em> until its first proper request, <em>idle</em> while it
- * waits for a next request, and <em>half closed</em> once its output has been shut down and its
- * client's close is awaited.
+ * <p>An open connection is <em>unproven</em> until its first valid request, <em>idle</em> while it
+ * waits for the next request, and <em>half closed</em> once its output has been shut down and the
+ * balancer waits for the client to close it.
  */
 final class ClientConnections {
     private static final long FIRST_BYTE_TIMEOUT_NANOS = 50_000_000;
@@ -28,19 +29,24 @@
     private final ClientListener listener;
     private final FileDescriptorBudget descriptorBudget;
     private final BooleanSupplier closeLongestIdleUpstream;
-    // The longest idle first.
+    // Ordered by idle time, the longest first.
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
-    // The longest without progress first.
+    // Ordered by the time without progress, the longest first.
     private final Set<ClientConnection> unproven = new LinkedHashSet<>();
     private final Set<ClientConnection> halfClosed = new LinkedHashSet<>();
     private int openCount;
     private long acceptedCount;
-    // Null unless connections wait in the backlog for capacity.
+    // Null unless the connection limit is reached and connections wait in the backlog.
     private Future<?> acceptRetry;
-    // Null before a shutdown and once it has run.
+    // Null before a shutdown and after the callback has run.
     private Runnable onEmpty;
 
-    /** {@code closeLongestIdleUpstream} returns whether there was one to close. */
+    /**
+     * Creates an empty set of connections.
+     *
+     * @param closeLongestIdleUpstream closes the longest idle connection to an upstream; returns
+     *     false if there is none
+     */
     ClientConnections(
             EventLoop loop,
             ServingState servingState,
@@ -59,19 +65,22 @@
         return ++acceptedCount;
     }
 
-    /** The number of connections ever accepted. */
+    /** Returns the number of connections ever accepted. */
     long acceptedCount() {
         return acceptedCount;
     }
 
-    /** Registers an accepted connection, as unproven; {@link #enforceLimitWhileOpen} follows. */
+    /**
+     * Registers an accepted connection as unproven. The caller calls {@link #enforceLimitWhileOpen}
+     * next.
+     */
     void add(ClientConnection connection) {
         descriptorBudget.socketOpened();
         openCount++;
         unproven.add(connection);
     }
 
-    /** Unregisters a closed connection; {@link #afterRemoval} follows. */
+    /** Unregisters a closed connection. The caller calls {@link #afterRemoval} next. */
     void remove(ClientConnection connection) {
         descriptorBudget.socketClosed();
         openCount--;
@@ -80,13 +89,13 @@
         halfClosed.remove(connection);
     }
 
-    /** To be called once a removed connection has released what it owned. */
+    /** Applies the limit again, after a removed connection has released its resources. */
     void afterRemoval() {
         enforceLimitWhileOpen();
         notifyIfEmpty();
     }
 
-    /** Notes received bytes; returns whether the connection is still unproven. */
+    /** Records that bytes were received; returns whether the connection is still unproven. */
     boolean markActive(ClientConnection connection) {
         idle.remove(connection);
         boolean isUnproven = unproven.remove(connection);
@@ -96,12 +105,15 @@
         return isUnproven;
     }
 
-    /** Notes a proper request. */
+    /** Records that the connection has sent a valid request. */
     void markProven(ClientConnection connection) {
         unproven.remove(connection);
     }
 
-    /** Notes that the connection waits for a next request; it may be evicted for a waiting one. */
+    /**
+     * Records that the connection waits for its next request. It may be evicted in favor of a
+     * connection that waits in the backlog.
+     */
     void markIdle(ClientConnection connection) {
         idle.add(connection);
         if (acceptRetry != null) {
@@ -109,18 +121,18 @@
         }
     }
 
-    /** Notes that the connection is about to be closed: it is not chosen for eviction again. */
+    /** Records that the connection is about to be closed, so that it is not evicted again. */
     void markClosing(ClientConnection connection) {
         unproven.remove(connection);
         idle.remove(connection);
     }
 
-    /** Notes that the client's close is awaited. */
+    /** Records that the connection is half closed. */
     void markHalfClosed(ClientConnection connection) {
         halfClosed.add(connection);
     }
 
-    /** The connections that hold nothing of a request. */
+    /** Returns the connections without a request, not even a partly received one. */
     List<ClientConnection> withoutRequest() {
         return Stream.concat(idle.stream(), unproven.stream())
                 .filter(connection -> !connection.holdsRequest())
@@ -128,12 +140,12 @@
                 .toList();
     }
 
-    /** Sets what runs on the event loop, once, when no connection is left. */
+    /** Sets a callback that runs once, on the event loop, when no connection is left. */
     void setOnEmpty(Runnable onEmpty) {
         this.onEmpty = onEmpty;
     }
 
-    /** Closes the connections that hold no request, after the listener has been closed. */
+    /** Closes the connections without a request, after the listener has been closed. */
     void closeWithoutRequest() {
         withoutRequest().forEach(ClientConnection::closeGracefully);
         notifyIfEmpty();
@@ -146,7 +158,7 @@
         }
     }
 
-    /** As {@link #enforceLimit}, unless this balancer stops and accepts no more. */
+    /** Calls {@link #enforceLimit}, unless the balancer is stopping and no longer accepts. */
     void enforceLimitWhileOpen() {
         if (listener.isAccepting() || !servingState.isStopping()) {
             enforceLimit();
@@ -154,10 +166,10 @@
     }
 
     /**
-     * Frees descriptors before an accept can fail for want of them, and keeps some for connections
-     * to upstreams. Evicted are, in this order: half closed connections; unproven ones without
-     * progress; idle ones to upstreams; idle ones of clients, which have to connect again. Where
-     * that is not enough, new connections wait in the backlog.
+     * Frees file descriptors before an accept can fail for lack of them, and keeps some for
+     * connections to upstreams. Evicts in this order: half closed connections, unproven connections
+     * without progress, idle connections to upstreams, and idle client connections, whose clients
+     * have to connect again. If that is not enough, new connections wait in the backlog.
      */
     void enforceLimit() {
         evictHalfClosed();
@@ -171,7 +183,7 @@
         boolean hasCapacity = !isLimitReached();
         listener.setHasCapacity(hasCapacity);
         if (!hasCapacity && acceptRetry == null) {
-            // A stalled connection's time ends without any event.
+            // No event signals that an unproven connection has become stalled.
             acceptRetry =
                     loop.schedule(
                             this::retryAccept, ACCEPT_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -213,8 +225,8 @@
         }
     }
 
-    // Null where there is none. The set's order makes slow connections that do make progress come
-    // after those that make none.
+    // Returns null if there is none. The set's order puts slow connections that make progress
+    // behind those that make none.
     private ClientConnection findStalled() {
         long nowNanos = System.nanoTime();
         for (ClientConnection connection : unproven) {
@@ -235,7 +247,8 @@
         return answeredAndIdle ? 0 : FIRST_BYTE_TIMEOUT_NANOS;
     }
 
-    // The longest idle one that has sent at most one request, else the longest idle.
+    // Prefers the longest idle connection that has sent at most one request; otherwise chooses the
+    // longest idle one.
     private ClientConnection findIdleToEvict() {
         return idle.stream()
                 .filter(connection -> connection.requestCount() <= 1)
--- a/balancer/src/main/java/loadbalancer/http/ClientListener.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientListener.java
@@ -18,12 +18,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * The listening socket, its accept backlog, and the in-process listener of a warm-up. Belongs to
- * the event loop, except for the two methods {@code listen}, which block another thread until the
- * socket is bound.
+ * Owns the listening socket with its accept backlog, and the in-process listener of a warm-up.
+ * Confined to the event loop, except for the two {@code listen} methods, which block another thread
+ * until the socket is bound.
  */
 final class ClientListener {
-    /** Reads of one connection in one turn of the loop: the longest request and its end. */
+    /** Reads per connection and event loop iteration: the longest buffered request and its end. */
     static final int MAX_READS_PER_LOOP = 4;
 
     private static final int ACCEPT_BACKLOG = 1024;
@@ -32,17 +32,21 @@
     private static final int MAX_READ_BYTES = 32 * 1024;
     private static final long BACKLOG_POLL_INTERVAL_MS = 2;
     private static final int MAX_BACKLOG_POLLS = 50;
-    // Differs from every count of connections, so that the first poll is never the last.
+    // Differs from every connection count, so that there is always a second poll.
     private static final long NO_PREVIOUS_COUNT = -1;
 
     private final EventLoop loop;
     private final ChannelInitializer<Channel> connectionInitializer;
     private Channel serverChannel;
-    // Null unless a warm-up listens within this process.
+    // Null unless a warm-up listens in this process.
     private Channel inProcessChannel;
     private boolean accepting;
 
-    /** {@code onAccepted} sets up the pipeline of each accepted channel, on the event loop. */
+    /**
+     * Creates a listener without a socket.
+     *
+     * @param onAccepted sets up the pipeline of each accepted channel, on the event loop
+     */
     ClientListener(EventLoop loop, Consumer<Channel> onAccepted) {
         this.loop = loop;
         this.connectionInitializer =
@@ -54,7 +58,12 @@
                 };
     }
 
-    /** Binds and accepts at once; returns the address in use. Not called on the event loop. */
+    /**
+     * Binds to an address and starts accepting. Must not be called on the event loop.
+     *
+     * @return the address in use
+     * @throws IOException if the address can't be bound, or the thread is interrupted
+     */
     InetSocketAddress listen(InetSocketAddress address) throws IOException {
         accepting = true;
         return awaitBound(
@@ -64,7 +73,13 @@
                         .bind(address));
     }
 
-    /** Uses a socket that listens already; accepts nothing before {@link #startAccepting}. */
+    /**
+     * Uses a socket that is already listening; accepts nothing before {@link #startAccepting}. Must
+     * not be called on the event loop.
+     *
+     * @return the address in use
+     * @throws IOException if the thread is interrupted
+     */
     InetSocketAddress listen(ServerSocketChannel inheritedSocket) throws IOException {
         return awaitBound(
                 serverBootstrap(new NioServerSocketChannel(inheritedSocket))
@@ -76,8 +91,8 @@
         return new ServerBootstrap()
                 .group(loop, loop)
                 .channelFactory(() -> newServerChannel)
-                // Set before the socket listens: a connection can be accepted before bind has
-                // returned to the starting thread, and the connection limit needs the listener.
+                // Set before the socket listens: a connection can be accepted before bind returns
+                // to the starting thread, and enforcing the connection limit uses serverChannel.
                 .handler(
                         new ChannelInitializer<Channel>() {
                             @Override
@@ -90,8 +105,8 @@
                 .childHandler(connectionInitializer);
     }
 
-    // Reads until nothing is left, so that a client's close is seen together with what it sent
-    // before.
+    // Reads until the receive buffer is empty, so that a client's close is detected together with
+    // the data sent before it.
     private static AdaptiveRecvByteBufAllocator readUntilEmptyAllocator() {
         AdaptiveRecvByteBufAllocator allocator =
                 new AdaptiveRecvByteBufAllocator(
@@ -104,7 +119,7 @@
     private static InetSocketAddress awaitBound(ChannelFuture bindFuture) throws IOException {
         try {
             if (Thread.interrupted()) {
-                // sync() checks for an interrupt only while the bind is under way.
+                // sync() checks for an interrupt only while the bind is pending.
                 throw new InterruptedException();
             }
             return (InetSocketAddress) bindFuture.sync().channel().localAddress();
@@ -114,7 +129,10 @@
         }
     }
 
-    /** Accepts connections within this process; {@code onListening} runs on the event loop. */
+    /**
+     * Accepts connections from within this process. {@code onListening} runs on the event loop once
+     * it listens.
+     */
     void listenInProcess(LocalAddress address, Runnable onListening) {
         ChannelFuture bindFuture =
                 new ServerBootstrap()
@@ -126,7 +144,7 @@
         bindFuture.addListener(bound -> onListening.run());
     }
 
-    /** Closes the in-process listener, if there is one; its connections stay. */
+    /** Closes the in-process listener, if there is one; its connections stay open. */
     void closeInProcess() {
         if (inProcessChannel != null) {
             inProcessChannel.close();
@@ -137,37 +155,37 @@
         return serverChannel.isOpen();
     }
 
-    /** Whether connections are accepted as long as there is capacity. */
+    /** Returns whether connections are accepted as long as there is capacity. */
     boolean isAccepting() {
         return accepting;
     }
 
-    /** Takes effect with the next {@link #setHasCapacity}. */
+    /** Allows connections to be accepted, from the next call of {@link #setHasCapacity} on. */
     void startAccepting() {
         accepting = true;
     }
 
     /**
-     * Leaves new connections to the process that shares the socket. The socket stays open: it is
-     * descriptor 0 of the process, and closing it would end the log as well.
+     * Stops accepting and leaves new connections to the process that shares the socket. The socket
+     * stays open: it is descriptor 0 of the process, and closing it would end the log as well.
      */
     void stopAccepting() {
         accepting = false;
         serverChannel.config().setAutoRead(false);
     }
 
-    /** Accepts, or leaves new connections in the backlog where there is no capacity for them. */
+    /** Resumes accepting, or leaves new connections in the backlog if there is no capacity. */
     void setHasCapacity(boolean hasCapacity) {
         serverChannel.config().setAutoRead(hasCapacity && accepting);
     }
 
     /**
-     * Closes the socket once its backlog is empty, since connections in the backlog of a closed
-     * socket are reset along with what they have sent.
+     * Closes the socket once its backlog is empty. Closing it earlier would reset the connections
+     * in the backlog, and the requests already sent on them would be lost.
      *
-     * @param acceptedCount the number of connections ever accepted
-     * @param onClosed runs on the event loop, after requests of the last accepted connections that
-     *     have arrived already were read
+     * @param acceptedCount returns the number of connections ever accepted
+     * @param onClosed runs on the event loop, after the requests that have already arrived on the
+     *     last accepted connections have been read
      */
     void closeWhenBacklogEmpty(LongSupplier acceptedCount, Runnable onClosed) {
         accepting = false;
@@ -180,7 +198,7 @@
                 && serverChannel.isOpen()
                 && previousCount != acceptedCount.getAsLong()
                 && remainingPolls > 0) {
-            // Regardless of the connection limit: no connection comes after these.
+            // The connection limit is ignored: no connections follow those in the backlog.
             serverChannel.config().setAutoRead(true);
             long currentCount = acceptedCount.getAsLong();
             loop.schedule(
--- a/balancer/src/main/java/loadbalancer/http/ClientLiveness.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientLiveness.java
@@ -6,30 +6,31 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * Whether a client is still connected, as of now rather than as of when the event loop last read
- * its connection. A close stays in the socket's receive buffer until it is read; during a long turn
- * of the loop, or after a stall, other connections are read first, and requests of clients that
- * have left would be forwarded. Belongs to the event loop.
+ * Detects whether a client is still connected now, rather than when the event loop last read its
+ * connection. A close remains in the socket's receive buffer until it is read. During a long event
+ * loop iteration, or after a stall, other connections are read first, and without this check the
+ * requests of disconnected clients would be forwarded. Confined to the event loop.
  */
 final class ClientLiveness extends ChannelInboundHandlerAdapter {
-    // An attempt may begin up to 0.1 s after its client has closed, so a result that is younger
-    // than
-    // this needs no read of its own; most requests are forwarded right after they were read.
+    // A younger result is reused, since an attempt may begin up to 0.1 s after its client has
+    // closed. Most requests are forwarded right after they were read, so they need no extra read.
     private static final long FRESHNESS_NANOS = 20_000_000;
-    // Each of several reads, where much was sent before the close.
+    // Each attempt consists of several reads if much data was sent before the close.
     private static final int MAX_READ_ATTEMPTS = 4;
     private final Channel channel;
     private final int maxReadsPerLoop;
-    // Whether this call comes, indirectly, from a read of this connection.
+    // Whether a read of this connection is on the call stack.
     private boolean reading;
-    // Since the last channelReadComplete.
+    // The number of messages read since the last channelReadComplete.
     private int readCount;
-    // When reads last emptied the receive buffer.
+    // The time at which reads last emptied the receive buffer.
     private long lastEmptyReadNanos;
 
     /**
-     * @param maxReadsPerLoop after so many reads the loop turns to other connections, whether or
-     *     not the receive buffer is empty
+     * Creates a handler for one channel.
+     *
+     * @param maxReadsPerLoop the number of reads after which the event loop proceeds to other
+     *     connections, whether or not the receive buffer is empty
      */
     ClientLiveness(Channel channel, int maxReadsPerLoop) {
         this.channel = channel;
@@ -38,8 +39,8 @@
     }
 
     /**
-     * Whether the client has disconnected. What it sent before is read, and handled, within this
-     * call.
+     * Returns whether the client has disconnected. Data that it sent before is read and handled
+     * within this call.
      */
     boolean isDisconnected() {
         if (!reading && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
--- a/balancer/src/main/java/loadbalancer/http/ClientResponseSender.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientResponseSender.java
@@ -12,8 +12,8 @@
 import loadbalancer.proxy.BodyRelay;
 
 /**
- * Sends the final response to one request, which the dispatcher gives exactly once. Belongs to the
- * event loop.
+ * Sends the final response to one request. The dispatcher calls exactly one of its sending methods,
+ * exactly once. Confined to the event loop.
  */
 final class ClientResponseSender implements ResponseSender {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -27,7 +27,7 @@
         this.keepAlive = keepAlive;
     }
 
-    /** Whether a complete response was sent; a streamed one does not count. */
+    /** Returns whether a complete response was sent; streamed responses do not count. */
     boolean hasResponded() {
         return responded;
     }
--- a/balancer/src/main/java/loadbalancer/http/FrontendContext.java
+++ b/balancer/src/main/java/loadbalancer/http/FrontendContext.java
@@ -5,9 +5,9 @@
 import loadbalancer.proxy.BodyRelay;
 
 /**
- * What all client connections of one {@link HttpFrontend} share.
+ * The objects that all client connections of one {@link HttpFrontend} share.
  *
- * @param bufferBudget the bound on what is buffered of all streamed bodies together
+ * @param bufferBudget the limit on the bytes that are buffered of all streamed bodies together
  */
 record FrontendContext(
         EventLoop loop,
--- a/balancer/src/main/java/loadbalancer/http/HttpFrontend.java
+++ b/balancer/src/main/java/loadbalancer/http/HttpFrontend.java
@@ -16,12 +16,12 @@
 import loadbalancer.proxy.FileDescriptorBudget;
 
 /**
- * The HTTP side towards the clients: accepts connections, hands their requests to the dispatcher
- * and writes the final responses; its life from listening over draining to graceful shutdown.
- * Belongs to the event loop, except for the constructor and the two methods {@code listen}.
+ * The HTTP server for clients: accepts connections, submits their requests to the dispatcher and
+ * writes the final responses. Also manages listening, draining and graceful shutdown. Confined to
+ * the event loop, except for the constructor and the two {@code listen} methods.
  */
 public final class HttpFrontend {
-    // Clients go on sending requests until they notice that the balancer is not ready.
+    // Clients keep sending requests until they notice that the balancer is not ready.
     private static final long DRAIN_INITIAL_DELAY_MS = 600;
     private static final long DRAIN_INTERVAL_MS = 400;
 
@@ -35,9 +35,11 @@
     private Future<?> drainTask;
 
     /**
+     * Creates a frontend that is neither listening nor ready.
+     *
      * @param closeLongestIdleUpstream closes an idle connection to an upstream to free its
-     *     descriptor; returns false where there is none
-     * @param bufferBudget the bound on what is buffered of all streamed bodies together
+     *     descriptor; returns false if there is none
+     * @param bufferBudget the limit on the bytes that are buffered of all streamed bodies together
      */
     public HttpFrontend(
             EventLoop loop,
@@ -64,7 +66,7 @@
     }
 
     /**
-     * Listens and accepts connections at once. Not called on the event loop.
+     * Listens on an address and starts accepting connections. Must not be called on the event loop.
      *
      * @return the address in use
      * @throws IOException if the address can't be bound, or the thread is interrupted
@@ -74,8 +76,8 @@
     }
 
     /**
-     * Uses a socket that listens already, possibly along with other processes; accepts nothing
-     * before {@link #ready}. Not called on the event loop.
+     * Uses a socket that is already listening, possibly shared with another process; accepts
+     * nothing before {@link #ready}. Must not be called on the event loop.
      *
      * @return the address in use
      * @throws IOException if the thread is interrupted
@@ -84,12 +86,12 @@
         return listener.listen(inheritedSocket);
     }
 
-    /** Whether the readiness check succeeds. */
+    /** Returns whether the readiness check succeeds. */
     public boolean isReady() {
         return servingState.isReady();
     }
 
-    /** Lets the readiness check succeed and accepts connections. */
+    /** Makes the readiness check succeed and starts accepting connections. */
     public void ready() {
         servingState.setReady();
         if (!listener.isAccepting() && !servingState.isStopping()) {
@@ -98,7 +100,7 @@
         }
     }
 
-    /** Serves a warm-up's requests as well; null when it is over. */
+    /** Starts serving the requests of a warm-up, or ends it if {@code activeWarmUp} is null. */
     public void setWarmUp(WarmUpTraffic activeWarmUp) {
         requestProcessor.setWarmUp(activeWarmUp);
         if (activeWarmUp == null) {
@@ -107,16 +109,16 @@
     }
 
     /**
-     * Accepts connections within this process, for a warm-up; {@code onListening} runs on the event
-     * loop once it does.
+     * Accepts connections from within this process, for a warm-up. {@code onListening} runs on the
+     * event loop once it listens.
      */
     public void listenInProcess(LocalAddress address, Runnable onListening) {
         listener.listenInProcess(address, onListening);
     }
 
     /**
-     * Begins a shutdown: the readiness check fails and responses end their connections. New
-     * connections are still accepted, unless another process accepts them.
+     * Begins a shutdown: the readiness check fails, and connections are closed after their pending
+     * responses. New connections are still accepted, unless another process accepts them.
      */
     public void stopping(boolean anotherProcessAccepts) {
         servingState.setStopping();
@@ -126,8 +128,9 @@
     }
 
     /**
-     * Accepts no more connections and closes those that hold no request; {@code onClosed} runs on
-     * the event loop once none is left. Each of the others has a bound of its own.
+     * Stops accepting connections and closes those without a request. The other connections close
+     * by themselves, each within its own time limits. {@code onClosed} runs on the event loop once
+     * none is left.
      */
     public void close(Runnable onClosed) {
         connections.setOnEmpty(onClosed);
@@ -140,8 +143,8 @@
     }
 
     /**
-     * Drains the balancer until {@link #resume}: the readiness check fails, responses end their
-     * connections, and idle connections are closed soon.
+     * Drains the balancer until {@link #resume}: the readiness check fails, connections are closed
+     * after their pending responses, and idle connections are closed soon.
      */
     public void drain() {
         if (!servingState.isDraining() && !servingState.isStopping()) {
@@ -159,7 +162,7 @@
         connections.withoutRequest().forEach(ClientConnection::closeForDrain);
     }
 
-    /** Ends a drain; does nothing where there is none. */
+    /** Ends a drain; does nothing if there is none. */
     public void resume() {
         if (servingState.isDraining()) {
             servingState.setDraining(false);
@@ -167,7 +170,7 @@
         }
     }
 
-    /** The numbers of connections by state, for the log. */
+    /** Returns the numbers of connections by state, for the log. */
     @Override
     public String toString() {
         return connections.toString();
--- a/balancer/src/main/java/loadbalancer/http/InvalidRequestException.java
+++ b/balancer/src/main/java/loadbalancer/http/InvalidRequestException.java
@@ -1,6 +1,6 @@
 package loadbalancer.http;
 
-/** A client's request that can't be proxied; the message is what the client is answered. */
+/** Thrown for a client request that can't be forwarded; the message is sent to the client. */
 final class InvalidRequestException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/loadbalancer/http/ProxyRequestParser.java
+++ b/balancer/src/main/java/loadbalancer/http/ProxyRequestParser.java
@@ -19,7 +19,7 @@
 
 /**
  * Parses the head of a client's request into a {@link ProxyRequest}: class, tenant, key, deadline
- * and the headers to forward. Immutable; any thread.
+ * and the headers to forward. Immutable; may be used by any thread.
  */
 final class ProxyRequestParser {
     private static final Set<String> HOP_BY_HOP_HEADERS =
@@ -42,7 +42,7 @@
 
     private final BootSettings boot;
     private final Map<String, Integer> classIndexes;
-    // A map, since some deployments have tens of thousands.
+    // A map because some deployments have tens of thousands of tenants.
     private final Map<String, Integer> tenantIndexes;
 
     ProxyRequestParser(BootSettings boot) {
@@ -60,9 +60,11 @@
     }
 
     /**
-     * @param body the buffered body, empty where {@code upload} streams it
+     * Parses a request.
+     *
+     * @param body the buffered body; empty if the body is streamed
      * @param upload the streamed body, or null
-     * @param contentLength the body's length in bytes, or negative where it is unknown
+     * @param contentLength the length of the body in bytes, or negative if it is unknown
      * @throws InvalidRequestException if a header is missing, or contradicts the class's settings
      * @throws IllegalArgumentException if a header to be forwarded is malformed
      */
@@ -117,7 +119,7 @@
         return tenantIndexes.getOrDefault(tenantName, DEFAULT_TENANT);
     }
 
-    // The last segment of the path; null where it is empty.
+    // Returns the last segment of the path, or null if it is empty.
     private static String parseKey(String uri) {
         String path = uri.split("[?#]", 2)[0];
         String key = path.substring(path.lastIndexOf('/') + 1);
@@ -142,7 +144,7 @@
         return forwarded;
     }
 
-    // The headers that Connection names as hop-by-hop, in lower case.
+    // Returns the names that Connection lists as hop-by-hop headers, in lower case.
     private static Set<String> connectionOptions(HttpHeaders headers) {
         return Set.copyOf(
                 headers.getAll(HttpHeaderNames.CONNECTION).stream()
--- a/balancer/src/main/java/loadbalancer/http/RequestFilter.java
+++ b/balancer/src/main/java/loadbalancer/http/RequestFilter.java
@@ -9,8 +9,8 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * The first to see decoded messages: drops those that follow the last request of a connection, and
- * rejects expectations other than 100-continue. Belongs to the event loop.
+ * The first handler after the decoder: drops messages that follow the last request of a connection
+ * and rejects expectations other than 100-continue. Confined to the event loop.
  */
 final class RequestFilter extends ChannelInboundHandlerAdapter {
     private final ClientConnection connection;
--- a/balancer/src/main/java/loadbalancer/http/RequestProcessor.java
+++ b/balancer/src/main/java/loadbalancer/http/RequestProcessor.java
@@ -14,9 +14,8 @@
 import loadbalancer.proxy.ProxyRequest;
 
 /**
- * Decides what becomes of a request: paths under {@code /-/} are answered here (the readiness check
- * and, during a warm-up, its requests), all others are handed to the dispatcher. Belongs to the
- * event loop.
+ * Answers requests with paths under {@code /-/} (the readiness check and, during a warm-up, the
+ * forwarded warm-up requests) and submits all others to the dispatcher. Confined to the event loop.
  */
 final class RequestProcessor {
     private static final String RESERVED_PREFIX = "/-/";
@@ -26,7 +25,7 @@
     private final ProxyRequestParser requestParser;
     private final Dispatcher dispatcher;
     private final ServingState servingState;
-    // Null unless a warm-up is under way.
+    // Null unless a warm-up is in progress.
     private WarmUpTraffic warmUp;
 
     RequestProcessor(
@@ -36,12 +35,12 @@
         this.servingState = servingState;
     }
 
-    /** Serves a warm-up's requests as well, or no longer where {@code activeWarmUp} is null. */
+    /** Starts serving the requests of a warm-up, or stops if {@code activeWarmUp} is null. */
     void setWarmUp(WarmUpTraffic activeWarmUp) {
         warmUp = activeWarmUp;
     }
 
-    /** Processes a complete request; its caller releases it. */
+    /** Processes a complete request; the caller releases it. */
     void process(ClientConnection connection, FullHttpRequest request) {
         String path = request.uri();
         if (!request.decoderResult().isSuccess()) {
@@ -74,7 +73,7 @@
         return warmUp != null && path.equals(WarmUpTraffic.REQUEST_PATH);
     }
 
-    // As an upstream would answer.
+    // Answers a forwarded warm-up request like an upstream.
     private void answerWarmUp(ClientConnection connection, HttpRequest request) {
         boolean rejected = warmUp.shouldReject();
         HttpResponseStatus status =
@@ -113,12 +112,12 @@
         try {
             proxyRequest = requestParser.parse(request, body, streamedBodyOrNull, contentLength);
         } catch (IllegalArgumentException e) {
-            // Includes what Netty's headers throw at names and values that may not be forwarded.
+            // Includes the exceptions of Netty's headers for malformed names and values.
             connection.logRejection(request, e.getMessage());
             connection.sendText(HttpResponseStatus.BAD_REQUEST, e.getMessage(), false);
             return;
         }
-        connection.onProperRequest(request);
+        connection.onValidRequest(request);
         ClientResponseSender responseSender =
                 new ClientResponseSender(connection, HttpUtil.isKeepAlive(request));
         RequestHandle handle = submit(request.uri(), proxyRequest, responseSender);
--- a/balancer/src/main/java/loadbalancer/http/RequestReader.java
+++ b/balancer/src/main/java/loadbalancer/http/RequestReader.java
@@ -20,41 +20,41 @@
 import loadbalancer.proxy.BodyRelay;
 
 /**
- * Reads the requests of one client connection: short ones are buffered until they are complete,
- * long bodies are streamed (an <em>upload</em>). Owns what has been read of the request under way,
- * and releases it when the connection is closed. The last inbound handler of the pipeline; belongs
- * to the event loop.
+ * Reads the requests of one client connection. Buffers short requests until they are complete and
+ * streams long bodies (an <em>upload</em>). Owns the data of the request that is being received and
+ * releases it when the connection is closed. The last inbound handler of the pipeline; confined to
+ * the event loop.
  */
 final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
-    /** A longer body is streamed. */
+    /** The length of the longest body that is buffered; longer ones are streamed. */
     static final int MAX_BUFFERED_BODY_BYTES = BodyRelay.MAX_BUFFERED_BYTES;
 
     private static final int MAX_BODY_BYTES = 32 * 1024 * 1024;
 
-    /** Where a streamed body and its request stand. */
+    /** The state of a streamed body and its request. */
     private enum UploadState {
         /** No body is being streamed. */
         NONE,
         /** The body is being received; the request waits for the response to an earlier one. */
         WAITING,
-        /** The request has been handed over, and its body is being received. */
+        /** The request has been submitted to the dispatcher; its body is being received. */
         FORWARDING,
-        /** The whole body has been received; the request waits for an earlier one. */
+        /** The body is complete; the request waits for the response to an earlier one. */
         RECEIVED,
-        /** The request was answered before its body was complete; the rest is dropped. */
+        /** The request got a response before its body was complete; the rest is dropped. */
         DISCARDED
     }
 
     private final ClientConnection connection;
     private final Channel channel;
     private final BodyRelay.BufferBudget bufferBudget;
-    // Of the request under way; null between requests.
+    // The head of the request that is being received; null between requests.
     private HttpRequest requestHead;
-    // Null without a body, and once the body is streamed.
+    // Null if there is no body, and once the body is streamed.
     private ByteBuf bufferedBody;
-    // Received of the body of the request under way.
+    // The bytes received of the current request's body.
     private long bodyBytes;
-    // Null in the state NONE.
+    // Null in UploadState.NONE.
     private BodyRelay upload;
     private UploadState uploadState = UploadState.NONE;
 
@@ -65,7 +65,7 @@
         this.bufferBudget = bufferBudget;
     }
 
-    /** The bytes received of the body of the request under way. */
+    /** Returns the number of bytes received of the current request's body. */
     long bodyBytes() {
         return bodyBytes;
     }
@@ -74,17 +74,19 @@
         return upload != null;
     }
 
-    /** Whether a request with a streamed body still waits to be handed over. */
+    /** Returns whether a request with a streamed body still waits to be submitted. */
     boolean hasWaitingUpload() {
         return upload != null && uploadState != UploadState.FORWARDING;
     }
 
-    /** Whether the relay of a long body watches for the client's close while it reads. */
+    /** Returns whether a long body is being received; its relay detects the client's close. */
     boolean isRelayReading() {
         return upload != null && !upload.isSourceEnded();
     }
 
-    /** Whether the body's relay has stopped reading until an upstream has taken more of it. */
+    /**
+     * Returns whether the body's relay has stopped reading until an upstream has taken more of it.
+     */
     boolean isPausedByBackPressure() {
         return upload != null && upload.isSourcePaused();
     }
@@ -114,7 +116,7 @@
         bodyBytes = 0;
         connection.requestTimeout().onRequestHead();
         if (!request.decoderResult().isSuccess()) {
-            // Answered as far as it goes: nothing can follow it.
+            // Treated as complete, so that it is rejected: nothing after it can be decoded.
             onRequestComplete();
         } else if (HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES) {
             requestHead = null;
@@ -193,7 +195,8 @@
         request.release();
     }
 
-    // A malformed body was never part of a complete request.
+    // A buffered request gets the failed decoder result and is rejected as a whole. An upload is
+    // aborted, so that its request never becomes complete.
     private void onMalformedBody(DecoderResult decoderResult) {
         if (upload == null) {
             requestHead.setDecoderResult(decoderResult);
@@ -243,7 +246,7 @@
         }
     }
 
-    /** Hands over a request whose body is streamed and, as a rule, still being received. */
+    /** Submits a request with a streamed body, most of which is usually still to be received. */
     void forwardUpload() {
         if (uploadState != UploadState.RECEIVED) {
             uploadState = UploadState.FORWARDING;
@@ -260,7 +263,7 @@
             completeUpload();
         } else {
             uploadState = UploadState.RECEIVED;
-            // The connection ends with the response to this request.
+            // The connection is closed after the response to this request.
             connection.acceptNoMoreRequests();
         }
     }
@@ -273,7 +276,7 @@
     }
 
     /**
-     * Drops the rest of a body that is being forwarded, as its request gets a final response now.
+     * Drops the rest of a body that is being forwarded, because its request gets a final response.
      *
      * @return whether there was such a body
      */
@@ -286,7 +289,7 @@
         return true;
     }
 
-    /** Releases what has been read of a request, as the connection has been closed. */
+    /** Releases the data of a partly received request after the connection has been closed. */
     void onConnectionClosed() {
         discardPartialRequest();
         if (upload != null) {
--- a/balancer/src/main/java/loadbalancer/http/RequestTimeoutHandler.java
+++ b/balancer/src/main/java/loadbalancer/http/RequestTimeoutHandler.java
@@ -8,17 +8,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounds the time that a client has for its first request, or to complete one that it has begun.
- * Without it, clients that send nothing would hold descriptors until no upstream could be reached.
- * A request head that arrives slowly does not extend the time; a body does, if it is fast enough
- * and does not stall. Stands before the decoder, where received bytes are seen first. Belongs to
- * the event loop.
+ * Limits the time that a client has to send its first request, or to complete a request that it has
+ * begun. Without the limit, clients that send nothing would hold file descriptors until no upstream
+ * could be reached. A slow request head does not extend the time; a body does if it is fast enough
+ * and does not stall. Placed before the decoder to see bytes as they are received. Confined to the
+ * event loop.
  */
 final class RequestTimeoutHandler extends ChannelInboundHandlerAdapter {
     private static final long REQUEST_TIMEOUT_NANOS = 2_400_000_000L;
     private static final long MIN_BODY_BYTES_PER_SECOND = 40_000;
-    private static final long BODY_BYTE_ALLOWANCE_NANOS =
-            1_000_000_000L / MIN_BODY_BYTES_PER_SECOND;
+    private static final long NANOS_PER_BODY_BYTE = 1_000_000_000L / MIN_BODY_BYTES_PER_SECOND;
 
     private final ClientConnection connection;
     private final EventLoop loop;
@@ -33,7 +32,7 @@
         this.loop = loop;
     }
 
-    /** Drops what arrives on a connection that handles no more requests. */
+    /** Reports received bytes to the connection, or drops them if it handles no more requests. */
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (connection.isClosing()) {
@@ -44,7 +43,7 @@
         context.fireChannelRead(message);
     }
 
-    /** Starts the time, unless it runs already. */
+    /** Starts the timeout, unless it is already running. */
     void start() {
         if (timer == null && connection.isActive()) {
             startNanos = System.nanoTime();
@@ -54,18 +53,18 @@
         }
     }
 
-    /** Notes that a request's head has been read, and its body begins. */
+    /** Records that a request's head has been read and its body begins. */
     void onRequestHead() {
         bodyBytesAtStart = 0;
         lastReceivedNanos = System.nanoTime();
     }
 
-    /** Notes that a part of a body has been read. */
+    /** Records that a part of a body has been read. */
     void onBodyBytes() {
         lastReceivedNanos = System.nanoTime();
     }
 
-    /** Ends the time: a request is complete, or the connection is closed. */
+    /** Cancels the timeout because a request is complete or the connection is closed. */
     void cancel() {
         if (timer != null) {
             timer.cancel(false);
@@ -81,14 +80,14 @@
         timer = null;
         RequestReader reader = connection.reader();
         if (reader.isPausedByBackPressure()) {
-            // The client waits for this balancer.
+            // The client can't send: reading is paused until an upstream takes more of the body.
             start();
             return;
         }
         long receivedBytes = reader.bodyBytes() - bodyBytesAtStart;
-        long allowedSinceNanos =
-                Math.min(startNanos + receivedBytes * BODY_BYTE_ALLOWANCE_NANOS, lastReceivedNanos);
-        long remainingNanos = allowedSinceNanos + REQUEST_TIMEOUT_NANOS - System.nanoTime();
+        long extendedStartNanos =
+                Math.min(startNanos + receivedBytes * NANOS_PER_BODY_BYTE, lastReceivedNanos);
+        long remainingNanos = extendedStartNanos + REQUEST_TIMEOUT_NANOS - System.nanoTime();
         if (remainingNanos > 0) {
             schedule(remainingNanos);
         } else {
--- a/balancer/src/main/java/loadbalancer/http/ResponseWriter.java
+++ b/balancer/src/main/java/loadbalancer/http/ResponseWriter.java
@@ -20,12 +20,12 @@
 import java.util.function.Consumer;
 import loadbalancer.proxy.BodyRelay;
 
-/** Writes the responses of one client connection. Belongs to the event loop. */
+/** Writes the responses of one client connection. Confined to the event loop. */
 final class ResponseWriter {
-    // The socket's buffer while a response is streamed.
+    // The size of the socket's send buffer while a response is streamed.
     private static final int SEND_BUFFER_BYTES = 128 * 1024;
     private static final long WRITE_TIMEOUT_MS = 2_200;
-    // For a client to read its response while it is still sending.
+    // The time for a client to read its response while it is still sending its request.
     private static final long UPLOAD_LINGER_TIMEOUT_MS = 4_000;
 
     private final ClientConnection connection;
@@ -38,7 +38,7 @@
         this.channel = channel;
     }
 
-    /** A response with its length; it owns {@code body}. */
+    /** Returns a response with a Content-Length header; it takes ownership of {@code body}. */
     static FullHttpResponse newResponse(
             HttpResponseStatus status, ByteBuf body, String contentTypeOrNull) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
@@ -49,15 +49,15 @@
         return response;
     }
 
-    /** A response with one line of plain text. */
+    /** Returns a response with one line of plain text. */
     static FullHttpResponse newTextResponse(HttpResponseStatus status, String text) {
         ByteBuf body = Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8);
         return newResponse(status, body, "text/plain");
     }
 
     /**
-     * Writes a complete response; a client that does not read it in time is dropped, so that unread
-     * responses do not pile up in memory.
+     * Writes a complete response. A client that does not read it in time is dropped, so that unread
+     * responses do not accumulate in memory.
      *
      * @param keepOpen whether the connection serves further requests
      * @param uploadUnfinished whether the client is still sending the request
@@ -92,10 +92,10 @@
     /**
      * Writes a response whose body is still being received from the upstream.
      *
-     * @param head as {@link #newStreamedHead} makes it
-     * @param selfDelimited whether the client can tell the end of the body from its closing early
+     * @param head a response head from {@link #newStreamedHead}
+     * @param selfDelimited whether the client can tell a complete body from one that is cut off
      * @param keepOpen whether the connection serves further requests
-     * @param onFinished gets whether the response was complete
+     * @param onFinished is given whether the response was complete
      */
     void stream(
             HttpResponse head,
@@ -104,7 +104,7 @@
             boolean keepOpen,
             Consumer<Boolean> onFinished) {
         if (channel instanceof SocketChannel socket) {
-            // With a larger one, a slow client's progress shows in steps of many seconds.
+            // With a larger buffer, a slow client's progress is seen in steps of many seconds.
             socket.config().setSendBufferSize(SEND_BUFFER_BYTES);
         }
         streamedBody = body;
@@ -129,7 +129,10 @@
                 });
     }
 
-    /** The head of a streamed response; a negative {@code contentLength} stands for unknown. */
+    /**
+     * Returns the head of a streamed response; a negative {@code contentLength} means that the
+     * length is unknown.
+     */
     static HttpResponse newStreamedHead(
             long contentLength, String contentTypeOrNull, boolean selfDelimited, boolean keepOpen) {
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -147,7 +150,7 @@
         return head;
     }
 
-    // A body that ends with the connection has to end with a reset, or it would look complete.
+    // A body that is delimited by the close must end with a reset, or it would look complete.
     private void abort(boolean selfDelimited) {
         if (!selfDelimited && channel instanceof SocketChannel socket) {
             socket.config().setSoLinger(0);
@@ -155,7 +158,7 @@
         channel.close();
     }
 
-    /** Continues a streamed response that waits for the client to read. */
+    /** Resumes a streamed response that was waiting for the client to read. */
     void onWritabilityChanged() {
         if (streamedBody != null) {
             streamedBody.writePending();
--- a/balancer/src/main/java/loadbalancer/http/ServingState.java
+++ b/balancer/src/main/java/loadbalancer/http/ServingState.java
@@ -1,21 +1,21 @@
 package loadbalancer.http;
 
 /**
- * Whether this balancer is ready, draining or stopping: what the readiness check answers and
- * whether responses end their connections. Belongs to the event loop; written by {@link
- * HttpFrontend} alone.
+ * Records whether this balancer is ready, draining or stopping. Determines the result of the
+ * readiness check and whether connections are closed after their responses. Confined to the event
+ * loop; only {@link HttpFrontend} changes it.
  */
 final class ServingState {
     private boolean ready;
     private boolean draining;
     private boolean stopping;
 
-    /** What the readiness check answers. */
+    /** Returns whether the readiness check succeeds. */
     boolean isReady() {
         return ready && !draining && !stopping;
     }
 
-    /** Whether connections are closed after their last pending response. */
+    /** Returns whether connections are closed after their last pending response. */
     boolean endsConnections() {
         return stopping || draining;
     }
