--- a/balancer/src/main/java/loadbalancer/proxy/BodyRelay.java
+++ b/balancer/src/main/java/loadbalancer/proxy/BodyRelay.java
@@ -10,32 +10,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Streams a body from one connection, its source, to another, its sink, at the speed of the slower
- * of them: reading from the source pauses while the sink can't take more, so that a few reads at
- * most are buffered. The relay owns the buffers that it is given and its timers until it has
- * finished. Both connections belong to one event loop, and so does the relay.
+ * Streams a body from one connection, the source, to another, the sink, at the speed of the slower
+ * one: reading from the source pauses while the sink can't take more, so that only a few reads are
+ * buffered. The relay owns its timers and the buffers that it is given until it has finished.
+ * Confined to the event loop, which both connections share.
  */
 public final class BodyRelay {
-    /** Bytes that are buffered before there is a sink; bodies up to that length need no relay. */
+    /** The bytes buffered before there is a sink; bodies of up to this length need no relay. */
     public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-    /** Without progress for this long the side that makes none is closed. */
+    /** After this time without progress, the side that makes none is closed. */
     private static final long STALL_TIMEOUT_NS = 10_000_000_000L;
 
     private static final long STALL_CHECK_INTERVAL_MS = 1_000;
 
-    /** Counted for each buffered part on top of its bytes. */
+    /** Added to the size of each buffered part. */
     private static final int PART_OVERHEAD_BYTES = 128;
 
-    /** Between reads from a paused source: the end of its input follows unread bytes. */
+    /** The interval at which a paused source is read to detect a close behind unread bytes. */
     private static final long DISCONNECT_CHECK_INTERVAL_MS = 100;
 
-    /** A paused source is not read beyond this. */
+    /** The number of buffered bytes from which on a paused source is not read. */
     private static final int MAX_DISCONNECT_CHECK_BYTES = 4 * MAX_BUFFERED_BYTES;
 
     /**
-     * The bytes that all relays of a process buffer together: many relays that buffer little each
-     * may not add up without a bound.
+     * Limits the bytes that all relays of a process buffer together, because the total of many
+     * relays that each buffer little would otherwise be unlimited. Confined to the event loop.
      */
     public static final class BufferBudget {
         private static final long MAX_BYTES = 4 << 20;
@@ -46,12 +46,12 @@
         }
     }
 
-    /** Called once at the end, unless the sink has discarded the body. */
+    /** Receives one call when the relay ends, or none if the sink has discarded the body. */
     public interface Listener {
-        /** All of the body has been written to the sink. */
+        /** Handles the end of the body, which has been written to the sink completely. */
         void onComplete();
 
-        /** The source has ended early: what has been written is incomplete. */
+        /** Handles an early end of the source: the body that was written is incomplete. */
         void onAborted();
     }
 
@@ -60,27 +60,29 @@
     private final Runnable onDiscarded;
     private final ArrayDeque<ByteBuf> pendingParts = new ArrayDeque<>();
     private final Future<?> stallCheck;
-    // Null where an early end of the source need not be detected
+    // Null if an early end of the source need not be detected.
     private final Future<?> disconnectCheck;
-    // Both null until writeTo
+    // Null until writeTo.
     private Channel sink;
+    // Null until writeTo.
     private Listener listener;
-    // Pending, or written and not yet flushed to the socket
+    // Bytes that are pending, or written and not yet flushed to the socket.
     private long bufferedBytes;
     private long lastProgressNanos = System.nanoTime();
-    // All of the body has arrived
+    // Whether the whole body has been received.
     private boolean sourceEnded;
-    // The last part, until it is known whether the source is still connected
+    // The last part, until it is known whether the source is still connected.
     private ByteBuf deferredLastPart;
     private boolean lastContentWritten;
-    // writePending is not re-entrant
+    // Guards writePending, which is not re-entrant.
     private boolean writing;
     private boolean finished;
 
     /**
-     * A relay without a sink; its timers start.
+     * Creates a relay without a sink and starts its timers.
      *
-     * @param detectDisconnect the end of the source's input is looked for while reading is paused
+     * @param detectDisconnect whether to detect the end of the source's input while reading is
+     *     paused
      * @param onDiscarded runs once if the sink discards the body before its end
      */
     public BodyRelay(
@@ -114,7 +116,7 @@
         }
     }
 
-    // Before there is a sink, the deadline of the request bounds the time
+    // Before there is a sink, the time is limited by the request's deadline.
     private void checkForStall() {
         if (sink != null && System.nanoTime() - lastProgressNanos > STALL_TIMEOUT_NS) {
             Channel stalled = bufferedBytes > 0 || sourceEnded ? sink : source;
@@ -122,24 +124,22 @@
         }
     }
 
-    /** Whether a sink may have got some of the body: it can't be sent again then. */
+    /** Returns whether a sink may have received part of the body, so that it can't be resent. */
     boolean hasStarted() {
         return sink != null;
     }
 
-    /** Whether all of the body has arrived. */
+    /** Returns whether the whole body has been received. */
     public boolean isSourceEnded() {
         return sourceEnded;
     }
 
-    /** Whether reading from the source is paused for the sink. */
+    /** Returns whether reading from the source is paused until the sink takes more. */
     public boolean isSourcePaused() {
         return !source.config().isAutoRead();
     }
 
-    // ---------------------------------------------------------------- source
-
-    /** Takes over a part of the body and releases it after its write. */
+    /** Adds a part of the body; takes ownership of it and releases it after its write. */
     public void add(ByteBuf part) {
         if (finished || !part.isReadable()) {
             part.release();
@@ -155,7 +155,7 @@
         adjustBufferedBytes(part.readableBytes() + PART_OVERHEAD_BYTES);
     }
 
-    /** All of the body has arrived; what the source sends next belongs to another message. */
+    /** Ends the body; what the source sends next belongs to another message. */
     public void complete() {
         if (!sourceEnded) {
             sourceEnded = true;
@@ -166,9 +166,9 @@
     }
 
     /**
-     * Takes over the last part of the body. It is written after what follows it has been read:
-     * where that is the end of the input the client has disconnected, maybe long ago, and its
-     * request must not become complete.
+     * Adds the last part of the body and takes ownership of it. The part is written only after the
+     * source has been read again: if the input has ended, the client has disconnected, possibly
+     * long ago, and its request must not become complete.
      */
     public void complete(ByteBuf lastPart) {
         if (finished || sourceEnded) {
@@ -199,7 +199,7 @@
         writePending();
     }
 
-    /** The source's connection has ended; without effect once all of the body has arrived. */
+    /** Handles the close of the source; does nothing once the whole body has been received. */
     public void abort() {
         if (!sourceEnded) {
             abortUnlessFinished();
@@ -215,22 +215,20 @@
         }
     }
 
-    // ---------------------------------------------------------------- sink
-
-    /** Sets the sink and starts to write to it, behind what has been written there already. */
+    /** Sets the sink and starts writing to it, after the data already written there. */
     public void writeTo(Channel channel, Listener completionListener) {
         sink = channel;
         listener = completionListener;
         lastProgressNanos = System.nanoTime();
         if (finished) {
-            // The source had ended early
+            // The source has ended early.
             completionListener.onAborted();
         } else {
             writePending();
         }
     }
 
-    /** The sink takes no more: the rest of the body is dropped. */
+    /** Drops the rest of the body because the sink takes no more. */
     public void discard() {
         if (!finished) {
             finish();
@@ -241,7 +239,7 @@
         }
     }
 
-    /** Writes on; to be called when the sink has become writable. */
+    /** Continues writing; called when the sink has become writable. */
     public void writePending() {
         if (writing || finished) {
             return;
@@ -259,7 +257,7 @@
         updateAutoRead();
     }
 
-    // Whether something is left to flush
+    // Returns whether something is left to flush.
     private boolean writePendingParts() {
         boolean needsFlush = false;
         while (!finished && !pendingParts.isEmpty() && sink.isWritable()) {
@@ -269,7 +267,7 @@
                     .addListener(done -> onPartWritten(sizeBytes, done.isSuccess()));
             needsFlush = true;
             if (!sink.isWritable()) {
-                // The flush may make it writable at once
+                // The flush may make the sink writable immediately.
                 sink.flush();
                 needsFlush = false;
             }
@@ -301,16 +299,15 @@
         adjustBufferedBytes(-sizeBytes);
         lastProgressNanos = System.nanoTime();
         if (!success) {
-            // The owner of the sink learns of the close
+            // The owner of the sink is notified of the close.
             sink.close();
         } else if (!writing) {
             updateAutoRead();
         }
     }
 
-    // ---------------------------------------------------------------- flow control
-
-    // Reading goes on once what has arrived is written; with the budget exhausted, read by read
+    // Without a sink, reads until the buffer is full; with one, reads once all parts are written to
+    // it. While the budget is exhausted, reads only if nothing is buffered.
     private void updateAutoRead() {
         if (!finished && !sourceEnded) {
             boolean hasCapacity =
@@ -327,7 +324,7 @@
         bufferBudget.usedBytes += deltaBytes;
     }
 
-    // The one place in which timers end and buffers that were not written are released
+    // The only method that cancels the timers and releases the buffers that were not written.
     private void finish() {
         finished = true;
         stallCheck.cancel(false);
--- a/balancer/src/main/java/loadbalancer/proxy/FileDescriptorBudget.java
+++ b/balancer/src/main/java/loadbalancer/proxy/FileDescriptorBudget.java
@@ -2,14 +2,14 @@
 
 /**
  * Counts the sockets of this process against its limit on file descriptors, so that neither an
- * accept nor a connect fails for lack of one. A reserve is left for descriptors that are not
+ * accept nor a connect fails for lack of one. A reserve is kept for descriptors that are not
  * counted here: jar files, selectors, discovery, the listener, the administration endpoint, and the
- * connections that one accept loop takes from the backlog. Event loop thread only.
+ * connections that one accept loop takes from the backlog. Confined to the event loop.
  */
 public final class FileDescriptorBudget {
     private static final int RESERVED_DESCRIPTORS = 48;
 
-    /** Left for new upstream connections beyond those that are open. */
+    /** Sockets kept for new upstream connections beyond the open ones. */
     private static final int SPARE_UPSTREAM_DESCRIPTORS = 8;
 
     private static final int MIN_SOCKETS = 2;
@@ -19,10 +19,11 @@
     private int openSockets;
 
     /**
-     * A budget without open sockets.
+     * Creates a budget without open sockets.
      *
-     * @param limitShared another process of this balancer may count against the same limit until
-     *     {@link #useFullLimit}: each of them uses half
+     * @param descriptorLimit the limit on file descriptors
+     * @param limitShared whether another process of this balancer shares the limit until {@link
+     *     #useFullLimit}; each of them then uses half
      */
     public FileDescriptorBudget(int descriptorLimit, boolean limitShared) {
         int wantedReserve = limitShared ? 2 * RESERVED_DESCRIPTORS : RESERVED_DESCRIPTORS;
@@ -31,7 +32,9 @@
         this.maxSockets = limitShared ? Math.max(MIN_SOCKETS, totalSockets / 2) : totalSockets;
     }
 
-    /** The other process has ended; its reserve stays for the next one to start. */
+    /**
+     * Uses the whole limit after the other process has ended; keeps the reserve for the next one.
+     */
     public void useFullLimit() {
         maxSockets = totalSockets;
     }
@@ -46,16 +49,16 @@
         openSockets--;
     }
 
-    /** The counts, as the counters line of the log gives them. */
+    /** Returns the counts in the format of the log's counters line. */
     @Override
     public String toString() {
         return openSockets + " of " + maxSockets + " sockets open";
     }
 
     /**
-     * Whether {@code clientConnections} connections of clients leave too few sockets for upstream
-     * connections: a third, or those that are open and some spare ones if that is more. A third is
-     * left for clients in any case.
+     * Returns whether {@code clientConnections} client connections leave too few sockets for
+     * upstream connections: a third of all sockets, or the open upstream connections and some spare
+     * sockets if that is more. A third is always left for clients.
      */
     public boolean isClientLimitReached(int clientConnections) {
         int openUpstreamSockets = openSockets - clientConnections;
@@ -67,7 +70,7 @@
         return isExhausted() || clientConnections > maxForClients;
     }
 
-    /** Whether no further socket may be opened. */
+    /** Returns whether no further socket may be opened. */
     public boolean isExhausted() {
         return openSockets >= maxSockets;
     }
--- a/balancer/src/main/java/loadbalancer/proxy/FramingException.java
+++ b/balancer/src/main/java/loadbalancer/proxy/FramingException.java
@@ -3,13 +3,14 @@
 import io.netty.handler.codec.DecoderException;
 
 /**
- * A message whose length another party may read differently, or that is not HTTP/1. The text names
- * the rule that it breaks; decoders report it as the cause of the message's decoder result.
+ * Thrown for a message whose length another party may interpret differently, or that is not HTTP/1.
+ * The exception's message names the violated rule. Decoders report it as the cause of the decoder
+ * result.
  */
 public final class FramingException extends DecoderException {
     private static final long serialVersionUID = 1L;
 
-    FramingException(String brokenRule) {
-        super(brokenRule);
+    FramingException(String violatedRule) {
+        super(violatedRule);
     }
 }
--- a/balancer/src/main/java/loadbalancer/proxy/ProxyRequest.java
+++ b/balancer/src/main/java/loadbalancer/proxy/ProxyRequest.java
@@ -4,14 +4,14 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A client's request: what is forwarded to an upstream unchanged, and what the routing policy is
- * given. Its {@code body} is complete, or it is streamed by {@code upload} and {@code body} is
- * empty.
+ * A client's request: the parts that are forwarded to an upstream unchanged, and the attributes
+ * that the routing policy is given. Either {@code body} is complete, or the body is streamed by
+ * {@code upload} and {@code body} is empty.
  *
- * @param body not copied: neither the creator nor a reader may change it
+ * @param body the buffered body; not copied, so neither the creator nor a reader may change it
  * @param requestClass the index of the request's class in the settings
- * @param tenant the index of the request's tenant; 0 where there are none
- * @param key what requests are ordered by, or null
+ * @param tenant the index of the request's tenant; 0 if there are no tenants
+ * @param key the key by which requests are ordered, or null
  * @param timeLeftMicros the time in µs from the request's start to the client's deadline
  * @param workEstimate the client's estimate of the work, or -1
  * @param resubmission whether the client has sent the request before
@@ -31,10 +31,10 @@
         boolean resubmission,
         BodyRelay upload,
         long contentLength) {
-    /** The header with the milliseconds that are left to the request's deadline. */
+    /** The header with the time to the request's deadline in ms. */
     public static final String DEADLINE_HEADER = "Req-Deadline-Ms";
 
-    /** A request whose body is complete. */
+    /** Creates a request whose body is complete. */
     public ProxyRequest(
             HttpMethod method,
             String uri,
@@ -61,12 +61,12 @@
                 body.length);
     }
 
-    /** The client's id of the request, for the log; null where it gave none. */
+    /** Returns the client's id of the request, for the log; null if it has none. */
     public String clientRequestId() {
         return headers.get("Req-Id");
     }
 
-    /** The same request with another URI. */
+    /** Returns a copy of the request with another URI. */
     public ProxyRequest withUri(String newUri) {
         return new ProxyRequest(
                 method,
@@ -83,7 +83,7 @@
                 contentLength);
     }
 
-    /** Whether all of it can be sent: none of a streamed body has been sent yet. */
+    /** Returns whether the whole request can be sent again: no streamed body has been started. */
     public boolean isReplayable() {
         return upload == null || !upload.hasStarted();
     }
--- a/balancer/src/main/java/loadbalancer/proxy/StrictFraming.java
+++ b/balancer/src/main/java/loadbalancer/proxy/StrictFraming.java
@@ -13,22 +13,23 @@
 import java.util.List;
 
 /**
- * Decoders that refuse a message whose length two parties may read differently (RFC 9112, 6.3).
- * Netty's own decoders choose one reading, which permits request smuggling: what a sender means as
- * a body is read as a message of its own. A refused message has a failed decoder result, mostly by
- * a {@link FramingException}, and nothing that follows on its connection is decoded.
+ * Decoders that reject a message whose length two parties may interpret differently (RFC 9112,
+ * section 6.3). Netty's decoders choose one interpretation, which permits request smuggling: what
+ * the sender meant as a body is read as a separate message. A rejected message has a failed decoder
+ * result, usually with a {@link FramingException}, and nothing after it on its connection is
+ * decoded.
  */
 public final class StrictFraming {
     private StrictFraming() {}
 
     /** Decodes clients' requests. */
     public static final class RequestDecoder extends HttpRequestDecoder {
-        /** Whether bytes have arrived that are not decoded yet. */
+        /** Returns whether received bytes remain that are not decoded yet. */
         public boolean hasUndecodedBytes() {
             return actualReadableBytes() > 0;
         }
 
-        // Called when the headers are complete and before Netty removes any
+        // Called when the headers are complete, before Netty removes any of them.
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
             validateFraming(message);
@@ -38,7 +39,7 @@
 
     /** Decodes upstreams' responses. */
     public static final class ResponseDecoder extends HttpResponseDecoder {
-        /** Whether bytes have arrived that are not decoded yet. */
+        /** Returns whether received bytes remain that are not decoded yet. */
         public boolean hasUndecodedBytes() {
             return actualReadableBytes() > 0;
         }
@@ -47,12 +48,12 @@
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
             validateFraming(message);
             if (((HttpResponse) message).status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
-                throw new FramingException("another protocol, unasked");
+                throw new FramingException("101 Switching Protocols was not requested");
             }
             return super.isContentAlwaysEmpty(message);
         }
 
-        // Netty ends a header's name at white space too, and so accepts a line without a colon
+        // Netty also ends a header's name at white space and so accepts a line without a colon.
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
             if (line[start + length] != ':') {
--- a/balancer/src/test/java/loadbalancer/proxy/BodyRelayTest.java
+++ b/balancer/src/test/java/loadbalancer/proxy/BodyRelayTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Flow control, ends and buffers of a relay between two embedded channels. */
+/** Tests flow control, endings and buffers of a relay between two embedded channels. */
 class BodyRelayTest {
     private final EmbeddedChannel source = new EmbeddedChannel();
     private final EmbeddedChannel sink = new EmbeddedChannel();
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void lastPartIsWrittenWhereTheSourceIsConnected() {
+    void lastPartIsWrittenIfTheSourceIsConnected() {
         relay.writeTo(sink, listener);
         relay.complete(part(1));
         assertNull(sink.readOutbound());
@@ -77,7 +77,7 @@
         ByteBuf lastPart = part(1);
         relay.writeTo(sink, listener);
         relay.complete(lastPart);
-        // Closes before it runs pending tasks; EmbeddedChannel.close() runs them first
+        // Closes without running pending tasks first, unlike EmbeddedChannel.close().
         source.unsafe().close(source.newPromise());
         source.runPendingTasks();
         assertNull(sink.readOutbound());
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void discardReleasesWhatIsBufferedAndEndsTheSource() {
+    void discardReleasesBuffersAndRunsOnDiscardedOnce() {
         ByteBuf buffered = part(1);
         relay.add(buffered);
         relay.discard();
--- a/balancer/src/test/java/loadbalancer/proxy/FileDescriptorBudgetTest.java
+++ b/balancer/src/test/java/loadbalancer/proxy/FileDescriptorBudgetTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How the limit on descriptors is divided. */
+/** Tests how the limit on file descriptors is divided. */
 class FileDescriptorBudgetTest {
     private static int countAvailable(FileDescriptorBudget descriptorBudget) {
         int opened = 0;
@@ -21,7 +21,8 @@
     }
 
     /**
-     * An old process and a new one each start from their half; what both hold beside is kept twice.
+     * During a handover the old and the new process each use half of the limit, and the reserve for
+     * descriptors that are not counted is kept twice.
      */
     @Test
     void twoProcessesStayWithinTheSharedLimit() {
@@ -36,15 +37,15 @@
     }
 
     @Test
-    void clientsLeaveAThirdForUpstreams() {
-        // 150 sockets
+    void clientsLeaveAThirdOfTheSocketsForUpstreams() {
+        // The limit leaves 150 sockets.
         FileDescriptorBudget descriptorBudget = new FileDescriptorBudget(198, false);
         assertFalse(descriptorBudget.isClientLimitReached(100));
         assertTrue(descriptorBudget.isClientLimitReached(101));
         for (int i = 0; i < 60 + 82; i++) {
             descriptorBudget.socketOpened();
         }
-        // 60 upstreams' and 8 more
+        // Open are 60 sockets of upstreams and 82 of clients; 8 are kept for upstreams.
         assertFalse(descriptorBudget.isClientLimitReached(82));
         descriptorBudget.socketOpened();
         assertTrue(descriptorBudget.isClientLimitReached(83));
--- a/balancer/src/test/java/loadbalancer/proxy/ProxyRequestFixtures.java
+++ b/balancer/src/test/java/loadbalancer/proxy/ProxyRequestFixtures.java
@@ -3,14 +3,14 @@
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 
-/** Requests as the client side hands them over. */
+/** Creates requests like those that the client side submits to the dispatcher. */
 public final class ProxyRequestFixtures {
-    /** The time in µs that is left to each of them. */
+    /** The time to the deadline of each request, in µs. */
     public static final long TIME_LEFT_MICROS = 20_000_000;
 
     private ProxyRequestFixtures() {}
 
-    /** A GET request of class 0 without a body. */
+    /** Returns a GET request of class 0 without a body. */
     public static ProxyRequest getRequest(String requestId) {
         return new ProxyRequest(
                 HttpMethod.GET,
@@ -25,7 +25,7 @@
                 false);
     }
 
-    /** A POST request of class 0 whose body is streamed by {@code upload}. */
+    /** Returns a POST request of class 0 whose body is streamed by {@code upload}. */
     public static ProxyRequest streamedRequest(
             String requestId, BodyRelay upload, long contentLength) {
         return new ProxyRequest(
--- a/balancer/src/test/java/loadbalancer/proxy/StrictFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/proxy/StrictFramingTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The rule that a refused message is said to break; | stands for the end of a line. */
+/** Tests which messages are rejected, and by which rule. In messages, | stands for CRLF. */
 class StrictFramingTest {
     private static DecoderResult decode(ChannelHandler decoder, String message) {
         EmbeddedChannel channel = new EmbeddedChannel(decoder);
@@ -24,7 +24,7 @@
         return result;
     }
 
-    private static void assertBreaks(String expectedRule, DecoderResult result) {
+    private static void assertViolates(String expectedRule, DecoderResult result) {
         assertTrue(result.isFailure());
         assertEquals(FramingException.class, result.cause().getClass());
         assertEquals(expectedRule, result.cause().getMessage());
@@ -38,19 +38,19 @@
         "'POST / HTTP/1.1|Transfer-Encoding: chunked|Content-Length: 1||',"
                 + " both Transfer-Encoding and Content-Length"
     })
-    void refusedRequestNamesTheRule(String message, String expectedRule) {
-        assertBreaks(expectedRule, decode(new StrictFraming.RequestDecoder(), message));
+    void rejectedRequestNamesTheRule(String message, String expectedRule) {
+        assertViolates(expectedRule, decode(new StrictFraming.RequestDecoder(), message));
     }
 
     @ParameterizedTest
     @CsvSource({
-        "'HTTP/1.1 101 Switching|Upgrade: x||', 'another protocol, unasked'",
+        "'HTTP/1.1 101 Switching|Upgrade: x||', 101 Switching Protocols was not requested",
         "'HTTP/1.1 200 OK|no colon|Content-Length: 2||', no colon after a header's name",
         "'HTTP/1.1 200 OK|Transfer-Encoding: chunked|Content-Length: 1||',"
                 + " both Transfer-Encoding and Content-Length"
     })
-    void refusedResponseNamesTheRule(String message, String expectedRule) {
-        assertBreaks(expectedRule, decode(new StrictFraming.ResponseDecoder(), message));
+    void rejectedResponseNamesTheRule(String message, String expectedRule) {
+        assertViolates(expectedRule, decode(new StrictFraming.ResponseDecoder(), message));
     }
 
     @ParameterizedTest
