--- a/balancer/src/test/java/loadbalancer/http/ClientConnectionTest.java
+++ b/balancer/src/test/java/loadbalancer/http/ClientConnectionTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The end of a connection whose output can be shut down before its close. */
+/** Tests how a connection ends whose output can be shut down before it is closed. */
 class ClientConnectionTest {
     private final EmbeddedFrontend frontend = new EmbeddedFrontend();
     private final DuplexEmbeddedChannel channel = new DuplexEmbeddedChannel();
@@ -19,9 +19,9 @@
         frontend.close();
     }
 
-    /** A close at once with the late bytes unread would reset the connection. */
+    /** An immediate close with late bytes unread would reset the connection. */
     @Test
-    void bytesBehindTheLastRequestNeitherResetItsResponseNorAreHandled() {
+    void bytesAfterTheLastRequestAreIgnoredAndDoNotResetTheConnection() {
         channel.freezeTime();
         frontend.receive(channel, EmbeddedFrontend.getRequest("r1"));
         frontend.servingState().setStopping();
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void disconnectIsReportedWhileAResponseIsOwed() {
+    void disconnectIsReportedWhileAResponseIsPending() {
         frontend.receive(channel, EmbeddedFrontend.getRequest("r1"));
         channel.close();
         assertEquals(List.of("request", "disconnected"), frontend.policy().events());
--- a/balancer/src/test/java/loadbalancer/http/ClientConnectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/http/ClientConnectionsTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which connections are evicted where descriptors run short. The limit of 60 descriptors leaves 30
- * sockets: 20 for clients while upstreams need less.
+ * Tests which connections are evicted when file descriptors run short. The limit of 60 descriptors
+ * leaves 30 sockets, 20 of them for clients as long as upstreams need no more than 10.
  */
 class ClientConnectionsTest {
     private static final int DESCRIPTOR_LIMIT = 60;
@@ -28,7 +28,7 @@
         frontend.close();
     }
 
-    /** A client that has sent nothing. */
+    /** Connects a client that sends nothing. */
     private EmbeddedChannel connect() {
         EmbeddedChannel channel = new EmbeddedChannel();
         frontend.connect(channel);
@@ -41,12 +41,12 @@
         return channel;
     }
 
-    /** A client whose proper request is processed: it is never evicted. */
+    /** Connects a client whose valid request is being processed, so that it is never evicted. */
     private EmbeddedChannel connectBusy() {
         return connectAndSend(EmbeddedFrontend.getRequest("busy"));
     }
 
-    /** A client that waits for a next request after {@code requestCount} proper ones. */
+    /** Connects a client that is idle after {@code requestCount} valid requests. */
     private EmbeddedChannel connectIdle(int requestCount) {
         EmbeddedChannel channel = connect();
         for (int i = 0; i < requestCount; i++) {
@@ -56,7 +56,7 @@
         return channel;
     }
 
-    /** A client that has asked for readiness only: unproven, and answered. */
+    /** Connects a client that has sent only a readiness check: answered, but unproven. */
     private EmbeddedChannel connectReadinessCheck() {
         return connectAndSend("GET /-/ready HTTP/1.1\r\n\r\n");
     }
@@ -74,8 +74,6 @@
         }
     }
 
-    // ---------------------------------------------------------------- order of eviction
-
     @Test
     void nothingIsEvictedUpToTheLimit() {
         EmbeddedChannel idle = connectIdle(1);
@@ -109,7 +107,7 @@
     void unprovenConnectionWithoutProgressForLongestIsEvictedFirst() {
         EmbeddedChannel first = connectReadinessCheck();
         EmbeddedChannel second = connectReadinessCheck();
-        // Its progress makes it the last.
+        // This progress moves the first connection to the end of the eviction order.
         frontend.receive(first, "GET /-/ready HTTP/1.1\r\n\r\n");
         connectBusyUntil(MAX_CLIENTS + 1, 2);
         assertFalse(second.isOpen());
@@ -126,7 +124,7 @@
     }
 
     @Test
-    void idleConnectionThatSentOneRequestIsEvictedBeforeBusierOnes() {
+    void idleConnectionWithOneRequestIsEvictedBeforeThoseWithMore() {
         EmbeddedChannel regular = connectIdle(2);
         EmbeddedChannel oneTime = connectIdle(1);
         connectBusyUntil(MAX_CLIENTS + 1, 2);
@@ -135,7 +133,7 @@
     }
 
     @Test
-    void idleConnectionToAnUpstreamIsClosedBeforeIdleOnesOfClients() {
+    void idleUpstreamConnectionIsClosedBeforeIdleClientConnections() {
         EmbeddedChannel idle = connectIdle(1);
         frontend.openIdleUpstreams(29);
         connections.enforceLimit();
@@ -153,8 +151,6 @@
         assertTrue(busy.stream().allMatch(EmbeddedChannel::isOpen));
     }
 
-    // ---------------------------------------------------------------- waiting connections
-
     @Test
     void connectionThatBecomesIdleIsEvictedWhileOthersWait() {
         EmbeddedChannel next = connect();
@@ -168,14 +164,14 @@
     }
 
     @Test
-    void connectionThatBecomesIdleStaysWhereNoneWaits() {
+    void connectionThatBecomesIdleStaysOpenIfNoneWaits() {
         EmbeddedChannel idle = connectIdle(1);
         assertTrue(idle.isOpen());
         assertEquals(
                 "1 client connections (0 unproven, 1 idle, 0 half-closed)", connections.toString());
     }
 
-    /** A stalled connection's time ends without any event. */
+    /** No event signals that an unproven connection has become stalled. */
     @Test
     void limitIsCheckedAgainWhileConnectionsWait() {
         connectBusyUntil(MAX_CLIENTS + 1, 0);
@@ -184,8 +180,6 @@
         assertEquals(ACCEPT_RETRY_INTERVAL_MS, frontend.nextTimerMillis());
     }
 
-    // ---------------------------------------------------------------- shutdown
-
     @Test
     void stoppingBalancerThatAcceptsNothingEvictsNothing() {
         EmbeddedChannel idle = connectIdle(1);
@@ -195,7 +189,7 @@
     }
 
     @Test
-    void connectionsWithoutRequestAreClosedAndTheEndIsNotifiedOnce() {
+    void connectionsWithoutRequestAreClosedAndOnEmptyRunsOnce() {
         AtomicInteger notified = new AtomicInteger();
         EmbeddedChannel idle = connectIdle(1);
         EmbeddedChannel unproven = connect();
--- a/balancer/src/test/java/loadbalancer/http/ClientLivenessTest.java
+++ b/balancer/src/test/java/loadbalancer/http/ClientLivenessTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Whether a close that the event loop has not read yet is found, over a channel without socket. */
+/** Tests that a close that the event loop has not read yet is detected. Uses no sockets. */
 class ClientLivenessTest {
     private static final int MAX_READS_PER_LOOP = 2;
 
@@ -26,9 +26,9 @@
     private final List<Object> handled = new ArrayList<>();
     private Runnable onMessage = () -> {};
 
-    /** A channel whose receive buffer the test fills: each read takes one turn from it. */
+    /** A channel whose receive buffer is filled by the test; each read call takes one batch. */
     private static final class UnreadInputChannel extends EmbeddedChannel {
-        private final Deque<Runnable> unreadTurns = new ArrayDeque<>();
+        private final Deque<Runnable> unreadBatches = new ArrayDeque<>();
         private int readCalls;
 
         @Override
@@ -40,7 +40,7 @@
                             new Class<?>[] {AbstractNioChannel.NioUnsafe.class},
                             (proxy, method, arguments) -> {
                                 if (method.getName().equals("read")) {
-                                    readTurn();
+                                    readBatch();
                                     return null;
                                 }
                                 try {
@@ -51,19 +51,19 @@
                             });
         }
 
-        private void readTurn() {
+        private void readBatch() {
             readCalls++;
-            Runnable turn = unreadTurns.poll();
-            if (turn != null) {
-                turn.run();
+            Runnable batch = unreadBatches.poll();
+            if (batch != null) {
+                batch.run();
             } else {
                 pipeline().fireChannelReadComplete();
             }
         }
 
-        /** The next turn reads so many messages. */
-        void addTurn(int messageCount) {
-            unreadTurns.add(
+        /** Adds a batch of {@code messageCount} messages. */
+        void addBatch(int messageCount) {
+            unreadBatches.add(
                     () -> {
                         for (int i = 0; i < messageCount; i++) {
                             pipeline().fireChannelRead("message");
@@ -72,9 +72,9 @@
                     });
         }
 
-        /** The next turn reads the client's close. */
+        /** Adds a batch in which the client's close is read. */
         void addClose() {
-            unreadTurns.add(() -> super.unsafe().close(newPromise()));
+            unreadBatches.add(() -> super.unsafe().close(newPromise()));
         }
     }
 
@@ -97,22 +97,22 @@
     }
 
     @Test
-    void connectedClientIsFoundConnected() {
+    void connectedClientIsReportedConnected() {
         open();
         assertFalse(liveness.isDisconnected());
     }
 
     @Test
-    void closeThatIsNotReadYetIsFound() {
+    void closeThatIsNotReadYetIsDetected() {
         open();
         channel.addClose();
         assertTrue(liveness.isDisconnected());
     }
 
     @Test
-    void whatWasSentBeforeTheCloseIsHandled() {
+    void dataSentBeforeTheCloseIsHandled() {
         open();
-        channel.addTurn(MAX_READS_PER_LOOP);
+        channel.addBatch(MAX_READS_PER_LOOP);
         channel.addClose();
         assertTrue(liveness.isDisconnected());
         assertEquals(List.of("message", "message"), handled);
@@ -121,29 +121,29 @@
     @Test
     void readsEndWithAnEmptyReceiveBuffer() {
         open();
-        channel.addTurn(MAX_READS_PER_LOOP);
-        channel.addTurn(MAX_READS_PER_LOOP - 1);
+        channel.addBatch(MAX_READS_PER_LOOP);
+        channel.addBatch(MAX_READS_PER_LOOP - 1);
         channel.addClose();
         assertFalse(liveness.isDisconnected());
         assertEquals(2, channel.readCalls);
     }
 
     @Test
-    void endlessInputIsReadFourTimesAtMost() {
+    void endlessInputIsReadAtMostFourTimes() {
         open();
         for (int i = 0; i < 5; i++) {
-            channel.addTurn(MAX_READS_PER_LOOP);
+            channel.addBatch(MAX_READS_PER_LOOP);
         }
         assertFalse(liveness.isDisconnected());
         assertEquals(4, channel.readCalls);
     }
 
-    /** The handler of a message may ask; the read that delivers it must not be entered again. */
+    /** A message handler may call isDisconnected, which must not start a nested read. */
     @Test
     void checkWithinAReadDoesNotRead() {
         open();
-        channel.addTurn(1);
-        channel.addTurn(1);
+        channel.addBatch(1);
+        channel.addBatch(1);
         onMessage = () -> assertFalse(liveness.isDisconnected());
         liveness.isDisconnected();
         assertEquals(1, channel.readCalls);
--- a/balancer/src/test/java/loadbalancer/http/DuplexEmbeddedChannel.java
+++ b/balancer/src/test/java/loadbalancer/http/DuplexEmbeddedChannel.java
@@ -5,7 +5,7 @@
 import io.netty.channel.embedded.EmbeddedChannel;
 import io.netty.channel.socket.DuplexChannel;
 
-/** An embedded channel whose output can be shut down by itself, as that of a socket. */
+/** An embedded channel whose output can be shut down separately, like that of a socket. */
 final class DuplexEmbeddedChannel extends EmbeddedChannel implements DuplexChannel {
     private boolean outputShutdown;
 
@@ -37,7 +37,7 @@
 
     @Override
     public ChannelFuture shutdownInput(ChannelPromise promise) {
-        throw new UnsupportedOperationException("input is never shut down by itself");
+        throw new UnsupportedOperationException("shutting down the input is not supported");
     }
 
     @Override
@@ -52,6 +52,6 @@
 
     @Override
     public ChannelFuture shutdown(ChannelPromise promise) {
-        throw new UnsupportedOperationException("input is never shut down by itself");
+        throw new UnsupportedOperationException("shutting down the input is not supported");
     }
 }
--- a/balancer/src/test/java/loadbalancer/http/EmbeddedFrontend.java
+++ b/balancer/src/test/java/loadbalancer/http/EmbeddedFrontend.java
@@ -22,11 +22,11 @@
 import loadbalancer.server.BalancerServerFixtures;
 
 /**
- * The client side over embedded channels, ready to serve. The test plays the clients and the
- * routing policy. Its listener has a socket that is never bound, so nothing can connect to it.
+ * The client side of a ready balancer on embedded channels. The test acts as the clients and the
+ * routing policy. The listener's socket is never bound, so nothing can connect to it.
  */
 final class EmbeddedFrontend implements AutoCloseable {
-    /** The head of a request of the class book, up to what describes its body. */
+    /** The head of a request of the class book, without the headers that describe its body. */
     static final String POST_HEAD =
             "POST /k1 HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: book\r\nReq-Deadline-Ms: 20000\r\n";
 
@@ -41,7 +41,7 @@
     private final FileDescriptorBudget descriptorBudget;
     private final ClientConnections connections;
     private final FrontendContext context;
-    // Connections to upstreams that may be closed for their descriptors.
+    // The number of idle upstream connections, which may be closed to free their descriptors.
     private int idleUpstreams;
 
     EmbeddedFrontend() {
@@ -80,12 +80,12 @@
         servingState.setReady();
     }
 
-    /** Settings with the classes read, pay and book: one of each idempotency. */
+    /** Returns settings with the classes read, pay and book, one of each kind of idempotency. */
     static BootSettings bootSettings() {
         return SettingsReader.read(SettingsFlattener.flatten(BalancerServerFixtures.settings()));
     }
 
-    /** A request of the class read, which has no body. */
+    /** Returns a request of the class read, which has no body. */
     static String getRequest(String requestId) {
         return "GET /k1 HTTP/1.1\r\nReq-Id: "
                 + requestId
@@ -143,7 +143,7 @@
         return logLines;
     }
 
-    /** A client connects. */
+    /** Connects a client. */
     ClientConnection connect(EmbeddedChannel channel) {
         channels.add(channel);
         ClientConnection connection = new ClientConnection(channel, context);
@@ -151,13 +151,13 @@
         return connection;
     }
 
-    /** Bytes of a client arrive in one read, and the turn of the event loop ends. */
+    /** Delivers bytes of a client in one read and ends the event loop iteration. */
     void receive(EmbeddedChannel channel, String text) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
         runTasks();
     }
 
-    /** Ends the turn of the event loop. */
+    /** Ends the event loop iteration. */
     void runTasks() {
         loopChannel.runPendingTasks();
         channels.forEach(EmbeddedChannel::runPendingTasks);
@@ -169,19 +169,19 @@
         loopChannel.runScheduledPendingTasks();
     }
 
-    /** The delay to the next timer of the event loop in ms, or -1 where none runs. */
+    /** Returns the delay to the event loop's next timer in ms, or -1 if there is none. */
     long nextTimerMillis() {
         long delayNanos = loopChannel.runScheduledPendingTasks();
         return delayNanos < 0 ? -1 : TimeUnit.NANOSECONDS.toMillis(delayNanos);
     }
 
-    /** The policy rejects the request that it was given last. */
+    /** Makes the policy reject the request that it was given last. */
     void rejectLastRequest() {
         policy.actions().reject(policy.requestId(), 0);
         runTasks();
     }
 
-    /** What has been written to the client since the last call. */
+    /** Returns the text that has been written to the client since the last call. */
     static String written(EmbeddedChannel channel) {
         StringBuilder text = new StringBuilder();
         ByteBuf part = channel.readOutbound();
@@ -193,7 +193,7 @@
         return text.toString();
     }
 
-    /** The status codes of the responses that have been written since the last call. */
+    /** Returns the status codes of the responses written since the last call. */
     static List<String> writtenStatuses(EmbeddedChannel channel) {
         return written(channel)
                 .lines()
--- a/balancer/src/test/java/loadbalancer/http/LingeringCloseTest.java
+++ b/balancer/src/test/java/loadbalancer/http/LingeringCloseTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A close in two steps: the output at once, the socket at the client's close or after a bound. */
+/** Tests closing the output immediately and the socket at the client's close or a timeout. */
 class LingeringCloseTest {
     private static final long MAX_LINGER_MS = 1_000;
 
@@ -30,7 +30,7 @@
         channel.runScheduledPendingTasks();
     }
 
-    /** A socket that is closed with input unread would be reset. */
+    /** Closing a socket with unread input would reset the connection. */
     @Test
     void outputIsShutDownAndTheSocketStaysOpen() {
         LingeringClose.start(channel, MAX_LINGER_MS);
@@ -39,14 +39,14 @@
     }
 
     @Test
-    void clientsCloseIsReadAlsoWhereReadingWasPaused() {
+    void pausedReadingIsResumedToDetectTheClientsClose() {
         channel.config().setAutoRead(false);
         LingeringClose.start(channel, MAX_LINGER_MS);
         assertTrue(channel.config().isAutoRead());
     }
 
     @Test
-    void clientThatNeverClosesIsClosedAfterTheBound() {
+    void socketIsClosedAfterTheTimeoutIfTheClientNeverCloses() {
         LingeringClose.start(channel, MAX_LINGER_MS);
         advanceMillis(MAX_LINGER_MS - 1);
         assertTrue(channel.isOpen());
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void secondStartDoesNotChangeTheBound() {
+    void secondStartDoesNotChangeTheTimeout() {
         LingeringClose.start(channel, MAX_LINGER_MS);
         LingeringClose.start(channel, 1);
         advanceMillis(1);
@@ -63,16 +63,16 @@
     }
 
     @Test
-    void closeCancelsTheBound() {
+    void closeCancelsTheTimeout() {
         LingeringClose.start(channel, MAX_LINGER_MS);
         channel.close();
         assertTrue(channel.runScheduledPendingTasks() < 0, "no timer is left");
     }
 
     @Test
-    void channelWithoutSeparateOutputIsClosedAtOnce() {
-        EmbeddedChannel simplexChannel = new EmbeddedChannel();
-        LingeringClose.start(simplexChannel, MAX_LINGER_MS);
-        assertFalse(simplexChannel.isOpen());
+    void channelWithoutSeparateOutputIsClosedImmediately() {
+        EmbeddedChannel plainChannel = new EmbeddedChannel();
+        LingeringClose.start(plainChannel, MAX_LINGER_MS);
+        assertFalse(plainChannel.isOpen());
     }
 }
--- a/balancer/src/test/java/loadbalancer/http/ProxyRequestParserTest.java
+++ b/balancer/src/test/java/loadbalancer/http/ProxyRequestParserTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is read from the head of a request, and which requests are invalid. */
+/** Tests what is parsed from the head of a request, and which requests are invalid. */
 class ProxyRequestParserTest {
     private static final byte[] NO_BODY = new byte[0];
 
@@ -39,7 +39,7 @@
                 boot.idleTimeoutMicros());
     }
 
-    /** A proper request of the class read. */
+    /** Returns a valid request of the class read. */
     private static HttpRequest readRequest(String uri) {
         HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
         request.headers().set("Req-Id", "r1").set("Req-Kind", "read").set("Req-Deadline-Ms", "250");
@@ -50,8 +50,6 @@
         return parser.parse(request, NO_BODY, null, 0);
     }
 
-    // ---------------------------------------------------------------- class, tenant, key, time
-
     @ParameterizedTest
     @CsvSource(
             useHeadersInDisplayName = true,
@@ -62,7 +60,7 @@
                     pay,   POST,   k,               1
                     book,  POST,   ,                2
                     """)
-    void classComesFromItsName(
+    void classIsFoundByName(
             String className, String method, String idempotencyKey, int expectedClass) {
         assertEquals(
                 expectedClass, parse(newRequest(method, className, idempotencyKey)).requestClass());
@@ -89,7 +87,7 @@
                     unknown,       0
                     ,              0
                     """)
-    void tenantComesFromTheOwnerAndUnknownOnesShareTheFirst(String owner, int expectedTenant) {
+    void tenantIsFoundByNameAndUnknownOwnersGetTheFirst(String owner, int expectedTenant) {
         HttpRequest request = readRequest("/");
         if (owner != null) {
             request.headers().set("Req-Owner", owner);
@@ -124,7 +122,7 @@
                     250,            250000
                     999999999999,   999999999999000
                     """)
-    void timeLeftIsGivenInMilliseconds(String deadlineMs, long expectedMicros) {
+    void timeLeftIsParsedFromMilliseconds(String deadlineMs, long expectedMicros) {
         HttpRequest request = readRequest("/");
         request.headers().set("Req-Deadline-Ms", deadlineMs);
         assertEquals(expectedMicros, parse(request).timeLeftMicros());
@@ -142,7 +140,7 @@
                     much, -1
                     -5,   -1
                     """)
-    void unreadableWorkEstimateIsNone(String cost, long expectedEstimate) {
+    void missingOrMalformedWorkEstimateIsIgnored(String cost, long expectedEstimate) {
         HttpRequest request = readRequest("/");
         if (cost != null) {
             request.headers().set("Req-Cost", cost);
@@ -152,7 +150,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, true", "0, false", "true, false", ", false"})
-    void resubmissionIsSaidByOneValueOnly(String retry, boolean expected) {
+    void requestIsResubmissionOnlyIfTheHeaderIsOne(String retry, boolean expected) {
         HttpRequest request = readRequest("/");
         if (retry != null) {
             request.headers().set("Req-Retry", retry);
@@ -160,8 +158,6 @@
         assertEquals(expected, parse(request).resubmission());
     }
 
-    // ---------------------------------------------------------------- rejections
-
     @ParameterizedTest
     @CsvSource(
             useHeadersInDisplayName = true,
@@ -202,7 +198,7 @@
                     book,  GET,
                     book,  POST,   k
                     """)
-    void methodOrKeyThatContradictsTheClassIsInvalid(
+    void methodOrIdempotencyKeyThatContradictsTheClassIsInvalid(
             String className, String method, String idempotencyKey) {
         assertInvalid(
                 newRequest(method, className, idempotencyKey),
@@ -215,8 +211,6 @@
         assertEquals(expectedMessage, rejection.getMessage());
     }
 
-    // ---------------------------------------------------------------- what is forwarded
-
     @Test
     void requestLineAndBodyAreKept() {
         byte[] body = {1, 2};
--- a/balancer/src/test/java/loadbalancer/http/RequestReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/http/RequestReaderTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When a request is handed over, by the length of its body and by what comes before it. */
+/** Tests when a request is submitted, depending on its body's length and earlier requests. */
 class RequestReaderTest {
     private static final String LONGEST_BUFFERED_BODY =
             "x".repeat(RequestReader.MAX_BUFFERED_BODY_BYTES);
@@ -50,10 +50,8 @@
         assertEquals(List.of(expectedStatuses), EmbeddedFrontend.writtenStatuses(channel));
     }
 
-    // ---------------------------------------------------------------- buffered
-
     @Test
-    void requestIsHandedOverAfterItsLastByte() {
+    void requestIsSubmittedAfterItsLastByte() {
         receive(postHead(5));
         receive("hell");
         assertEvents();
@@ -63,7 +61,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void bodyOfTheLimitIsBuffered(boolean chunked) {
+    void bodyOfMaximumLengthIsBuffered(boolean chunked) {
         if (chunked) {
             receive(chunkedPostHead() + "10000\r\n" + LONGEST_BUFFERED_BODY + "\r\n");
             assertEvents();
@@ -76,17 +74,15 @@
     }
 
     @Test
-    void requestInSingleBytesIsOneRequest() {
+    void requestReceivedByteByByteIsOneRequest() {
         for (char character : (postHead(2) + "hi").toCharArray()) {
             receive(String.valueOf(character));
         }
         assertEvents("request");
     }
 
-    // ---------------------------------------------------------------- streamed
-
     @Test
-    void longerBodyIsHandedOverBeforeItsEnd() {
+    void longerBodyIsSubmittedBeforeItsEnd() {
         receive(postHead(LONGEST_BUFFERED_BODY.length() + 2) + LONGEST_BUFFERED_BODY);
         assertEvents();
         receive("x");
@@ -96,7 +92,7 @@
     }
 
     @Test
-    void longerChunkedBodyIsHandedOverBeforeItsEnd() {
+    void longerChunkedBodyIsSubmittedBeforeItsEnd() {
         receive(chunkedPostHead() + "10001\r\n" + LONGEST_BUFFERED_BODY + "x\r\n");
         assertEvents("request", "upload started");
         receive("0\r\n\r\n");
@@ -111,7 +107,7 @@
         assertTrue(connection.reader().isPausedByBackPressure());
     }
 
-    /** A request that is never complete must not be executed, nor its buffers be kept. */
+    /** An incomplete request must not be executed, and its buffers must be released. */
     @Test
     void disconnectAbortsTheUpload() {
         ByteBuf firstPart =
@@ -128,7 +124,7 @@
     }
 
     @Test
-    void disconnectDuringABufferedBodyHandsNothingOver() {
+    void disconnectDuringABufferedBodySubmitsNothing() {
         receive(postHead(5) + "hell");
         channel.close();
         frontend.runTasks();
@@ -136,7 +132,7 @@
     }
 
     @Test
-    void earlyResponseToAnUploadEndsTheConnection() {
+    void earlyResponseToAnUploadClosesTheConnection() {
         receive(postHead(MAX_BODY_BYTES) + LONGEST_BUFFERED_BODY + "x");
         frontend.rejectLastRequest();
         String response = EmbeddedFrontend.written(channel);
@@ -146,8 +142,6 @@
         assertEvents("request", "upload started");
     }
 
-    // ---------------------------------------------------------------- malformed and too long
-
     @ParameterizedTest
     @CsvSource({
         "'nonsense||'",
@@ -156,7 +150,7 @@
         "'GET /k1 HTTP/1.1|Content-Length: 1|Transfer-Encoding: chunked||'",
         "'POST /k1 HTTP/1.1|Transfer-Encoding: chunked||zz|'"
     })
-    void malformedRequestIsAnsweredAndTheLast(String request) {
+    void malformedRequestIsRejectedAndLaterOnesAreIgnored(String request) {
         receive(request.replace("|", "\r\n"));
         receive(EmbeddedFrontend.getRequest("r2"));
         assertWrittenStatuses("400");
@@ -164,9 +158,9 @@
         assertEvents();
     }
 
-    /** Its request was never complete: the policy learns of its end as of a disconnect. */
+    /** The request was never complete, so the policy is told that the client disconnected. */
     @Test
-    void malformedUploadIsWithdrawnAndAnswered() {
+    void malformedUploadIsCancelledAndRejected() {
         receive(chunkedPostHead() + "10001\r\n" + LONGEST_BUFFERED_BODY + "x\r\n");
         receive("zz\r\n");
         assertEvents("request", "upload started", "disconnected");
@@ -175,7 +169,7 @@
     }
 
     @Test
-    void announcedBodyThatIsTooLongIsRejectedBeforeItComes() {
+    void tooLargeContentLengthIsRejectedBeforeTheBodyArrives() {
         receive(postHead(MAX_BODY_BYTES + 1));
         assertWrittenStatuses("413");
         assertTrue(channel.isOutputShutdown());
@@ -183,7 +177,7 @@
     }
 
     @Test
-    void chunkedBodyThatGrowsTooLongIsWithdrawnAndRejected() {
+    void chunkedBodyThatGrowsTooLongIsCancelledAndRejected() {
         receive(chunkedPostHead() + Integer.toHexString(MAX_BODY_BYTES + 1) + "\r\n");
         ByteBuf block = Unpooled.buffer().writeZero(1024 * 1024);
         for (int i = 0; i < MAX_BODY_BYTES / block.readableBytes(); i++) {
@@ -198,17 +192,15 @@
     }
 
     @Test
-    void continueIsSentWhereAskedFor() {
+    void continueIsSentIfExpected() {
         receive(EmbeddedFrontend.POST_HEAD + "Content-Length: 5\r\nExpect: 100-continue\r\n\r\n");
         assertWrittenStatuses("100");
         receive("hello");
         assertEvents("request");
     }
 
-    // ---------------------------------------------------------------- pipelined
-
     @Test
-    void nextRequestWaitsForTheResponseToTheOneBefore() {
+    void pipelinedRequestWaitsForTheResponseToTheOneBefore() {
         receive(EmbeddedFrontend.getRequest("r1") + EmbeddedFrontend.getRequest("r2"));
         assertEvents("request");
         frontend.rejectLastRequest();
@@ -231,7 +223,7 @@
     }
 
     @Test
-    void pipelinedUploadThatIsCompleteIsHandedOverAsSuch() {
+    void completePipelinedUploadIsSubmittedAsComplete() {
         receive(EmbeddedFrontend.getRequest("r1"));
         receive(postHead(LONGEST_BUFFERED_BODY.length() + 1) + LONGEST_BUFFERED_BODY + "x");
         assertTrue(connection.reader().hasWaitingUpload());
@@ -240,7 +232,7 @@
     }
 
     @Test
-    void requestsBeyondTheLimitEndTheConnection() {
+    void requestsBeyondTheLimitCloseTheConnection() {
         receive(EmbeddedFrontend.getRequest("r").repeat(1 + MAX_PIPELINED_REQUESTS + 1));
         for (int i = 0; i < 1 + MAX_PIPELINED_REQUESTS; i++) {
             assertFalse(channel.isOutputShutdown());
@@ -251,7 +243,7 @@
     }
 
     @Test
-    void requestsOfTheLimitLeaveTheConnectionOpen() {
+    void requestsUpToTheLimitLeaveTheConnectionOpen() {
         receive(EmbeddedFrontend.getRequest("r").repeat(1 + MAX_PIPELINED_REQUESTS));
         for (int i = 0; i < 1 + MAX_PIPELINED_REQUESTS; i++) {
             frontend.rejectLastRequest();
@@ -260,9 +252,9 @@
         assertFalse(channel.isOutputShutdown());
     }
 
-    /** The client may have disconnected behind its request, which the same turn then reads. */
+    /** The event loop may read a request and the client's close in the same iteration. */
     @Test
-    void requestWhoseClientDisconnectsInTheSameTurnIsNotHandedOver() {
+    void requestIsNotSubmittedIfItsClientDisconnectsInTheSameIteration() {
         channel.writeInbound(Unpooled.copiedBuffer(EmbeddedFrontend.getRequest("r1"), US_ASCII));
         channel.close();
         frontend.runTasks();
--- a/balancer/src/test/java/loadbalancer/http/RequestTimeoutHandlerTest.java
+++ b/balancer/src/test/java/loadbalancer/http/RequestTimeoutHandlerTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * When the time for a request runs, and what arrives after the last request. That a connection is
- * dropped at the end of the time depends on the system's clock: see {@code SlowClientTest}.
+ * Tests when the request timeout runs, and what happens to input after the last request. The drop
+ * of a connection at the timeout depends on the system clock and is tested by {@code
+ * SlowClientTest}.
  */
 class RequestTimeoutHandlerTest {
     private static final long REQUEST_TIMEOUT_MS = 2_400;
@@ -28,45 +29,45 @@
         frontend.close();
     }
 
-    private boolean isTimeRunning() {
+    private boolean isTimeoutRunning() {
         return frontend.nextTimerMillis() >= 0;
     }
 
     @Test
-    void timeForTheFirstRequestRunsFromTheAccept() {
+    void timeoutOfTheFirstRequestStartsAtTheAccept() {
         assertEquals(REQUEST_TIMEOUT_MS, frontend.nextTimerMillis());
     }
 
     @Test
-    void bytesOfARequestDoNotRestartTheTime() {
+    void bytesOfARequestDoNotRestartTheTimeout() {
         frontend.advanceMillis(1_000);
         frontend.receive(channel, "GET /k1 HTTP/1.1\r\n");
         assertEquals(REQUEST_TIMEOUT_MS - 1_000, frontend.nextTimerMillis());
     }
 
     @Test
-    void completeRequestEndsTheTime() {
-        // Answered at once, so that no timer of its own runs.
+    void completeRequestCancelsTheTimeout() {
+        // Answered immediately, so that no timer of the request itself runs.
         frontend.receive(channel, "GET /-/ready HTTP/1.1\r\n\r\n");
-        assertFalse(isTimeRunning());
+        assertFalse(isTimeoutRunning());
         assertTrue(channel.isOpen());
     }
 
     @Test
-    void timeForANextRequestRunsFromItsFirstByte() {
+    void timeoutOfTheNextRequestStartsAtItsFirstByte() {
         frontend.receive(channel, "GET /-/ready HTTP/1.1\r\n\r\n");
         frontend.receive(channel, "G");
         assertEquals(REQUEST_TIMEOUT_MS, frontend.nextTimerMillis());
     }
 
     @Test
-    void closeEndsTheTime() {
+    void closeCancelsTheTimeout() {
         channel.close();
-        assertFalse(isTimeRunning());
+        assertFalse(isTimeoutRunning());
     }
 
     @Test
-    void timeStartsAgainWhereTheClientWaitsForAnUpstream() {
+    void timeoutRestartsWhileTheClientWaitsForAnUpstream() {
         channel.config().setAutoRead(false);
         frontend.receive(
                 channel,
@@ -80,7 +81,7 @@
     }
 
     @Test
-    void bytesBehindTheLastRequestAreReleasedAndNotDecoded() {
+    void bytesAfterTheLastRequestAreReleasedAndNotDecoded() {
         connection.acceptNoMoreRequests();
         ByteBuf late =
                 Unpooled.copiedBuffer(
--- a/balancer/src/test/java/loadbalancer/http/ResponseWriterTest.java
+++ b/balancer/src/test/java/loadbalancer/http/ResponseWriterTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The bytes of responses, and whether their connection goes on behind them. */
+/** Tests the bytes of responses, and whether the connection stays open after them. */
 class ResponseWriterTest {
     private static final long UNKNOWN_LENGTH = -1;
 
@@ -53,10 +53,8 @@
         return EmbeddedFrontend.written(channel);
     }
 
-    // ---------------------------------------------------------------- fixed length
-
     @Test
-    void responseHasItsLengthAndTheConnectionGoesOn() {
+    void responseHasItsLengthAndTheConnectionStaysOpen() {
         receiveRequest("HTTP/1.1");
         connection.sendText(HttpResponseStatus.OK, "hello", true);
         assertEquals(
@@ -66,7 +64,7 @@
     }
 
     @Test
-    void lastResponseSaysSoAndIsFollowedByTheClose() {
+    void lastResponseAnnouncesTheCloseAndIsFollowedByIt() {
         receiveRequest("HTTP/1.1");
         connection.sendText(HttpResponseStatus.OK, "hello", false);
         assertEquals(
@@ -116,10 +114,8 @@
         }
     }
 
-    // ---------------------------------------------------------------- streamed
-
     @Test
-    void streamOfKnownLengthIsWrittenAsItComes() {
+    void streamOfKnownLengthIsWrittenAsItArrives() {
         receiveRequest("HTTP/1.1");
         stream(5, true);
         receiveBody("hel");
@@ -148,7 +144,7 @@
     }
 
     @Test
-    void streamOfUnknownLengthToAnOldClientEndsWithTheConnection() {
+    void streamOfUnknownLengthToAnHttp10ClientEndsWithTheConnection() {
         receiveRequest("HTTP/1.0");
         stream(UNKNOWN_LENGTH, true);
         receiveBody("hello");
@@ -172,18 +168,18 @@
 
     @ParameterizedTest
     @ValueSource(longs = {5, UNKNOWN_LENGTH})
-    void streamThatBreaksOffClosesTheConnectionBeforeItsEnd(long contentLength) {
+    void abortedStreamClosesTheConnectionBeforeItsEnd(long contentLength) {
         receiveRequest("HTTP/1.1");
         stream(contentLength, true);
         receiveBody("hel");
         body.abort();
         assertEquals(List.of(false), finished);
         assertFalse(channel.isOpen());
-        assertFalse(written().endsWith("0\r\n\r\n"), "its end must not look complete");
+        assertFalse(written().endsWith("0\r\n\r\n"), "an aborted body must not look complete");
     }
 
     @Test
-    void streamGoesOnOnceTheClientReadsAgain() {
+    void streamResumesOnceTheClientReadsAgain() {
         receiveRequest("HTTP/1.1");
         stream(5, true);
         setWritable(false);
--- a/balancer/src/test/java/loadbalancer/http/ServingStateTest.java
+++ b/balancer/src/test/java/loadbalancer/http/ServingStateTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What readiness, drain and shutdown mean together. */
+/** Tests how readiness, drain and shutdown combine. */
 class ServingStateTest {
     @ParameterizedTest
     @CsvSource(
@@ -20,7 +20,7 @@
                     true,  true,     true,     false,    true
                     false, true,     false,    false,    true
                     """)
-    void readinessAndEndsOfConnections(
+    void readinessAndClosingOfConnections(
             boolean ready,
             boolean draining,
             boolean stopping,
@@ -40,7 +40,7 @@
 
     @ParameterizedTest
     @CsvSource({"false, true", "true, false"})
-    void endOfADrainMakesReadyUnlessStopping(boolean stopping, boolean expectedReady) {
+    void endOfADrainRestoresReadinessUnlessStopping(boolean stopping, boolean expectedReady) {
         ServingState state = new ServingState();
         state.setReady();
         state.setDraining(true);
