--- a/balancer/src/main/java/loadbalancer/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -15,14 +15,14 @@
 import loadbalancer.simulator.WireFormatException;
 
 /**
- * Command entry of the load balancer.
+ * Entry point of the load balancer: runs the command that the only argument names.
  *
  * <ul>
  *   <li>{@code serve} runs a balancer until it is signalled to stop.
- *   <li>{@code prepare} starts a balancer, warms it up and stops it, for the JVM to record which
- *       classes a start loads.
- *   <li>{@code wirehost} runs the routing policy on the simulator's wire, on standard input and
- *       output.
+ *   <li>{@code prepare} starts a balancer, warms it up and stops it, so that the JVM can record
+ *       which classes a start loads.
+ *   <li>{@code wirehost} runs the routing policy against the simulator's protocol on standard input
+ *       and output.
  * </ul>
  */
 public final class Main {
@@ -35,13 +35,13 @@
 
     private Main() {}
 
-    /** Runs the command that the only argument names, and exits with its code. */
+    /** Runs the command that the only argument names, and exits with its exit code. */
     public static void main(String[] args) {
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
             case "serve" -> System.exit(BalancerProcess.serve(System.getenv()));
             case "prepare" -> System.exit(BalancerProcess.runWarmUpOnly());
-            case "wirehost" -> exitUnlessOk(runSimulatorAdapter());
+            case "wirehost" -> exitOnFailure(runSimulatorAdapter());
             default -> {
                 System.err.println(USAGE);
                 System.exit(EXIT_USAGE);
@@ -49,8 +49,8 @@
         }
     }
 
-    // After a session that ended in order the JVM ends by itself.
-    private static void exitUnlessOk(int exitCode) {
+    // On success it returns, and the JVM ends by itself.
+    private static void exitOnFailure(int exitCode) {
         if (exitCode != EXIT_OK) {
             System.exit(exitCode);
         }
--- a/balancer/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/balancer/src/main/java/loadbalancer/admin/AdminServer.java
@@ -25,18 +25,18 @@
 
 /**
  * The administration interface: a TCP server that reads one command line from each connection,
- * answers it and closes. It has a thread of its own, so that it answers however busy the balancer
- * is; its handlers and the set of connections are confined to that thread. {@link #listen} and
- * {@link #close} may be called from any thread.
+ * answers it and closes the connection. It has its own thread, so that it answers however busy the
+ * balancer is. Its handlers and the set of connections are confined to that thread; {@link #listen}
+ * and {@link #close} may be called from any thread.
  */
 public final class AdminServer {
-    /** Open connections; one more closes the oldest. */
+    /** Maximum number of open connections; one more closes the oldest. */
     static final int MAX_CONNECTIONS = 12;
 
-    /** Length of a command line. */
+    /** Maximum length of a command line. */
     static final int MAX_LINE_BYTES = 128;
 
-    /** From accept until the client has read the response. */
+    /** Time from accept until the client must have read the response. */
     static final long CONNECTION_TIMEOUT_MS = 3_000;
 
     private static final int BACKLOG = 64;
@@ -44,10 +44,13 @@
     private final AdminOperations operations;
     private final NioEventLoopGroup group =
             new NioEventLoopGroup(1, new DefaultThreadFactory("admin", true));
-    // The oldest first
+    // Ordered from oldest to newest.
     private final Set<Channel> connections = new LinkedHashSet<>();
 
-    /** A server that listens nowhere yet; {@code operations} is called on the server's thread. */
+    /**
+     * Creates a server that does not listen yet; {@code operations} is called on the server's
+     * thread.
+     */
     public AdminServer(AdminOperations operations) {
         this.operations = operations;
     }
@@ -55,7 +58,8 @@
     /**
      * Binds to {@code address} and waits until it is bound.
      *
-     * @return the bound address, with the port that the system chose where {@code address} has 0
+     * @return the bound address, with the port chosen by the system if the port in {@code address}
+     *     is 0
      * @throws IOException if the address can't be bound
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
@@ -86,7 +90,7 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Closes the listener and all connections, without waiting for it. */
+    /** Begins to close the listener and all connections, and returns without waiting. */
     public void close() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
@@ -118,7 +122,7 @@
         }
     }
 
-    // The response to a command line, with its line ends.
+    // Returns the response to a command, including its line ends.
     private String execute(String command) {
         return switch (command) {
             case "ready" -> operations.stats().ready() ? "200 ready\n" : "400 not ready\n";
@@ -135,7 +139,7 @@
         };
     }
 
-    /** Answers the first line of one connection, and ignores all that follows. */
+    /** Answers the first line of a connection and ignores all further input. */
     private final class ConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private boolean replied;
 
--- a/balancer/src/main/java/loadbalancer/admin/EventLog.java
+++ b/balancer/src/main/java/loadbalancer/admin/EventLog.java
@@ -7,18 +7,18 @@
 import java.util.stream.Collectors;
 
 /**
- * Log of events of single requests. Each kind of event has a counter that counts all of them, and a
- * limit on log lines a second, so that the log can't grow with an overload or a fault. It belongs
- * to the event loop's thread.
+ * Counts and logs events of single requests. Each kind of event has a counter for all its events
+ * and a limit on log lines per second, so that an overload or a fault can't flood the log. Confined
+ * to the event loop.
  */
 public final class EventLog {
-    /** Kinds of events; their names in lower case stand in the log. */
+    /** Kinds of events. The log shows their names in lower case. */
     public enum Kind {
-        /** A client's input that was rejected before it became a request. */
+        /** Input of a client that was rejected before it became a request. */
         REJECTED,
-        /** A request that arrived before the previous one of its connection was answered. */
+        /** A request that arrived before the previous request on its connection was answered. */
         PIPELINED,
-        /** A client's connection that was closed for a fault or a timeout of the client. */
+        /** A client connection that was closed because of a fault or a timeout of the client. */
         DROPPED,
         /** A request whose final response was a rejection. */
         REFUSED,
@@ -26,12 +26,12 @@
         FAILED,
         /** An attempt that ended without a usable response. */
         ATTEMPT,
-        /** An upstream's response that can't be parsed, or that belongs to no attempt. */
+        /** A response of an upstream that can't be parsed or belongs to no attempt. */
         UNREADABLE,
-        /** A datagram that is not a peer's message. */
+        /** A datagram that is not a message of a peer. */
         STRAY;
 
-        /** The name in the log. */
+        /** Returns the name that the log shows. */
         String label() {
             return name().toLowerCase(Locale.ROOT);
         }
@@ -43,13 +43,13 @@
 
     private final Consumer<String> log;
     private final Supplier<Long> nanoClock;
-    // By the kind's ordinal, as are the other arrays
+    // This array and the next two are indexed by the ordinal of the kind.
     private final long[] counts = new long[Kind.values().length];
     private final int[] eventsInWindow = new int[counts.length];
     private long[] lastLoggedCounts = counts.clone();
     private long windowStartNanos;
 
-    /** A log that writes lines to {@code log}; {@code nanoClock} is monotonic, in ns. */
+    /** Creates a log that writes lines to {@code log}; {@code nanoClock} is monotonic, in ns. */
     public EventLog(Consumer<String> log, Supplier<Long> nanoClock) {
         this.log = log;
         this.nanoClock = nanoClock;
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Counts an event, and logs it unless its kind has used up its lines of this second.
+     * Counts an event, and logs it unless the log lines of its kind for this second are used up.
      *
-     * @param requestId the request that it concerns; null if there is none
-     * @param detail the rest of the line, called only if the line is logged
+     * @param requestId the id of the request concerned; null if there is none
+     * @param detail supplies the rest of the line; called only if the line is logged
      */
     public void record(Kind kind, String requestId, Supplier<String> detail) {
         counts[kind.ordinal()]++;
@@ -74,7 +74,7 @@
         }
     }
 
-    /** The number of events of that kind since the start. */
+    /** Returns the number of events of that kind since the start. */
     public long count(Kind kind) {
         return counts[kind.ordinal()];
     }
@@ -82,7 +82,7 @@
     /**
      * Logs all counters, unless no event has been counted since the last summary.
      *
-     * @param state the rest of the line, called only if the line is logged
+     * @param state supplies the rest of the line; called only if the line is logged
      */
     public void logSummary(Supplier<String> state) {
         if (!Arrays.equals(counts, lastLoggedCounts)) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** All counters, in the order of the kinds. */
+    /** Returns all counters, in the order of the kinds. */
     @Override
     public String toString() {
         return Arrays.stream(Kind.values())
@@ -99,7 +99,7 @@
                 .collect(Collectors.joining(", "));
     }
 
-    // A client chooses the id: it must not forge a line of the log, nor fill it.
+    // The client chooses the id, which must neither forge a log line nor fill the log.
     private static String printable(String id) {
         if (id == null || id.isEmpty()) {
             return "-";
--- a/balancer/src/main/java/loadbalancer/admin/Metrics.java
+++ b/balancer/src/main/java/loadbalancer/admin/Metrics.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * The counters of one balancer since its start, by request class where they count requests. It
- * belongs to the event loop's thread; other threads read a {@link #snapshot}.
+ * The counters of one balancer since its start; counters of requests are kept by request class.
+ * Confined to the event loop; other threads read a {@link #snapshot}.
  */
 public final class Metrics {
     private final List<String> classNames;
-    // By the number of the request class
+    // Indexed by the number of the request class, as are the next two arrays.
     private final long[] served;
     private final long[] rejected;
     private final long[] failed;
     private long attemptsSent;
 
-    /** Counters at 0 for the request classes of these names. */
+    /** Creates counters at 0 for the request classes with these names. */
     public Metrics(List<String> classNames) {
         this.classNames = List.copyOf(classNames);
         this.served = new long[classNames.size()];
@@ -23,7 +23,7 @@
         this.failed = new long[classNames.size()];
     }
 
-    /** Counts a request of that class whose final response was an upstream's. */
+    /** Counts a request of that class whose final response came from an upstream. */
     public void recordServed(int classIndex) {
         served[classIndex]++;
     }
@@ -38,18 +38,18 @@
         failed[classIndex]++;
     }
 
-    /** Counts an attempt whose request was written to an upstream completely. */
+    /** Counts an attempt whose request was completely written to an upstream. */
     public void recordAttemptSent() {
         attemptsSent++;
     }
 
     /**
-     * The present values of the counters, with gauges that other parts own.
+     * Returns the current values of the counters, together with gauges that other parts own.
      *
-     * @param ready whether the balancer can serve
-     * @param inFlightRequests requests that were accepted and have no final response yet
+     * @param ready whether the balancer is ready to serve
+     * @param inFlightRequests accepted requests that have no final response yet
      * @param endpointCount endpoints in the list
-     * @param unhealthyCount endpoints of them that receive no requests now
+     * @param unhealthyCount endpoints in the list that currently receive no requests
      */
     public MetricsSnapshot snapshot(
             boolean ready, int inFlightRequests, int endpointCount, int unhealthyCount) {
--- a/balancer/src/main/java/loadbalancer/admin/MetricsSnapshot.java
+++ b/balancer/src/main/java/loadbalancer/admin/MetricsSnapshot.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * The metrics of one moment. Immutable, so it may be published to other threads.
+ * The metrics at one moment. Immutable, so it can be published to other threads.
  *
- * @param ready whether the balancer can serve
+ * @param ready whether the balancer is ready to serve
  * @param countersByClass counters of requests, one entry for each request class
- * @param attemptsSent attempts whose request was written to an upstream completely
- * @param inFlightRequests requests that were accepted and have no final response yet
+ * @param attemptsSent attempts whose request was completely written to an upstream
+ * @param inFlightRequests accepted requests that have no final response yet
  * @param endpointCount endpoints in the list
- * @param unhealthyCount endpoints of them that receive no requests now
+ * @param unhealthyCount endpoints in the list that currently receive no requests
  */
 public record MetricsSnapshot(
         boolean ready,
@@ -19,21 +19,24 @@
         int inFlightRequests,
         int endpointCount,
         int unhealthyCount) {
-    // The names of all metrics are fixed by the operators' page
+    // The operators' documentation fixes the names of all metrics.
     private static final String METRIC_PREFIX = "app.";
 
-    /** How the requests of one class have ended since the process started. */
+    /** Counts of the requests of one class by their result, since the start of the process. */
     record ClassCounters(String className, long served, long rejected, long failed) {}
 
-    /** Before the balancer has published any metrics: not ready, and no counters. */
+    /** The metrics before the balancer has published any: not ready, and no counters. */
     public static final MetricsSnapshot EMPTY = new MetricsSnapshot(false, List.of(), 0, 0, 0, 0);
 
-    /** Copies the list. */
+    /** Creates a snapshot with a copy of the list. */
     public MetricsSnapshot {
         countersByClass = List.copyOf(countersByClass);
     }
 
-    /** The metrics as StatsD text, one to a line; counters count from the start of the process. */
+    /**
+     * Returns the metrics as StatsD text, one per line. Counters count from the start of the
+     * process.
+     */
     String toStatsdText() {
         StringBuilder text = new StringBuilder();
         for (ClassCounters counters : countersByClass) {
--- a/balancer/src/main/java/loadbalancer/discovery/DiscoveryCall.java
+++ b/balancer/src/main/java/loadbalancer/discovery/DiscoveryCall.java
@@ -24,18 +24,17 @@
 import loadbalancer.config.InvalidEndpointListException;
 
 /**
- * One HTTP call to discovery, on a connection of its own: a poll, which ends with the first list,
- * or a watch, whose response brings each change until the connection ends. Confined to the event
- * loop.
+ * One HTTP call to discovery on its own connection. A poll ends with the first list; the response
+ * of a watch streams each change until the connection ends. Confined to the event loop.
  */
 final class DiscoveryCall extends SimpleChannelInboundHandler<ByteBuf> {
-    /** How far a call has come. */
+    /** The progress of a call. */
     private enum State {
-        /** Connecting, or no usable part of a response has come. */
+        /** Connecting, or waiting for the first usable part of the response. */
         AWAITING_FIRST_LIST,
-        /** A watch that has brought a list, or the notice that there is no change. */
+        /** A list, or the notice that there is no change, has been received. */
         STREAMING,
-        /** Ended or replaced; whatever still comes is ignored. */
+        /** Ended or cancelled; later events of the connection are ignored. */
         FINISHED
     }
 
@@ -48,7 +47,7 @@
     private final EndpointListFrameDecoder frameDecoder = new EndpointListFrameDecoder();
     private final long openedAtNanos = System.nanoTime();
     private State state = State.AWAITING_FIRST_LIST;
-    // Both null until the call is opened
+    // The channel and the timer are null until the call is opened.
     private Channel channel;
     private Future<?> silenceTimer;
 
@@ -67,7 +66,7 @@
         this.watch = watch;
     }
 
-    /** A call for the whole list. */
+    /** Creates a call that requests the whole list. */
     static DiscoveryCall poll(
             DiscoveryClient client,
             EventLoop loop,
@@ -76,7 +75,7 @@
         return new DiscoveryCall(client, loop, timing, address, "/api/targets", false);
     }
 
-    /** A call for all changes after {@code revision}. */
+    /** Creates a call that requests all changes after {@code revision}. */
     static DiscoveryCall watch(
             DiscoveryClient client,
             EventLoop loop,
@@ -123,17 +122,18 @@
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
         request.headers().set(HttpHeaderNames.HOST, host);
         channel.writeAndFlush(request);
-        // The response has a timeout of its own, apart from the connection's
+        // The timeout for the response starts anew once the connection is open.
         restartSilenceTimer(timing.firstResponseTimeoutMs());
     }
 
-    /** Ends the call without telling the client. */
-    void abandon() {
+    /** Closes the connection without reporting a failure to the client. */
+    void cancel() {
         state = State.FINISHED;
         channel.close();
     }
 
-    // Where discovery is cut off from the network, its connection stays open and silent.
+    // The timer detects that discovery was cut off from the network: the connection then stays open
+    // but silent.
     private void restartSilenceTimer(long timeoutMs) {
         if (silenceTimer != null) {
             silenceTimer.cancel(false);
@@ -151,12 +151,12 @@
     }
 
     /**
-     * A part of the response has come; the frame decoder has not seen it yet. An empty line between
-     * lists says that nothing has changed.
+     * Handles a part of the response before the frame decoder has seen it. An empty line between
+     * lists means that nothing has changed.
      */
     void onBodyPart(ByteBuf part) {
         if (!frameDecoder.isBetweenLists()) {
-            // The parts of a list that never ends must not keep the watch alive
+            // Parts of a list that never ends must not keep the watch alive.
             return;
         }
         restartSilenceTimer(DiscoveryTiming.WATCH_SILENCE_TIMEOUT_MS);
@@ -176,7 +176,8 @@
         }
         try {
             EndpointList endpointList = EndpointListCodec.decode(json, client.bootSettings());
-            // The first list of a watch is taken whatever its revision: discovery may have moved
+            // The first list of a watch is accepted whatever its revision: discovery may have
+            // moved.
             boolean firstOfWatch = watch && state == State.AWAITING_FIRST_LIST;
             if (firstOfWatch || !client.isOutdated(endpointList)) {
                 accept(endpointList);
@@ -194,14 +195,15 @@
         finishPoll();
     }
 
-    // A poll has what it was for; a watch goes on.
+    // A poll ends with its first list; a watch continues.
     private void finishPoll() {
         if (!watch) {
-            abandon();
+            cancel();
         }
     }
 
-    // A change may be lost with it: the next watch, from the last good revision, brings it.
+    // A change may be lost with an invalid list. The next watch starts from the last valid revision
+    // and receives it.
     private void onInvalidList(String problem) {
         client.logInvalidList(problem);
         channel.close();
@@ -221,17 +223,17 @@
         if (state == State.FINISHED) {
             return;
         }
-        boolean worked = state == State.STREAMING && hasOutlivedFirstResponse();
+        boolean worked = state == State.STREAMING && hasOutlivedFirstResponseTimeout();
         state = State.FINISHED;
         client.onCallFailed(this, worked);
     }
 
-    private boolean hasOutlivedFirstResponse() {
+    private boolean hasOutlivedFirstResponseTimeout() {
         long ageNanos = System.nanoTime() - openedAtNanos;
         return ageNanos > TimeUnit.MILLISECONDS.toNanos(timing.firstResponseTimeoutMs());
     }
 
-    /** Sets up the connection's handlers: HTTP, body, lists, this call. */
+    /** Sets up the connection's handlers: HTTP codec, body decoder, list decoder and this call. */
     private final class PipelineInitializer extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel newChannel) {
--- a/balancer/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/balancer/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -11,36 +11,38 @@
 import loadbalancer.routing.api.EndpointListKind;
 
 /**
- * Gets endpoint lists from discovery, by watches and polls. Where lists are pushed ({@link
- * DiscoveryMode#PUSH}) it keeps a watch open all the time, and opens the next when one ends: at
- * once after a watch that worked, after a backoff otherwise. Where lists are polled ({@link
- * DiscoveryMode#POLL}) it polls and watches only as the routing policy asks, and reports each
- * failure to it.
+ * Gets endpoint lists from discovery, by watches and polls. In push mode ({@link
+ * DiscoveryMode#PUSH}) it always keeps a watch open and opens the next one when a watch ends:
+ * immediately after a watch that worked, otherwise after a backoff. In poll mode ({@link
+ * DiscoveryMode#POLL}) it polls and watches only when the routing policy requests it, and reports
+ * each failure to the policy.
  *
- * <p>Its state is the address of discovery, the newest revision received, and the active watch, if
- * any. After the constructor all methods must be called on the event loop.
+ * <p>Its state is the address of discovery, the revision of the newest list received, and the
+ * active watch, if any. The constructor may be called on any thread; all methods must be called on
+ * the event loop.
  */
 public final class DiscoveryClient {
     private final EventLoop loop;
     private final BootSettings boot;
     private final EndpointListListener listener;
     private final Consumer<String> log;
-    private final boolean pushed;
+    private final boolean pushMode;
     private final DiscoveryTiming timing;
     private InetSocketAddress address;
     private long revision;
-    // Null while nothing is watched
+    // Null while no watch is open.
     private DiscoveryCall activeWatch;
 
     /**
-     * A client that does nothing yet.
+     * Creates a client that sends nothing until it is started or asked for a list.
      *
-     * @param loop the event loop that it is confined to
-     * @param address where discovery listens
+     * @param loop the event loop that the client is confined to
+     * @param address the address of discovery
      * @param boot the platform's settings
-     * @param revision the revision of the list that the balancer has, which a watch starts from
-     * @param listener receives lists, and failures where lists are polled
-     * @param log receives lines about lists that can't be decoded
+     * @param revision the revision of the list that the balancer already has, from which a watch
+     *     starts
+     * @param listener receives lists and, in poll mode, failures
+     * @param log receives log lines about lists that can't be decoded
      */
     public DiscoveryClient(
             EventLoop loop,
@@ -55,20 +57,20 @@
         this.revision = revision;
         this.listener = listener;
         this.log = log;
-        this.pushed = boot.settings().discoveryMode() == DiscoveryMode.PUSH;
+        this.pushMode = boot.settings().discoveryMode() == DiscoveryMode.PUSH;
         this.timing = DiscoveryTiming.of(boot);
     }
 
-    /** Opens the watch where lists are pushed; where they are polled it waits to be asked. */
+    /** Opens the watch in push mode. In poll mode it does nothing. */
     public void start() {
-        if (pushed) {
+        if (pushMode) {
             setWatching(true);
         }
     }
 
     /**
-     * Uses another address from here on. An active watch is replaced by one there, from the newest
-     * revision received.
+     * Uses another address of discovery from now on. An active watch is replaced by a watch at the
+     * new address, starting from the newest revision received.
      */
     public void reconnectTo(InetSocketAddress newAddress) {
         address = newAddress;
@@ -77,24 +79,24 @@
         }
     }
 
-    /** Opens a watch, in place of the active one if any, or ends the active one. */
+    /** Opens a watch that replaces the active one, or closes the active watch. */
     public void setWatching(boolean enabled) {
         DiscoveryCall previous = activeWatch;
         activeWatch = enabled ? DiscoveryCall.watch(this, loop, timing, address, revision) : null;
         if (previous != null) {
-            previous.abandon();
+            previous.cancel();
         }
         if (enabled) {
             activeWatch.open();
         }
     }
 
-    /** Polls the whole list once. */
+    /** Requests the whole list once. */
     public void fetchList() {
         DiscoveryCall.poll(this, loop, timing, address).open();
     }
 
-    /** Where discovery listens now. */
+    /** Returns the current address of discovery. */
     InetSocketAddress address() {
         return address;
     }
@@ -103,17 +105,17 @@
         return boot;
     }
 
-    /** A list without changes since the newest revision received. */
+    /** Returns a list that holds no changes since the newest revision received. */
     EndpointList unchangedList() {
         return new EndpointList(revision, false, List.of());
     }
 
-    /** Whether a list is older than one that was received already. */
+    /** Returns whether a list is older than the newest one received. */
     boolean isOutdated(EndpointList endpointList) {
         return endpointList.revision() < revision;
     }
 
-    /** A call has brought a list. */
+    /** Handles a list that a call has received. */
     void onEndpointList(EndpointList endpointList) {
         revision = endpointList.revision();
         EndpointListKind kind =
@@ -126,15 +128,16 @@
     }
 
     /**
-     * A call has ended without the client's doing.
+     * Handles the end of a call that the client has not cancelled.
      *
-     * @param worked whether it had brought a list and lasted longer than one waits for the first
+     * @param worked whether the call received a list and lasted longer than the timeout for its
+     *     first response
      */
     void onCallFailed(DiscoveryCall call, boolean worked) {
         if (activeWatch == call) {
             activeWatch = null;
         }
-        if (!pushed) {
+        if (!pushMode) {
             listener.onDiscoveryFailed();
         } else if (call.isWatch()) {
             reopenWatchAfter(worked ? 0 : timing.retryBackoffMs());
--- a/balancer/src/main/java/loadbalancer/discovery/EndpointListListener.java
+++ b/balancer/src/main/java/loadbalancer/discovery/EndpointListListener.java
@@ -3,18 +3,21 @@
 import loadbalancer.config.EndpointList;
 import loadbalancer.routing.api.EndpointListKind;
 
-/** Receives what discovery sends; called on the event loop. */
+/**
+ * Receives endpoint lists and failures from {@link DiscoveryClient}. All methods are called on the
+ * event loop.
+ */
 public interface EndpointListListener {
     /**
-     * A list has come.
+     * Handles an endpoint list that discovery has sent.
      *
      * @param kind {@code COMPLETE} or {@code DELTA}
      */
     void onEndpointListUpdate(EndpointListKind kind, EndpointList endpointList);
 
     /**
-     * A poll or a watch that the routing policy asked for has ended without the response it was
-     * for.
+     * Handles a poll that failed, or a watch that ended without being cancelled. Called in poll
+     * mode only.
      */
     void onDiscoveryFailed();
 }
--- a/balancer/src/main/java/loadbalancer/discovery/ResponseBodyDecoder.java
+++ b/balancer/src/main/java/loadbalancer/discovery/ResponseBodyDecoder.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * Passes on the body of a response with status 200, and closes the connection at any other. Part of
- * one call's pipeline, on the event loop.
+ * Passes on the body of a response with status 200, and closes the connection on any other
+ * response. Belongs to the pipeline of one call, on the event loop.
  */
 final class ResponseBodyDecoder extends MessageToMessageDecoder<HttpObject> {
     private final DiscoveryCall call;
--- a/balancer/src/main/java/loadbalancer/package-info.java
+++ b/balancer/src/main/java/loadbalancer/package-info.java
@@ -1,2 +1,2 @@
-/** Command entry of the load balancer; see {@link loadbalancer.Main}. It holds no logic. */
+/** The entry point of the load balancer, {@link loadbalancer.Main}. It holds no logic. */
 package loadbalancer;
--- a/balancer/src/main/java/loadbalancer/server/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerProcess.java
@@ -13,8 +13,8 @@
 import loadbalancer.routing.RoutingEngine;
 
 /**
- * One balancer as a process of its own: its configuration from the environment, its signals and its
- * exit code.
+ * Runs one balancer as the process: reads its configuration from the environment, handles signals
+ * and sets the exit code. The main thread starts the balancer; the shutdown hook stops it.
  */
 public final class BalancerProcess {
     private static final int EXIT_OK = 0;
@@ -23,7 +23,7 @@
     private static final long READINESS_POLL_INTERVAL_MS = 10;
 
     private final BalancerServer balancer;
-    // Read by the shutdown hook.
+    // Written by the main thread, read by the shutdown hook.
     private volatile boolean listenFailed;
 
     private BalancerProcess(BalancerServer balancer) {
@@ -31,9 +31,10 @@
     }
 
     /**
-     * Runs a balancer until SIGTERM, which ends the process within the shutdown hook; returns only
-     * if the balancer can't start.
+     * Runs a balancer until SIGTERM. The shutdown hook then ends the process, so this method
+     * returns only if the balancer can't start.
      *
+     * @param environment the environment variables of the process
      * @return the exit code
      */
     public static int serve(Map<String, String> environment) {
@@ -59,7 +60,8 @@
     }
 
     private int run(BalancerConfig config, ConfigReloader reloader, Consumer<String> log) {
-        // Before it listens: a SIGTERM may arrive along with the first request.
+        // The hook must be installed before the balancer listens: a SIGTERM may arrive along with
+        // the first request.
         Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown));
         boolean signalHandled = false;
         try {
@@ -71,7 +73,7 @@
         try {
             address = balancer.start();
         } catch (Exception e) {
-            // Netty's sync() rethrows what bind failed with, whatever its type.
+            // Netty's sync() rethrows the exception that bind failed with, whatever its type.
             log.accept("can't listen on " + config.listenAddress() + ": " + e.getMessage());
             listenFailed = true;
             return EXIT_FAILURE;
@@ -80,7 +82,7 @@
             log.accept("SIGHUP ignored since the start: polling the configuration file");
             reloader.pollForChanges();
         }
-        // Logged last: whoever reads it may send a signal at once.
+        // This line is logged last because its reader may send a signal at once.
         log.accept(
                 "listening on " + address.getAddress().getHostAddress() + ":" + address.getPort());
         balancer.awaitStopped();
@@ -91,15 +93,15 @@
         if (!listenFailed) {
             balancer.stop();
         }
-        // Else the exit code would be that of the signal.
+        // Without halt() the exit code would be that of the signal.
         Runtime.getRuntime().halt(listenFailed ? EXIT_FAILURE : EXIT_OK);
     }
 
     /**
-     * Starts a balancer whose only upstream does not exist, warms it up and stops it. Run with
-     * {@code -XX:ArchiveClassesAtExit} it archives the classes that a start loads.
+     * Starts a balancer whose only upstream does not exist, warms it up and stops it. Under {@code
+     * -XX:ArchiveClassesAtExit} the JVM archives the classes that a start loads.
      *
-     * @return the exit code: a failure where the warm-up does not end in time
+     * @return the exit code: a failure if the warm-up does not complete within 30 s
      */
     public static int runWarmUpOnly() {
         try (InputStream configuration =
--- a/balancer/src/main/java/loadbalancer/server/BalancerServer.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerServer.java
@@ -37,14 +37,14 @@
 import loadbalancer.upstream.UpstreamPool;
 
 /**
- * One balancer: wires its parts together, and owns its start, readiness and graceful shutdown. All
- * parts run on one event loop, which this class owns as well; the constructor, {@link #start} and
+ * Wires the parts of one balancer together and controls its start, readiness and graceful shutdown.
+ * All parts run on one event loop, which this class owns. The constructor, {@link #start} and
  * {@link #stop} are called on other threads.
  */
 public final class BalancerServer {
-    // From SIGTERM until the listener closes: clients still connect for a while.
+    // Time from SIGTERM until the listener closes, during which clients still connect.
     private static final long SHUTDOWN_LINGER_MS = 600;
-    // From readiness until the process that this one replaces has ended, at most.
+    // Upper bound on the time from readiness until the process that this one replaces has ended.
     private static final long HANDOVER_TIMEOUT_SECONDS = 10;
     private static final long STATS_INTERVAL_MS = 100;
     private static final String WARM_UP_ADDRESS_ID = "warm-up";
@@ -59,32 +59,35 @@
     private final UpstreamPool upstreamPool;
     private final DiscoveryClient discovery;
     private final PeerTransport peers;
-    // Empty where no state directory is set, or it can't be used.
+    // Empty if no state directory is set, or if it can't be used.
     private final Optional<RecoveryStore> recoveryStore;
-    // The newest list from before this start, of the configuration or the recovery store.
+    // The newer of the endpoint lists in the configuration and in the recovery store.
     private final EndpointList knownEndpoints;
-    // Empty where membership is off.
+    // Empty if membership is off.
     private final Optional<ClusterCoordinator> cluster;
     private final HttpFrontend frontend;
     private final BalancerConfig config;
     private final FileDescriptorBudget descriptorBudget;
     private final Metrics metrics;
-    // Empty where no administration address is set.
+    // Empty if no administration address is set.
     private final Optional<AdminServer> adminServer;
     private final CountDownLatch stopped = new CountDownLatch(1);
-    // Empty until the start, and where no administration address is set.
+    // Empty before the start, and if no administration address is set.
     private Optional<InetSocketAddress> boundAdminAddress = Optional.empty();
-    // Whether other processes may accept at the same socket.
+    // Whether other processes may accept connections on the same listening socket.
     private volatile boolean listenerShared;
     private boolean hasUsableEndpointList;
     private boolean warmedUp;
-    // Published by the event loop, read by the administration thread.
+    // Written by the event loop, read by the administration thread.
     private volatile MetricsSnapshot stats = MetricsSnapshot.EMPTY;
 
     /**
-     * @param policyFactory makes the routing policy from the settings and the random seed
-     * @param warmUp whether a warm-up precedes readiness
-     * @param log takes the log lines; called from several threads
+     * Creates a balancer that does not listen yet.
+     *
+     * @param config the configuration
+     * @param policyFactory creates the routing policy from the settings and the random seed
+     * @param warmUp whether a warm-up must complete before the balancer becomes ready
+     * @param log receives the log lines; called from several threads
      */
     public BalancerServer(
             BalancerConfig config,
@@ -160,7 +163,7 @@
                                         log));
     }
 
-    /** Hands what discovery sends to the parts that use it. */
+    /** Passes endpoint lists and failures of discovery on to the parts that use them. */
     private final class DiscoveryListener implements EndpointListListener {
         @Override
         public void onEndpointListUpdate(EndpointListKind kind, EndpointList endpointList) {
@@ -173,7 +176,9 @@
         }
     }
 
-    /** Hands messages of other balancers to the cluster coordinator or the routing policy. */
+    /**
+     * Passes messages of other balancers to the cluster coordinator, or else to the routing policy.
+     */
     private final class PeerMessageRouter implements PeerTransport.Listener {
         @Override
         public void onPeerMessage(int sender, byte[] data) {
@@ -188,7 +193,7 @@
         }
     }
 
-    /** Carries the operators' calls from the administration thread to the event loop. */
+    /** Passes operators' commands from the administration thread to the event loop. */
     private final class EventLoopAdminHandler implements AdminOperations {
         @Override
         public MetricsSnapshot stats() {
@@ -230,28 +235,32 @@
     }
 
     /**
-     * Listens and begins to work.
+     * Binds the listening socket and the administration address, and starts all parts on the event
+     * loop.
      *
-     * @return the address in use
-     * @throws IOException if an address can't be bound, or the configuration says that the socket
-     *     is inherited and descriptor 0 is none
+     * @return the address that clients connect to
+     * @throws IOException if an address can't be bound, or if the configuration says that the
+     *     listening socket is inherited and file descriptor 0 is not a listening socket
      */
     public InetSocketAddress start() throws IOException {
         if (config.listenSocketInherited()) {
             return start(inheritedSocket());
         }
-        listenForOperators();
+        startAdminServer();
         return startWork(frontend.listen(config.listenAddress()));
     }
 
-    /** As {@link #start()}, at a socket that listens already and that others may share. */
+    /**
+     * Starts like {@link #start()}, on a socket that listens already and that other processes may
+     * share.
+     */
     InetSocketAddress start(ServerSocketChannel listeningSocket) throws IOException {
         listenerShared = true;
-        listenForOperators();
+        startAdminServer();
         return startWork(frontend.listen(listeningSocket));
     }
 
-    private void listenForOperators() throws IOException {
+    private void startAdminServer() throws IOException {
         if (adminServer.isPresent() && config.adminAddress().isPresent()) {
             InetSocketAddress address = config.adminAddress().get();
             boundAdminAddress = Optional.of(adminServer.get().listen(address));
@@ -297,7 +306,7 @@
                 + upstreamPool;
     }
 
-    // The routing policy has an endpoint list by now; snapshots are taken from here on.
+    // Called after the routing policy has received an endpoint list. Starts the periodic snapshots.
     private void restoreState(RecoveryStore store) {
         store.recoveredPolicySnapshot()
                 .ifPresent(snapshot -> restorePolicy(snapshot, store.snapshotAgeMicros()));
@@ -317,8 +326,8 @@
         dispatcher.restorePolicy(snapshot, ageMicros);
     }
 
-    // At a shared socket the process that this one replaces would answer, so that the warm-up's
-    // requests stay within this process.
+    // On a shared socket the process that this one replaces might accept the warm-up's requests, so
+    // they use an in-process address.
     private void startWarmUp(InetSocketAddress address) {
         Optional<LocalAddress> inProcessAddress =
                 listenerShared
@@ -350,20 +359,22 @@
         if (System.inheritedChannel() instanceof ServerSocketChannel socket) {
             return socket;
         }
-        throw new IOException("descriptor 0 is no listening socket");
+        throw new IOException("file descriptor 0 is not a listening socket");
     }
 
-    /** The bound administration address; only after a start with one set. */
+    /**
+     * Returns the bound administration address. Throws if no address is set, or before the start.
+     */
     InetSocketAddress adminAddress() {
         return boundAdminAddress.orElseThrow();
     }
 
-    /** Watches and polls discovery at another address from now on; any thread. */
+    /** Switches to the discovery service at another address. May be called on any thread. */
     void reconnectDiscovery(InetSocketAddress discoveryAddress) {
         loop.execute(() -> discovery.reconnectTo(discoveryAddress));
     }
 
-    /** What the administration endpoint shows; any thread. */
+    /** Returns the metrics that the administration endpoint shows. May be called on any thread. */
     MetricsSnapshot publishedStats() {
         return stats;
     }
@@ -376,12 +387,14 @@
         return frontend;
     }
 
-    /** The number of requests without a final response; on the event loop only. */
+    /**
+     * Returns the number of requests without a final response. Must be called on the event loop.
+     */
     int pendingRequestCount() {
         return dispatcher.pendingRequestCount();
     }
 
-    // A cached list makes the balancer ready as well, if it has an endpoint that is up.
+    // A cached list or a delta also makes the balancer ready if it has an endpoint that is up.
     private void onEndpointListUpdate(EndpointListKind kind, EndpointList endpointList) {
         dispatcher.onEndpointListUpdate(kind, endpointList);
         recoveryStore.ifPresent(store -> store.onEndpointList(kind, endpointList));
@@ -400,13 +413,13 @@
         if (hasUsableEndpointList && warmedUp) {
             frontend.ready();
             publishStats();
-            // Until then the process that this one replaces may hold descriptors.
+            // Until then the process that this one replaces may hold file descriptors.
             loop.schedule(
                     descriptorBudget::useFullLimit, HANDOVER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
-    /** Shuts down gracefully; returns once all accepted requests have been answered. */
+    /** Shuts down gracefully, and returns once all accepted requests have been answered. */
     public void stop() {
         loop.execute(this::beginShutdown);
         loop.schedule(this::closeFrontend, SHUTDOWN_LINGER_MS, TimeUnit.MILLISECONDS);
@@ -422,7 +435,7 @@
         publishStats();
         cluster.ifPresent(ClusterCoordinator::leave);
         if (listenerShared) {
-            // The process that takes over binds this address.
+            // The successor process binds this address.
             peers.close();
         }
     }
@@ -432,7 +445,7 @@
         peers.close();
     }
 
-    /** Returns once a shutdown is complete, or the calling thread is interrupted. */
+    /** Blocks until a shutdown is complete or the calling thread is interrupted. */
     void awaitStopped() {
         try {
             stopped.await();
--- a/balancer/src/main/java/loadbalancer/server/ConfigReloader.java
+++ b/balancer/src/main/java/loadbalancer/server/ConfigReloader.java
@@ -10,8 +10,9 @@
 import loadbalancer.config.InvalidConfigException;
 
 /**
- * Reads the configuration again while the balancer runs. Only the address of discovery changes at
- * once; all else takes effect at the next start. {@link #reload} may run on any thread.
+ * Reloads the configuration while the balancer runs. Only a change of the address of discovery
+ * takes effect at once; all other changes take effect at the next start. {@link #reload} may run on
+ * any thread.
  */
 final class ConfigReloader {
     private static final long POLL_INTERVAL_MS = 500;
@@ -21,7 +22,12 @@
     private final Map<String, String> environment;
     private final Consumer<String> log;
 
-    /** {@code currentConfig} is the one that the balancer was started with. */
+    /**
+     * Creates a reloader for a running balancer.
+     *
+     * @param currentConfig the configuration that the balancer was started with
+     * @param environment the environment variables, which name the configuration file
+     */
     ConfigReloader(
             BalancerServer balancer,
             BalancerConfig currentConfig,
@@ -33,7 +39,7 @@
         this.log = log;
     }
 
-    /** Applies the configuration as it is now; an invalid one is logged and ignored. */
+    /** Reads the configuration and applies it. An invalid one is logged and ignored. */
     void reload() {
         try {
             BalancerConfig newConfig = BalancerConfig.readForReload(environment);
@@ -55,14 +61,15 @@
         } catch (InvalidConfigException e) {
             log.accept("configuration reload failed: reason=" + e.getMessage());
         } catch (RuntimeException e) {
-            // Whatever else a malformed file causes must not end the balancer.
+            // A malformed file may cause other exceptions; they must not end the balancer.
             log.accept("configuration reload failed: reason=" + e);
         }
     }
 
     /**
-     * Reloads at each change of the file, in place of SIGHUP: a balancer that missed a new address
-     * of discovery would go on sending to upstreams that drain.
+     * Reloads the configuration whenever its file changes, for processes in which SIGHUP is
+     * ignored. A balancer that missed a new address of discovery would keep sending requests to
+     * upstreams that are draining.
      */
     void pollForChanges() {
         FileChangeDetector configFile =
--- a/balancer/src/main/java/loadbalancer/server/ReloadSignal.java
+++ b/balancer/src/main/java/loadbalancer/server/ReloadSignal.java
@@ -2,19 +2,19 @@
 
 import java.lang.reflect.Proxy;
 
-/** The handler of SIGHUP, which reloads the configuration and by default would end the process. */
+/** Installs a handler for SIGHUP, which would end the process by default. */
 final class ReloadSignal {
     private ReloadSignal() {}
 
     /**
-     * Runs {@code action} at each SIGHUP, on a thread of the virtual machine's own.
+     * Installs a handler that runs {@code action} at each SIGHUP, on a thread of the JVM.
      *
-     * @return false where SIGHUP was ignored when the process was started, as under nohup: the
-     *     virtual machine leaves it ignored
-     * @throws ReflectiveOperationException if the platform has no such signal
+     * @return false if SIGHUP was already ignored when the process was started, as under nohup: the
+     *     JVM then leaves it ignored
+     * @throws ReflectiveOperationException if the JVM has no signal API
      */
     static boolean install(Runnable action) throws ReflectiveOperationException {
-        // By reflection: the compiler warns of this package, and warnings fail the build.
+        // Reflection avoids the compiler warning about sun.misc, which would fail the build.
         Class<?> signalClass = Class.forName("sun.misc.Signal");
         Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
         Object handlerProxy = newHandler(handlerClass, action);
--- a/balancer/src/main/java/loadbalancer/server/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/server/WarmUp.java
@@ -32,21 +32,21 @@
 import loadbalancer.upstream.UpstreamPool;
 
 /**
- * Sends requests of its own through the whole path of a request, at this balancer's own address,
- * before clients come. Without it a cold start takes hundreds of milliseconds for each of the first
- * requests, falls behind at once under full load, and answers some after their deadlines. It has a
- * routing policy, a dispatcher and connections of its own, which end with it, so that those of
- * clients' requests are not influenced. Belongs to the event loop.
+ * Sends requests through the complete request path to this balancer's own address before clients
+ * connect. Without it the first requests after a cold start take hundreds of milliseconds each;
+ * under full load the balancer falls behind at once and answers some of them after their deadlines.
+ * The warm-up has its own routing policy, dispatcher and connections, which end with it and do not
+ * influence those of client requests. Confined to the event loop.
  */
 final class WarmUp implements WarmUpTraffic {
-    // Enough for what a request needs to be compiled: after 40 alone two balancers on half a core
-    // each were late with 8% of the requests of the first seconds.
+    // Fewer requests leave code on the request path uncompiled: after only 40, two balancers on
+    // half a core each were late with 8% of the requests of the first seconds.
     private static final int REQUEST_COUNT = 300;
-    // Where clients send requests already: the first ones load and link the classes.
-    private static final int HURRIED_REQUEST_COUNT = 40;
+    // Used if clients are waiting: the first requests load and link the classes.
+    private static final int REDUCED_REQUEST_COUNT = 40;
     private static final int CONCURRENCY = 8;
-    private static final int HURRIED_CONCURRENCY = 2;
-    // Of the upstream requests after the first half of the hurried ones.
+    private static final int REDUCED_CONCURRENCY = 2;
+    // Applies to upstream requests once half of the reduced request count has been started.
     private static final int REJECT_EVERY_NTH = 3;
     private static final int ENDPOINT_COUNT = 8;
     private static final long MAX_DURATION_MS = 4_000;
@@ -57,7 +57,7 @@
     private final EventLoop loop;
     private final BootSettings boot;
     private final LongSupplier clientRequestCount;
-    private final BooleanSupplier hurried;
+    private final BooleanSupplier clientsWaiting;
     private final Runnable onFinished;
     private final Dispatcher dispatcher;
     private final UpstreamPool upstreamPool;
@@ -68,11 +68,14 @@
     private boolean finished;
 
     /**
-     * @param inProcessAddress where requests go within this process; empty: they go to the
-     *     balancer's own address
-     * @param clientRequestCount the number of clients' requests so far, each of which makes one of
-     *     the warm-up's unnecessary
-     * @param hurried whether the fleet serves clients already and lacks this balancer
+     * Creates a warm-up that has not started yet.
+     *
+     * @param inProcessAddress the in-process address that requests are sent to; if empty, they are
+     *     sent to the balancer's own address
+     * @param clientRequestCount the number of client requests so far, each of which replaces one
+     *     warm-up request
+     * @param clientsWaiting whether the fleet already serves clients and lacks this balancer, so
+     *     that a shorter warm-up is used
      * @param onFinished runs on the event loop when the warm-up is over
      */
     WarmUp(
@@ -80,12 +83,12 @@
             BalancerConfig config,
             Optional<LocalAddress> inProcessAddress,
             LongSupplier clientRequestCount,
-            BooleanSupplier hurried,
+            BooleanSupplier clientsWaiting,
             Runnable onFinished) {
         this.loop = loop;
         this.boot = config.boot();
         this.clientRequestCount = clientRequestCount;
-        this.hurried = hurried;
+        this.clientsWaiting = clientsWaiting;
         this.onFinished = onFinished;
         RoutingPolicy policy = new RoutingEngine(boot.settings(), config.seed());
         Metrics metrics = new Metrics(boot.classNames());
@@ -115,7 +118,9 @@
         return dispatcher;
     }
 
-    /** Starts sending; {@code ownAddress} is where this balancer listens. */
+    /**
+     * Starts sending requests; {@code ownAddress} is the address on which this balancer listens.
+     */
     void start(InetSocketAddress ownAddress) {
         EndpointList endpointList = endpointListAt(ownAddress);
         clientPool.updateEndpoints(endpointList, dispatcher.nowMicros());
@@ -146,20 +151,20 @@
     @Override
     public boolean shouldReject() {
         upstreamRequests++;
-        return startedRequests > HURRIED_REQUEST_COUNT / 2
+        return startedRequests > REDUCED_REQUEST_COUNT / 2
                 && upstreamRequests % REJECT_EVERY_NTH == 0;
     }
 
     private void sendNext() {
-        boolean hurriedNow = hurried.getAsBoolean();
-        int requestLimit = hurriedNow ? HURRIED_REQUEST_COUNT : REQUEST_COUNT;
+        boolean reduced = clientsWaiting.getAsBoolean();
+        int requestLimit = reduced ? REDUCED_REQUEST_COUNT : REQUEST_COUNT;
         if (finished || startedRequests + clientRequestCount.getAsLong() >= requestLimit) {
             if (completedRequests == startedRequests) {
                 finish();
             }
             return;
         }
-        int concurrencyLimit = hurriedNow ? HURRIED_CONCURRENCY : CONCURRENCY;
+        int concurrencyLimit = reduced ? REDUCED_CONCURRENCY : CONCURRENCY;
         if (startedRequests - completedRequests >= concurrencyLimit) {
             return;
         }
