--- a/balancer/src/main/java/loadbalancer/server/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerProcess.java
@@ -13,8 +13,8 @@
 import loadbalancer.routing.RoutingEngine;
 
 /**
- * Runs one balancer as the process: reads its configuration from the environment, handles signals
- * and sets the exit code. The main thread starts the balancer; the shutdown hook stops it.
+ * Runs one balancer as a process: reads its configuration from the environment, handles signals and
+ * sets the exit code. The main thread starts the balancer; the shutdown hook stops it.
  */
 public final class BalancerProcess {
     private static final int EXIT_OK = 0;
--- a/balancer/src/main/java/loadbalancer/server/BalancerServer.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerServer.java
@@ -413,7 +413,7 @@
         if (hasUsableEndpointList && warmedUp) {
             frontend.ready();
             publishStats();
-            // Until then the process that this one replaces may hold file descriptors.
+            // The process that this one replaces may hold file descriptors until this timeout.
             loop.schedule(
                     descriptorBudget::useFullLimit, HANDOVER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
--- a/balancer/src/test/java/loadbalancer/DeployFileTest.java
+++ b/balancer/src/test/java/loadbalancer/DeployFileTest.java
@@ -11,14 +11,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The deploy file names source files that exist: operators measure the code by them. */
+/**
+ * Guards against paths in the deploy file that do not exist: operators measure the code by the
+ * files it names.
+ */
 class DeployFileTest {
     private static final Path ROOT = Path.of("..");
     private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
 
     @ParameterizedTest
     @CsvSource({"policy, 8", "node, 2"})
-    void namedSourcesExist(String key, int minFiles) throws IOException {
+    void namedSourceFilesExist(String key, int minFiles) throws IOException {
         List<String> deployFile = Files.readAllLines(ROOT.resolve("deploy/balancer.toml"));
         String line =
                 deployFile.stream()
--- a/balancer/src/test/java/loadbalancer/GoldenFiles.java
+++ b/balancer/src/test/java/loadbalancer/GoldenFiles.java
@@ -10,9 +10,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Golden files of the test resources: what the program wrote when they were recorded. They fix the
- * bytes of every format that other processes, earlier releases or operators read; tests only read
- * them.
+ * Reads golden files from the test resources. They hold output of the program from the time when
+ * they were recorded, and fix the bytes of every format that other processes, earlier releases or
+ * operators read. Tests never write them.
  */
 public final class GoldenFiles {
     private static final String FOLDER = "/golden/";
@@ -21,7 +21,8 @@
     private GoldenFiles() {}
 
     /**
-     * The text of a golden file, named relative to the folder {@code golden} of the test resources.
+     * Returns the text of a golden file, named relative to the folder {@code golden} of the test
+     * resources.
      */
     public static String text(String name) {
         try (InputStream in = GoldenFiles.class.getResourceAsStream(FOLDER + name)) {
@@ -34,12 +35,12 @@
         }
     }
 
-    /** The bytes that a golden file gives as lines of hexadecimal digits. */
+    /** Returns the bytes that a golden file gives as lines of hexadecimal digits. */
     public static byte[] bytes(String name) {
         return HexFormat.of().parseHex(text(name).replace("\n", ""));
     }
 
-    /** Bytes in the form of the binary golden files, so that a difference is reported as text. */
+    /** Formats bytes as the binary golden files do, so that a difference is reported as text. */
     public static String hexLines(byte[] bytes) {
         return IntStream.iterate(0, from -> from < bytes.length, from -> from + BYTES_PER_LINE)
                 .mapToObj(
--- a/balancer/src/test/java/loadbalancer/GoldenMessages.java
+++ b/balancer/src/test/java/loadbalancer/GoldenMessages.java
@@ -8,11 +8,13 @@
 import java.util.function.Function;
 
 /**
- * Messages of one format, each of which is held to the bytes in a golden file.
+ * Compares messages of one format with the bytes in golden files.
  *
- * @param directory of the golden files
- * @param messages by the names of their files
- * @param <M> the messages
+ * @param directory the directory of the golden files
+ * @param messages the messages by the names of their files
+ * @param encoder encodes a message to bytes
+ * @param decoder decodes a message; empty if the bytes are invalid
+ * @param <M> the type of the messages
  */
 public record GoldenMessages<M>(
         String directory,
@@ -20,19 +22,19 @@
         Function<M, byte[]> encoder,
         Function<byte[], Optional<M>> decoder) {
 
-    /** The names of the golden files. */
+    /** Returns the names of the golden files. */
     public List<String> names() {
         return List.copyOf(messages.keySet());
     }
 
-    /** The bytes in a file are decoded to its message. */
+    /** Asserts that the bytes in a file are decoded to its message. */
     public void assertDecoded(String name) {
         assertEquals(
                 Optional.of(messages.get(name)),
                 decoder.apply(GoldenFiles.bytes(directory + "/" + name)));
     }
 
-    /** A message is encoded to the bytes in its file. */
+    /** Asserts that a message is encoded to the bytes in its file. */
     public void assertEncoded(String name) {
         assertEquals(
                 GoldenFiles.text(directory + "/" + name),
--- a/balancer/src/test/java/loadbalancer/KnownRedListTest.java
+++ b/balancer/src/test/java/loadbalancer/KnownRedListTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** {@code .ci/known-red}: which tests CI ignores the failure of, and which lists it rejects. */
+/**
+ * Tests {@code .ci/known-red}, the script that prints the tests whose failure CI ignores: which
+ * lists it accepts and rejects.
+ */
 class KnownRedListTest {
     private static final String VALID_LINE =
             "KnownRedListTest#listedTestIsPrintedForSurefire | a trial | issue 26\n";
@@ -45,7 +48,8 @@
     }
 
     /**
-     * Lines without a method, cause or issue; lines that name no test; more lines than are allowed.
+     * Rejected are lines without a method, cause or issue, lines that name no test, and lists with
+     * more lines than allowed.
      */
     @ParameterizedTest
     @ValueSource(
--- a/balancer/src/test/java/loadbalancer/MainTest.java
+++ b/balancer/src/test/java/loadbalancer/MainTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The program as it is started: arguments, exit codes and what goes to which stream. */
+/** Tests the program as a process: arguments, exit codes, signals and the output on each stream. */
 @Tag("process")
 class MainTest {
     private static final Duration START_TIMEOUT = Duration.ofSeconds(50);
@@ -34,7 +34,7 @@
 
     @TempDir private Path directory;
 
-    // A run of the program that ends by itself.
+    // Runs the program until it exits by itself.
     private ProgramResult runMain(String input, String... arguments)
             throws IOException, InterruptedException {
         List<String> command = ServeProcess.mainCommand(List.of());
@@ -66,7 +66,9 @@
                 result);
     }
 
-    /** The build runs this to record which classes a start loads; it needs no other process. */
+    /**
+     * The build runs this command to record which classes a start loads; it needs no other process.
+     */
     @Test
     void prepareStartsAndStopsABalancer() throws IOException, InterruptedException {
         ProgramResult result = runMain("", "prepare");
@@ -134,14 +136,14 @@
         try (ServeProcess balancer = startServe("127.0.0.1:0")) {
             String line = balancer.readLine();
             assertTrue(line.startsWith("load-balancer: listening on 127.0.0.1:"), line);
-            balancer.terminate();
+            balancer.sendSigterm();
             assertEquals(0, balancer.awaitExit());
         }
     }
 
     /**
-     * From its first connection on a balancer may have requests, so a signal drains it from then
-     * on, however many follow.
+     * From its first connection on, a balancer may have requests in progress. SIGTERM must drain it
+     * from then on, however many more signals follow.
      */
     @Test
     @Timeout(60)
@@ -154,9 +156,9 @@
             await("the balancer accepts a connection")
                     .atMost(START_TIMEOUT)
                     .until(() -> acceptsConnection(balancer, port));
-            balancer.terminate();
-            balancer.hangUp();
-            balancer.terminate();
+            balancer.sendSigterm();
+            balancer.sendSighup();
+            balancer.sendSigterm();
             assertEquals(0, balancer.awaitExit());
         }
     }
@@ -170,7 +172,10 @@
         }
     }
 
-    /** Invalid files change nothing; a valid one makes the balancer watch the new discovery. */
+    /**
+     * Invalid files change nothing; after a valid one the balancer opens a watch at the new address
+     * of discovery.
+     */
     @Test
     @Timeout(60)
     void sighupReloadsOnlyValidConfiguration() throws IOException, InterruptedException {
@@ -188,12 +193,12 @@
                             validConfig.replace(":9\"", ":x\""));
             for (String invalidConfig : invalidConfigs) {
                 Files.writeString(configFile(), invalidConfig);
-                balancer.hangUp();
+                balancer.sendSighup();
                 balancer.awaitLine("configuration reload failed: reason=");
             }
             String newAddress = "127.0.0.1:" + newDiscovery.getLocalPort();
             Files.writeString(configFile(), validConfig.replace(UNREACHABLE_DISCOVERY, newAddress));
-            balancer.hangUp();
+            balancer.sendSighup();
             balancer.awaitLine("configuration reloaded: discovery=" + newAddress);
             try (Socket connection = newDiscovery.accept()) {
                 String requestLine =
@@ -204,12 +209,12 @@
                                 .readLine();
                 assertTrue(requestLine.startsWith("GET /api/targets?watch=1&from="), requestLine);
             }
-            balancer.terminate();
+            balancer.sendSigterm();
             assertEquals(0, balancer.awaitExit());
         }
     }
 
-    /** Under nohup SIGHUP is ignored; a changed configuration file takes effect all the same. */
+    /** Under nohup SIGHUP is ignored; a changed configuration file must still take effect. */
     @Test
     @Timeout(60)
     void changedFileIsReloadedWhenSighupIsIgnored() throws IOException, InterruptedException {
@@ -223,8 +228,8 @@
             balancer.awaitLine("configuration reload failed: reason=");
             writeConfig("127.0.0.1:0", "127.0.0.1:19");
             balancer.awaitLine("configuration reloaded: discovery=127.0.0.1:19");
-            balancer.hangUp();
-            balancer.terminate();
+            balancer.sendSighup();
+            balancer.sendSigterm();
             assertEquals(0, balancer.awaitExit());
         }
     }
--- a/balancer/src/test/java/loadbalancer/ServeProcess.java
+++ b/balancer/src/test/java/loadbalancer/ServeProcess.java
@@ -13,8 +13,8 @@
 import java.util.stream.Collectors;
 
 /**
- * A balancer ({@code serve}) in a process of its own. Closing it kills the process if it still
- * runs.
+ * A balancer process, started with the command {@code serve}. {@link #close} kills the process if
+ * it is still running.
  */
 public final class ServeProcess implements Closeable {
     private final Process process;
@@ -25,15 +25,19 @@
         this.stderr = process.errorReader(StandardCharsets.UTF_8);
     }
 
-    /** Starts one with this configuration file; with an empty path, without a configuration. */
+    /**
+     * Starts a balancer with this configuration file, or without a configuration if the path is
+     * empty.
+     */
     static ServeProcess start(String configFile) throws IOException {
         return start(configFile, List.of(), List.of());
     }
 
     /**
-     * The same, started by another program.
+     * Starts a balancer through another program.
      *
-     * @param launcher a command that executes the arguments that follow it
+     * @param configFile path of the configuration file; empty for none
+     * @param launcher a command that executes the arguments that follow it; empty for none
      * @param jvmOptions options of the JVM
      */
     public static ServeProcess start(
@@ -50,7 +54,7 @@
         return new ServeProcess(builder.start());
     }
 
-    /** The command that starts {@link Main} in a JVM like that of the tests. */
+    /** Returns the command that starts {@link Main} in a JVM like that of the tests. */
     static List<String> mainCommand(List<String> jvmOptions) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -61,17 +65,17 @@
         return command;
     }
 
-    /** The process, for what the operating system says about it. */
+    /** Returns the process, for tests that ask the operating system about it. */
     public Process process() {
         return process;
     }
 
-    /** The next line of the log; null at its end. */
+    /** Returns the next line of the log; null at its end. */
     String readLine() throws IOException {
         return stderr.readLine();
     }
 
-    /** All lines of the log that are not read yet, up to the end of the process. */
+    /** Returns all lines of the log that have not been read yet, up to the end of the process. */
     List<String> readRemainingLines() {
         return stderr.lines().collect(Collectors.toList());
     }
@@ -86,25 +90,28 @@
         return line;
     }
 
-    /** Reads the log from now on and drops it, so that the process never waits for a reader. */
+    /**
+     * Reads and discards the rest of the log on another thread, so that the process never blocks on
+     * a full pipe.
+     */
     public void discardLog() {
         Thread reader = new Thread(() -> stderr.lines().forEach(line -> {}));
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** Sends SIGTERM, which begins a graceful shutdown. */
-    void terminate() {
+    /** Sends SIGTERM, which starts a graceful shutdown. */
+    void sendSigterm() {
         process.destroy();
     }
 
-    /** Sends SIGHUP, which asks for a reload of the configuration. */
-    void hangUp() throws IOException, InterruptedException {
+    /** Sends SIGHUP, which requests a reload of the configuration. */
+    void sendSighup() throws IOException, InterruptedException {
         Process kill = new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start();
         assertEquals(0, kill.waitFor(), "exit code of kill -HUP");
     }
 
-    /** Waits for the end of the process; returns its exit code. */
+    /** Waits until the process ends and returns its exit code. */
     int awaitExit() throws InterruptedException {
         return process.waitFor();
     }
--- a/balancer/src/test/java/loadbalancer/StartupCostTest.java
+++ b/balancer/src/test/java/loadbalancer/StartupCostTest.java
@@ -12,19 +12,19 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Costs that the program's classes must not add to a start. */
+/** Guards against avoidable costs of a start that the program's classes would add. */
 class StartupCostTest {
     @Test
     void noClassUsesIndyStringConcatenation() throws IOException, URISyntaxException {
-        // The JVM would generate classes at the first use of each place that joins strings: a tenth
-        // of a second of CPU in all.
+        // With indy string concatenation the JVM generates classes at the first use of each
+        // concatenation: a tenth of a second of CPU time in all.
         Path classDirectory =
                 Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         List<Path> classFiles;
         try (Stream<Path> files = Files.walk(classDirectory)) {
             classFiles = files.filter(file -> file.toString().endsWith(".class")).toList();
         }
-        assertTrue(classFiles.size() > 50, "the program's classes: " + classFiles.size());
+        assertTrue(classFiles.size() > 50, "number of class files: " + classFiles.size());
         assertEquals(
                 List.of(),
                 classFiles.stream().filter(StartupCostTest::usesIndyStringConcatenation).toList());
--- a/balancer/src/test/java/loadbalancer/TestAwait.java
+++ b/balancer/src/test/java/loadbalancer/TestAwait.java
@@ -4,9 +4,9 @@
 import org.awaitility.Awaitility;
 import org.awaitility.core.ConditionFactory;
 
-/** How the tests wait for what another thread or process brings about. */
+/** Waits for conditions that another thread or process brings about. */
 public final class TestAwait {
-    /** The bound on a wait that promises nothing about time, so that a busy machine keeps it. */
+    /** Timeout of waits that assert nothing about duration; long enough for a busy machine. */
     public static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     private static final Duration POLL_INTERVAL = Duration.ofMillis(2);
@@ -14,9 +14,11 @@
     private TestAwait() {}
 
     /**
-     * Waits up to {@link #TIMEOUT}, polling on the test's thread from the first moment on.
+     * Returns a wait of up to {@link #TIMEOUT} that polls on the test's thread, without an initial
+     * delay.
      *
-     * @param expectation what is waited for; part of the message where it does not happen
+     * @param expectation the condition that is waited for; part of the message if it does not come
+     *     about
      */
     public static ConditionFactory await(String expectation) {
         return Awaitility.await(expectation)
--- a/balancer/src/test/java/loadbalancer/admin/AdminServerTest.java
+++ b/balancer/src/test/java/loadbalancer/admin/AdminServerTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** {@link AdminServer} over loopback sockets. */
+/** Tests {@link AdminServer} over loopback sockets. */
 @Timeout(60)
 class AdminServerTest {
     private final List<String> calls = new CopyOnWriteArrayList<>();
@@ -122,7 +122,7 @@
         assertEquals("400", call("x".repeat(length) + "\n").substring(0, 3));
     }
 
-    /** More clients than {@code MAX_CONNECTIONS} connect and send nothing, or half a line. */
+    /** More clients than {@code MAX_CONNECTIONS} connect and send nothing or an incomplete line. */
     @Test
     void idleConnectionsDoNotBlockOthers() throws IOException {
         List<Socket> idleConnections = new ArrayList<>();
@@ -142,7 +142,7 @@
         assertEquals(List.of(), calls);
     }
 
-    /** One connection more than the limit: the oldest is closed long before its timeout. */
+    /** One connection more than the limit must close the oldest long before its timeout. */
     @Test
     void surplusConnectionClosesTheOldestAtOnce() throws IOException {
         long startNanos = System.nanoTime();
--- a/balancer/src/test/java/loadbalancer/admin/AdminTestClient.java
+++ b/balancer/src/test/java/loadbalancer/admin/AdminTestClient.java
@@ -6,11 +6,14 @@
 import java.nio.charset.StandardCharsets;
 import loadbalancer.TestAwait;
 
-/** A client of the administration endpoint. */
+/** Calls the administration endpoint. */
 public final class AdminTestClient {
     private AdminTestClient() {}
 
-    /** Sends one or more lines; returns all that the endpoint sends before it closes. */
+    /**
+     * Sends one or more lines; returns everything that the endpoint sends before it closes the
+     * connection.
+     */
     public static String call(InetSocketAddress address, String lines) throws IOException {
         try (Socket socket = connect(address)) {
             write(socket, lines);
--- a/balancer/src/test/java/loadbalancer/admin/EventLogTest.java
+++ b/balancer/src/test/java/loadbalancer/admin/EventLogTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** {@link EventLog}: which events are logged, and what their lines may hold. */
+/** Tests which events {@link EventLog} logs, and that request ids can't corrupt its lines. */
 class EventLogTest {
     private static final long SECOND_NANOS = 1_000_000_000;
 
--- a/balancer/src/test/java/loadbalancer/admin/GoldenStatsdTest.java
+++ b/balancer/src/test/java/loadbalancer/admin/GoldenStatsdTest.java
@@ -7,10 +7,10 @@
 import loadbalancer.GoldenFiles;
 import org.junit.jupiter.api.Test;
 
-/** The counters and gauges in StatsD's text, byte for byte. */
+/** Compares the StatsD text of counters and gauges with golden files, byte for byte. */
 class GoldenStatsdTest {
     private static final String EXTREMES = "statsd/extremes.txt";
-    private static final String COUNTED = "statsd/counted.txt";
+    private static final String DISTINCT_COUNTS = "statsd/counted.txt";
 
     private record Metric(String name, long value, String type) {}
 
@@ -27,26 +27,26 @@
                 Integer.MIN_VALUE);
     }
 
-    /** Each counter with another count, as the balancer's events raise them. */
-    static MetricsSnapshot counted() {
+    /** Returns metrics in which each counter has a different value, raised by recorded events. */
+    static MetricsSnapshot distinctCounts() {
         Metrics metrics = new Metrics(List.of("browse", "order"));
         for (int i = 0; i < 2; i++) {
             int requestClass = i;
-            times(1 + i, () -> metrics.recordServed(requestClass));
-            times(3 + i, () -> metrics.recordRejected(requestClass));
-            times(5 + i, () -> metrics.recordFailed(requestClass));
+            repeat(1 + i, () -> metrics.recordServed(requestClass));
+            repeat(3 + i, () -> metrics.recordRejected(requestClass));
+            repeat(5 + i, () -> metrics.recordFailed(requestClass));
         }
-        times(7, metrics::recordAttemptSent);
+        repeat(7, metrics::recordAttemptSent);
         return metrics.snapshot(true, 8, 9, 10);
     }
 
-    private static void times(int count, Runnable event) {
+    private static void repeat(int count, Runnable event) {
         for (int i = 0; i < count; i++) {
             event.run();
         }
     }
 
-    private static List<Metric> metrics(String text) {
+    private static List<Metric> parseMetrics(String text) {
         List<Metric> metrics = new ArrayList<>();
         for (String line : text.split("\n")) {
             String[] parts = line.split("[:|]");
@@ -58,7 +58,7 @@
     @Test
     void valuesGiveBytes() {
         assertEquals(GoldenFiles.text(EXTREMES), extremes().toStatsdText());
-        assertEquals(GoldenFiles.text(COUNTED), counted().toStatsdText());
+        assertEquals(GoldenFiles.text(DISTINCT_COUNTS), distinctCounts().toStatsdText());
     }
 
     @Test
@@ -75,6 +75,6 @@
                         new Metric("app.current", 8, "g"),
                         new Metric("app.cluster_size", 9, "g"),
                         new Metric("app.cluster_unhealthy", 10, "g")),
-                metrics(GoldenFiles.text(COUNTED)));
+                parseMetrics(GoldenFiles.text(DISTINCT_COUNTS)));
     }
 }
--- a/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
+++ b/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
@@ -39,15 +39,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** {@link DiscoveryClient}: watches that fall silent, break or are replaced. */
+/** Tests how {@link DiscoveryClient} handles watches that fall silent, break or are replaced. */
 @Timeout(60)
 class DiscoveryClientTest {
     private static final String ENDPOINT_ADDRESS = "127.0.0.1:80";
-    // The update that follows a response to a watch, unless the client has closed that watch.
+    // Time to wait for the update after a response to a watch; there is none if the client has
+    // closed that watch.
     private static final long UPDATE_TIMEOUT_MS = 2_000;
-    // In which the system drops the first packets of a connect to a full backlog.
-    private static final long LOST_PACKETS_MS = 1_100;
-    private static final Duration MAX_SILENT_START = Duration.ofSeconds(1);
+    // Time in which the system drops the first packets of a connect to a full backlog.
+    private static final long FULL_BACKLOG_MS = 1_100;
+    private static final Duration MAX_INITIAL_SILENCE = Duration.ofSeconds(1);
     private static final Duration MAX_RECONNECT = Duration.ofMillis(700);
     private static final Duration MAX_SILENCE = Duration.ofSeconds(6);
     private static final Duration MAX_SUCCESSIVE_FAILURES = Duration.ofMillis(5_900);
@@ -78,7 +79,7 @@
         eventLoop.execute(client::start);
     }
 
-    /** Records lists such as "DELTA 43 [b]"; a failure has no list. */
+    /** Records lists as texts such as "DELTA 43 [b]", and failures as "FAILED". */
     private final class RecordingListener implements EndpointListListener {
         @Override
         public void onEndpointListUpdate(EndpointListKind kind, EndpointList endpointList) {
@@ -117,8 +118,8 @@
     }
 
     /**
-     * Responds to the newest watch until the client has the payload: while the test is slow the
-     * client may close a watch before its response.
+     * Responds to the newest watch until the client has received the payload. If the test is slow,
+     * the client may close a watch before its response.
      *
      * @return the watch that was answered
      */
@@ -130,7 +131,7 @@
                         Objects::nonNull);
     }
 
-    // Returns null where the client has closed the watch.
+    // Returns null if the client has closed the watch.
     private FakeHttpServer.ReceivedRequest tryAnswerNewestWatch(
             int revision, String payload, String expectedUpdate) throws InterruptedException {
         FakeHttpServer.ReceivedRequest watch = expectWatchFrom(revision);
@@ -155,22 +156,22 @@
     }
 
     /**
-     * While discovery is down its agent accepts connections and sends nothing. What it learns when
-     * discovery is back must arrive within the grace period for drains.
+     * While discovery is down, its agent accepts connections but sends nothing. Changes that
+     * discovery learns when it comes back must arrive within the drain grace period.
      */
     @Test
     void initiallySilentWatchIsReopenedInTime() throws Exception {
         FakeHttpServer.ReceivedRequest silentWatch = expectWatchFrom(41);
         long openedAtNanos = System.nanoTime();
         expectWatchFrom(41);
-        assertElapsedBelow(MAX_SILENT_START, openedAtNanos);
+        assertElapsedBelow(MAX_INITIAL_SILENCE, openedAtNanos);
         assertTrue(silentWatch.isClosedByPeer(), "the silent watch is closed");
         answerNewestWatch(41, listJson(51, true, "new") + "\n", "COMPLETE 51 [new]");
     }
 
     /**
-     * While an agent accepts no connections the system repeats a lost connect only after seconds; a
-     * new connect reaches the agent at once when it accepts again.
+     * While an agent accepts no connections, the system repeats a lost connect only after seconds.
+     * A new connect must reach the agent as soon as it accepts again.
      */
     @Test
     void unconnectedWatchIsRetriedInTime() throws Exception {
@@ -178,7 +179,7 @@
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
             eventLoop.execute(
                     () -> client.reconnectTo(SocketAddressParser.parse(backlogListener.address())));
-            TimeUnit.MILLISECONDS.sleep(LOST_PACKETS_MS);
+            TimeUnit.MILLISECONDS.sleep(FULL_BACKLOG_MS);
             long reachableAtNanos = System.nanoTime();
             String head = FakeHttpServer.readHead(backlogListener.acceptNext().getInputStream());
             assertTrue(head.contains("watch=1&from=41"), head);
@@ -187,8 +188,8 @@
     }
 
     /**
-     * What a watch misses must be known 6 s after it fell silent, whether within a list or between
-     * two.
+     * Changes that a watch misses must be known 6 s after it fell silent, within a list or between
+     * two lists.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "{\"rev\":43,\"all\":fal"})
@@ -217,8 +218,8 @@
 
     /**
      * One deadline covers successive failures: the watch falls silent, the next calls time out, the
-     * one after them is reset, and a backoff follows each. Where lists are polled the routing
-     * policy makes the next call.
+     * call after them is reset, and a backoff follows each failure. In poll mode the routing policy
+     * makes the next call.
      */
     @ParameterizedTest
     @CsvSource(
@@ -229,7 +230,7 @@
                 push, 2
                 ask,  1
                 """)
-    void successiveFailuresEndWithinNotifyDeadline(String mode, int abandonedCalls)
+    void successiveFailuresEndWithinNotifyDeadline(String mode, int timedOutCalls)
             throws Exception {
         try (FakeHttpServer server = new FakeHttpServer()) {
             BalancerServer balancer = balancer(mode, server.address());
@@ -237,7 +238,7 @@
                 balancer.start();
                 SilencedWatch silenced = silenceAnsweredWatch(server);
                 FakeHttpServer.ReceivedRequest nextCall = silenced.nextCall();
-                for (int i = 0; i < abandonedCalls; i++) {
+                for (int i = 0; i < timedOutCalls; i++) {
                     assertTrue(nextCall.isClosedByPeer(), "call " + i + " timed out");
                     nextCall = server.nextRequest();
                 }
@@ -253,7 +254,7 @@
 
     private record SilencedWatch(long silentSinceNanos, FakeHttpServer.ReceivedRequest nextCall) {}
 
-    // Answers watches until one is answered in time; it is silent from then on.
+    // Answers watches until one is answered in time; that watch is silent from then on.
     private static SilencedWatch silenceAnsweredWatch(FakeHttpServer server) throws Exception {
         FakeHttpServer.ReceivedRequest nextCall = server.nextRequest();
         long silentSinceNanos;
@@ -266,8 +267,8 @@
     }
 
     /**
-     * After half a list come only the empty lines that tell that nothing has changed: a list that
-     * followed would become part of the half one.
+     * After half a list, discovery sends only the empty lines that mean "no change". The client
+     * must close the watch: a list that followed would be parsed as part of the incomplete one.
      */
     @Test
     void endlessListIsAbandoned() throws Exception {
@@ -279,7 +280,7 @@
                     try {
                         watch.sendRaw(chunk("\n"));
                     } catch (IOException e) {
-                        // The client has closed the watch; the exception ends this task
+                        // The client has closed the watch; the exception ends this periodic task.
                         throw new UncheckedIOException(e);
                     }
                 },
@@ -302,7 +303,7 @@
 
     @Test
     void listsMaySpanLinesAndChunks() throws Exception {
-        // A blank line: nothing has changed since the revision.
+        // A blank line means that nothing has changed since the revision.
         FakeHttpServer.ReceivedRequest watch = answerNewestWatch(41, "  \n", "DELTA 41 []");
         String prettyList =
                 JSON.std
@@ -337,7 +338,7 @@
         assertEquals("DELTA 47 [c]", nextUpdate());
     }
 
-    /** After a reload, while the old watch is silent, reset or within a list. */
+    /** The configuration is reloaded while the old watch is silent, reset or within a list. */
     @ParameterizedTest(name = "old watch: {0}")
     @ValueSource(strings = {"silent", "reset", "{\"rev\":43,"})
     void newAddressIsWatchedAtOnce(String oldWatchState) throws Exception {
@@ -357,7 +358,8 @@
                 assertTrue(watch.isClosedByPeer(), "the old watch is closed");
             }
             newWatch.sendRaw(CHUNKED_HEAD + chunk(listJson(7, true, "elsewhere") + "\n"));
-            // The new discovery counts revisions on its own: a lower one is newer.
+            // The new discovery counts revisions on its own, so a list with a lower revision is
+            // newer.
             assertEquals("COMPLETE 7 [elsewhere]", nextUpdate());
         }
     }
--- a/balancer/src/test/java/loadbalancer/discovery/DiscoveryTimingTest.java
+++ b/balancer/src/test/java/loadbalancer/discovery/DiscoveryTimingTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** {@link DiscoveryTiming}: timeouts that follow from the mode and the grace period for drains. */
+/**
+ * Tests that {@link DiscoveryTiming} derives its timeouts from the discovery mode and the drain
+ * grace period.
+ */
 class DiscoveryTimingTest {
     @ParameterizedTest
     @CsvSource(
--- a/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
@@ -35,20 +35,23 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Balancers in processes of their own, for the system's limits and the time of a real start. */
+/**
+ * Tests balancers in their own processes, with limits of the system and the duration of a real
+ * start.
+ */
 @Timeout(120)
 @Tag("process")
 class BalancerProcessTest {
     private static final int DESCRIPTOR_LIMIT = 256;
-    // The most descriptors below the limit that clients leave free.
+    // Upper bound on the descriptors below the limit that clients leave free.
     private static final int MAX_FREE_DESCRIPTORS = 60;
     private static final Duration READY_TIMEOUT = Duration.ofSeconds(60);
     private static final Duration READY_POLL_INTERVAL = Duration.ofMillis(20);
     private static final int ACTIVE_CLIENTS = 60;
     private static final int MIN_REQUESTS_IN_FLIGHT = 30;
-    // In which the active clients' requests reach the upstream or are rejected.
+    // Time in which the requests of active clients reach the upstream or are rejected.
     private static final long REQUESTS_SETTLE_MS = 2_000;
-    // In which the balancer has accepted or evicted the idle clients.
+    // Time in which the balancer accepts or evicts the idle clients.
     private static final long IDLE_CLIENTS_SETTLE_MS = 300;
     private static final long REJECTED_REQUEST_RETRY_MS = 50;
     private static final Duration MAX_DISCOVERY_DELAY = Duration.ofSeconds(6);
@@ -78,7 +81,10 @@
 
     private record RunningBalancer(Process process, InetSocketAddress address) {}
 
-    /** Starts a balancer under a limit on file descriptors; it listens once this returns. */
+    /**
+     * Starts a balancer under a limit on file descriptors. It is listening when this method
+     * returns.
+     */
     private RunningBalancer startBalancer(Map<String, Object> extraConfig) throws IOException {
         ServeProcess balancer =
                 ServeProcess.start(
@@ -112,7 +118,8 @@
                                 "settings",
                                 settings,
                                 "known",
-                                BalancerServerFixtures.knownList("s1", upstream.address())));
+                                BalancerServerFixtures.initialEndpointList(
+                                        "s1", upstream.address())));
         config.putAll(extraConfig);
         Path file = directory.resolve("balancer-" + startCount.incrementAndGet() + ".json");
         return Files.writeString(file, JSON.std.asString(config));
@@ -125,7 +132,7 @@
                 .until(() -> BalancerServerFixtures.readinessStatus(address) == 200);
     }
 
-    // The time for which the main thread and the event loop were runnable but had no core.
+    // Returns the time for which the main thread and the event loop were runnable but had no core.
     private static long runQueueNanos(Process process) throws IOException {
         long totalNanos = 0;
         try (DirectoryStream<Path> threads =
@@ -149,9 +156,9 @@
     }
 
     /**
-     * Idle clients, which were served a request and stay connected, take all descriptors while
-     * discovery accepts connections and is silent. Requests in flight are answered, datagrams are
-     * sent, and the watch has its connection when discovery responds again.
+     * Idle clients, which were served a request and stay connected, use up all descriptors while
+     * discovery accepts connections but is silent. Requests in flight must be answered, datagrams
+     * sent, and the watch must get a connection when discovery responds again.
      */
     @Test
     void idleClientsDoNotBlockActiveWork() throws Exception {
@@ -162,16 +169,16 @@
             try (HttpTestClientGroup clients = new HttpTestClientGroup(balancer.address())) {
                 Map<String, HttpTestClient> activeClients = sendActiveRequests(clients);
                 TimeUnit.MILLISECONDS.sleep(REQUESTS_SETTLE_MS);
-                // The routing policy may have rejected some.
-                List<FakeHttpServer.ReceivedRequest> inFlight = drain(upstream);
+                // The routing policy may have rejected some requests.
+                List<FakeHttpServer.ReceivedRequest> inFlight = takeRequests(upstream);
                 assertTrue(
                         inFlight.size() >= MIN_REQUESTS_IN_FLIGHT, inFlight.size() + " in flight");
                 for (int i = 0; i < 2 * DESCRIPTOR_LIMIT; i++) {
                     clients.connect().send(READY_REQUEST);
                 }
                 TimeUnit.MILLISECONDS.sleep(IDLE_CLIENTS_SETTLE_MS);
-                assertDescriptorsInUse(balancer.process());
-                assertWatchesAndDatagramsGoOn(peer);
+                assertDescriptorsNearlyUsedUp(balancer.process());
+                assertWatchesAndDatagramsContinue(peer);
                 for (FakeHttpServer.ReceivedRequest receivedRequest : inFlight) {
                     receivedRequest.respond(200, "", "ok");
                 }
@@ -195,7 +202,8 @@
     }
 
     /**
-     * Sends requests that each need a connection to the upstream; returns clients by request id.
+     * Sends requests that each need their own connection to the upstream; returns the clients by
+     * request id.
      */
     private static Map<String, HttpTestClient> sendActiveRequests(HttpTestClientGroup clients)
             throws IOException {
@@ -209,8 +217,8 @@
         return activeClients;
     }
 
-    // All requests that the server has received so far.
-    private static List<FakeHttpServer.ReceivedRequest> drain(FakeHttpServer server)
+    // Removes and returns all requests that the server has received so far.
+    private static List<FakeHttpServer.ReceivedRequest> takeRequests(FakeHttpServer server)
             throws InterruptedException {
         List<FakeHttpServer.ReceivedRequest> requests = new ArrayList<>();
         while (!server.isEmpty()) {
@@ -219,7 +227,7 @@
         return requests;
     }
 
-    private static void assertDescriptorsInUse(Process process) throws IOException {
+    private static void assertDescriptorsNearlyUsedUp(Process process) throws IOException {
         long descriptorCount = countOpenDescriptors(process);
         assertTrue(
                 descriptorCount > DESCRIPTOR_LIMIT - MAX_FREE_DESCRIPTORS
@@ -227,9 +235,9 @@
                 descriptorCount + " descriptors");
     }
 
-    private void assertWatchesAndDatagramsGoOn(DatagramSocket peer) throws Exception {
+    private void assertWatchesAndDatagramsContinue(DatagramSocket peer) throws Exception {
         peer.setSoTimeout((int) TestAwait.TIMEOUT.toMillis());
-        drain(discoveryServer);
+        takeRequests(discoveryServer);
         for (int i = 0; i < 3; i++) {
             String requestLine = discoveryServer.nextRequest().requestLine();
             assertTrue(requestLine.contains("watch=1"), requestLine);
@@ -238,13 +246,13 @@
     }
 
     /**
-     * Discovery responds again, with a list of another upstream; the next request goes there. The
-     * requests before it waited for seconds, so the balancer may still shed load: its client
-     * repeats a rejected request, all within the same bound.
+     * Discovery responds again, with a list of another upstream, which must receive the next
+     * request. The earlier requests waited for seconds, so the balancer may still shed load: the
+     * client repeats a rejected request within the same time limit.
      */
     private void assertNewListIsUsedInTime(HttpTestClient client, FakeHttpServer otherUpstream)
             throws Exception {
-        drain(discoveryServer);
+        takeRequests(discoveryServer);
         long reachableAtNanos = System.nanoTime();
         String list =
                 CHUNKED_HEAD
@@ -259,7 +267,7 @@
                 .until(
                         () -> {
                             answerWatches(list);
-                            repeatIfRejected(client);
+                            retryIfRejected(client);
                             return !otherUpstream.isEmpty();
                         });
         otherUpstream.nextRequest().respond(200, "", "ok");
@@ -270,7 +278,7 @@
                 "served after " + elapsedNanos / 1_000_000 + " ms");
     }
 
-    private static void repeatIfRejected(HttpTestClient client)
+    private static void retryIfRejected(HttpTestClient client)
             throws IOException, InterruptedException {
         if (client.input.available() > 0) {
             assertEquals(503, client.readStatus());
@@ -280,15 +288,15 @@
     }
 
     /**
-     * Answers all watches received so far: the balancer may have abandoned a watch that was
-     * answered a moment before, and its next watch is due the same list.
+     * Answers all watches received so far. The balancer may have abandoned a watch that was
+     * answered just before; its next watch needs the same list.
      */
     private void answerWatches(String list) throws InterruptedException {
-        for (FakeHttpServer.ReceivedRequest watch : drain(discoveryServer)) {
+        for (FakeHttpServer.ReceivedRequest watch : takeRequests(discoveryServer)) {
             try {
                 watch.sendRaw(list);
             } catch (IOException e) {
-                // Closed by the balancer meanwhile: its next watch is answered.
+                // The balancer has closed this watch; its next watch is answered.
             }
         }
     }
@@ -302,8 +310,8 @@
 
     /**
      * Ten balancers start at once with a configured endpoint list while discovery is silent; nine
-     * become ready in time. The time for which they waited for a core is subtracted, as if the
-     * machine had a core for each.
+     * must become ready in time. The time for which they waited for a core is subtracted, as if
+     * each had a core of its own.
      */
     @Test
     void simultaneousStartsBecomeReadyInTime() throws Exception {
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerFixtures.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerFixtures.java
@@ -10,15 +10,15 @@
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.routing.api.RoutingPolicy;
 
-/** Balancers, their configuration and settings, and requests to them. */
+/** Creates balancers, configurations, settings and requests for tests. */
 public final class BalancerServerFixtures {
-    /** A request of the class read with a hint of its work, marked as a retry by the client. */
+    /** A request of the class read with a work hint, marked by the client as a retry. */
     static final String IDEMPOTENT_REQUEST =
             "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
                     + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
 
     /**
-     * The head of a request of the class book, which is not idempotent, up to the headers that
+     * The head of a request of the class book, which is not idempotent, without the headers that
      * frame its body.
      */
     static final String NON_IDEMPOTENT_HEAD =
@@ -34,7 +34,9 @@
 
     private BalancerServerFixtures() {}
 
-    /** A balancer that is ready at once, knows one upstream, s1, and finds no discovery. */
+    /**
+     * Creates a balancer that is ready at once, has one upstream, s1, and can't reach discovery.
+     */
     static BalancerServer readyBalancer(
             FakeHttpServer upstream,
             RoutingPolicy policy,
@@ -49,32 +51,38 @@
                         "settings",
                         rawSettings,
                         "known",
-                        knownList("s1", upstream.address()),
+                        initialEndpointList("s1", upstream.address()),
                         "admin",
                         "127.0.0.1:0"),
                 policy,
                 logSink);
     }
 
-    /** A balancer that knows no upstream, finds no discovery, and so is never ready. */
+    /**
+     * Creates a balancer that has no upstream and can't reach discovery, and so never becomes
+     * ready.
+     */
     static BalancerServer unreadyBalancer(
             Map<String, Object> rawSettings, RoutingPolicy policy, Consumer<String> logSink) {
         return newBalancer(
                 Map.of("settings", rawSettings, "admin", "127.0.0.1:0"), policy, logSink);
     }
 
-    /** A balancer without a warm-up; {@code overrides} as for {@link #config}. */
+    /** Creates a balancer without a warm-up; {@code overrides} as in {@link #config}. */
     static BalancerServer newBalancer(
             Map<String, Object> overrides, RoutingPolicy policy, Consumer<String> logSink) {
         return new BalancerServer(config(overrides), (settings, seed) -> policy, false, logSink);
     }
 
-    /** A configuration on any free port that finds no discovery, with other keys on top. */
+    /**
+     * Returns a configuration that listens on any free port and can't reach discovery; {@code
+     * overrides} adds or replaces keys.
+     */
     public static BalancerConfig config(Map<String, Object> overrides) {
         return BalancerConfig.parse(Map.of(), rawConfig(overrides));
     }
 
-    /** The same as the content of a configuration file. */
+    /** Returns the content of a configuration file with the keys of {@link #config}. */
     static Map<String, Object> rawConfig(Map<String, Object> overrides) {
         Map<String, Object> raw = new HashMap<>();
         raw.put("name", "n1");
@@ -85,13 +93,13 @@
         return raw;
     }
 
-    /** The endpoint list of a configuration that knows one endpoint, in service. */
-    static Map<String, Object> knownList(String endpointId, String endpointAddress)
+    /** Returns the endpoint list of a configuration, with one endpoint in service. */
+    static Map<String, Object> initialEndpointList(String endpointId, String endpointAddress)
             throws IOException {
         return JSON.std.mapFrom(oneEndpointJson(1, true, endpointId, endpointAddress));
     }
 
-    /** An endpoint list with one endpoint, in service. */
+    /** Returns an endpoint list with one endpoint, in service. */
     public static String oneEndpointJson(
             int revision, boolean complete, String endpointId, String endpointAddress) {
         return "{\"rev\":"
@@ -105,7 +113,10 @@
                 + "\",\"state\":\"in_service\",\"boot_ms\":0}]}";
     }
 
-    /** An endpoint list of the discovery server's with s1 alone, ending with a line feed. */
+    /**
+     * Returns an endpoint list as discovery sends it, with s1 as the only endpoint, ending with a
+     * line feed.
+     */
     static String listJson(int revision, boolean complete, String endpointAddress, String state) {
         return "{\"rev\":"
                 + revision
@@ -119,29 +130,31 @@
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0}]}\n";
     }
 
-    /** One chunk of a body with chunked transfer encoding. */
+    /** Returns one chunk of a body with chunked transfer encoding. */
     public static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** {@link #IDEMPOTENT_REQUEST} with another id. */
+    /** Returns {@link #IDEMPOTENT_REQUEST} with another id. */
     static String requestWithId(String requestId) {
         return IDEMPOTENT_REQUEST.replace("Req-Id: r1", "Req-Id: " + requestId);
     }
 
-    /** {@link #NON_IDEMPOTENT_HEAD} with another id. */
+    /** Returns {@link #NON_IDEMPOTENT_HEAD} with another id. */
     static String nonIdempotentHead(String requestId) {
         return NON_IDEMPOTENT_HEAD.replace("Req-Id: r1", "Req-Id: " + requestId);
     }
 
-    /** The status of a readiness check on a connection of its own. */
+    /** Returns the status of a readiness check on a connection of its own. */
     static int readinessStatus(InetSocketAddress address) throws IOException {
         try (HttpTestClient client = new HttpTestClient(address)) {
             return client.send(READY_REQUEST).readStatus();
         }
     }
 
-    /** A POST request of the given class; {@code extraHeaders} end with a line feed. */
+    /**
+     * Returns a POST request of the given class; each line of {@code extraHeaders} ends with CR LF.
+     */
     static String postRequest(String className, String extraHeaders, String body) {
         return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: "
                 + className
@@ -153,7 +166,7 @@
                 + body;
     }
 
-    /** A request class; times in microseconds. */
+    /** Returns the settings of a request class; times are in microseconds. */
     static Map<String, Object> requestClass(
             String name,
             String idempotency,
@@ -186,13 +199,13 @@
                 CLASS_IDEMPOTENCY_WINDOW_MICROS);
     }
 
-    /** Settings with the classes read, pay and book: one of each idempotency. */
+    /** Returns settings with the classes read, pay and book: one of each idempotency. */
     public static Map<String, Object> settings() {
         return settings(Map.of());
     }
 
-    /** The same with other limits on top. */
-    static Map<String, Object> settings(Map<String, Object> otherLimits) {
+    /** Returns {@link #settings()} with these limits added or replaced. */
+    static Map<String, Object> settings(Map<String, Object> limitOverrides) {
         Map<String, Object> limits = new HashMap<>();
         limits.put("TryLimit", 3);
         limits.put("MayDuplicate", true);
@@ -200,7 +213,7 @@
         limits.put("Probes", true);
         limits.put("DialTimeout", 500_000);
         limits.put("IdleClose", 30_000_000);
-        limits.putAll(otherLimits);
+        limits.putAll(limitOverrides);
         Map<String, Object> settings = new HashMap<>();
         settings.put("Balancers", 1);
         settings.put(
@@ -219,7 +232,7 @@
         return settings;
     }
 
-    /** The settings' rules with another grace period of drains. */
+    /** Returns the rules of the settings, with this drain grace period in microseconds. */
     public static Map<String, Object> rules(long drainGraceMicros) {
         return Map.of(
                 "AnswerSlack",
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerTest.java
@@ -24,16 +24,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Start, warm-up, graceful stop and the configuration of a balancer over loopback sockets. */
+/** Tests start, warm-up, graceful stop and configuration of a balancer over loopback sockets. */
 public class BalancerServerTest extends DiscoveryBackedTestSupport {
-    /** As {@link BalancerServerFixtures#settings}, for tests of other packages. */
+    /** Returns {@link BalancerServerFixtures#settings}, for tests of other packages. */
     public static Map<String, Object> settings() {
         return BalancerServerFixtures.settings();
     }
 
     /**
-     * The starting thread is interrupted before the bind returns to it; the balancer accepts and
-     * answers clients all the same.
+     * The starting thread is interrupted before the bind returns to it. The balancer must accept
+     * and answer clients nevertheless.
      */
     @Test
     void connectionDuringStartIsAnswered() throws Exception {
@@ -47,7 +47,7 @@
         Thread.currentThread().interrupt();
         assertThrows(IOException.class, balancer::start);
         assertTrue(Thread.interrupted());
-        // No event tells of a completed bind here.
+        // No event signals that the bind is complete, so the test polls.
         int status =
                 await("the balancer accepts connections")
                         .ignoreException(ConnectException.class)
@@ -61,7 +61,10 @@
         }
     }
 
-    /** The requests of the warm-up stay within the process, and no client can send them. */
+    /**
+     * The requests of the warm-up must stay within the process, and no client can send such
+     * requests.
+     */
     @Test
     void warmUpReachesNeitherPolicyNorUpstream() throws IOException, InterruptedException {
         warmUpEnabled = true;
@@ -96,7 +99,7 @@
             pendingClient.send(IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             Thread stopThread = stopInBackground();
-            awaitStopping();
+            awaitNotReady();
             assertNull(idleClient.readResponse(), "the idle connection is closed");
             receivedRequest.respond(200, "", "late but complete");
             String head = pendingClient.readResponse();
--- a/balancer/src/test/java/loadbalancer/server/BalancerServerTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerServerTestSupport.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * A balancer over loopback sockets for tests of races: responses that are due, or data that is
- * arriving, in the iteration of the event loop in which something ends. See docs/design/endings.md.
+ * Starts a balancer over loopback sockets for tests of races, in which a response is due or data
+ * arrives in the same iteration of the event loop in which a request or connection ends. See
+ * docs/design/endings.md.
  */
 abstract class BalancerServerTestSupport extends UpstreamBackedTestSupport {
     final void start() throws IOException, InterruptedException {
@@ -28,19 +29,22 @@
                                 "settings",
                                 rawSettings,
                                 "known",
-                                BalancerServerFixtures.knownList("s1", endpointAddress)),
+                                BalancerServerFixtures.initialEndpointList("s1", endpointAddress)),
                         policy,
                         line -> {});
         address = balancer.start();
         assertEquals("CACHED [s1=UP]", policy.nextEvent());
     }
 
-    /** Waits until the policy gets a request. */
+    /** Waits until the policy receives a request. */
     final void awaitRequest() throws InterruptedException {
         assertEquals("0 k1 700 true", policy.nextAcceptedRequest());
     }
 
-    /** Expects {@code requestId} as the next request at the upstream, and responds with that id. */
+    /**
+     * Asserts that the next request at the upstream is {@code requestId}, and responds with that
+     * id.
+     */
     final FakeHttpServer.ReceivedRequest serveNext(HttpTestClient client, String requestId)
             throws IOException, InterruptedException {
         FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
@@ -52,8 +56,8 @@
     }
 
     /**
-     * Sends a request from a new client, and expects it as the next at the upstream: nothing was
-     * forwarded before it.
+     * Sends a request from a new client, and asserts that it is the next one at the upstream:
+     * nothing was forwarded before it.
      */
     final void assertNextRequestIsServed() throws IOException, InterruptedException {
         try (HttpTestClient nextClient = new HttpTestClient(address)) {
@@ -62,7 +66,10 @@
         }
     }
 
-    /** The same, where the next request is due on a connection that the upstream has accepted. */
+    /**
+     * Sends a request from a new client, and asserts that it is the next one on a connection that
+     * the upstream has accepted.
+     */
     final void assertNextRequestArrivesOn(Socket upstreamSocket) throws IOException {
         try (HttpTestClient nextClient = new HttpTestClient(address)) {
             nextClient.send(requestWithId("next"));
--- a/balancer/src/test/java/loadbalancer/server/DiscoveryBackedTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/DiscoveryBackedTestSupport.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * A balancer over loopback sockets with an upstream s1, a discovery server and a scripted routing
- * policy, for tests of what a client, an upstream or discovery sees.
+ * Starts a balancer over loopback sockets with an upstream s1, a discovery server and a scripted
+ * routing policy, for tests of what a client, an upstream or discovery observes.
  */
 abstract class DiscoveryBackedTestSupport extends UpstreamBackedTestSupport {
     final List<String> logLines = new CopyOnWriteArrayList<>();
     boolean warmUpEnabled;
-    // Where s1 is; null for the upstream's own address.
+    // The address of s1; null for that of the upstream.
     String endpointAddress;
     FakeHttpServer discoveryServer;
 
@@ -74,7 +74,8 @@
     }
 
     /**
-     * An endpoint list of the discovery server's with s1 in this state, ending with a line feed.
+     * Returns an endpoint list as discovery sends it, with s1 in this state, ending with a line
+     * feed.
      */
     final String listJson(int revision, boolean complete, String state) {
         String s1Address = endpointAddress == null ? upstream.address() : endpointAddress;
--- a/balancer/src/test/java/loadbalancer/server/DrainAndTakeoverTest.java
+++ b/balancer/src/test/java/loadbalancer/server/DrainAndTakeoverTest.java
@@ -20,7 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What operators do with a balancer that serves: read its metrics, drain it, start its successor.
+ * Tests operators' actions on a serving balancer: reading its metrics, draining it and starting its
+ * successor.
  */
 class DrainAndTakeoverTest extends UpstreamBackedTestSupport {
     private static final int SHARED_SOCKET_BACKLOG = 64;
@@ -62,7 +63,10 @@
         return sharedSocket;
     }
 
-    /** One request is served, one fails, and one is pending until its client disconnects. */
+    /**
+     * One request is served, one fails, and one is pending until its client disconnects; each must
+     * be counted once.
+     */
     @Test
     void requestsAreCountedOnce() throws Exception {
         address = balancer.start();
@@ -90,7 +94,7 @@
         assertTrue(metrics.contains("app.sends:2|c\n"), metrics);
     }
 
-    /** A draining balancer goes on serving, one request a connection, until it is resumed. */
+    /** A draining balancer must keep serving, one request per connection, until it is resumed. */
     @Test
     void drainingBalancerClosesIdleConnections() throws Exception {
         address = balancer.start();
@@ -130,8 +134,8 @@
     }
 
     /**
-     * Predecessor and successor share the listening socket; closed by one, it would be closed for
-     * both.
+     * Predecessor and successor share the listening socket; if one closed it, it would be closed
+     * for both.
      */
     @Test
     void successorTakesOverListeningSocket() throws Exception {
@@ -159,7 +163,7 @@
                 Thread stopThread = stopInBackground();
                 awaitReady(predecessor, false);
                 assertNull(idleClient.readResponse(), "the idle connection is closed");
-                // The predecessor accepts nothing any more.
+                // The predecessor no longer accepts connections.
                 for (int i = 0; i < READINESS_CHECKS; i++) {
                     assertEquals(200, readinessStatus(address));
                 }
@@ -174,7 +178,7 @@
         }
     }
 
-    /** Connections stay in the shared socket's backlog for a balancer that is ready. */
+    /** Connections must stay in the backlog of the shared socket until a balancer is ready. */
     @Test
     void unreadyBalancerAcceptsNothing() throws Exception {
         try (ServerSocketChannel sharedSocket = openSharedSocket()) {
--- a/balancer/src/test/java/loadbalancer/server/GracefulShutdownTest.java
+++ b/balancer/src/test/java/loadbalancer/server/GracefulShutdownTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Requests and responses under way as a balancer stops and closes its connections. */
+/** Tests requests and responses in progress while a balancer stops and closes its connections. */
 class GracefulShutdownTest extends BalancerServerTestSupport {
     private static final int BACKLOGGED_CLIENTS = 40;
     private static final int LAST_RESPONSE_BYTES = 64 * 1024;
@@ -36,14 +36,14 @@
         } catch (ConnectException e) {
             return true;
         } catch (SocketException e) {
-            // Connected at the moment of the close: the next attempt shows it.
+            // The listener closed during this connect; the next attempt is refused.
             return false;
         }
     }
 
     /**
-     * A close with unread input would reset the connection; what follows the last request is not
-     * forwarded.
+     * Bytes that follow the last request are not forwarded, but must be read: closing with unread
+     * input would reset the connection.
      */
     @Test
     void lateBytesDoNotResetTheLastResponse() throws Exception {
@@ -53,7 +53,7 @@
         HttpTestClient client = new HttpTestClient(address).send(requestWithId("r1"));
         awaitRequest();
         Thread stopThread = stopInBackground();
-        awaitStopping();
+        awaitNotReady();
         EventLoopStall stall =
                 new EventLoopStall(
                         stoppedBalancer.loop(),
@@ -61,7 +61,7 @@
         client.send(requestWithId("late"));
         stall.release();
         assertEquals(503, client.readStatus());
-        // A close, no reset.
+        // The connection must be closed without a reset.
         assertNull(client.readResponse());
         client.close();
         stopThread.join();
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Connections that the operating system has accepted, but the process has not when it closes
-     * its listening socket.
+     * Connections that the operating system has accepted, but not the process, when the process
+     * closes its listening socket must be answered.
      */
     @Test
     void backloggedConnectionsAreAnswered() throws Exception {
@@ -106,7 +106,9 @@
         }
     }
 
-    /** The client never closes its side, so the balancer closes the connection after a bound. */
+    /**
+     * The client never closes its side, so the balancer must close the connection after a timeout.
+     */
     @Test
     void stopDoesNotWaitForStuckClients() throws Exception {
         start();
@@ -115,15 +117,17 @@
             serveNext(client, "r1");
             Thread stopThread = stopInBackground();
             stopThread.join(MAX_STOP_MS);
-            assertFalse(stopThread.isAlive(), "the stop waits for a client that never closes");
+            assertFalse(
+                    stopThread.isAlive(),
+                    "the stop waits for a client that never closes its connection");
             InputStream input = new BufferedInputStream(client.socket.getInputStream());
             assertEquals(-1, input.read());
         }
     }
 
     /**
-     * The response is larger than the socket buffers: its remainder waits in the process until the
-     * client reads.
+     * The response is larger than the socket buffers, so its remainder waits in the process until
+     * the client reads.
      */
     @Test
     void slowReaderGetsTheCompleteLastResponse() throws Exception {
@@ -147,12 +151,15 @@
         stopThread.join();
     }
 
-    /** The upstream never responds; a request during the stop is answered by its deadline. */
+    /**
+     * The upstream never responds; a request that arrives during the stop must be answered by its
+     * deadline.
+     */
     @Test
     void deadlinesHoldDuringDrain() throws Exception {
         start();
         Thread stopThread = stopInBackground();
-        awaitStopping();
+        awaitNotReady();
         try (HttpTestClient lateClient = new HttpTestClient(address)) {
             long sentAtNanos = System.nanoTime();
             lateClient.send(requestWithId("r1").replace("20000", Long.toString(DEADLINE_MS)));
--- a/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
+++ b/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
@@ -14,8 +14,8 @@
 
 /**
  * A routing policy that records its events as text, sends each request to {@link #endpointId},
- * fails each request whose attempt failed and cancels the attempts of disconnected clients. The
- * fields change that, from any thread.
+ * fails each request whose attempt failed, and cancels the attempts of disconnected clients. Tests
+ * change this through the fields, from any thread; the event loop calls the methods of the policy.
  */
 class ScriptedPolicy implements RoutingPolicy {
     private static final long TIMEOUT_MS = TestAwait.TIMEOUT.toMillis();
@@ -23,12 +23,12 @@
     final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     final BlockingQueue<String> acceptedRequests = new LinkedBlockingQueue<>();
     volatile long timeoutMicros;
-    // Whether a new request makes it throw.
+    // Whether a new request makes the policy throw.
     volatile boolean failing;
     volatile boolean allowsAttemptStarts = true;
     volatile boolean retriesRejected;
     volatile boolean cancelsOnDisconnect = true;
-    // Where requests are sent; null for nowhere, so that they stay pending.
+    // The endpoint that requests are sent to; if null, requests stay pending.
     volatile String endpointId = "s1";
     volatile RoutingActions capturedActions;
     volatile String lastRequestId;
@@ -138,7 +138,10 @@
     @Override
     public void onTimer(long now, RoutingActions actions) {}
 
-    /** The next request as "class key work-hint resubmission"; fails if there is none in time. */
+    /**
+     * Returns the next request as "class key work-hint resubmission"; fails if none arrives in
+     * time.
+     */
     String nextAcceptedRequest() throws InterruptedException {
         String request = acceptedRequests.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (request == null) {
@@ -148,7 +151,7 @@
         return request;
     }
 
-    /** The next event; fails if there is none in time. */
+    /** Returns the next event; fails if none arrives in time. */
     String nextEvent() throws InterruptedException {
         String event = events.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (event == null) {
--- a/balancer/src/test/java/loadbalancer/server/SettingsVariantsTest.java
+++ b/balancer/src/test/java/loadbalancer/server/SettingsVariantsTest.java
@@ -19,18 +19,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A balancer with settings unlike those of the other tests. */
+/** Tests a balancer with settings that the other tests do not use. */
 @Timeout(60)
 class SettingsVariantsTest {
-    // Its latency objective is half of its deadline.
+    // The latency objective is half of the deadline.
     private static Map<String, Object> requestClass(
             String name, String idempotency, String scope, long deadlineMs, long windowMs) {
         return BalancerServerFixtures.requestClass(
                 name, idempotency, scope, deadlineMs * 500, deadlineMs * 1000, windowMs * 1000);
     }
 
-    // No zones, models, tenants, health checks, hedging, cancelling, peers or load reports, and two
-    // attempts.
+    // Settings without zones, models, tenants, health checks, hedging, cancellation, peers and load
+    // reports, and with two attempts per request.
     private static Map<String, Object> minimalSettings(List<Map<String, Object>> requestClasses) {
         Map<String, Object> settings = new HashMap<>();
         settings.put("Balancers", 1);
@@ -81,7 +81,7 @@
                         "settings",
                         settings,
                         "known",
-                        BalancerServerFixtures.knownList("s1", endpointAddress)));
+                        BalancerServerFixtures.initialEndpointList("s1", endpointAddress)));
     }
 
     private static BalancerServer balancer(
@@ -139,8 +139,8 @@
     }
 
     /**
-     * The connect to the upstream takes longer than the request's deadline. In the last row there
-     * is too little time to start an attempt at all.
+     * The connect to the upstream takes longer than the request's deadline. In the last row the
+     * remaining time is too short to start an attempt at all.
      */
     @ParameterizedTest(name = "{0}, {1} ms")
     @CsvSource({"safe, 150", "keyed, 150", "unsafe, 150", "unsafe, 12"})
--- a/balancer/src/test/java/loadbalancer/server/UpstreamBackedTestSupport.java
+++ b/balancer/src/test/java/loadbalancer/server/UpstreamBackedTestSupport.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** An upstream and a balancer with a scripted policy in front of it, for each test. */
+/** Creates an upstream for each test, and a balancer with a scripted policy in front of it. */
 @Timeout(60)
 abstract class UpstreamBackedTestSupport {
     static final int DEFAULT_MAX_SOCKETS = 1024;
 
     final ScriptedPolicy policy = new ScriptedPolicy();
     FakeHttpServer upstream;
-    // Null before a test has started it, and where a test has stopped it.
+    // Null before a test has started the balancer, and after a test has stopped it.
     BalancerServer balancer;
     InetSocketAddress address;
 
@@ -35,7 +35,10 @@
         upstream.close();
     }
 
-    /** Starts a balancer that is ready at once; returns when the policy has the endpoint list. */
+    /**
+     * Starts a balancer that is ready at once, and returns when the policy has received the
+     * endpoint list.
+     */
     final void startReady(int maxSockets) throws IOException, InterruptedException {
         balancer =
                 BalancerServerFixtures.readyBalancer(
@@ -48,7 +51,7 @@
         assertEquals("CACHED [s1=UP]", policy.nextEvent());
     }
 
-    /** Stops the balancer on a thread of its own, which ends with the stop. */
+    /** Stops the balancer on a thread of its own, which ends when the balancer has stopped. */
     final Thread stopInBackground() {
         Thread stopThread = new Thread(balancer::stop);
         balancer = null;
@@ -56,8 +59,8 @@
         return stopThread;
     }
 
-    /** Waits until the readiness check fails, and with 503. */
-    final void awaitStopping() {
+    /** Waits until the readiness check fails, and asserts that its status is 503. */
+    final void awaitNotReady() {
         int status =
                 await("the readiness check fails")
                         .until(
@@ -66,12 +69,18 @@
         assertEquals(503, status, "status of the readiness check of a stopping balancer");
     }
 
-    /** Waits until the balancer has this number of clients' connections; returns its summary. */
+    /**
+     * Waits until the balancer has this number of client connections, and returns the frontend's
+     * summary.
+     */
     final String awaitClientCount(int count) {
         return awaitClientCount(count, TestAwait.TIMEOUT);
     }
 
-    /** The same within {@code timeout}. */
+    /**
+     * Waits up to {@code timeout} until the balancer has this number of client connections, and
+     * returns the frontend's summary.
+     */
     final String awaitClientCount(int count, Duration timeout) {
         return await(count + " client connections")
                 .atMost(timeout)
--- a/balancer/src/test/java/loadbalancer/server/WarmUpTest.java
+++ b/balancer/src/test/java/loadbalancer/server/WarmUpTest.java
@@ -20,13 +20,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How a warm-up gives way to clients whose requests come before it is complete. */
+/** Tests that a warm-up is cut short when client requests arrive before it is complete. */
 @Timeout(30)
 class WarmUpTest {
     private static final long TIMEOUT_MS = TestAwait.TIMEOUT.toMillis();
 
-    /** Runs a warm-up against a server that never responds, beside that many real requests. */
-    private static boolean endsAtOnce(long realRequests, boolean clientsWaiting)
+    /**
+     * Runs a warm-up against a server that never responds, with that many client requests so far.
+     * Returns whether the warm-up ends at its start.
+     */
+    private static boolean endsAtOnce(long clientRequests, boolean clientsWaiting)
             throws IOException, InterruptedException {
         NioEventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
         try (InputStream configJson = BalancerServer.class.getResourceAsStream("/prepare.json");
@@ -43,7 +46,7 @@
                                                 eventLoopGroup.next(),
                                                 config,
                                                 Optional.empty(),
-                                                () -> realRequests,
+                                                () -> clientRequests,
                                                 () -> clientsWaiting,
                                                 () -> {
                                                     endCount.incrementAndGet();
@@ -54,12 +57,14 @@
                                                         "127.0.0.1", silentServer.getLocalPort()));
                                 started.countDown();
                             });
-            assertTrue(started.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "not started");
+            assertTrue(
+                    started.await(TIMEOUT_MS, TimeUnit.MILLISECONDS),
+                    "the warm-up has not started");
             boolean endedAtOnce = ended.getCount() == 0;
             assertTrue(
                     ended.await(TIMEOUT_MS, TimeUnit.MILLISECONDS),
-                    "the warm-up waits for a silent server without end");
-            assertEquals(1, endCount.get(), "calls at the end of the warm-up");
+                    "the warm-up does not end while its server is silent");
+            assertEquals(1, endCount.get(), "number of calls of onFinished");
             return endedAtOnce;
         } finally {
             eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -67,24 +72,24 @@
     }
 
     /**
-     * With clients waiting 40 real requests replace the warm-up: on half a core it took 2 to 4 s
-     * beside them. Without, it takes 300: at a day's start 40 were too few, and 8% of the requests
-     * of the first five seconds were late.
+     * If clients are waiting, 40 client requests replace the warm-up: a longer one took 2 to 4 s
+     * alongside client requests on half a core. Otherwise it takes 300: with 40 at the start of a
+     * day, 8% of the requests of the first five seconds were late.
      */
     @ParameterizedTest
     @CsvSource(
             useHeadersInDisplayName = true,
             textBlock =
                     """
-                real requests, clients waiting, ends at once
+                client requests, clients waiting, ends at once
                 40,            true,            true
                 39,            true,            false
                 299,           false,           false
                 300,           false,           true
                 """)
-    void enoughRealRequestsEndWarmUp(
-            long realRequests, boolean clientsWaiting, boolean expectedEndAtOnce)
+    void enoughClientRequestsEndWarmUp(
+            long clientRequests, boolean clientsWaiting, boolean expectedEndAtOnce)
             throws IOException, InterruptedException {
-        assertEquals(expectedEndAtOnce, endsAtOnce(realRequests, clientsWaiting));
+        assertEquals(expectedEndAtOnce, endsAtOnce(clientRequests, clientsWaiting));
     }
 }
