--- a/balancer/src/main/java/loadbalancer/lease/FencingGuard.java
+++ b/balancer/src/main/java/loadbalancer/lease/FencingGuard.java
@@ -1,9 +1,9 @@
 package loadbalancer.lease;
 
 /**
- * The highest epoch of each slot that this member has seen a holder act under. A receiver of a
- * holder's messages checks each here: a holder that was paused may still send under an epoch that
- * has been superseded.
+ * Rejects messages of holders whose lease has been superseded. A holder that was paused may still
+ * send messages under an old epoch, so every receiver checks the epoch of each message here. The
+ * guard stores the highest accepted epoch of each slot. Only the caller's event loop uses it.
  */
 public final class FencingGuard {
     private final long[] highestEpochs;
@@ -16,7 +16,7 @@
         highestEpochs = other.highestEpochs.clone();
     }
 
-    /** Whether to accept a message under this epoch: not after one under a higher epoch. */
+    /** Returns whether to accept a message: false if a higher epoch has already been accepted. */
     public boolean accept(int slot, long epoch) {
         if (epoch < highestEpochs[slot]) {
             return false;
--- a/balancer/src/main/java/loadbalancer/lease/GrantTally.java
+++ b/balancer/src/main/java/loadbalancer/lease/GrantTally.java
@@ -3,8 +3,9 @@
 import java.util.Arrays;
 
 /**
- * The voters' responses to one member's request for a slot under one epoch: grants, or, if the
- * request is a pre-vote (not {@link #isBinding}), statements that they would grant it.
+ * Counts the voters' responses to one member's request for a slot under one epoch. If the request
+ * is a pre-vote (not {@link #isBinding}), a grant only states that the voter would grant the slot.
+ * Only the caller's event loop uses this class.
  */
 final class GrantTally {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -12,10 +13,11 @@
     private final long epoch;
     private final boolean binding;
     private final int majoritySize;
-    // By index of the voter: when the newest request that it granted was sent.
+    // When the newest request that each voter granted was sent, by the voter's index; NEVER if the
+    // voter has granted none.
     private final long[] grantRequestedMicros;
     private long lastRequestMicros;
-    // Of the newest request
+    // Number of denials of the newest request.
     private int denials;
 
     GrantTally(long epoch, boolean binding, int voterCount) {
@@ -66,8 +68,8 @@
     }
 
     /**
-     * Until when a majority of the grants binds its voters for certain, µs of the requester's
-     * clock; in the past if there is no majority.
+     * Returns until when the grants of a majority are certainly in force, µs of the requester's
+     * clock; a time in the past if there is no majority.
      */
     long reliableUntilMicros(LeaseTiming timing) {
         long[] sortedRequestMicros = grantRequestedMicros.clone();
@@ -77,7 +79,7 @@
         return oldestOfMajorityMicros + timing.usableMicros();
     }
 
-    /** State as a number, times relative to {@code nowMicros}. */
+    /** Returns a hash of the state, with times relative to {@code nowMicros}. */
     long fingerprint(long nowMicros, LeaseTiming timing) {
         long hash = (epoch * 31 + denials) * 31 + lastRequestMicros - nowMicros + (binding ? 1 : 0);
         for (long requestedAtMicros : grantRequestedMicros) {
--- a/balancer/src/main/java/loadbalancer/lease/HolderPreference.java
+++ b/balancer/src/main/java/loadbalancer/lease/HolderPreference.java
@@ -1,15 +1,17 @@
 package loadbalancer.lease;
 
 /**
- * Which member should hold one slot: the first by rendezvous hashing that is present, but for one
- * that has said that it does not want it.
+ * Determines which member should hold one slot: the first present member by rendezvous hashing,
+ * except one that has resigned, that is, has sent a transfer because it is leaving or draining.
+ * Only the caller's event loop uses this class.
  */
 final class HolderPreference {
     private static final int NO_MEMBER = RendezvousPlacement.NO_MEMBER;
 
     private final int slot;
     private int preferredMember = NO_MEMBER;
-    // The preferred member that transferred the slot; it may hold it again after that time.
+    // The member that transferred the slot while it was preferred, or NO_MEMBER. It is not
+    // preferred again before resignedUntilMicros.
     private int resignedMember = NO_MEMBER;
     private long resignedUntilMicros;
 
@@ -24,12 +26,15 @@
         resignedUntilMicros = other.resignedUntilMicros;
     }
 
-    /** The member that should hold the slot, or {@link RendezvousPlacement#NO_MEMBER}. */
+    /** Returns the member that should hold the slot, or {@link RendezvousPlacement#NO_MEMBER}. */
     int preferredMember() {
         return preferredMember;
     }
 
-    /** Places the slot anew: the view, this member's draining or a resignation has changed. */
+    /**
+     * Recomputes the preferred member. Has to be called after a change of the view, of this
+     * member's draining, or of a resignation.
+     */
     void update(LeaseContext context) {
         if (resignedMember != NO_MEMBER && !context.isPresent(resignedMember)) {
             resignedMember = NO_MEMBER;
@@ -45,7 +50,7 @@
                 : context.isPresent(member) && member != resignedMember;
     }
 
-    /** Prefers another member for good: this one leaves. */
+    /** Prefers another member from now on, because this one leaves. */
     void excludeSelf(LeaseContext context) {
         preferredMember =
                 RendezvousPlacement.preferredHolder(
@@ -54,7 +59,7 @@
                         member -> member != context.self() && context.isPresent(member));
     }
 
-    /** Whether this member would be preferred if it were not draining. */
+    /** Returns whether this member would be preferred if it were not draining. */
     boolean prefersSelfIgnoringDraining(LeaseContext context) {
         return context.self()
                 == RendezvousPlacement.preferredHolder(
@@ -64,8 +69,9 @@
     }
 
     /**
-     * Another member gives up the slot. If it is the preferred one, it leaves and the view will say
-     * so later, or it is draining and repeats this message.
+     * Handles the transfer of the slot by another member. If that member is the preferred one, it
+     * is either leaving, which the view shows later, or draining, in which case it repeats the
+     * message.
      */
     void onTransfer(int from, LeaseContext context, long nowMicros) {
         if (preferredMember == from) {
@@ -77,7 +83,7 @@
         update(context);
     }
 
-    /** A member that requests the slot wants it again. */
+    /** Ends the resignation of a member that requests the slot again. */
     void onRequest(int from, LeaseContext context) {
         if (resignedMember == from) {
             resignedMember = NO_MEMBER;
@@ -85,7 +91,7 @@
         }
     }
 
-    /** Forgets a resignation that was not repeated in time. */
+    /** Ends a resignation that was not repeated in time. */
     void expireResignation(LeaseContext context, long nowMicros) {
         if (resignedMember != NO_MEMBER && nowMicros >= resignedUntilMicros) {
             resignedMember = NO_MEMBER;
@@ -93,12 +99,12 @@
         }
     }
 
-    /** When {@link #expireResignation} is due; {@link Long#MAX_VALUE}: not at all. */
+    /** Returns when {@link #expireResignation} is due, µs; {@link Long#MAX_VALUE} if never. */
     long nextTickMicros() {
         return resignedMember == NO_MEMBER ? Long.MAX_VALUE : resignedUntilMicros;
     }
 
-    /** State as a number, times relative to {@code nowMicros}. */
+    /** Returns a hash of the state, with times relative to {@code nowMicros}. */
     long fingerprint(long nowMicros) {
         return resignedMember * 11L
                 + Math.max(0, resignedUntilMicros - nowMicros)
--- a/balancer/src/main/java/loadbalancer/lease/Lease.java
+++ b/balancer/src/main/java/loadbalancer/lease/Lease.java
@@ -1,9 +1,9 @@
 package loadbalancer.lease;
 
 /**
- * The right to act for a slot.
+ * The right of a holder to act for a slot. Immutable.
  *
- * @param epoch under which the holder acts; higher than that of every earlier holder
- * @param expiresAtMicros when the right ends, µs of the holder's monotonic clock
+ * @param epoch epoch under which the holder acts; higher than that of every earlier holder
+ * @param expiresAtMicros when the lease expires, µs of the holder's monotonic clock
  */
 public record Lease(long epoch, long expiresAtMicros) {}
--- a/balancer/src/main/java/loadbalancer/lease/LeaseContext.java
+++ b/balancer/src/main/java/loadbalancer/lease/LeaseContext.java
@@ -4,7 +4,10 @@
 import java.util.function.IntPredicate;
 import loadbalancer.util.Hashing;
 
-/** What the slots of one member share: its identity, its view of the members, its outbox. */
+/**
+ * Holds the state that all slots of one member share: its identity, its view of the members, its
+ * outbox, its fencing guard and its random numbers. Only the caller's event loop uses it.
+ */
 final class LeaseContext {
     private final int self;
     private final LeaseTiming timing;
@@ -58,7 +61,7 @@
         return present[member];
     }
 
-    /** Takes over a view; returns whether anything has changed. */
+    /** Replaces the view of which members are present; returns whether it has changed. */
     boolean updatePresence(IntPredicate isPresent) {
         boolean changed = false;
         for (int member = 0; member < present.length; member++) {
@@ -69,7 +72,7 @@
         return changed;
     }
 
-    /** Whether operators drain this member, so that it wants no slot. */
+    /** Returns whether this member is draining, so that it requests no slot. */
     boolean isDraining() {
         return draining;
     }
@@ -78,7 +81,7 @@
         this.draining = draining;
     }
 
-    /** A random number, 0 to {@code max}. */
+    /** Returns a random number from 0 to {@code max}, both included. */
     long nextRandom(long max) {
         randomState = Hashing.mix(randomState);
         return Long.remainderUnsigned(randomState, max + 1);
--- a/balancer/src/main/java/loadbalancer/lease/LeaseManager.java
+++ b/balancer/src/main/java/loadbalancer/lease/LeaseManager.java
@@ -11,25 +11,28 @@
 import loadbalancer.util.Hashing;
 
 /**
- * Leases of all slots at one member, as voter, candidate and holder: leases as by Gray and
- * Cheriton, granted by a majority of each slot's voters under epochs as in Paxos.
+ * Manages the leases of all slots at one member, in its roles as voter, candidate and holder. The
+ * leases are those of Gray and Cheriton, granted by a majority of each slot's voters under epochs
+ * as in Paxos.
  *
- * <p>Of the members present, the one that {@link RendezvousPlacement} prefers sends a slot's voters
- * a pre-vote, and requests the lease if a majority would grant it. A voter denies all others while
- * its grant binds it, so a member that comes and goes unseats no holder. A holder may act until the
- * grants of a majority, counted from when it <em>requested</em> them, have run for nine tenths of
- * the lease: the first of these voters is free later than that by any clock within 5%. It has to
- * check {@link #currentLease} before each act. It transfers the slot when it leaves or when another
- * member has been preferred for the handover delay; after a crash its lease has to expire.
+ * <p>The present member that {@link RendezvousPlacement} prefers for a slot sends a pre-vote to the
+ * slot's voters and requests the lease if a majority would grant it. A voter denies all other
+ * members while its grant is in force, so a member that repeatedly joins and leaves displaces no
+ * holder. A holder may act for nine tenths of the lease, counted from when it <em>requested</em>
+ * the grants of a majority. Every grant of that majority ends later than that if all clocks run
+ * within 5% of real time. The holder has to check {@link #currentLease} before each action that
+ * needs the lease. It transfers the slot when it leaves, when it is drained, or when another member
+ * has been preferred for the handover delay. After a crash its lease has to expire.
  *
- * <p>A deterministic state machine: time, messages and the view go in, {@link Action actions} come
- * out, to be taken in their order. Not thread-safe: one thread, the caller's event loop. A renewal
- * costs one message to each voter of the slots held, and its response.
+ * <p>This is a deterministic state machine. Its inputs are the time, messages and the view; its
+ * outputs are {@link Action actions}, which the caller performs in order. It is not thread-safe:
+ * only the caller's event loop uses it. A renewal costs one message to each voter of the slots
+ * held, and its response.
  */
 public final class LeaseManager {
     private static final long FINGERPRINT_MULTIPLIER = 0x9e3779b97f4a7c15L;
-    private static final long AT_ONCE_MICROS = Long.MIN_VALUE / 2;
-    // A draining member repeats its notice so often before others forget it.
+    private static final long IMMEDIATE_TICK_MICROS = Long.MIN_VALUE / 2;
+    // Number of times that a draining member repeats its notice before the others forget it.
     private static final int TRANSFER_NOTICES_PER_HANDOVER_DELAY = 3;
 
     private final LeaseContext context;
@@ -40,38 +43,42 @@
     private boolean departed;
     private long nextTransferNoticeMicros;
 
-    /** What the caller has to do. */
+    /** An operation that the caller has to perform. */
     public sealed interface Action permits Send, Persist, Acquired, Released {}
 
-    /** Send a datagram to that member. */
+    /** Asks the caller to send a datagram to member {@code to}. */
     public record Send(int to, LeaseMessage message) implements Action {}
 
-    /** Persist the promises of all slots, synced, and then call {@link #onPersisted}. */
+    /**
+     * Asks the caller to persist and sync the promises of all slots, and then to call {@link
+     * #onPersisted}.
+     */
     public record Persist(long writeId, List<VoterPromise> promises) implements Action {}
 
-    /** This member holds the slot under that epoch, as long as {@link #currentLease} says so. */
+    /** Reports that this member holds the slot while {@link #currentLease} returns its lease. */
     public record Acquired(int slot, long epoch) implements Action {}
 
     /**
-     * This member no longer holds the slot under that epoch.
+     * Reports that this member no longer holds the slot under that epoch.
      *
-     * @param successor the member that it is transferred to, if {@link ReleaseReason#TRANSFERRED}
+     * @param successor the member that receives the slot; present if the reason is {@link
+     *     ReleaseReason#TRANSFERRED}
      */
     public record Released(int slot, long epoch, ReleaseReason reason, OptionalInt successor)
             implements Action {}
 
     /**
-     * Makes a member that holds nothing and, as a voter, abstains for one lease.
+     * Creates a member that holds no lease and, as a voter, abstains for the length of one lease.
      *
-     * @param self its number, from 0
+     * @param self number of this member, from 0
      * @param memberCount number of configured members
-     * @param promises as persisted, one for each slot; empty if none were found
+     * @param promises the persisted promises, one for each slot; empty if none were found
      * @param durable whether the caller persists promises
-     * @param epochFloor epochs begin above it if there are no promises: the wall clock in ms
-     * @param seed of random numbers; it has to differ between the processes of one member
-     * @param nowMicros µs, monotonic, as in all methods
-     * @throws InvalidLeaseArgumentException if {@code self} is no member or the promises are not
-     *     for each slot
+     * @param epochFloor the wall clock in ms; without promises, epochs begin above it
+     * @param seed seed of the random numbers; has to differ between the processes of one member
+     * @param nowMicros monotonic clock, µs, as in all methods
+     * @throws InvalidLeaseArgumentException if {@code self} is not below {@code memberCount}, or if
+     *     the number of promises is neither 0 nor the number of slots
      */
     public LeaseManager(
             int self,
@@ -120,7 +127,7 @@
         return new LeaseSlot(slot, voters, highestEpoch, context);
     }
 
-    /** An independent copy of the same state, for model checking. */
+    /** Creates an independent copy of the same state, for model checking. */
     public LeaseManager(LeaseManager other) {
         context = new LeaseContext(other.context);
         outbox = context.outbox();
@@ -135,8 +142,8 @@
     }
 
     /**
-     * The state as a number, times relative to {@code nowMicros}, for model checking: equal for
-     * states that differ in nothing that matters.
+     * Returns a hash of the state, with times relative to {@code nowMicros}, for model checking.
+     * States with the same future behavior have the same hash.
      */
     public long fingerprint(long nowMicros) {
         long hash = voter.fingerprint(nowMicros) * 31 + context.presenceHash();
@@ -150,11 +157,9 @@
         return outbox.appendFingerprint(hash, nowMicros) * FINGERPRINT_MULTIPLIER;
     }
 
-    // ------------------------------------------------------------ leases held
-
     /**
-     * The lease that this member holds of a slot at this time. A caller that acts on another thread
-     * or later has to compare {@link Lease#expiresAtMicros} with the clock once more.
+     * Returns the lease that this member holds of a slot at this time. A caller that acts on
+     * another thread or later has to compare {@link Lease#expiresAtMicros} with the clock again.
      */
     public Optional<Lease> currentLease(long nowMicros, int slot) {
         SlotHolder holder = slots[slot].holder();
@@ -165,40 +170,47 @@
         return nowMicros < lease.expiresAtMicros() ? Optional.of(lease) : Optional.empty();
     }
 
-    /** The lease that this member holds of a key's slot at this time. */
+    /** Returns the lease that this member holds of a key's slot at this time. */
     public Optional<Lease> currentLease(long nowMicros, String key) {
         return currentLease(nowMicros, RendezvousPlacement.slotOf(key, slots.length));
     }
 
-    /** Decides which messages of holders to accept. */
+    /** Returns the guard that decides which messages of holders to accept. */
     public FencingGuard fencingGuard() {
         return context.fencingGuard();
     }
 
-    /** Until when this member grants nothing, because it may not know what it granted before. */
+    /**
+     * Returns the time, in µs, until which this member grants nothing because it may not know what
+     * it granted before.
+     */
     public long abstainsUntilMicros() {
         return voter.abstainsUntilMicros();
     }
 
-    // ------------------------------------------------------------ time and view
-
-    /** Others can reach this member from now on; until now, an earlier process may have granted. */
+    /**
+     * Handles the moment from which others can reach this member. Until then, an earlier process of
+     * this member may have granted leases, so the voter abstains for one lease from now on.
+     */
     public void onReachable(long nowMicros) {
         voter.startAbstaining(nowMicros);
     }
 
-    /** The view of which members are present has changed. */
+    /** Handles a change of the view of which members are present. */
     public List<Action> onMembershipChanged(long nowMicros, IntPredicate isPresent) {
         viewChanged |= context.updatePresence(isPresent);
         return tick(nowMicros);
     }
 
-    /** When {@link #tick} has to be called next, µs; {@link Long#MAX_VALUE}: not at all. */
+    /**
+     * Returns when {@link #tick} has to be called next, µs; {@link Long#MAX_VALUE} if it need not
+     * be called.
+     */
     public long nextTickMicros() {
         if (departed) {
             return Long.MAX_VALUE;
         }
-        long nextMicros = viewChanged ? AT_ONCE_MICROS : voter.nextPersistMicros();
+        long nextMicros = viewChanged ? IMMEDIATE_TICK_MICROS : voter.nextPersistMicros();
         if (context.isDraining()) {
             nextMicros = Math.min(nextMicros, nextTransferNoticeMicros);
         }
@@ -208,7 +220,7 @@
         return nextMicros;
     }
 
-    /** Time has passed. */
+    /** Performs everything that is due at this time. */
     public List<Action> tick(long nowMicros) {
         if (departed) {
             return List.of();
@@ -241,7 +253,7 @@
         }
     }
 
-    // Leases to be renewed soon go into the same datagrams.
+    // Renews leases that are due soon in the same datagrams as those that are due now.
     private void renewIfDue(long nowMicros) {
         if (Arrays.stream(slots).noneMatch(slot -> slot.holder().isRenewalDue(nowMicros, 0))) {
             return;
@@ -253,8 +265,8 @@
     }
 
     /**
-     * Operators drain this member ({@code draining}), or no longer do. While it is draining it
-     * wants no slot: it transfers at once what it holds and repeats this to those concerned, who
+     * Starts or ends the draining of this member. A draining member requests no slot: it transfers
+     * its slots immediately and repeats the transfer notice to the voters and successors, which
      * forget it after the handover delay. It remains a voter.
      */
     public List<Action> setDraining(long nowMicros, boolean draining) {
@@ -269,7 +281,7 @@
         return tick(nowMicros);
     }
 
-    /** This member shuts down: gives up what it holds, and takes part in nothing after that. */
+    /** Shuts this member down: releases its leases and requests, and ignores all later calls. */
     public List<Action> leave(long nowMicros) {
         if (departed) {
             return List.of();
@@ -282,9 +294,7 @@
         return actions;
     }
 
-    // ------------------------------------------------------------ messages
-
-    /** A message has arrived from another member. */
+    /** Handles a message from another member. */
     public List<Action> onPeerMessage(long nowMicros, int from, LeaseMessage message) {
         if (departed || !isOtherMember(from) || !hasKnownSlots(message)) {
             return List.of();
@@ -355,7 +365,7 @@
     private void onResponse(long nowMicros, int from, LeaseMessage message) {
         OptionalLong requestedAtMicros = outbox.requestedAtMicros(message);
         if (requestedAtMicros.isEmpty()) {
-            // To another process of this member, or too late to count.
+            // The response is to an earlier process of this member, or is too late to count.
             return;
         }
         boolean binding = message.kind() == LeaseMessage.Kind.GRANTED;
@@ -370,7 +380,7 @@
         }
     }
 
-    /** The write of {@link Persist} has ended; after a failure it is tried again later. */
+    /** Handles the end of a {@link Persist} write; a failed write is retried later. */
     public List<Action> onPersisted(long nowMicros, long writeId, boolean succeeded) {
         List<Voter.PendingGrant> confirmed = voter.onPersisted(nowMicros, writeId, succeeded);
         if (departed) {
--- a/balancer/src/main/java/loadbalancer/lease/LeaseMessage.java
+++ b/balancer/src/main/java/loadbalancer/lease/LeaseMessage.java
@@ -7,24 +7,24 @@
 
 /**
  * One datagram of the lease protocol: a header of {@value #HEADER_BYTES} bytes (format, kind,
- * process id, sequence number) and {@value #ENTRY_BYTES} bytes for each entry.
+ * process id, sequence number) and {@value #ENTRY_BYTES} bytes for each entry. Immutable.
  *
  * @param processId random number, below {@value #PROCESS_ID_LIMIT}, that distinguishes the
- *     processes of one member; a response repeats that of its request
- * @param sequenceNumber of the request; a response repeats it
- * @param entries one for each slot, at most {@value #MAX_ENTRIES}
+ *     processes of one member; a response repeats the process id of its request
+ * @param sequenceNumber number of the request; a response repeats it
+ * @param entries one entry for each slot, at most {@value #MAX_ENTRIES}
  */
 public record LeaseMessage(Kind kind, int processId, int sequenceNumber, List<Entry> entries) {
-    /** First byte of each such datagram; those of other protocols begin otherwise. */
+    /** First byte of each datagram of this protocol; no other protocol uses it. */
     public static final byte FORMAT = 5;
 
-    /** Most entries of a message. */
+    /** Maximum number of entries of a message. */
     public static final int MAX_ENTRIES = 35;
 
     /** Highest epoch: 48 bits. */
     public static final long MAX_EPOCH = (1L << 48) - 1;
 
-    /** Process ids are below it. */
+    /** Process ids are below this number. */
     public static final int PROCESS_ID_LIMIT = 1 << 15;
 
     private static final int HEADER_BYTES = 8;
@@ -32,29 +32,31 @@
     private static final int MAX_SLOT = 255;
     private static final Kind[] KINDS = Kind.values();
 
-    /** Kind of a message; the ordinal is on the wire. */
+    /** Kind of a message; the ordinal is sent on the wire. */
     public enum Kind {
-        /** Asks whether the receiver would grant these slots under these epochs; binds nobody. */
+        /** Asks whether the receiver would grant the slots under these epochs; not binding. */
         PRE_VOTE,
-        /** The sender would grant them. */
+        /** Answers a pre-vote: the sender would grant the slots. */
         PRE_VOTE_GRANTED,
-        /** Requests or renews these slots under these epochs. */
+        /** Requests or renews the slots under these epochs. */
         REQUEST,
-        /** The sender has granted them. */
+        /** Answers a request: the sender has granted the slots. */
         GRANTED,
         /** Denies a request or a pre-vote; the epochs are the highest that the sender knows. */
         DENIED,
-        /** The sender gives up requests for these slots. */
+        /** Releases the sender's requests for the slots. */
         RELEASE,
-        /** The sender gives up these slots, or stays without them: the next holder may request. */
+        /**
+         * Releases the slots, or declines them while draining; the next holder may request them.
+         */
         TRANSFER
     }
 
-    /** One slot and an epoch of it. */
+    /** A slot and an epoch of that slot. */
     public record Entry(int slot, long epoch) {}
 
     /**
-     * Makes a message.
+     * Creates a message.
      *
      * @throws InvalidLeaseArgumentException if a value does not fit in a datagram
      */
@@ -88,12 +90,12 @@
         InvalidLeaseArgumentException.require(valid, "lease message: " + field, value, range);
     }
 
-    /** Whether the first byte is this format's; the rest may be invalid. */
+    /** Returns whether the first byte is {@link #FORMAT}; the rest may be invalid. */
     public static boolean matchesFormat(byte[] bytes) {
         return bytes.length > 0 && bytes[0] == FORMAT;
     }
 
-    /** The datagram, 253 bytes at most. */
+    /** Encodes the message as a datagram of at most 253 bytes. */
     public byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + ENTRY_BYTES * entries.size());
         out.put(FORMAT)
@@ -108,7 +110,7 @@
         return out.array();
     }
 
-    /** The message of a datagram; empty if it is of another format or invalid. */
+    /** Decodes a datagram; returns empty if it is of another format or invalid. */
     public static Optional<LeaseMessage> decode(byte[] bytes) {
         if (!matchesFormat(bytes) || !hasValidLength(bytes) || !hasValidKind(bytes)) {
             return Optional.empty();
--- a/balancer/src/main/java/loadbalancer/lease/LeaseOutbox.java
+++ b/balancer/src/main/java/loadbalancer/lease/LeaseOutbox.java
@@ -8,18 +8,20 @@
 import java.util.function.Consumer;
 
 /**
- * Actions of one member on their way to its caller. Entries queued by several slots are batched: in
- * each round one datagram goes to each receiver for each kind of message. Remembers when recent
- * rounds were sent, because a grant counts from when it was requested.
+ * Collects the actions of one member for its caller. Entries queued by several slots are batched:
+ * in each round one datagram goes to each receiver for each kind of message, or more if the entries
+ * don't fit in one. The outbox records when recent rounds were sent, because a grant counts from
+ * when it was requested. Only the caller's event loop uses it.
  */
 final class LeaseOutbox {
-    // Responses to earlier rounds are ignored.
+    // Number of recent rounds that are tracked; responses to older rounds are ignored.
     private static final int MAX_TRACKED_ROUNDS = 128;
 
     private final int self;
     private final int processId;
     private final LeaseTiming timing;
-    // By receiver and kind, each in the order of the first entry: it is the order of sending.
+    // Queued entries by receiver and kind. Receivers and kinds are sent in the order in which their
+    // first entry was queued.
     private final Map<Integer, Map<LeaseMessage.Kind, List<LeaseMessage.Entry>>> queuedEntries =
             new LinkedHashMap<>();
     private final List<LeaseManager.Action> actions = new ArrayList<>();
@@ -32,14 +34,14 @@
         this.timing = timing;
     }
 
-    /** A copy made between two events: then nothing is queued. */
+    /** Creates a copy. Has to be called between two events, when nothing is queued. */
     LeaseOutbox(LeaseOutbox other) {
         this(other.self, other.processId, other.timing);
         sentAtMicrosByRound.putAll(other.sentAtMicrosByRound);
         lastSequenceNumber = other.lastSequenceNumber;
     }
 
-    /** Has an action taken after those before it. */
+    /** Appends an action; the caller performs actions in the order in which they were added. */
     void add(LeaseManager.Action action) {
         actions.add(action);
     }
@@ -52,14 +54,17 @@
                 .add(entry);
     }
 
-    /** Queues an entry for each of some members. */
+    /** Queues an entry for each of the given members. */
     void enqueueAll(int[] members, LeaseMessage.Kind kind, LeaseMessage.Entry entry) {
         for (int member : members) {
             enqueue(member, kind, entry);
         }
     }
 
-    /** When the request was sent that this response repeats; empty if it no longer counts. */
+    /**
+     * Returns when the request that this response answers was sent, µs; empty if the response no
+     * longer counts.
+     */
     OptionalLong requestedAtMicros(LeaseMessage response) {
         if (response.processId() != processId) {
             return OptionalLong.empty();
@@ -69,8 +74,8 @@
     }
 
     /**
-     * Turns what is queued into messages, round by round: what this member sends to itself goes to
-     * {@code loopback} at once, which may queue more.
+     * Converts the queued entries to messages, round by round. Messages to this member itself go to
+     * {@code loopback} immediately, which may queue more entries.
      */
     void flush(long nowMicros, Consumer<LeaseMessage> loopback) {
         while (!queuedEntries.isEmpty()) {
@@ -116,14 +121,17 @@
         }
     }
 
-    /** The actions since the last call, in order. */
+    /** Removes and returns the actions added since the last call, in order. */
     List<LeaseManager.Action> takeActions() {
         List<LeaseManager.Action> taken = List.copyOf(actions);
         actions.clear();
         return taken;
     }
 
-    /** Continues a hash by the rounds that still count, times relative to {@code nowMicros}. */
+    /**
+     * Appends to a hash the rounds whose responses still count, with times relative to {@code
+     * nowMicros}.
+     */
     long appendFingerprint(long hash, long nowMicros) {
         for (Map.Entry<Integer, Long> round : sentAtMicrosByRound.entrySet()) {
             long remainingMicros = round.getValue() + timing.usableMicros() - nowMicros;
--- a/balancer/src/main/java/loadbalancer/lease/LeaseSlot.java
+++ b/balancer/src/main/java/loadbalancer/lease/LeaseSlot.java
@@ -5,9 +5,10 @@
 import java.util.stream.IntStream;
 
 /**
- * One slot at one member: joins the roles of {@link SlotCandidate candidate} and {@link SlotHolder
- * holder} with the {@link HolderPreference member that should hold it}. A holder may be a candidate
- * at the same time, for a higher epoch of its own slot.
+ * Coordinates one slot at one member: its roles as {@link SlotCandidate candidate} and {@link
+ * SlotHolder holder}, and the {@link HolderPreference member that should hold the slot}. A holder
+ * may at the same time be a candidate for a higher epoch of its own slot. Only the caller's event
+ * loop uses it.
  */
 final class LeaseSlot {
     private final int slot;
@@ -16,7 +17,7 @@
     private final SlotCandidate candidate;
     private final SlotHolder holder;
     private final HolderPreference preference;
-    // The highest epoch that was requested or heard of.
+    // The highest epoch that this member has requested or learned from others.
     private long highestEpoch;
 
     LeaseSlot(int slot, int[] voters, long highestEpoch, LeaseContext context) {
@@ -47,7 +48,7 @@
         return preference;
     }
 
-    /** When {@link #advance} has to be called next, µs. */
+    /** Returns when {@link #advance} has to be called next, µs. */
     long nextTickMicros() {
         long nextMicros = preference.nextTickMicros();
         if (holder.isHolding()) {
@@ -65,14 +66,14 @@
         return preference.preferredMember() == context.self();
     }
 
-    /** Does what time or a change of preference has made due, but for renewals. */
+    /** Performs everything that time or a change of preference has made due, except renewals. */
     void advance(long nowMicros) {
         if (holder.isExpired(nowMicros)) {
-            relinquish(ReleaseReason.EXPIRED);
+            releaseLease(ReleaseReason.EXPIRED);
             candidate.backOff(nowMicros);
         }
         if (holder.isHolding() && holder.isHandoverDue(isSelfPreferred(), nowMicros)) {
-            relinquish(ReleaseReason.TRANSFERRED);
+            releaseLease(ReleaseReason.TRANSFERRED);
         }
         if (candidate.isTimedOut(nowMicros)) {
             abandonRequest(nowMicros);
@@ -86,7 +87,7 @@
         }
     }
 
-    /** Renews the lease held if that is due within {@code withinMicros}. */
+    /** Renews the lease held if that is due within {@code withinMicros} µs. */
     void renewIfDue(long nowMicros, long withinMicros) {
         if (holder.isRenewalDue(nowMicros, withinMicros)) {
             holder.onRenewalSent(nowMicros);
@@ -94,10 +95,11 @@
         }
     }
 
-    // A holder that needs a higher epoch has its voters already: it sends no pre-vote.
+    // A holder that needs a higher epoch already has the grants of a majority, so it sends a
+    // binding request without a pre-vote.
     private void request(boolean binding, long nowMicros) {
         if (highestEpoch >= LeaseMessage.MAX_EPOCH) {
-            // Only a forged message has such an epoch.
+            // Only a forged message contains such an epoch.
             return;
         }
         long epoch = highestEpoch + 1;
@@ -107,7 +109,7 @@
         candidate.request(epoch, binding, nowMicros);
     }
 
-    // Beside a lease that is held the voters are not released: their grants count for it.
+    // If a lease is held, the voters are not released, because their grants count for that lease.
     private void abandonRequest(long nowMicros) {
         if (!holder.isHolding()) {
             releaseRequest();
@@ -121,7 +123,7 @@
         }
     }
 
-    private void relinquish(ReleaseReason reason) {
+    private void releaseLease(ReleaseReason reason) {
         OptionalInt successor =
                 reason == ReleaseReason.TRANSFERRED
                         ? OptionalInt.of(preference.preferredMember())
@@ -135,7 +137,7 @@
         candidate.clear();
     }
 
-    // Frees the voters and lets the preferred member request at once.
+    // Releases the voters' grants and allows the preferred member to request immediately.
     private void announceTransfer(long epoch) {
         enqueueToVoters(LeaseMessage.Kind.TRANSFER, epoch);
         int successor = preference.preferredMember();
@@ -153,41 +155,42 @@
         context.outbox().enqueueAll(voters, kind, new LeaseMessage.Entry(slot, epoch));
     }
 
-    /** This member shuts down: gives up the slot, or the request for it. */
+    /** Releases the slot, or the request for it, because this member shuts down. */
     void leave() {
         if (holder.isHolding()) {
             preference.excludeSelf(context);
-            relinquish(ReleaseReason.LEAVING);
+            releaseLease(ReleaseReason.LEAVING);
         } else {
             releaseRequest();
         }
     }
 
-    /** Operators drain this member, or no longer do. */
+    /** Handles the start or the end of this member's draining. */
     void onDrainingChanged(long nowMicros) {
         preference.update(context);
         if (context.isDraining() && holder.isHolding()) {
-            relinquish(ReleaseReason.DRAINING);
+            releaseLease(ReleaseReason.DRAINING);
         } else if (context.isDraining() && candidate.isRequesting()) {
             abandonRequest(nowMicros);
         }
     }
 
-    /** Repeats, while this member is draining, that it does not want a slot it is preferred for. */
+    /** Repeats that this member, while draining, does not want the slot it is preferred for. */
     void announceDraining() {
         if (preference.prefersSelfIgnoringDraining(context)) {
             announceTransfer(0);
         }
     }
 
-    /** Another member, or this one, gives up a request for the slot. */
+    /** Handles the release of a request for the slot by another member or this one. */
     void onRelease(long epoch) {
         highestEpoch = Math.max(highestEpoch, epoch);
     }
 
     /**
-     * Another member gives up the slot. Only this ends a backoff: if the release of a request did,
-     * two members that each prefer themselves would wake each other without end.
+     * Handles the transfer of the slot by another member. Only a transfer ends a backoff: if the
+     * release of a request did, two members that each prefer themselves would end each other's
+     * backoff in an endless loop.
      */
     void onTransfer(int from, long epoch, long nowMicros) {
         highestEpoch = Math.max(highestEpoch, epoch);
@@ -196,7 +199,13 @@
         advance(nowMicros);
     }
 
-    /** A grant, or a pre-vote that would grant ({@code binding} false), for this member. */
+    /**
+     * Handles a grant for this member.
+     *
+     * @param binding false for the answer to a pre-vote, which only states that the voter would
+     *     grant the slot
+     * @param requestedAtMicros when the request was sent, µs
+     */
     void onGranted(int voter, boolean binding, long epoch, long requestedAtMicros, long nowMicros) {
         int voterIndex = Arrays.binarySearch(voters, voter);
         if (voterIndex < 0) {
@@ -229,7 +238,12 @@
         context.outbox().add(new LeaseManager.Acquired(slot, holder.epoch()));
     }
 
-    /** A denial for this member; {@code epoch} is the highest that the voter knows. */
+    /**
+     * Handles a denial for this member.
+     *
+     * @param epoch highest epoch that the voter knows
+     * @param requestedAtMicros when the request was sent, µs
+     */
     void onDenied(int voter, long epoch, long requestedAtMicros, long nowMicros) {
         if (Arrays.binarySearch(voters, voter) < 0) {
             return;
@@ -247,7 +261,7 @@
         }
     }
 
-    /** Continues a hash by the state of this slot, times relative to {@code nowMicros}. */
+    /** Appends the state of this slot to a hash, with times relative to {@code nowMicros}. */
     long appendFingerprint(long previousHash, long nowMicros) {
         long hash = previousHash * 31 + highestEpoch;
         hash = hash * 31 + holder.fingerprint(nowMicros);
--- a/balancer/src/main/java/loadbalancer/lease/LeaseTiming.java
+++ b/balancer/src/main/java/loadbalancer/lease/LeaseTiming.java
@@ -1,17 +1,17 @@
 package loadbalancer.lease;
 
 /**
- * Times and bounds of the lease protocol; times in µs of each member's own monotonic clock.
+ * Times and limits of the lease protocol. Times are in µs of each member's own monotonic clock.
+ * Immutable.
  *
- * @param leaseMicros how long a grant binds its voter, and how long a voter abstains after its
- *     start
- * @param renewIntervalMicros between two renewals by a holder
- * @param minBackoffMicros shortest backoff of a denied candidate; doubles up to {@code
- *     renewIntervalMicros}, plus up to half of it at random
+ * @param leaseMicros how long a grant is in force, and how long a voter abstains after its start
+ * @param renewIntervalMicros interval between two renewals by a holder
+ * @param minBackoffMicros shortest backoff of a denied candidate; it doubles up to {@code
+ *     renewIntervalMicros}, and up to half of it is added at random
  * @param handoverDelayMicros how long another member has to be the preferred holder before the
  *     present holder transfers the slot to it
- * @param slotCount number of slots that keys are hashed to; leases are held by slot
- * @param maxVoters most voters of a slot, drawn from the configured members
+ * @param slotCount number of slots that keys are hashed to; each lease is for one slot
+ * @param maxVoters maximum number of voters of a slot, chosen from the configured members
  */
 public record LeaseTiming(
         long leaseMicros,
@@ -20,10 +20,15 @@
         long handoverDelayMicros,
         int slotCount,
         int maxVoters) {
-    /** For balancers in one or a few sites. */
+    /** Timing for balancers at one site or a few sites. */
     public static final LeaseTiming DEFAULT =
             new LeaseTiming(2_000_000, 500_000, 40_000, 3_000_000, 32, 9);
 
+    /**
+     * Creates a timing.
+     *
+     * @throws InvalidLeaseArgumentException if a value is out of range
+     */
     public LeaseTiming {
         require(renewIntervalMicros > 0, "renewIntervalMicros", renewIntervalMicros, "positive");
         require(
@@ -50,8 +55,8 @@
     }
 
     /**
-     * How long a grant may be relied on, from when it was requested: a tenth of the lease is left
-     * for a voter's clock that runs 5% fast and a holder's that runs 5% slow.
+     * Returns how long a grant is usable from when it was requested, µs. The remaining tenth of the
+     * lease allows for a voter's clock that runs 5% fast and a holder's clock that runs 5% slow.
      */
     public long usableMicros() {
         return leaseMicros / 10 * 9;
--- a/balancer/src/main/java/loadbalancer/lease/ReleaseReason.java
+++ b/balancer/src/main/java/loadbalancer/lease/ReleaseReason.java
@@ -1,12 +1,12 @@
 package loadbalancer.lease;
 
-/** Why a member no longer holds a slot. */
+/** Reason why a member no longer holds a slot. */
 public enum ReleaseReason {
-    /** The member shuts down. */
+    /** The member is shutting down. */
     LEAVING,
-    /** Operators drain the member. */
+    /** The member is being drained. */
     DRAINING,
-    /** The preferred holder has been back for the handover delay. */
+    /** Another member has been the preferred holder for the handover delay. */
     TRANSFERRED,
     /** No majority renewed the lease in time. */
     EXPIRED,
--- a/balancer/src/main/java/loadbalancer/lease/RendezvousPlacement.java
+++ b/balancer/src/main/java/loadbalancer/lease/RendezvousPlacement.java
@@ -6,26 +6,26 @@
 import loadbalancer.util.Hashing;
 
 /**
- * Placement of keys in slots and of slots on members by rendezvous hashing (Thaler, Ravishankar):
- * when a member leaves, only the slots that it held move.
+ * Assigns keys to slots by hash, and slots to members by rendezvous hashing (Thaler, Ravishankar):
+ * when a member leaves, only the slots that it held move. Stateless; any thread may use it.
  */
 public final class RendezvousPlacement {
-    /** In place of a member: there is none. */
+    /** Stands for the absence of a member. */
     public static final int NO_MEMBER = -1;
 
-    // So that voters are drawn independently of holders.
+    // Makes the choice of voters independent of the choice of holders.
     private static final long VOTER_SALT = 0x9e3779b97f4a7c15L;
 
     private RendezvousPlacement() {}
 
-    /** The slot of a key. */
+    /** Returns the slot of a key, from 0 to {@code slotCount - 1}. */
     public static int slotOf(String key, int slotCount) {
         return (int) Long.remainderUnsigned(Hashing.hash(key), slotCount);
     }
 
     /**
-     * The member that should hold a slot: the one of greatest weight among those present; {@link
-     * #NO_MEMBER} if none is.
+     * Returns the member that should hold a slot: the one with the greatest weight among those
+     * present, or {@link #NO_MEMBER} if none is present.
      */
     public static int preferredHolder(int slot, int memberCount, IntPredicate isPresent) {
         return IntStream.range(0, memberCount)
@@ -36,9 +36,9 @@
     }
 
     /**
-     * A slot's voters, ascending: all members if there are at most {@code maxVoters}. They depend
-     * on the configured members alone, never on who is present, so that two majorities of them
-     * always overlap.
+     * Returns a slot's voters in ascending order: {@code maxVoters} members, or all if there are no
+     * more. The voters depend only on the configured members, not on which members are present, so
+     * that any two majorities of them overlap.
      */
     public static int[] votersOf(int slot, int memberCount, int maxVoters) {
         Comparator<Integer> byVoterWeight =
--- a/balancer/src/main/java/loadbalancer/lease/SlotCandidate.java
+++ b/balancer/src/main/java/loadbalancer/lease/SlotCandidate.java
@@ -1,12 +1,13 @@
 package loadbalancer.lease;
 
 /**
- * One member as a candidate for one slot: the request under way, if any, and the backoff before the
- * next.
+ * Requests one slot for one member: tracks the pending request, if any, and the backoff before the
+ * next one.
  *
- * <p>A candidate sends a pre-vote first, which raises no epoch: an epoch that rises in vain at some
- * voters would cost the present holder its renewal. A binding request follows when a majority would
- * grant it. Requests are resent with backoff to the voters that have not granted them.
+ * <p>A candidate first sends a pre-vote, which raises no epoch: if some voters promised a higher
+ * epoch without a majority for it, they would deny the present holder's renewal. A binding request
+ * follows when a majority would grant it. Requests are resent with backoff to the voters that have
+ * not granted them. Only the caller's event loop uses this class.
  */
 final class SlotCandidate {
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
@@ -14,12 +15,12 @@
     private final int slot;
     private final int[] voters;
     private final LeaseContext context;
-    // Responses to the request under way; null if there is none.
+    // Responses to the pending request; null if there is none.
     private GrantTally tally;
     private long deadlineMicros;
     private long resendAtMicros;
     private int resends;
-    // Backoff between requests
+    // The backoff before the next request ends at this time.
     private long nextRequestMicros;
     private int consecutiveFailures;
 
@@ -39,12 +40,12 @@
         consecutiveFailures = other.consecutiveFailures;
     }
 
-    /** Whether a request is under way. */
+    /** Returns whether a request is pending. */
     boolean isRequesting() {
         return tally != null;
     }
 
-    /** Whether a request of this kind is under way under this epoch. */
+    /** Returns whether a request of this kind is pending under this epoch. */
     boolean isRequesting(long epoch, boolean binding) {
         return tally != null && tally.epoch() == epoch && tally.isBinding() == binding;
     }
@@ -53,21 +54,21 @@
         return tally != null && tally.isBinding();
     }
 
-    /** Epoch of the request under way. */
+    /** Returns the epoch of the pending request. */
     long epoch() {
         return tally.epoch();
     }
 
-    /** Whether the backoff is over. */
+    /** Returns whether the backoff is over. */
     boolean mayRequest(long nowMicros) {
         return nowMicros >= nextRequestMicros;
     }
 
-    /** Sends a request, or a pre-vote, in place of the one under way. */
+    /** Sends a request, or a pre-vote, which replaces the pending one. */
     void request(long epoch, boolean binding, long nowMicros) {
         tally = new GrantTally(epoch, binding, voters.length);
-        // A binding request is not given up before its grants end: it would cost another epoch, and
-        // another sync, each time that a voter's disk is slow.
+        // A binding request does not time out before its grants end. Otherwise, each delay of a
+        // voter's disk would cost another epoch and another sync.
         LeaseTiming timing = context.timing();
         deadlineMicros =
                 nowMicros + (binding ? timing.leaseMicros() : timing.renewIntervalMicros());
@@ -95,31 +96,36 @@
         return tally != null && nowMicros >= deadlineMicros;
     }
 
-    /** Resends the request to voters that have not granted it, if that is due. */
+    /** Resends the request to the voters that have not granted it, if that is due. */
     void resendIfDue(long nowMicros) {
         if (tally != null && nowMicros >= resendAtMicros) {
             send(nowMicros);
         }
     }
 
-    /** Records a response to the request under way; returns whether a majority has granted it. */
+    /** Records a grant of the pending request; returns whether a majority has granted it. */
     boolean recordGrant(int voterIndex, long requestedAtMicros, long nowMicros) {
         tally.recordGrant(voterIndex, requestedAtMicros);
         return nowMicros < tally.reliableUntilMicros(context.timing());
     }
 
-    /** Records a response to the request under way; returns whether that is hopeless. */
+    /**
+     * Records a denial of the pending request; returns whether the request can no longer succeed.
+     */
     boolean recordDenial(long epoch, long requestedAtMicros) {
         return tally.recordDenial(requestedAtMicros) || epoch >= tally.epoch();
     }
 
-    /** Gives up the request under way and backs off. */
+    /** Abandons the pending request and backs off. */
     void abandon(long nowMicros) {
         tally = null;
         backOff(nowMicros);
     }
 
-    /** Waits before the next request: longer each time, up to half more at random. */
+    /**
+     * Delays the next request, longer after each consecutive failure, plus up to half of the delay
+     * at random.
+     */
     void backOff(long nowMicros) {
         long delayMicros = backoffMicros(consecutiveFailures++);
         nextRequestMicros = nowMicros + delayMicros + context.nextRandom(delayMicros / 2);
@@ -132,13 +138,13 @@
                 timing.minBackoffMicros() << Math.min(MAX_BACKOFF_DOUBLINGS, failures));
     }
 
-    /** Ends the backoff: the slot has been given up by its holder. */
+    /** Ends the backoff because the holder has released the slot. */
     void resetBackoff(long nowMicros) {
         consecutiveFailures = 0;
         nextRequestMicros = Math.min(nextRequestMicros, nowMicros);
     }
 
-    /** The request under way has a majority: its grants, which now belong to the holder. */
+    /** Ends the pending request, which has a majority, and returns its grants for the holder. */
     GrantTally takeMajority() {
         GrantTally majority = tally;
         tally = null;
@@ -146,12 +152,12 @@
         return majority;
     }
 
-    /** Ends the request under way without backoff. */
+    /** Ends the pending request without backoff. */
     void clear() {
         tally = null;
     }
 
-    /** When the request under way has to be resent or given up. */
+    /** Returns when the pending request has to be resent or abandoned, µs. */
     long nextTickMicros() {
         return Math.min(deadlineMicros, resendAtMicros);
     }
@@ -160,7 +166,7 @@
         return nextRequestMicros;
     }
 
-    /** The request under way as a number, times relative to {@code nowMicros}. */
+    /** Returns a hash of the pending request, with times relative to {@code nowMicros}. */
     long requestFingerprint(long nowMicros) {
         return tally == null
                 ? 0
@@ -170,7 +176,7 @@
                         + 5L * resends;
     }
 
-    /** The backoff as a number, times relative to {@code nowMicros}. */
+    /** Returns a hash of the backoff, with times relative to {@code nowMicros}. */
     long backoffFingerprint(long nowMicros) {
         return consecutiveFailures * 7L + Math.max(0, nextRequestMicros - nowMicros);
     }
--- a/balancer/src/main/java/loadbalancer/lease/SlotHolder.java
+++ b/balancer/src/main/java/loadbalancer/lease/SlotHolder.java
@@ -1,14 +1,18 @@
 package loadbalancer.lease;
 
-/** One member as the holder of one slot, or, between leases, as nothing. */
+/**
+ * Tracks the lease that one member holds of one slot, if any: its grants, renewal and handover.
+ * Only the caller's event loop uses it.
+ */
 final class SlotHolder {
     private static final long NEVER = Long.MAX_VALUE;
 
     private final LeaseTiming timing;
-    // Grants of the lease held; null if none is.
+    // Grants of the lease held; null if no lease is held.
     private GrantTally grants;
     private long renewAtMicros;
-    // Since when another member has been preferred; NEVER if this one is, or if nothing is held.
+    // Start of the period in which another member is preferred; NEVER if this member is preferred
+    // or holds no lease.
     private long notPreferredSinceMicros = NEVER;
 
     SlotHolder(LeaseTiming timing) {
@@ -22,7 +26,7 @@
         notPreferredSinceMicros = other.notPreferredSinceMicros;
     }
 
-    /** Whether a lease is held that has not been given up yet; it may have expired. */
+    /** Returns whether a lease is held that has not been released yet; it may have expired. */
     boolean isHolding() {
         return grants != null;
     }
@@ -31,12 +35,12 @@
         return grants != null && grants.epoch() == epoch;
     }
 
-    /** Epoch of the lease held. */
+    /** Returns the epoch of the lease held. */
     long epoch() {
         return grants.epoch();
     }
 
-    /** When the lease held expires, µs. */
+    /** Returns when the lease held expires, µs. */
     long expiresAtMicros() {
         return grants.reliableUntilMicros(timing);
     }
@@ -45,7 +49,7 @@
         return grants != null && nowMicros >= expiresAtMicros();
     }
 
-    /** Holds a lease from now on, in place of one under a lower epoch. */
+    /** Starts to hold a lease, which replaces one under a lower epoch. */
     void acquire(GrantTally majority, long requestedAtMicros) {
         grants = majority;
         renewAtMicros = requestedAtMicros + timing.renewIntervalMicros();
@@ -55,7 +59,7 @@
         grants.recordGrant(voterIndex, requestedAtMicros);
     }
 
-    /** Whether the lease held has to be renewed within {@code withinMicros}. */
+    /** Returns whether the lease held has to be renewed within {@code withinMicros} µs. */
     boolean isRenewalDue(long nowMicros, long withinMicros) {
         return grants != null && nowMicros + withinMicros >= renewAtMicros;
     }
@@ -64,7 +68,10 @@
         renewAtMicros = nowMicros + timing.renewIntervalMicros();
     }
 
-    /** Whether another member has been preferred for the handover delay; call at each tick. */
+    /**
+     * Returns whether another member has been preferred for the handover delay. Has to be called at
+     * each tick, because it records when the preference changes.
+     */
     boolean isHandoverDue(boolean selfPreferred, long nowMicros) {
         notPreferredSinceMicros =
                 selfPreferred ? NEVER : Math.min(notPreferredSinceMicros, nowMicros);
@@ -72,13 +79,13 @@
                 && nowMicros >= notPreferredSinceMicros + timing.handoverDelayMicros();
     }
 
-    /** Holds nothing from now on. */
+    /** Ends the lease held. */
     void clear() {
         grants = null;
         notPreferredSinceMicros = NEVER;
     }
 
-    /** When the lease held has to be renewed, given up or handed over. */
+    /** Returns when the lease held has to be renewed, released or transferred, µs. */
     long nextTickMicros() {
         long nextMicros = Math.min(renewAtMicros, expiresAtMicros());
         return notPreferredSinceMicros == NEVER
@@ -86,14 +93,14 @@
                 : Math.min(nextMicros, notPreferredSinceMicros + timing.handoverDelayMicros());
     }
 
-    /** The lease held as a number, times relative to {@code nowMicros}. */
+    /** Returns a hash of the lease held, with times relative to {@code nowMicros}. */
     long fingerprint(long nowMicros) {
         return grants == null
                 ? 0
                 : grants.fingerprint(nowMicros, timing) + (renewAtMicros - nowMicros);
     }
 
-    /** How long another member has been preferred, µs; 0 if none is. */
+    /** Returns how long another member has been preferred, µs; 0 if none is. */
     long notPreferredMicros(long nowMicros) {
         return notPreferredSinceMicros == NEVER ? 0 : nowMicros - notPreferredSinceMicros;
     }
--- a/balancer/src/main/java/loadbalancer/lease/Voter.java
+++ b/balancer/src/main/java/loadbalancer/lease/Voter.java
@@ -6,36 +6,40 @@
 import java.util.Optional;
 
 /**
- * One member as a voter of all slots.
+ * Votes for all slots on behalf of one member.
  *
- * <p>A grant binds it for a lease: until then, by its own clock, no other process is granted the
- * slot, and no lower epoch ever. It abstains for a lease after its start, because it does not know
- * what an earlier process granted: no grant is forgotten while it binds, whatever has become of the
- * disk. Promises are persisted before they are sent so that epochs never go back.
+ * <p>A grant is in force for one lease by the voter's own clock. During that time the voter grants
+ * the slot to no other process, and it never grants a lower epoch. After its start the voter
+ * abstains for one lease because it does not know what an earlier process granted; so every grant
+ * is honored while it is in force, even if the disk has lost it. Promises are persisted before
+ * grants are sent so that epochs never decrease. Only the caller's event loop uses this class.
  */
 final class Voter {
     private static final long PERSIST_RETRY_MICROS = 1_000_000;
 
     private final LeaseTiming timing;
     private final VoterPromise[] promises;
-    // What is known to be on disk; only grants under these promises are sent.
+    // The promises known to be on disk. If durable, only grants under these are sent.
     private final VoterPromise[] persistedPromises;
     private final long[] grantedUntilMicros;
-    // By slot: the grant that waits for its promise to be persisted, or null.
+    // The grant of each slot that waits for its promise to be persisted, or null.
     private final PendingGrant[] pendingGrants;
     private final boolean durable;
-    // What is being written, or null.
+    // The promises that are being written, or null.
     private VoterPromise[] writingPromises;
     private long lastWriteId;
-    // Whether promises have changed since the last write began.
+    // True if promises have changed since the last write began, or if that write failed.
     private boolean dirty;
     private long persistNotBeforeMicros;
     private long abstainsUntilMicros;
 
-    /** A grant to be sent once the promise for it is persisted. */
+    /** A grant that is sent once its promise is persisted. */
     record PendingGrant(int to, int processId, int sequenceNumber, int slot, long epoch) {}
 
-    /** The entries to be granted and denied at once; those in neither wait for the disk. */
+    /**
+     * The entries of a request that are granted or denied immediately. Entries in neither list wait
+     * for their promise to be persisted.
+     */
     record VoteResult(List<LeaseMessage.Entry> granted, List<LeaseMessage.Entry> denied) {
         VoteResult() {
             this(new ArrayList<>(), new ArrayList<>());
@@ -47,9 +51,9 @@
     }
 
     /**
-     * Makes a voter that abstains for a lease.
+     * Creates a voter that abstains for one lease.
      *
-     * @param promises of all slots
+     * @param promises the promises of all slots
      * @param durable whether promises are persisted before they are sent
      */
     Voter(LeaseTiming timing, List<VoterPromise> promises, boolean durable, long nowMicros) {
@@ -76,7 +80,9 @@
         abstainsUntilMicros = other.abstainsUntilMicros;
     }
 
-    /** Abstains for a lease from now on: an earlier process may have granted until now. */
+    /**
+     * Abstains for one lease from now on, because an earlier process may have granted until now.
+     */
     void startAbstaining(long nowMicros) {
         abstainsUntilMicros = nowMicros + timing.leaseMicros();
     }
@@ -89,7 +95,7 @@
         return promises[slot].epoch();
     }
 
-    /** Whether the slots of a pre-vote would be granted now; nothing is promised. */
+    /** Returns which slots of a pre-vote would be granted now; makes no promise. */
     VoteResult preVote(long nowMicros, int from, LeaseMessage message) {
         VoteResult result = new VoteResult();
         int granteeId = VoterPromise.granteeId(from, message.processId());
@@ -103,7 +109,7 @@
         return result;
     }
 
-    /** Grants what of a request can be granted. */
+    /** Grants each slot of a request that can be granted and denies the others. */
     VoteResult vote(long nowMicros, int from, LeaseMessage message) {
         VoteResult result = new VoteResult();
         int granteeId = VoterPromise.granteeId(from, message.processId());
@@ -147,7 +153,7 @@
         return persistedPromises[slot].equals(promises[slot]);
     }
 
-    /** Frees the slots that the sender was granted under these epochs. */
+    /** Ends the grants that the sender was given under these epochs. */
     void release(long nowMicros, int from, LeaseMessage message) {
         int granteeId = VoterPromise.granteeId(from, message.processId());
         for (LeaseMessage.Entry entry : message.entries()) {
@@ -158,7 +164,7 @@
         }
     }
 
-    /** A write of all promises, if one is due; at most one is under way. */
+    /** Returns a write of all promises if one is due and no other is in progress. */
     Optional<LeaseManager.Persist> takePersist(long nowMicros) {
         if (!canWrite() || nowMicros < persistNotBeforeMicros) {
             return Optional.empty();
@@ -168,7 +174,10 @@
         return Optional.of(new LeaseManager.Persist(++lastWriteId, List.of(writingPromises)));
     }
 
-    /** When {@link #takePersist} has to be called next; {@link Long#MAX_VALUE}: not needed. */
+    /**
+     * Returns when {@link #takePersist} has to be called next, µs; {@link Long#MAX_VALUE} if it
+     * need not be called.
+     */
     long nextPersistMicros() {
         return canWrite() ? persistNotBeforeMicros : Long.MAX_VALUE;
     }
@@ -177,7 +186,7 @@
         return durable && dirty && writingPromises == null;
     }
 
-    /** The write has ended; returns the grants that may be sent now. */
+    /** Handles the end of a write; returns the grants that may be sent now. */
     List<PendingGrant> onPersisted(long nowMicros, long writeId, boolean succeeded) {
         if (writingPromises == null || writeId != lastWriteId) {
             return List.of();
@@ -196,7 +205,7 @@
         return confirmed;
     }
 
-    /** State as a number, times relative to {@code nowMicros}. */
+    /** Returns a hash of the state, with times relative to {@code nowMicros}. */
     long fingerprint(long nowMicros) {
         long hash =
                 (Arrays.hashCode(promises) * 31L + Arrays.hashCode(pendingGrants)) * 31
--- a/balancer/src/main/java/loadbalancer/lease/VoterPromise.java
+++ b/balancer/src/main/java/loadbalancer/lease/VoterPromise.java
@@ -6,31 +6,31 @@
 import java.util.Optional;
 
 /**
- * A voter's promise for one slot: to grant nothing under a lower epoch, nor this epoch to another
- * grantee.
+ * A voter's promise for one slot to grant no lower epoch to anyone and this epoch to no other
+ * grantee. Immutable.
  *
  * @param epoch highest epoch that was granted
- * @param granteeId the process of the member that it was granted to, see {@link #granteeId}; {@link
- *     #NO_GRANTEE} before the first grant
+ * @param granteeId the process of the member that received the grant, see {@link #granteeId};
+ *     {@link #NO_GRANTEE} before the first grant
  */
 public record VoterPromise(long epoch, int granteeId) {
-    /** Grantee of an epoch that was granted to nobody. */
+    /** Grantee id of an epoch that was never granted. */
     static final int NO_GRANTEE = -1;
 
     private static final int ENCODED_BYTES = Long.BYTES + Integer.BYTES;
     private static final int PROCESS_ID_SHIFT = 16;
 
-    /** The promise before the first grant: nothing is granted at or below {@code epochFloor}. */
+    /** Returns the promise before the first grant: to grant no epoch up to {@code epochFloor}. */
     static VoterPromise initial(long epochFloor) {
         return new VoterPromise(epochFloor, NO_GRANTEE);
     }
 
-    /** Identifies one process of one member. */
+    /** Returns the id of one process of one member. */
     static int granteeId(int member, int processId) {
         return (processId << PROCESS_ID_SHIFT) | member;
     }
 
-    /** The promises of all slots, in order of slots, as stored bytes. */
+    /** Encodes the promises of all slots, in the order of the slots, for storage. */
     public static byte[] encode(List<VoterPromise> promises) {
         ByteBuffer out = ByteBuffer.allocate(ENCODED_BYTES * promises.size());
         for (VoterPromise promise : promises) {
@@ -40,8 +40,8 @@
     }
 
     /**
-     * The promises that {@link #encode} wrote; empty if {@code bytes} is not the valid encoding of
-     * {@code slotCount} promises.
+     * Decodes promises that {@link #encode} encoded; returns empty if {@code bytes} is not a valid
+     * encoding of {@code slotCount} promises.
      */
     public static Optional<List<VoterPromise>> decode(byte[] bytes, int slotCount) {
         if (bytes.length != ENCODED_BYTES * slotCount) {
--- a/balancer/src/main/java/loadbalancer/lease/package-info.java
+++ b/balancer/src/main/java/loadbalancer/lease/package-info.java
@@ -1,19 +1,19 @@
 /**
- * Leases: which one balancer may act for a slot of keys, by grants of a majority of configured
- * voters with epochs that never go back.
+ * Leases, which decide the one balancer that may act for a slot of keys. A lease is granted by a
+ * majority of configured voters, under epochs that never decrease.
  *
- * <p>{@link loadbalancer.lease.LeaseManager} is the state machine of one member; time, messages and
- * the view of membership go in, {@link loadbalancer.lease.LeaseManager.Action actions} come out.
- * {@link loadbalancer.lease.LeaseMessage} is the datagram, {@link loadbalancer.lease.VoterPromise}
- * what a voter persists, {@link loadbalancer.lease.FencingGuard} the check of epochs for those who
- * act on a holder's messages.
+ * <p>{@link loadbalancer.lease.LeaseManager} is the state machine of one member. Its inputs are the
+ * time, messages and the view of membership; its outputs are {@link
+ * loadbalancer.lease.LeaseManager.Action actions}. {@link loadbalancer.lease.LeaseMessage} is the
+ * datagram, {@link loadbalancer.lease.VoterPromise} is the state that a voter persists, and {@link
+ * loadbalancer.lease.FencingGuard} checks the epochs of a holder's messages for their receivers.
  *
- * <p>All classes belong to one thread, the caller's event loop. The package depends on no socket,
- * disk, clock or Netty class and on no other package but {@code util}; {@code cluster.LeaseDriver}
- * supplies them. No client request waits for a lease.
+ * <p>All mutable objects belong to one thread, the caller's event loop. The package uses no socket,
+ * disk, clock or Netty class, and no other package except {@code util}; {@code cluster.LeaseDriver}
+ * supplies messages, storage and time. No client request waits for a lease.
  *
- * <p>Results that may be missing are {@link java.util.Optional}. Null occurs in private fields
- * only, each with a comment that says what it stands for: a candidacy, a lease or a write not under
- * way.
+ * <p>Results that may be missing are {@link java.util.Optional}. Null occurs only in private
+ * fields, each with a comment that says what it means: no pending request, no lease held, no
+ * pending grant or no write in progress.
  */
 package loadbalancer.lease;
--- a/balancer/src/test/java/loadbalancer/lease/GoldenLeaseMessageTest.java
+++ b/balancer/src/test/java/loadbalancer/lease/GoldenLeaseMessageTest.java
@@ -8,15 +8,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Lease datagrams, byte for byte: each kind, with the least and greatest value of each field. */
+/**
+ * Compares lease datagrams with golden files byte for byte: each kind of message, with the minimum
+ * and maximum value of each field.
+ */
 class GoldenLeaseMessageTest {
-    private static final int GREATEST_PROCESS = (1 << 15) - 1;
-    private static final long GREATEST_EPOCH = (1L << 48) - 1;
+    private static final int MAX_PROCESS_ID = (1 << 15) - 1;
+    private static final long MAX_EPOCH = (1L << 48) - 1;
 
     private static final GoldenMessages<LeaseMessage> GOLDEN =
             new GoldenMessages<>("lease", messages(), LeaseMessage::encode, LeaseMessage::decode);
 
-    /** The messages by the names of their golden files. */
+    /** Returns the messages by the names of their golden files. */
     private static Map<String, LeaseMessage> messages() {
         Map<String, LeaseMessage> messages = new LinkedHashMap<>();
         messages.put(
@@ -26,12 +29,12 @@
                 "pre-vote-granted-greatest.hex",
                 new LeaseMessage(
                         LeaseMessage.Kind.PRE_VOTE_GRANTED,
-                        GREATEST_PROCESS,
+                        MAX_PROCESS_ID,
                         Integer.MAX_VALUE,
-                        List.of(new LeaseMessage.Entry(255, GREATEST_EPOCH))));
+                        List.of(new LeaseMessage.Entry(255, MAX_EPOCH))));
         messages.put(
                 "request-most-entries.hex",
-                new LeaseMessage(LeaseMessage.Kind.REQUEST, 258, -1, mostEntries()));
+                new LeaseMessage(LeaseMessage.Kind.REQUEST, 258, -1, maxEntries()));
         messages.put(
                 "granted.hex",
                 new LeaseMessage(
@@ -65,7 +68,7 @@
         return messages;
     }
 
-    private static List<LeaseMessage.Entry> mostEntries() {
+    private static List<LeaseMessage.Entry> maxEntries() {
         List<LeaseMessage.Entry> entries = new ArrayList<>();
         for (int i = 0; i < 35; i++) {
             entries.add(new LeaseMessage.Entry(i * 7, 1_000_003L * i * i));
--- a/balancer/src/test/java/loadbalancer/lease/LeaseManagerTest.java
+++ b/balancer/src/test/java/loadbalancer/lease/LeaseManagerTest.java
@@ -14,13 +14,14 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Members of {@link LeaseManager} that exchange messages. */
+/** Tests {@link LeaseManager} with several members that exchange messages. */
 class LeaseManagerTest {
     private static final LeaseTiming TIMING = LeaseTiming.DEFAULT;
     private static final long MICROS_PER_MS = 1_000;
 
     /**
-     * Members whose messages arrive at once, but for isolated ones, and whose disks take no time.
+     * Simulates members whose writes complete immediately and whose messages arrive immediately,
+     * except those from and to isolated members, which are lost.
      */
     private static final class Cluster {
         final LeaseManager[] members;
@@ -128,7 +129,7 @@
         int slot = 0;
         int previousHolder = fleet.holders(slot)[0];
         Lease lease = fleet.members[previousHolder].currentLease(fleet.now, slot).orElseThrow();
-        // It runs on, and no message of it arrives.
+        // The holder is isolated from now on; it gets no more ticks and its messages are lost.
         fleet.isolated[previousHolder] = true;
         fleet.updatePresence();
         long endedAt = -1;
@@ -139,7 +140,7 @@
         assertTrue(
                 endedAt < lease.expiresAtMicros()
                         && lease.expiresAtMicros() - endedAt <= 10 * MICROS_PER_MS,
-                endedAt + " of " + lease);
+                "held until " + endedAt + ": " + lease);
         fleet.advance(TIMING.leaseMicros());
         int nextHolder = fleet.holders(slot)[0];
         assertEquals(
@@ -157,7 +158,7 @@
         fleet.advance(3_000 * MICROS_PER_MS);
         int previousHolder = fleet.holders(0)[0];
         fleet.perform(previousHolder, fleet.members[previousHolder].leave(fleet.now));
-        // The others' views still show it as present.
+        // The views of the others still show the previous holder as present.
         fleet.isolated[previousHolder] = true;
         fleet.advance(50 * MICROS_PER_MS);
         assertArrayEquals(
@@ -178,12 +179,12 @@
         fleet.perform(originalHolder, fleet.members[originalHolder].setDraining(fleet.now, true));
         fleet.advance(50 * MICROS_PER_MS);
         assertArrayEquals(new int[] {nextHolder}, fleet.holders(0));
-        // All take it as present, and nobody waits for it.
+        // The draining member is still present in all views, but it does not get the slot back.
         fleet.advance(20_000 * MICROS_PER_MS);
         assertArrayEquals(new int[] {nextHolder}, fleet.holders(0));
         fleet.isolated[nextHolder] = true;
         fleet.updatePresence();
-        // The next holder dies: the draining member still wants no lease.
+        // The next holder has failed, and the draining member still requests no lease.
         fleet.advance(2 * TIMING.leaseMicros());
         assertArrayEquals(
                 new int[] {
@@ -235,8 +236,9 @@
     }
 
     /**
-     * A grant is not sent before its promise is persisted, nor if that failed; a promise that is
-     * persisted binds after a crash.
+     * Checks that a grant is sent only after the write of its promise has succeeded, and that a
+     * restarted voter honors a persisted promise. Otherwise, a crash of a voter could let two
+     * members hold the same epoch.
      */
     @Test
     void promisesAreStoredBeforeGrantsAreSent() {
@@ -298,7 +300,8 @@
     }
 
     /**
-     * Whatever arrives from a peer's address is handled or ignored, without a flood of messages.
+     * Checks that any bytes from a peer's address are handled or ignored, with at most 8 actions
+     * for each message.
      */
     @Test
     void randomMessagesAreHandled() {
@@ -321,6 +324,6 @@
                         member.onPeerMessage(i * MICROS_PER_MS, from, decoded.get()).size() <= 8);
             }
         }
-        assertTrue(decodedCount > 1_000, decodedCount + " read");
+        assertTrue(decodedCount > 1_000, decodedCount + " messages decoded");
     }
 }
--- a/balancer/src/test/java/loadbalancer/lease/RendezvousPlacementTest.java
+++ b/balancer/src/test/java/loadbalancer/lease/RendezvousPlacementTest.java
@@ -18,7 +18,7 @@
             assertEquals(holder == 17, newHolder != holder);
             moved += newHolder != holder ? 1 : 0;
         }
-        assertTrue(moved < 20, moved + " of 200 moved");
+        assertTrue(moved < 20, moved + " of 200 slots moved");
         assertEquals(-1, RendezvousPlacement.preferredHolder(0, 4, member -> false));
         assertEquals(
                 RendezvousPlacement.slotOf("fleet-record", 32),
