--- a/balancer/src/main/java/loadbalancer/membership/FailureDetector.java
+++ b/balancer/src/main/java/loadbalancer/membership/FailureDetector.java
@@ -4,10 +4,11 @@
 import java.util.Map;
 
 /**
- * Probes of one member, as in SWIM: each interval it pings the next member, asks others to ping it
- * if it is silent, and then suspects it. A suspected member is pinged again until it answers or its
- * suspicion times out; it is dead then. Dead members are pinged in turn, so that two halves of a
- * healed partition find each other.
+ * Detects failed members by probes, as in SWIM. In each interval it pings the next member, asks
+ * others to ping it if it does not answer, and then suspects it. A suspected member is pinged again
+ * until it answers, or until the suspicion times out and it is declared dead. Dead members are
+ * pinged in turn, so that the two sides of a healed partition find each other. Only the caller's
+ * event loop uses this class.
  */
 final class FailureDetector {
     private static final int MAX_RELAYED_PROBES = 64;
@@ -17,12 +18,12 @@
     private final MemberTable members;
     private final UpdateHandler updates;
     private final MembershipOutbox outbox;
-    // Pings on behalf of others, by the sequence number of the ping.
+    // Pings sent on behalf of others, by the sequence number of the ping.
     private final Map<Integer, RelayedProbe> relayedProbes = new LinkedHashMap<>();
     private int lastSequenceNumber;
-    // The member probed last
+    // The member that was probed last.
     private int probeCursor;
-    // The member whose answer is awaited, or NO_MEMBER
+    // The member whose answer is pending, or NO_MEMBER.
     private int probeTarget = NO_MEMBER;
     private int probeSequenceNumber;
     private long probeSentMicros;
@@ -48,7 +49,7 @@
         nextSuspectCheckMicros = nowMicros;
     }
 
-    /** The same state, joined to copies of its collaborators. */
+    /** Creates a copy of the state that uses the given copies of its collaborators. */
     FailureDetector(
             FailureDetector other,
             MemberTable members,
@@ -69,7 +70,7 @@
         nextSuspectCheckMicros = other.nextSuspectCheckMicros;
     }
 
-    /** When {@link #tick} has to be called next, µs. */
+    /** Returns when {@link #tick} has to be called next, µs. */
     long nextTickMicros() {
         long nextMicros = nextProbeMicros;
         if (isProbing()) {
@@ -95,10 +96,10 @@
                 + (indirectProbesSent ? timing.probeIntervalMicros() : timing.probeTimeoutMicros());
     }
 
-    /** Sends the probes that are due and judges those that were not answered. */
+    /** Sends the probes that are due and updates the status of members that did not answer. */
     void tick(long nowMicros) {
         sendIndirectProbesIfDue(nowMicros);
-        suspectIfSilent(nowMicros);
+        suspectIfUnresponsive(nowMicros);
         if (!isProbing() && nowMicros >= nextProbeMicros) {
             nextProbeMicros = nowMicros + timing.probeIntervalMicros();
             probeNext(nowMicros);
@@ -124,17 +125,17 @@
         }
     }
 
-    private void suspectIfSilent(long nowMicros) {
+    private void suspectIfUnresponsive(long nowMicros) {
         if (!isProbing() || nowMicros < probeSentMicros + timing.probeIntervalMicros()) {
             return;
         }
-        int silentMember = probeTarget;
+        int unresponsiveMember = probeTarget;
         probeTarget = NO_MEMBER;
-        if (members.status(silentMember) == MemberStatus.ALIVE) {
-            members.markLocallySuspected(silentMember);
+        if (members.status(unresponsiveMember) == MemberStatus.ALIVE) {
+            members.markLocallySuspected(unresponsiveMember);
             updates.apply(
                     nowMicros,
-                    members.latestUpdate(silentMember).withStatus(MemberStatus.SUSPECTED));
+                    members.latestUpdate(unresponsiveMember).withStatus(MemberStatus.SUSPECTED));
             nextSuspectCheckMicros = nowMicros;
         }
     }
@@ -182,18 +183,24 @@
         }
     }
 
-    /** This process was paused: an answer may have been lost meanwhile, so nobody is suspected. */
+    /**
+     * Handles the end of a pause of this process. Abandons the current probe without a suspicion,
+     * because its answer may have been lost during the pause.
+     */
     void onResumed(long nowMicros) {
         probeTarget = NO_MEMBER;
         nextProbeMicros = nowMicros;
     }
 
-    /** Another member pings this one. */
+    /** Answers a ping of another member. */
     void onPing(int from, int sequenceNumber) {
         outbox.send(from, MembershipMessage.Kind.ACK, members.self(), sequenceNumber);
     }
 
-    /** Another member asks this one to ping {@code message.subject()}; ignored past a bound. */
+    /**
+     * Pings {@code message.subject()} on behalf of another member. Ignores the request if {@value
+     * #MAX_RELAYED_PROBES} such pings are pending.
+     */
     void onPingRequest(long nowMicros, int from, MembershipMessage message) {
         relayedProbes.values().removeIf(probe -> probe.expiresAtMicros < nowMicros);
         int subject = message.subject();
@@ -210,7 +217,7 @@
         }
     }
 
-    /** Another member answers a ping of this one, or one that was relayed for it. */
+    /** Handles the answer to a ping; relays it if the ping was sent on behalf of another member. */
     void onAck(long nowMicros, MembershipMessage message) {
         int subject = message.subject();
         if (isProbing()
@@ -228,7 +235,7 @@
         }
     }
 
-    /** The values that make up the state, times relative to {@code nowMicros}. */
+    /** Returns the values that make up the state, with times relative to {@code nowMicros}. */
     long[] fingerprintValues(long nowMicros) {
         return new long[] {
             relayedProbes.hashCode(),
--- a/balancer/src/main/java/loadbalancer/membership/InvalidMembershipArgumentException.java
+++ b/balancer/src/main/java/loadbalancer/membership/InvalidMembershipArgumentException.java
@@ -1,6 +1,9 @@
 package loadbalancer.membership;
 
-/** A value given to this package is out of range; the message names it, its value and the range. */
+/**
+ * Thrown if an argument is out of range. The message contains the name of the argument, its value
+ * and the range.
+ */
 public final class InvalidMembershipArgumentException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
@@ -8,7 +11,13 @@
         super(message);
     }
 
-    /** Throws unless {@code valid}: {@code name} was {@code value} and has to be {@code range}. */
+    /**
+     * Checks an argument.
+     *
+     * @param valid whether {@code value} is in range
+     * @param range the permitted values, in words
+     * @throws InvalidMembershipArgumentException if {@code valid} is false
+     */
     static void require(boolean valid, String name, long value, String range) {
         if (!valid) {
             throw new InvalidMembershipArgumentException(
--- a/balancer/src/main/java/loadbalancer/membership/MemberStatus.java
+++ b/balancer/src/main/java/loadbalancer/membership/MemberStatus.java
@@ -1,20 +1,20 @@
 package loadbalancer.membership;
 
 /**
- * Status of a member. For one incarnation a later status overrides an earlier one; the ordinal is
- * on the wire.
+ * Status of a member. For the same incarnation, a status overrides those that are declared before
+ * it. The ordinal is sent on the wire.
  */
 public enum MemberStatus {
-    /** Present. */
+    /** The member is present. */
     ALIVE,
-    /** Somebody can't reach it, directly or through others; it can refute that. */
+    /** Some member can't reach it, directly or through others; it can refute the suspicion. */
     SUSPECTED,
-    /** It did not refute a suspicion in time. */
+    /** The member did not refute a suspicion in time. */
     DEAD,
-    /** It has announced that it shuts down. */
+    /** The member has announced that it is shutting down. */
     LEFT;
 
-    /** Whether the member counts as present: a suspected one does until it is declared dead. */
+    /** Returns whether the member counts as present; a suspected one does until it is dead. */
     public boolean isPresent() {
         return this == ALIVE || this == SUSPECTED;
     }
--- a/balancer/src/main/java/loadbalancer/membership/MemberTable.java
+++ b/balancer/src/main/java/loadbalancer/membership/MemberTable.java
@@ -3,15 +3,18 @@
 import java.util.Arrays;
 import java.util.function.Predicate;
 
-/** What one member knows of all members: their latest updates and since when they hold. */
+/**
+ * Stores what one member knows of all members: their latest updates and the times of their status
+ * changes. Only the caller's event loop uses it.
+ */
 final class MemberTable {
-    /** In place of a member: there is none. */
+    /** Stands for the absence of a member. */
     static final int NO_MEMBER = -1;
 
-    // Slow start of a process: it is given more time to refute a suspicion.
+    // A process that is starting up may be slow, so it has more time to refute a suspicion.
     private static final long STARTUP_MICROS = 5_000_000;
     private static final int STARTUP_SUSPICION_MULTIPLIER = 4;
-    // A suspicion learnt from others lasts longer than one that began here.
+    // A suspicion learned from others lasts longer than one that began at this member.
     private static final int REMOTE_SUSPICION_MULTIPLIER = 3;
 
     private final int self;
@@ -20,7 +23,7 @@
     private final long[] statusSinceMicros;
     // Suspicions that began at this member.
     private final boolean[] locallySuspected;
-    // When the member's return was learnt; at first, this member's start.
+    // When this member learned of each member's return; initially, when this member started.
     private final long[] startedAtMicros;
     private int suspectCount;
     private long viewVersion;
@@ -67,7 +70,7 @@
         return latestUpdates[member].status();
     }
 
-    /** Incarnation of this member. */
+    /** Returns the incarnation of this member. */
     long incarnation() {
         return latestUpdates[self].incarnation();
     }
@@ -76,7 +79,7 @@
         return new MembershipView(viewVersion, self, Arrays.asList(latestUpdates));
     }
 
-    /** Replaces this member's statement about itself. */
+    /** Replaces this member's update about itself. */
     void updateSelf(MemberStatus status, long incarnation) {
         latestUpdates[self] = new MemberUpdate(self, status, incarnation);
     }
@@ -84,15 +87,15 @@
     /**
      * Result of {@link #apply}.
      *
-     * @param disseminated whether the statement has to be sent to others: not that of the first
-     *     contact with a member that is alive, which each learns from that member itself
+     * @param disseminated whether the update has to be sent to others; false for the first contact
+     *     with a member that is alive, because each member learns of it from that member itself
      * @param viewChanged whether the view has changed
      */
     record ApplyResult(boolean disseminated, boolean viewChanged) {
         private static final ApplyResult IGNORED = new ApplyResult(false, false);
     }
 
-    /** Stores a statement about another member unless a later one is known. */
+    /** Stores an update about another member unless it is superseded by the stored one. */
     ApplyResult apply(long nowMicros, MemberUpdate update) {
         int member = update.member();
         MemberUpdate previous = latestUpdates[member];
@@ -120,7 +123,7 @@
         return new ApplyResult(!firstContact || update.status() != MemberStatus.ALIVE, changed);
     }
 
-    /** Marks that the suspicion of a member that is about to be stored begins here. */
+    /** Records that this member starts a suspicion, whose update is applied next. */
     void markLocallySuspected(int member) {
         locallySuspected[member] = true;
     }
@@ -137,7 +140,7 @@
         return status(member) == MemberStatus.SUSPECTED;
     }
 
-    /** When a suspected member is declared dead, µs. */
+    /** Returns when a suspected member is declared dead, µs. */
     long suspicionDeadlineMicros(int member) {
         long timeoutMicros = timing.suspicionTimeoutMicros();
         if (statusSinceMicros[member] - startedAtMicros[member] < STARTUP_MICROS) {
@@ -149,7 +152,7 @@
         return statusSinceMicros[member] + timeoutMicros;
     }
 
-    /** Extends all suspicions by the time that this process was paused. */
+    /** Extends all suspicions by the time that this process was paused, µs. */
     void extendSuspicions(long pauseMicros) {
         for (int member = 0; member < latestUpdates.length; member++) {
             if (isSuspected(member)) {
@@ -158,12 +161,15 @@
         }
     }
 
-    /** The next present member after {@code previous}, this one excluded, or {@link #NO_MEMBER}. */
+    /**
+     * Returns the next present member after {@code previous}, excluding this one, or {@link
+     * #NO_MEMBER}.
+     */
     int nextPresent(int previous) {
         return nextMember(previous, MemberStatus::isPresent);
     }
 
-    /** The next dead member after {@code previous}, or {@link #NO_MEMBER}. */
+    /** Returns the next dead member after {@code previous}, or {@link #NO_MEMBER}. */
     int nextDead(int previous) {
         return nextMember(previous, status -> status == MemberStatus.DEAD);
     }
@@ -178,7 +184,7 @@
         return NO_MEMBER;
     }
 
-    /** Continues a hash by what is known of one member, times relative to {@code nowMicros}. */
+    /** Appends what is known of one member to a hash, with times relative to {@code nowMicros}. */
     long appendFingerprint(long previousHash, int member, int remainingTransmits, long nowMicros) {
         long suspectedMicros = isSuspected(member) ? nowMicros - statusSinceMicros[member] : 0;
         boolean startingUp = nowMicros - startedAtMicros[member] < STARTUP_MICROS;
--- a/balancer/src/main/java/loadbalancer/membership/Membership.java
+++ b/balancer/src/main/java/loadbalancer/membership/Membership.java
@@ -3,25 +3,26 @@
 import java.util.List;
 
 /**
- * The membership protocol at one member: SWIM (Das, Gupta, Motivala) with incarnations and
- * suspicion, updates piggybacked on its messages, and, after Lifeguard (Dadgar, Phillips, Currey),
- * caution when this process itself was slow.
+ * Runs the membership protocol at one member: SWIM (Das, Gupta, Motivala) with incarnations,
+ * suspicion and updates piggybacked on its messages. As in Lifeguard (Dadgar, Phillips, Currey), a
+ * member suspects others less readily if its own process was slow.
  *
- * <p>A member that is silent to a ping is pinged through others; if it is still silent, it is
- * suspected and pinged on, and declared dead when the suspicion times out. Members other than the
- * one that began the suspicion wait three times as long for a refutation, so that one with a broken
- * path of its own convinces nobody by itself. A member that learns that it is suspected or declared
- * dead raises its incarnation and says so.
+ * <p>A member that does not answer a ping is pinged through others. If it still does not answer, it
+ * is suspected, pinged further, and declared dead when the suspicion times out. Members other than
+ * the one that started the suspicion wait three times as long for a refutation, so that one member
+ * with a broken network path can't convince the others by itself. A member that learns that it is
+ * suspected or declared dead raises its incarnation and announces it.
  *
- * <p>A deterministic state machine: time and messages go in, {@link Action actions} come out, to be
- * taken in their order. Not thread-safe: one thread, the caller's event loop. Cost: one ping and
- * its answer per interval and member, and each update a bounded number of times, whatever the
- * number of members.
+ * <p>This is a deterministic state machine. Its inputs are the time and messages; its outputs are
+ * {@link Action actions}, which the caller performs in order. It is not thread-safe: only the
+ * caller's event loop uses it. Whatever the number of members, each member sends one ping per
+ * interval, which costs one response, and sends each update a bounded number of times.
  */
 public final class Membership {
-    // With many updates, as after a partition, one message does not hold them all.
+    // Maximum factor on the number of gossip messages per interval if one message does not hold all
+    // updates, as after a partition.
     private static final int MAX_GOSSIP_BURST = 6;
-    // Without a tick for longer, this process was paused.
+    // If there is no tick for more than this number of probe intervals, this process was paused.
     private static final int PAUSE_PROBE_INTERVALS = 2;
     private static final long FINGERPRINT_MULTIPLIER = 0x9e3779b97f4a7c15L;
 
@@ -36,23 +37,24 @@
     private long lastTickMicros;
     private boolean departed;
 
-    /** What the caller has to do. */
+    /** An operation that the caller has to perform. */
     public sealed interface Action permits Send, ViewChanged {}
 
-    /** Send a datagram to that member. */
+    /** Asks the caller to send a datagram to member {@code to}. */
     public record Send(int to, MembershipMessage message) implements Action {}
 
-    /** The view has changed by that update. */
+    /** Reports that the update has changed the view. */
     public record ViewChanged(MemberUpdate update, MembershipView view) implements Action {}
 
     /**
-     * Makes a member that takes all others as present until it learns better.
+     * Creates a member that considers all others present until it learns otherwise.
      *
-     * @param self its number, from 0
+     * @param self number of this member, from 0
      * @param memberCount number of configured members
-     * @param incarnation wall clock, ms; raised if others know a higher one
-     * @param nowMicros µs, monotonic, as in all methods
-     * @throws InvalidMembershipArgumentException if {@code self} is no member or there are too many
+     * @param incarnation first incarnation: the wall clock, ms; raised if others know a higher one
+     * @param nowMicros monotonic clock, µs, as in all methods
+     * @throws InvalidMembershipArgumentException if {@code self} is not below {@code memberCount},
+     *     or if {@code memberCount} exceeds {@link MembershipMessage#MAX_MEMBERS}
      */
     public Membership(
             int self, int memberCount, MembershipTiming timing, long incarnation, long nowMicros) {
@@ -76,7 +78,7 @@
         lastTickMicros = nowMicros;
     }
 
-    /** An independent copy of the same state, for model checking. */
+    /** Creates an independent copy of the same state, for model checking. */
     public Membership(Membership other) {
         timing = other.timing;
         members = new MemberTable(other.members);
@@ -93,8 +95,8 @@
     }
 
     /**
-     * The state as a number, times relative to {@code nowMicros}, for model checking: equal for
-     * states that differ in nothing that matters.
+     * Returns a hash of the state, with times relative to {@code nowMicros}, for model checking.
+     * States with the same future behavior have the same hash.
      */
     public long fingerprint(long nowMicros) {
         long hash = members.self();
@@ -122,19 +124,20 @@
         return hash;
     }
 
-    /** Incarnation of this member. */
+    /** Returns the incarnation of this member. */
     public long incarnation() {
         return members.incarnation();
     }
 
-    /** The view of this member as it is now. */
+    /** Returns the current view of this member. */
     public MembershipView view() {
         return members.view();
     }
 
-    // ------------------------------------------------------------ time
-
-    /** When {@link #tick} has to be called next, µs; {@link Long#MAX_VALUE}: not at all. */
+    /**
+     * Returns when {@link #tick} has to be called next, µs; {@link Long#MAX_VALUE} if it need not
+     * be called.
+     */
     public long nextTickMicros() {
         if (departed) {
             return Long.MAX_VALUE;
@@ -145,7 +148,7 @@
                 : nextMicros;
     }
 
-    /** Time has passed. */
+    /** Performs everything that is due at this time. */
     public List<Action> tick(long nowMicros) {
         if (departed) {
             return List.of();
@@ -160,8 +163,8 @@
         return outbox.takeActions();
     }
 
-    // Messages may have arrived while this process was paused, and not been read: the time counts
-    // against nobody, and this member announces that it is alive.
+    // Messages may have arrived unread during the pause, so the pause counts toward no suspicion.
+    // This member announces that it is alive.
     private void resumeAfterPause(long nowMicros) {
         failureDetector.onResumed(nowMicros);
         members.extendSuspicions(nowMicros - lastTickMicros);
@@ -188,9 +191,7 @@
         }
     }
 
-    // ------------------------------------------------------------ messages
-
-    /** A message has arrived from another member. */
+    /** Handles a message from another member. */
     public List<Action> onPeerMessage(long nowMicros, int from, MembershipMessage message) {
         if (departed || !isOtherMember(from) || message.subject() >= members.size()) {
             return List.of();
@@ -210,7 +211,7 @@
         return from >= 0 && from < members.size() && from != members.self();
     }
 
-    /** This member shuts down: it announces that, and takes part in nothing after that. */
+    /** Shuts this member down: announces that it leaves, and ignores all later calls. */
     public List<Action> leave(long nowMicros) {
         if (departed) {
             return List.of();
--- a/balancer/src/main/java/loadbalancer/membership/MembershipMessage.java
+++ b/balancer/src/main/java/loadbalancer/membership/MembershipMessage.java
@@ -6,24 +6,24 @@
 import java.util.Optional;
 
 /**
- * One datagram of the membership protocol.
+ * One datagram of the membership protocol. Immutable.
  *
  * <p>The header of {@value #HEADER_BYTES} bytes holds the format (1), the kind (1), the subject
  * (2), the sequence number (4) and the sender's incarnation (6). Each update takes {@value
  * #UPDATE_BYTES} bytes: status and member (2) and incarnation (6).
  *
- * @param subject the member that the message is about: the one that an ACK is about, or that a
- *     PING_REQ asks to probe
- * @param sequenceNumber of the probe; an ACK repeats it
- * @param incarnation of the sender
- * @param updates at most {@value #MAX_UPDATES}
+ * @param subject the member that the message is about; in a PING_REQ the member to probe, in an ACK
+ *     the member that is alive
+ * @param sequenceNumber number of the probe; an ACK repeats it
+ * @param incarnation incarnation of the sender
+ * @param updates at most {@value #MAX_UPDATES} updates
  */
 public record MembershipMessage(
         Kind kind, int subject, int sequenceNumber, long incarnation, List<MemberUpdate> updates) {
-    /** Most bytes of a datagram. */
+    /** Maximum size of a datagram, bytes. */
     public static final int MAX_BYTES = 256;
 
-    /** Most members of a configuration. */
+    /** Maximum number of configured members. */
     public static final int MAX_MEMBERS = 1 << 14;
 
     private static final byte FORMAT = 4;
@@ -34,10 +34,10 @@
     private static final Kind[] KINDS = Kind.values();
     private static final MemberStatus[] STATUSES = MemberStatus.values();
 
-    /** Most updates of one message. */
+    /** Maximum number of updates of one message. */
     public static final int MAX_UPDATES = (MAX_BYTES - HEADER_BYTES) / UPDATE_BYTES;
 
-    /** Kind of a message; the ordinal is on the wire. */
+    /** Kind of a message; the ordinal is sent on the wire. */
     public enum Kind {
         /** Probes the receiver. */
         PING,
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Makes a message.
+     * Creates a message.
      *
      * @throws InvalidMembershipArgumentException if a value does not fit in a datagram
      */
@@ -78,12 +78,12 @@
                 valid, "membership message: " + field, value, range);
     }
 
-    /** Whether the first byte is this format's; the rest may be invalid. */
+    /** Returns whether the first byte is that of this format; the rest may be invalid. */
     public static boolean matchesFormat(byte[] bytes) {
         return bytes.length > 0 && bytes[0] == FORMAT;
     }
 
-    /** The datagram, {@link #MAX_BYTES} at most. */
+    /** Encodes the message as a datagram of at most {@link #MAX_BYTES} bytes. */
     public byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + UPDATE_BYTES * updates.size());
         out.put(FORMAT).put((byte) kind.ordinal()).putShort((short) subject).putInt(sequenceNumber);
@@ -100,7 +100,7 @@
         out.putShort((short) (value >> 32)).putInt((int) value);
     }
 
-    /** The message of a datagram; empty if it is of another format or invalid. */
+    /** Decodes a datagram; returns empty if it is of another format or invalid. */
     public static Optional<MembershipMessage> decode(byte[] bytes) {
         if (!matchesFormat(bytes) || !hasValidLength(bytes) || !hasValidKind(bytes)) {
             return Optional.empty();
--- a/balancer/src/main/java/loadbalancer/membership/MembershipOutbox.java
+++ b/balancer/src/main/java/loadbalancer/membership/MembershipOutbox.java
@@ -3,9 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Actions of one member on their way to its caller; updates are piggybacked on each message. */
+/**
+ * Collects the actions of one member for its caller, and piggybacks updates on each message. Only
+ * the caller's event loop uses it.
+ */
 final class MembershipOutbox {
-    // Leaves most of a datagram's room to messages of updates only.
+    // Maximum number of updates on a probe or its answer. GOSSIP messages carry the others.
     private static final int MAX_PIGGYBACKED_UPDATES = 8;
 
     private final MemberTable members;
@@ -17,24 +20,24 @@
         this.dissemination = dissemination;
     }
 
-    /** Has an action taken after those before it. */
+    /** Appends an action; the caller performs actions in the order in which they were added. */
     void add(Membership.Action action) {
         actions.add(action);
     }
 
-    /** Sends a message with the updates that are due. */
+    /** Sends a message with updates that still have to be sent. */
     void send(int to, MembershipMessage.Kind kind, int subject, int sequenceNumber) {
         List<MemberUpdate> updates =
                 dissemination.select(MAX_PIGGYBACKED_UPDATES, members::latestUpdate);
-        boolean receiverDoubted = members.status(to) != MemberStatus.ALIVE;
-        if (receiverDoubted && updates.stream().noneMatch(update -> update.member() == to)) {
-            // So that the receiver can refute it.
+        boolean receiverNotAlive = members.status(to) != MemberStatus.ALIVE;
+        if (receiverNotAlive && updates.stream().noneMatch(update -> update.member() == to)) {
+            // The receiver learns its status from the update and can refute it.
             updates.add(0, members.latestUpdate(to));
         }
         send(to, kind, subject, sequenceNumber, updates);
     }
 
-    /** Sends updates only, to the next of the scattered receivers. */
+    /** Sends a message that holds only updates to the next gossip receiver. */
     void gossip(List<MemberUpdate> updates) {
         int to = members.nextPresent(dissemination.nextGossipStart());
         if (to != MemberTable.NO_MEMBER && !updates.isEmpty()) {
@@ -54,7 +57,7 @@
         actions.add(new Membership.Send(to, message));
     }
 
-    /** The actions since the last call, in order. */
+    /** Removes and returns the actions added since the last call, in order. */
     List<Membership.Action> takeActions() {
         List<Membership.Action> taken = List.copyOf(actions);
         actions.clear();
--- a/balancer/src/main/java/loadbalancer/membership/MembershipTiming.java
+++ b/balancer/src/main/java/loadbalancer/membership/MembershipTiming.java
@@ -1,20 +1,23 @@
 package loadbalancer.membership;
 
 /**
- * Times and counts of the membership protocol; times in µs.
+ * Times and counts of the membership protocol. Times are in µs. Immutable.
  *
- * @param probeIntervalMicros between two members probed; a probe without an answer by then starts a
- *     suspicion
- * @param probeTimeoutMicros before a probe is repeated through other members, and between two
- *     probes of a member suspected here; less than half of {@code probeIntervalMicros}
- * @param suspicionTimeoutMicros from the start of a suspicion until the member that began it
+ * @param probeIntervalMicros interval between the probes of two members; a probe that is not
+ *     answered within it starts a suspicion
+ * @param probeTimeoutMicros delay before a probe is repeated through other members, and interval
+ *     between two probes of a member that this one suspects; less than half of {@code
+ *     probeIntervalMicros}
+ * @param suspicionTimeoutMicros time from the start of a suspicion until the member that started it
  *     declares the suspect dead; others wait three times as long
- * @param gossipIntervalMicros between two messages of updates only, while there are updates to send
- * @param syncIntervalMicros between two messages that each carry a page of the whole view
- * @param indirectProbes number of members asked to probe a silent one
- * @param gossipFanout number of members that a message of updates goes to
- * @param maxIncarnationLeadMicros how far an incarnation may be ahead of the reader's wall clock;
- *     one beyond it is ignored
+ * @param gossipIntervalMicros interval between two rounds of GOSSIP messages while there are
+ *     updates to send
+ * @param syncIntervalMicros interval between two messages that each contain a page of the whole
+ *     view
+ * @param indirectProbes number of members that are asked to probe an unresponsive one
+ * @param gossipFanout number of members that receive GOSSIP messages in each round
+ * @param maxIncarnationLeadMicros maximum lead of an incarnation over the receiver's wall clock; an
+ *     update with a higher incarnation is ignored
  */
 public record MembershipTiming(
         long probeIntervalMicros,
@@ -25,11 +28,16 @@
         int indirectProbes,
         int gossipFanout,
         long maxIncarnationLeadMicros) {
-    /** For balancers in one or a few sites. */
+    /** Timing for balancers at one site or a few sites. */
     public static final MembershipTiming DEFAULT =
             new MembershipTiming(
                     200_000, 60_000, 500_000, 50_000, 1_000_000, 3, 2, 86_400_000_000L);
 
+    /**
+     * Creates a timing.
+     *
+     * @throws InvalidMembershipArgumentException if a value is out of range
+     */
     public MembershipTiming {
         requirePositive(probeTimeoutMicros, "probeTimeoutMicros");
         require(
--- a/balancer/src/main/java/loadbalancer/membership/UpdateDissemination.java
+++ b/balancer/src/main/java/loadbalancer/membership/UpdateDissemination.java
@@ -6,18 +6,19 @@
 import java.util.stream.IntStream;
 
 /**
- * Chooses which updates go into which message. Each new update is sent a bounded number of times,
- * those sent least often first; beside them the whole view is sent page by page.
+ * Selects the updates that go into each message. Each new update is sent a bounded number of times;
+ * updates that were sent least often go first. In addition, the whole view is sent page by page.
+ * Only the caller's event loop uses this class.
  */
 final class UpdateDissemination {
-    // Times that an update is sent, as a multiple of the bits of the number of members plus one.
+    // An update is sent RETRANSMIT_MULTIPLIER * (bit length of the number of members + 1) times.
     private static final int RETRANSMIT_MULTIPLIER = 3;
     private static final long GOLDEN_RATIO = 0x9e3779b97f4a7c15L;
 
     private final int transmitLimit;
-    // By member: how often its latest update has still to be sent.
+    // Number of times that the latest update of each member still has to be sent, by member.
     private final int[] remainingTransmits;
-    // Members with an update to be sent
+    // Number of members with an update to send.
     private int pendingCount;
     private long gossipCounter;
     private int syncCursor;
@@ -36,7 +37,7 @@
         syncCursor = other.syncCursor;
     }
 
-    /** Has a member's latest update sent from now on, as often as a new one. */
+    /** Queues a member's latest update to be sent as many times as a new one. */
     void enqueue(int member) {
         if (remainingTransmits[member] == 0) {
             pendingCount++;
@@ -44,12 +45,15 @@
         remainingTransmits[member] = transmitLimit;
     }
 
-    /** Number of members with an update to be sent. */
+    /** Returns the number of members with an update to send. */
     int pendingCount() {
         return pendingCount;
     }
 
-    /** Takes the updates for one message, at most {@code limit}; the list is the caller's. */
+    /**
+     * Selects up to {@code limit} updates for one message and counts them as sent. The caller may
+     * modify the list.
+     */
     List<MemberUpdate> select(int limit, IntFunction<MemberUpdate> latestUpdates) {
         if (pendingCount == 0) {
             return new ArrayList<>();
@@ -82,7 +86,7 @@
         return members;
     }
 
-    /** The next page of the whole view. */
+    /** Returns the next page of the whole view. */
     List<MemberUpdate> nextSyncPage(IntFunction<MemberUpdate> latestUpdates) {
         int memberCount = remainingTransmits.length;
         int count = Math.min(MembershipMessage.MAX_UPDATES, memberCount);
@@ -95,8 +99,9 @@
     }
 
     /**
-     * The member after which to look for the next receiver of updates. Scattered by the golden
-     * ratio: in order of numbers, neighbours would send to the same members.
+     * Returns the member after which to look for the next receiver of updates. Multiples of the
+     * golden ratio spread these members; in numerical order, members with adjacent numbers would
+     * send to the same receivers.
      */
     int nextGossipStart() {
         gossipCounter++;
@@ -108,7 +113,7 @@
         return remainingTransmits[member];
     }
 
-    /** Part of the fingerprint of {@link Membership}. */
+    /** Returns a number for the fingerprint of {@link Membership}. */
     long gossipCounter() {
         return gossipCounter;
     }
--- a/balancer/src/main/java/loadbalancer/membership/UpdateHandler.java
+++ b/balancer/src/main/java/loadbalancer/membership/UpdateHandler.java
@@ -1,8 +1,9 @@
 package loadbalancer.membership;
 
 /**
- * Takes statements about members, from messages and from the failure detector: stores them, has
- * them sent on, reports changes of the view, and refutes those about this member that are wrong.
+ * Handles updates about members, from messages and from the failure detector: stores them, queues
+ * them for dissemination, reports changes of the view, and refutes wrong updates about this member.
+ * Only the caller's event loop uses it.
  */
 final class UpdateHandler {
     private static final long MICROS_PER_MS = 1000;
@@ -11,10 +12,14 @@
     private final MemberTable members;
     private final UpdateDissemination dissemination;
     private final MembershipOutbox outbox;
-    // Wall clock at the start less the caller's monotonic clock, ms
+    // Wall clock at the start minus the caller's monotonic clock, ms.
     private final long wallClockOffsetMs;
 
-    /** {@code wallClockOffsetMs}: wall clock less the caller's monotonic clock, ms. */
+    /**
+     * Creates a handler.
+     *
+     * @param wallClockOffsetMs wall clock at the start minus the caller's monotonic clock, ms
+     */
     UpdateHandler(
             MembershipTiming timing,
             MemberTable members,
@@ -54,15 +59,15 @@
         }
     }
 
-    // An incarnation is a time in ms: one far ahead of this member's clock is forged, or that of a
-    // wrong clock.
+    // An incarnation is a time in ms. One that is far ahead of this member's clock is forged or
+    // comes from a wrong clock.
     private long maxIncarnation(long nowMicros) {
         return nowMicros / MICROS_PER_MS
                 + wallClockOffsetMs
                 + timing.maxIncarnationLeadMicros() / MICROS_PER_MS;
     }
 
-    // Also overrides the incarnation of an earlier process that others still know.
+    // Also raises the incarnation above that of an earlier process that others still know.
     private void refuteIfWrong(MemberUpdate update) {
         long incarnation = members.incarnation();
         boolean fromEarlierProcess = update.incarnation() > incarnation;
--- a/balancer/src/test/java/loadbalancer/membership/GoldenMembershipMessageTest.java
+++ b/balancer/src/test/java/loadbalancer/membership/GoldenMembershipMessageTest.java
@@ -9,18 +9,19 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Membership datagrams, byte for byte: each kind, with the least and greatest value of each field.
+ * Compares membership datagrams with golden files byte for byte: each kind of message, with the
+ * minimum and maximum value of each field.
  */
 class GoldenMembershipMessageTest {
-    private static final int GREATEST_MEMBER = (1 << 14) - 1;
-    private static final long GREATEST_INCARNATION = (1L << 48) - 1;
+    private static final int MAX_MEMBER = (1 << 14) - 1;
+    private static final long MAX_INCARNATION = (1L << 48) - 1;
     private static final long RECENT_INCARNATION = 1_764_680_000_123L;
 
     private static final GoldenMessages<MembershipMessage> GOLDEN =
             new GoldenMessages<>(
                     "membership", messages(), MembershipMessage::encode, MembershipMessage::decode);
 
-    /** The messages by the names of their golden files. */
+    /** Returns the messages by the names of their golden files. */
     private static Map<String, MembershipMessage> messages() {
         Map<String, MembershipMessage> messages = new LinkedHashMap<>();
         messages.put(
@@ -30,14 +31,10 @@
                 "ack-greatest.hex",
                 new MembershipMessage(
                         MembershipMessage.Kind.ACK,
-                        GREATEST_MEMBER,
+                        MAX_MEMBER,
                         Integer.MAX_VALUE,
-                        GREATEST_INCARNATION,
-                        List.of(
-                                new MemberUpdate(
-                                        GREATEST_MEMBER,
-                                        MemberStatus.LEFT,
-                                        GREATEST_INCARNATION))));
+                        MAX_INCARNATION,
+                        List.of(new MemberUpdate(MAX_MEMBER, MemberStatus.LEFT, MAX_INCARNATION))));
         messages.put(
                 "ping-req-each-status.hex",
                 new MembershipMessage(
@@ -53,11 +50,11 @@
         messages.put(
                 "gossip-most-updates.hex",
                 new MembershipMessage(
-                        MembershipMessage.Kind.GOSSIP, 13, -1, 1L << 47, mostUpdates()));
+                        MembershipMessage.Kind.GOSSIP, 13, -1, 1L << 47, maxUpdates()));
         return messages;
     }
 
-    private static List<MemberUpdate> mostUpdates() {
+    private static List<MemberUpdate> maxUpdates() {
         List<MemberUpdate> updates = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             updates.add(
--- a/balancer/src/test/java/loadbalancer/membership/MembershipTest.java
+++ b/balancer/src/test/java/loadbalancer/membership/MembershipTest.java
@@ -12,9 +12,9 @@
 import loadbalancer.membership.MembershipMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** One member of {@link Membership}; the others are played by the test. */
+/** Tests one member that runs {@link Membership}; the test simulates the other members. */
 class MembershipTest {
-    // Incarnation of all members
+    // First incarnation of all members.
     private static final long START_MS = 1_000;
     private static final MembershipTiming TIMING = MembershipTiming.DEFAULT;
 
@@ -46,7 +46,7 @@
         return member.view().members().get(memberIndex).status();
     }
 
-    // All others answer each ping, but for the silent one, which nobody reaches.
+    // All others answer each ping, except the silent member, which is unreachable.
     private void runAnsweringPings(long until, int silentMember) {
         while (member.nextTickMicros() <= until) {
             runAnsweringPings(
@@ -66,7 +66,7 @@
 
     @Test
     void silentMemberIsSuspectedThenDead() {
-        // No process is in its startup time any longer.
+        // After 6 s, the startup time of all processes has passed.
         runAnsweringPings(6_000_000, -1);
         List<MemberStatus> statuses = new ArrayList<>();
         boolean indirectlyPinged = false;
@@ -86,7 +86,7 @@
         }
         assertEquals(
                 List.of(MemberStatus.ALIVE, MemberStatus.SUSPECTED, MemberStatus.DEAD), statuses);
-        assertTrue(indirectlyPinged, "others were asked to ping it");
+        assertTrue(indirectlyPinged, "no member was asked to ping member 3");
         assertEquals(4, member.view().presentCount());
         assertTrue(member.view().hasMajority());
     }
@@ -110,7 +110,7 @@
         receive(1_000, 1, Kind.GOSSIP, 0, new MemberUpdate(0, MemberStatus.ALIVE, START_MS + 500));
         assertEquals(START_MS + 501, member.incarnation());
         receive(2_000, 1, Kind.GOSSIP, 0, new MemberUpdate(0, MemberStatus.DEAD, START_MS));
-        // Of an earlier process
+        // The update is about an earlier process, so it is not refuted.
         assertEquals(START_MS + 501, member.incarnation());
     }
 
@@ -126,7 +126,7 @@
                 new MemberUpdate(2, MemberStatus.ALIVE, START_MS),
                 new MemberUpdate(2, MemberStatus.DEAD, START_MS - 1));
         assertEquals(MemberStatus.LEFT, statusOf(2));
-        // A datagram of its, from before it left
+        // Member 2 sent this datagram before it left.
         receive(3_000, 2, Kind.PING, 1);
         assertEquals(MemberStatus.LEFT, statusOf(2));
         receive(4_000, 1, Kind.GOSSIP, 0, new MemberUpdate(2, MemberStatus.ALIVE, START_MS + 1));
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void stalledMemberSuspectsNobody() {
+    void pausedMemberSuspectsNobody() {
         runAnsweringPings(6_000_000, -1);
         // A probe is under way.
         runUntil(6_100_000);
@@ -187,7 +187,7 @@
                         relayedAck.message().subject(),
                         relayedAck.message().sequenceNumber()));
         sentMessages.clear();
-        // Repeated: relayed once only
+        // A repeated answer is not relayed again.
         receive(60_000, 3, Kind.ACK, ping.message().sequenceNumber());
         assertEquals(List.of(), sentMessages);
     }
@@ -207,11 +207,11 @@
     }
 
     @Test
-    void unknownMembersAndFarFutureAreIgnored() {
+    void unknownMembersAndFarFutureIncarnationsAreIgnored() {
         receive(1_000, 5, Kind.PING, 1);
         receive(1_000, 1, Kind.GOSSIP, 0, new MemberUpdate(9, MemberStatus.DEAD, START_MS));
         assertEquals(List.of(), sentMessages);
-        // A day ahead of the clock and more: no start was ever then.
+        // The incarnation is ahead of the clock by more than the limit of a day.
         receive(
                 1_000,
                 1,
@@ -243,7 +243,8 @@
     }
 
     /**
-     * Whatever arrives from a peer's address is handled or ignored, without a flood of messages.
+     * Checks that any bytes from a peer's address are handled or ignored, with at most two messages
+     * sent for each message received.
      */
     @Test
     void randomBytesAreHandled() {
@@ -269,10 +270,10 @@
                 decodedCount++;
                 sentMessages.clear();
                 collect(member.onPeerMessage(i, 1 + i % 4, message.get()));
-                assertTrue(sentMessages.size() <= 2, "an answer, or a relayed probe");
+                assertTrue(sentMessages.size() <= 2, "more than two messages were sent");
             }
         }
-        assertTrue(decodedCount > 50_000, decodedCount + " were messages");
+        assertTrue(decodedCount > 50_000, decodedCount + " messages decoded");
         assertEquals(5, member.view().members().size());
     }
 }
--- a/balancer/src/test/java/loadbalancer/membership/UpdateDisseminationTest.java
+++ b/balancer/src/test/java/loadbalancer/membership/UpdateDisseminationTest.java
@@ -7,7 +7,7 @@
 
 class UpdateDisseminationTest {
     private static final int MEMBER_COUNT = 4;
-    // 3 (floor(log2(4)) + 2)
+    // The limit for 4 members is 3 * (floor(log2(4)) + 2).
     private static final int TRANSMIT_LIMIT = 12;
 
     private final UpdateDissemination dissemination = new UpdateDissemination(0, MEMBER_COUNT);
