--- a/balancer/src/main/java/loadbalancer/lease/FencingGuard.java
+++ b/balancer/src/main/java/loadbalancer/lease/FencingGuard.java
@@ -2,7 +2,7 @@
 
 /**
  * Rejects messages of holders whose lease has been superseded. A holder that was paused may still
- * send messages under an old epoch, so every receiver checks the epoch of each message here. The
+ * send messages under an old epoch, so a receiver has to check the epoch of each message here. The
  * guard stores the highest accepted epoch of each slot. Only the caller's event loop uses it.
  */
 public final class FencingGuard {
