--- a/balancer/src/main/java/loadbalancer/cluster/AuditRecord.java
+++ b/balancer/src/main/java/loadbalancer/cluster/AuditRecord.java
@@ -9,12 +9,13 @@
 import loadbalancer.membership.MembershipView;
 
 /**
- * One line of the audit log: which members are present.
+ * One line of the audit log, which lists the members present. Immutable.
  *
- * @param writtenAtMs wall clock
- * @param epoch of the lease under which it is written
- * @param balancer number of the balancer that writes it
- * @param viewVersion version of that balancer's view
+ * @param writtenAtMs wall clock, in ms since 1970
+ * @param epoch epoch of the lease that protects the audit log
+ * @param balancer number of the balancer that writes the line
+ * @param viewVersion version of that balancer's membership view
+ * @param hasMajority whether a majority of the configured members is present in that view
  * @param presentMembers numbers of the members present
  */
 record AuditRecord(
@@ -24,6 +25,7 @@
         long viewVersion,
         boolean hasMajority,
         List<Integer> presentMembers) {
+    /** Creates a record of the members present in {@code view}. */
     static AuditRecord of(long writtenAtMs, long epoch, int balancer, MembershipView view) {
         List<Integer> presentMembers =
                 IntStream.range(0, view.members().size()).filter(view::isPresent).boxed().toList();
@@ -31,7 +33,7 @@
                 writtenAtMs, epoch, balancer, view.version(), view.hasMajority(), presentMembers);
     }
 
-    /** The line as stored: operators read these keys, so they stay. */
+    /** Returns the line as JSON. The keys must not change, since operators read them. */
     String toJsonLine() throws IOException {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put("at_ms", writtenAtMs);
--- a/balancer/src/main/java/loadbalancer/cluster/ClusterAuditLog.java
+++ b/balancer/src/main/java/loadbalancer/cluster/ClusterAuditLog.java
@@ -8,9 +8,10 @@
 import loadbalancer.membership.MembershipView;
 
 /**
- * The audit log of the cluster: once a second the one balancer that holds its lease writes which
- * members are present, a JSON object a line, to rotated files in its state directory. Without a
- * holder nothing is written. Called on the event loop; the disk is accessed on another thread.
+ * Writes the audit log of the cluster. Once a second, the one balancer that holds the audit log's
+ * lease writes which members are present, as one JSON object per line, to rotated files in its
+ * state directory. Nothing is written while no balancer holds the lease. Called on the event loop;
+ * the disk is accessed on another thread.
  */
 final class ClusterAuditLog {
     /** Key of the lease that protects the audit log. */
@@ -21,19 +22,24 @@
     private final RotatedFiles files;
     private final int self;
     private final Consumer<String> log;
-    // Bounds the records that wait for a slow disk to one.
+    // At most one record waits for a slow disk.
     private final AtomicBoolean writePending = new AtomicBoolean();
-    // Disk thread only
+    // Accessed only on the disk thread.
     private boolean lastWriteFailed;
 
-    /** {@code self}: number of this balancer. */
+    /**
+     * Creates a log that writes to {@code directory}.
+     *
+     * @param self number of this balancer
+     * @param log receives log lines, on the disk thread
+     */
     ClusterAuditLog(Path directory, int self, Consumer<String> log) {
         this.files = new RotatedFiles(directory, FILE_NAME_PREFIX);
         this.self = self;
         this.log = log;
     }
 
-    /** Has a record written on the disk's thread, unless the one before still waits there. */
+    /** Writes a record on the disk thread. Skips it while the previous one is still waiting. */
     void appendAsync(Lease lease, MembershipView view, Consumer<Runnable> diskExecutor) {
         if (writePending.compareAndSet(false, true)) {
             diskExecutor.accept(
@@ -47,7 +53,7 @@
     private void append(Lease lease, MembershipView view) {
         long nowMicros = MonotonicClock.nowMicros();
         if (nowMicros >= lease.expiresAtMicros()) {
-            // The disk has delayed this thread for longer than the lease.
+            // The lease has expired while this task waited for the disk.
             return;
         }
         AuditRecord auditRecord =
--- a/balancer/src/main/java/loadbalancer/cluster/ClusterCoordinator.java
+++ b/balancer/src/main/java/loadbalancer/cluster/ClusterCoordinator.java
@@ -11,8 +11,8 @@
 import loadbalancer.recovery.RecoveryStore;
 
 /**
- * Owner of membership, leases and the audit log of one balancer, and of what they tell each other.
- * Event loop only.
+ * Owns membership, leases and the audit log of one balancer and passes events between them. Event
+ * loop only.
  */
 public final class ClusterCoordinator {
     private static final long AUDIT_INTERVAL_MS = 1_000;
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Makes a coordinator that does nothing before {@link #start}.
+     * Creates a coordinator, which does nothing before {@link #start}.
      *
      * @param recoveryStore empty if nothing is persisted
      * @return empty if membership is switched off, or if this balancer is not one of the peers
@@ -80,7 +80,7 @@
                 : Optional.empty();
     }
 
-    /** Begins to probe peers and to write the audit log. */
+    /** Starts probing peers and writing the audit log. */
     public void start() {
         membershipDriver.start();
         if (auditLog.isPresent()) {
@@ -92,7 +92,7 @@
         }
     }
 
-    /** This process has bound the address at which peers reach it. */
+    /** Handles that this process has bound the address at which peers reach it. */
     public void onAddressBound() {
         leaseDriver.ifPresent(LeaseDriver::onAddressBound);
     }
@@ -110,20 +110,23 @@
         }
     }
 
-    /** Handles a datagram from a peer; false if it is for the routing policy. */
+    /** Handles a datagram from a peer. Returns false if it is for the routing policy. */
     public boolean onPeerMessage(int from, byte[] data) {
         return membershipDriver.onPeerMessage(from, data)
                 || (leaseDriver.isPresent() && leaseDriver.get().onPeerMessage(from, data));
     }
 
-    /** Operators drain this balancer, which then wants no lease, or no longer do. */
+    /**
+     * Sets whether operators drain this balancer. While draining, it transfers its leases and
+     * acquires none.
+     */
     public void setDraining(boolean draining) {
         leaseDriver.ifPresent(driver -> driver.setDraining(draining));
     }
 
     /**
-     * This balancer shuts down. Leases are released first, so that they are free when peers learn
-     * that it leaves.
+     * Leaves the cluster because this balancer shuts down. Releases its leases first, so that they
+     * are free when peers learn that it leaves.
      */
     public void leave() {
         leaseDriver.ifPresent(LeaseDriver::leave);
--- a/balancer/src/main/java/loadbalancer/cluster/DecodeFailureLog.java
+++ b/balancer/src/main/java/loadbalancer/cluster/DecodeFailureLog.java
@@ -3,8 +3,8 @@
 import java.util.function.Consumer;
 
 /**
- * Logs the first datagram of a protocol that can't be decoded; a peer that sends one may send many.
- * Event loop only.
+ * Logs the first datagram of a protocol that can't be decoded, and none after it, since a peer that
+ * sends one may send many. Event loop only.
  */
 final class DecodeFailureLog {
     private final String protocol;
@@ -16,7 +16,7 @@
         this.log = log;
     }
 
-    /** A datagram of that peer can't be decoded. */
+    /** Handles a datagram from peer {@code from} that can't be decoded. */
     void onDecodeFailure(int from) {
         if (!logged) {
             logged = true;
--- a/balancer/src/main/java/loadbalancer/cluster/LeaseDriver.java
+++ b/balancer/src/main/java/loadbalancer/cluster/LeaseDriver.java
@@ -14,14 +14,14 @@
 import loadbalancer.recovery.RecoveryStore;
 
 /**
- * Runs {@link LeaseManager} on the event loop: gives it time, peers' datagrams and views, sends its
- * messages, has its promises persisted and logs which leases are acquired and released. Event loop
- * only; no client request waits for it.
+ * Runs {@link LeaseManager} on the event loop. Passes it the time, peers' datagrams and membership
+ * views, sends its messages, persists its promises and logs which leases are acquired and released.
+ * Event loop only; no client request waits for it.
  */
 final class LeaseDriver {
     private static final LeaseTiming TIMING = LeaseTiming.DEFAULT;
     private static final int MICROS_PER_MS = 1000;
-    // Leaves room for the member's number in the seed.
+    // Leaves room for the member's number in the low bits of the seed.
     private static final int SEED_INCARNATION_SHIFT = 14;
 
     private final EventLoop loop;
@@ -34,11 +34,13 @@
     private final TickScheduler ticks;
 
     /**
-     * Makes a driver whose voter abstains.
+     * Creates a driver. Its voter abstains at first.
      *
-     * @param self this balancer's number, of {@code memberCount} configured
-     * @param incarnation rises with each start
-     * @param recoveryStore persists promises; empty if none outlives the process
+     * @param self number of this balancer
+     * @param memberCount number of configured balancers
+     * @param incarnation incarnation of this process, which increases with each start
+     * @param recoveryStore persists promises; empty if promises do not outlive the process
+     * @param log receives log lines
      */
     LeaseDriver(
             EventLoop loop,
@@ -77,8 +79,8 @@
     }
 
     /**
-     * Peers can reach this process from now on; until now they could reach an earlier process of
-     * this balancer.
+     * Handles that this process has bound its address: peers reach it from now on. Until now they
+     * may have reached an earlier process of this balancer.
      */
     void onAddressBound() {
         leaseManager.onReachable(MonotonicClock.nowMicros());
@@ -90,12 +92,12 @@
         execute(leaseManager.tick(MonotonicClock.nowMicros()));
     }
 
-    /** The view of which members are present has changed. */
+    /** Handles a new membership view. */
     void onViewChanged(MembershipView view) {
         execute(leaseManager.onMembershipChanged(MonotonicClock.nowMicros(), view::isPresent));
     }
 
-    /** Handles a datagram from a peer; false if it is of another protocol. */
+    /** Handles a datagram from a peer. Returns false if it belongs to another protocol. */
     boolean onPeerMessage(int from, byte[] data) {
         if (!LeaseMessage.matchesFormat(data)) {
             return false;
@@ -109,17 +111,20 @@
         return true;
     }
 
-    /** The lease that this process holds of a key's slot now. */
+    /** Returns the lease that this process now holds on the slot of {@code key}, if any. */
     Optional<Lease> currentLease(String key) {
         return leaseManager.currentLease(MonotonicClock.nowMicros(), key);
     }
 
-    /** Operators drain this balancer, which then wants no lease, or no longer do. */
+    /**
+     * Sets whether operators drain this balancer. While draining, it transfers its leases and
+     * acquires none.
+     */
     void setDraining(boolean draining) {
         execute(leaseManager.setDraining(MonotonicClock.nowMicros(), draining));
     }
 
-    /** Transfers all leases held; takes part in nothing after that. */
+    /** Transfers all leases that this process holds, and stops the driver. */
     void leave() {
         execute(leaseManager.leave(MonotonicClock.nowMicros()));
         ticks.stop();
--- a/balancer/src/main/java/loadbalancer/cluster/MembershipDriver.java
+++ b/balancer/src/main/java/loadbalancer/cluster/MembershipDriver.java
@@ -11,8 +11,8 @@
 import loadbalancer.membership.MembershipView;
 
 /**
- * Runs {@link Membership} on the event loop: gives it time and peers' datagrams, sends its
- * messages, logs changes of the view and passes them to a listener. Event loop only; no client
+ * Runs {@link Membership} on the event loop. Passes it the time and peers' datagrams, sends its
+ * messages, logs changes of the view and passes new views to a listener. Event loop only; no client
  * request waits for it.
  */
 final class MembershipDriver {
@@ -24,11 +24,13 @@
     private final TickScheduler ticks;
 
     /**
-     * Makes a driver that does nothing before {@link #start}.
+     * Creates a driver, which does nothing before {@link #start}.
      *
-     * @param self this balancer's number, of {@code memberCount} configured
-     * @param incarnation wall clock, ms, or higher
-     * @param viewListener receives each new view, on the loop
+     * @param self number of this balancer
+     * @param memberCount number of configured balancers
+     * @param incarnation time of the start by the wall clock, in ms since 1970, or a higher number
+     * @param log receives log lines
+     * @param viewListener receives each new view, on the event loop
      */
     MembershipDriver(
             EventLoop loop,
@@ -56,12 +58,12 @@
                         () -> execute(membership.tick(MonotonicClock.nowMicros())));
     }
 
-    /** Begins to probe. */
+    /** Starts probing peers. */
     void start() {
         ticks.schedule();
     }
 
-    /** Handles a datagram from a peer; false if it is of another protocol. */
+    /** Handles a datagram from a peer. Returns false if it belongs to another protocol. */
     boolean onPeerMessage(int from, byte[] data) {
         if (!MembershipMessage.matchesFormat(data)) {
             return false;
@@ -75,7 +77,7 @@
         return true;
     }
 
-    /** Announces to some peers that this one shuts down; takes part in nothing after that. */
+    /** Announces to some peers that this balancer shuts down, and stops the driver. */
     void leave() {
         execute(membership.leave(MonotonicClock.nowMicros()));
         ticks.stop();
--- a/balancer/src/main/java/loadbalancer/cluster/MonotonicClock.java
+++ b/balancer/src/main/java/loadbalancer/cluster/MonotonicClock.java
@@ -6,7 +6,7 @@
 
     private MonotonicClock() {}
 
-    /** Monotonic time of this machine, µs. */
+    /** Returns the monotonic time of this machine, in µs. */
     static long nowMicros() {
         return System.nanoTime() / NANOS_PER_MICRO;
     }
--- a/balancer/src/main/java/loadbalancer/cluster/PeerSender.java
+++ b/balancer/src/main/java/loadbalancer/cluster/PeerSender.java
@@ -2,6 +2,6 @@
 
 /** Sends datagrams to peers. */
 public interface PeerSender {
-    /** Sends to the peer of that number. The datagram may be lost. */
+    /** Sends a datagram to the peer with number {@code peer}. The datagram may be lost. */
     void send(int peer, byte[] data);
 }
--- a/balancer/src/main/java/loadbalancer/cluster/PeerTransport.java
+++ b/balancer/src/main/java/loadbalancer/cluster/PeerTransport.java
@@ -23,12 +23,13 @@
 import loadbalancer.config.PeerAddresses;
 
 /**
- * Datagrams between this balancer and its peers, over UDP. Each is sent once and may be lost. One
- * that is too long, or can't be sent now, is dropped; one received from an unknown sender is
- * dropped and counted. Event loop only, but for the constructor and {@link #start}.
+ * Exchanges datagrams between this balancer and its peers over UDP. Each datagram is sent once and
+ * may be lost. An outgoing datagram that is too long or can't be sent immediately is dropped. A
+ * received datagram that is too long or comes from an unknown sender is dropped and counted. Event
+ * loop only, except for the constructor and {@link #start}.
  */
 public final class PeerTransport {
-    /** In place of a peer's number: all peers. Any negative number means the same. */
+    /** Stands for all peers in place of a peer's number. Any negative number means the same. */
     public static final int ALL_PEERS = -1;
 
     static final int MAX_MESSAGE_BYTES = 256;
@@ -37,10 +38,10 @@
 
     /** Receives datagrams, on the event loop. */
     public interface Listener {
-        /** A datagram of the peer of that number. */
+        /** Handles a datagram from the peer with number {@code from}. */
         void onPeerMessage(int from, byte[] data);
 
-        /** This process has bound the address. */
+        /** Handles that this process has bound its address. */
         default void onAddressBound() {}
     }
 
@@ -49,12 +50,12 @@
     private final Map<InetSocketAddress, Integer> peerIndexByAddress = new HashMap<>();
     private final Listener listener;
     private final EventLog events;
-    // Null unless the address is bound.
+    // Null while no address is bound.
     private Channel channel;
     private boolean bindFailureLogged;
     private boolean closed;
 
-    /** Makes a transport that sends and receives nothing before {@link #start}. */
+    /** Creates a transport, which sends and receives nothing before {@link #start}. */
     public PeerTransport(EventLoop loop, PeerAddresses peers, Listener listener, EventLog events) {
         this.loop = loop;
         this.peers = peers;
@@ -66,10 +67,10 @@
     }
 
     /**
-     * Binds the address; a failure is logged once and retried until {@link #close}. Without peers
-     * nothing is bound.
+     * Binds the listen address. A failure is logged once, and the bind is retried until {@link
+     * #close}. Binds nothing if there is no listen address or no peer.
      *
-     * @return completes with the first attempt
+     * @return future that completes with the first attempt
      */
     public Future<Void> start(Consumer<String> log) {
         Optional<InetSocketAddress> listenAddress = peers.listenAddress();
@@ -80,7 +81,7 @@
     }
 
     private Future<Void> bind(InetSocketAddress listenAddress, Consumer<String> log) {
-        // One byte more than a message may have shows that a datagram is too long.
+        // One byte more than the longest message, so that longer datagrams are recognized.
         FixedRecvByteBufAllocator receiveBuffers =
                 new FixedRecvByteBufAllocator(MAX_MESSAGE_BYTES + 1);
         return new Bootstrap()
@@ -117,7 +118,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Sends to the peer of that number, or to {@link #ALL_PEERS}. */
+    /** Sends a datagram to the peer with number {@code peer}, or to {@link #ALL_PEERS}. */
     public void send(int peer, byte[] data) {
         if (channel == null
                 || data.length > MAX_MESSAGE_BYTES
@@ -141,7 +142,7 @@
         }
     }
 
-    /** Closes the socket, and binds none after that. */
+    /** Closes the socket and stops retrying the bind. */
     public void close() {
         closed = true;
         if (channel != null) {
@@ -169,7 +170,7 @@
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             InetSocketAddress sender = packet.sender();
             if (peers.isOwnAddress(sender)) {
-                // A broadcast of this balancer's own.
+                // This balancer has received its own broadcast.
                 return;
             }
             Integer from = peerIndexByAddress.get(sender);
--- a/balancer/src/main/java/loadbalancer/cluster/RateLimitedLog.java
+++ b/balancer/src/main/java/loadbalancer/cluster/RateLimitedLog.java
@@ -4,9 +4,9 @@
 import java.util.function.LongSupplier;
 import loadbalancer.util.EventRateLimiter;
 
-/** Writes a bounded number of lines in each second, and drops the rest. Event loop only. */
+/** Writes a limited number of log lines per second and drops the rest. Event loop only. */
 final class RateLimitedLog {
-    /** Most lines of a second. */
+    /** Maximum number of lines per second. */
     static final int MAX_LINES_PER_SECOND = 20;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -21,7 +21,7 @@
         this.nowMicros = nowMicros;
     }
 
-    /** Writes a line unless this second's bound is reached. */
+    /** Writes a line, or drops it if the limit of the current second is reached. */
     void log(String line) {
         if (limiter.tryAcquire(nowMicros.getAsLong())) {
             log.accept(line);
--- a/balancer/src/main/java/loadbalancer/cluster/RotatedFiles.java
+++ b/balancer/src/main/java/loadbalancer/cluster/RotatedFiles.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Files that text is appended to, numbered from 1; bounded in size and number. One thread. */
+/**
+ * Appends text to files that are numbered from 1, and limits their size and number. Used by one
+ * thread.
+ */
 final class RotatedFiles {
     private static final long MAX_FILE_BYTES = 256 << 10;
     private static final int MAX_FILES = 8;
@@ -23,7 +26,12 @@
         this.namePrefix = namePrefix;
     }
 
-    /** Appends to the newest file, or to a new one if that is full; deletes the oldest then. */
+    /**
+     * Appends text to the newest file. If that file is full, deletes the oldest files above the
+     * limit and appends to a new file.
+     *
+     * @throws IOException if the directory can't be read or the file can't be written
+     */
     void append(String text) throws IOException {
         Files.writeString(
                 currentFile(), text, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
@@ -57,7 +65,7 @@
         return directory.resolve(namePrefix + number);
     }
 
-    // NO_NUMBER for a file of another name.
+    // Returns NO_NUMBER for a file with another name.
     private long numberOf(Path file) {
         String name = file.getFileName().toString();
         return name.matches(namePrefix + "\\d{1,9}")
--- a/balancer/src/main/java/loadbalancer/cluster/TickScheduler.java
+++ b/balancer/src/main/java/loadbalancer/cluster/TickScheduler.java
@@ -6,24 +6,24 @@
 import java.util.function.LongSupplier;
 
 /**
- * Gives a state machine its ticks on the event loop, at the times that it asks for; one timer at a
- * time. Event loop only.
+ * Runs the ticks of a state machine at the times that the state machine requests. Sets at most one
+ * timer at a time. Event loop only.
  */
 final class TickScheduler {
     private final EventLoop loop;
     private final LongSupplier nextTickMicros;
     private final Runnable tick;
-    // The timer set last; null if it has run, or none was set.
+    // The most recent timer; null if it has run or none was set.
     private Future<?> timer;
     private long timerDueMicros;
     private boolean stopped;
 
     /**
-     * Makes a scheduler without a timer.
+     * Creates a scheduler without a timer.
      *
-     * @param nextTickMicros when the next tick is due by {@link MonotonicClock}; {@link
-     *     Long#MAX_VALUE}: not at all
-     * @param tick the tick; it has to call {@link #schedule} at its end
+     * @param nextTickMicros returns when the next tick is due by {@link MonotonicClock}, in µs;
+     *     {@link Long#MAX_VALUE} if no tick is due
+     * @param tick runs one tick; it must call {@link #schedule} at its end
      */
     TickScheduler(EventLoop loop, LongSupplier nextTickMicros, Runnable tick) {
         this.loop = loop;
@@ -31,10 +31,10 @@
         this.tick = tick;
     }
 
-    /** Sets the timer for the next tick, unless it is set for that time or an earlier one. */
+    /** Sets the timer for the next tick, unless a timer is set for that time or earlier. */
     void schedule() {
         long dueMicros = nextTickMicros.getAsLong();
-        if (stopped || dueMicros == Long.MAX_VALUE || isSetBy(dueMicros)) {
+        if (stopped || dueMicros == Long.MAX_VALUE || isTimerDueBy(dueMicros)) {
             return;
         }
         cancel();
@@ -46,7 +46,7 @@
                         TimeUnit.MICROSECONDS);
     }
 
-    private boolean isSetBy(long dueMicros) {
+    private boolean isTimerDueBy(long dueMicros) {
         return timer != null && !timer.isDone() && timerDueMicros <= dueMicros;
     }
 
@@ -55,7 +55,7 @@
         tick.run();
     }
 
-    /** No tick follows. */
+    /** Stops the scheduler: no further tick runs. */
     void stop() {
         stopped = true;
         cancel();
--- a/balancer/src/main/java/loadbalancer/recovery/DirectoryInUseException.java
+++ b/balancer/src/main/java/loadbalancer/recovery/DirectoryInUseException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** The lock of a state directory is held, by another process or elsewhere in this one. */
+/** Thrown when the lock of a state directory is already held by another or by this process. */
 final class DirectoryInUseException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/loadbalancer/recovery/DirectoryLock.java
+++ b/balancer/src/main/java/loadbalancer/recovery/DirectoryLock.java
@@ -7,8 +7,8 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Exclusive ownership of a state directory by a lock on its file {@code lock}; the system releases
- * it when the process ends. Owned by a {@link RecoveryStore}, which closes it.
+ * An exclusive lock on a state directory, held on its file {@code lock}. The operating system
+ * releases the lock when the process ends. Owned by a {@link RecoveryStore}, which closes it.
  */
 final class DirectoryLock implements AutoCloseable {
     private static final String FILE_NAME = "lock";
@@ -20,10 +20,10 @@
     }
 
     /**
-     * Takes the lock of a directory, without waiting for it.
+     * Acquires the lock of a directory without waiting.
      *
-     * @throws DirectoryInUseException if it is held
-     * @throws IOException if the file can't be created or locked
+     * @throws DirectoryInUseException if the lock is already held
+     * @throws IOException if the lock file can't be created or locked
      */
     static DirectoryLock acquire(Path directory) throws IOException {
         FileChannel channel =
@@ -52,7 +52,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // The lock is released with the process at the latest.
+            // The operating system releases the lock when the process ends.
             return;
         }
     }
--- a/balancer/src/main/java/loadbalancer/recovery/DiskThread.java
+++ b/balancer/src/main/java/loadbalancer/recovery/DiskThread.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The daemon thread on which all operations of a process that may wait for the disk run, one after
- * another, so that the event loop never does. Owned by a {@link RecoveryStore}, which closes it.
+ * Runs all operations that may block on the disk on one daemon thread, one after another, so that
+ * the event loop never blocks. Owned by a {@link RecoveryStore}, which closes it.
  */
 final class DiskThread implements AutoCloseable {
     private static final long SHUTDOWN_TIMEOUT_MS = 1_000;
@@ -20,17 +20,17 @@
                         return thread;
                     });
 
-    /** Runs a task after those before it; drops it once this is closed. Any thread. */
+    /** Queues a task, or drops it after {@link #close}. Any thread may call this. */
     void execute(Runnable task) {
         try {
             executor.execute(task);
         } catch (RejectedExecutionException e) {
-            // Closed: the process is ending.
+            // The executor is shut down only when the process ends.
             return;
         }
     }
 
-    /** Ends the thread; waits up to a second for the tasks that are queued. */
+    /** Stops the thread after waiting up to one second for the queued tasks. */
     @Override
     public void close() {
         executor.shutdown();
--- a/balancer/src/main/java/loadbalancer/recovery/PersistedEndpoints.java
+++ b/balancer/src/main/java/loadbalancer/recovery/PersistedEndpoints.java
@@ -8,13 +8,14 @@
 import loadbalancer.routing.api.EndpointStatus;
 
 /**
- * The endpoint list as merged from discovery's lists, for snapshots. Confined to the event loop.
+ * Merges the lists from discovery into the endpoint list that snapshots contain. Confined to the
+ * event loop.
  */
 final class PersistedEndpoints {
     private final Map<String, EndpointList.Entry> entriesById = new LinkedHashMap<>();
     private long revision;
 
-    /** Merges a delta, or replaces all entries by a complete list. */
+    /** Merges a delta, or replaces all entries with those of a complete list. */
     void apply(EndpointListKind kind, EndpointList endpointList) {
         if (kind != EndpointListKind.DELTA) {
             entriesById.clear();
@@ -34,7 +35,7 @@
         return entriesById.isEmpty();
     }
 
-    /** An immutable copy as a complete list, for the disk thread. */
+    /** Returns all entries as a complete list, an immutable copy that the disk thread can read. */
     EndpointList toEndpointList() {
         return new EndpointList(revision, true, List.copyOf(entriesById.values()));
     }
--- a/balancer/src/main/java/loadbalancer/recovery/PolicySnapshotCodec.java
+++ b/balancer/src/main/java/loadbalancer/recovery/PolicySnapshotCodec.java
@@ -6,9 +6,9 @@
 import loadbalancer.routing.api.PolicySnapshot;
 
 /**
- * Translates {@link PolicySnapshot} to and from the maps and lists of its stored JSON. A snapshot
- * with any invalid field is rejected as a whole. The keys are those of stored data and can't
- * change.
+ * Converts a {@link PolicySnapshot} to and from the maps and lists of its stored JSON. A snapshot
+ * with any invalid field is rejected as a whole. The keys must not change, because files written by
+ * earlier versions contain them. Stateless.
  */
 final class PolicySnapshotCodec {
     private static final String ENDPOINTS = "servers";
@@ -23,13 +23,15 @@
     private static final String CONNECT_FAILURES = "unreached";
     private static final String CLASS_EJECTED_FOR = "class_rests";
 
-    private static final double MAX_COUNT = 1e9;
-    // Above the longest ejection
-    private static final long MAX_DURATION_MICROS = 60_000_000;
+    // Upper bound on counts and on latencies in microseconds.
+    private static final double MAX_COUNT_OR_LATENCY = 1e9;
+    // Longer than the longest ejection.
+    private static final long MAX_EJECTION_MICROS = 60_000_000;
     private static final int MAX_CONSECUTIVE_FAILURES = 1_000_000;
 
     private PolicySnapshotCodec() {}
 
+    /** Returns {@code snapshot} as a map for a JSON writer. */
     static Map<String, Object> encode(PolicySnapshot snapshot) {
         return Map.of(
                 ENDPOINTS,
@@ -53,31 +55,31 @@
     }
 
     /**
-     * Decodes what {@link #encode} returned, after its way through JSON.
+     * Decodes a map that {@link #encode} returned and that was written to JSON and read back.
      *
-     * @throws MalformedPolicySnapshotException if it is anything else
+     * @throws MalformedPolicySnapshotException if a field is missing or invalid
      */
     static PolicySnapshot decode(Object encoded) {
         Map<?, ?> fields = asMap("policy snapshot", encoded);
         return new PolicySnapshot(
                 list(fields, ENDPOINTS).stream().map(PolicySnapshotCodec::decodeEndpoint).toList(),
                 list(fields, USUAL_LATENCIES).stream()
-                        .map(latency -> asNumber(USUAL_LATENCIES, latency, MAX_COUNT))
+                        .map(latency -> asNumber(USUAL_LATENCIES, latency, MAX_COUNT_OR_LATENCY))
                         .toList());
     }
 
     private static PolicySnapshot.EndpointSnapshot decodeEndpoint(Object encoded) {
         Map<?, ?> fields = asMap(ENDPOINTS, encoded);
         if (!(fields.get(ID) instanceof String id)) {
-            throw new MalformedPolicySnapshotException(ID, "no server");
+            throw new MalformedPolicySnapshotException(ID, "not a string");
         }
         return new PolicySnapshot.EndpointSnapshot(
                 id,
                 (long) number(fields, STARTED_AT, Long.MAX_VALUE),
-                number(fields, ACCOMPLISHMENT, MAX_COUNT),
-                number(fields, SUCCESSES, MAX_COUNT),
-                number(fields, FAILURES, MAX_COUNT),
-                (long) number(fields, EJECTED_FOR, MAX_DURATION_MICROS),
+                number(fields, ACCOMPLISHMENT, MAX_COUNT_OR_LATENCY),
+                number(fields, SUCCESSES, MAX_COUNT_OR_LATENCY),
+                number(fields, FAILURES, MAX_COUNT_OR_LATENCY),
+                (long) number(fields, EJECTED_FOR, MAX_EJECTION_MICROS),
                 (int) number(fields, EJECTIONS, MAX_CONSECUTIVE_FAILURES),
                 (int) number(fields, CONNECT_FAILURES, MAX_CONSECUTIVE_FAILURES),
                 durations(fields, CLASS_EJECTED_FOR));
@@ -85,7 +87,7 @@
 
     private static List<Long> durations(Map<?, ?> fields, String key) {
         return list(fields, key).stream()
-                .map(micros -> (long) asNumber(key, micros, MAX_DURATION_MICROS))
+                .map(micros -> (long) asNumber(key, micros, MAX_EJECTION_MICROS))
                 .toList();
     }
 
@@ -93,14 +95,14 @@
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new MalformedPolicySnapshotException(field, "no object");
+        throw new MalformedPolicySnapshotException(field, "not an object");
     }
 
     private static List<?> list(Map<?, ?> fields, String key) {
         if (fields.get(key) instanceof List<?> list) {
             return list;
         }
-        throw new MalformedPolicySnapshotException(key, "no list");
+        throw new MalformedPolicySnapshotException(key, "not a list");
     }
 
     private static double number(Map<?, ?> fields, String key, double max) {
@@ -114,6 +116,6 @@
             return number.doubleValue();
         }
         throw new MalformedPolicySnapshotException(
-                field, "no number from 0 to " + max + ": " + value);
+                field, "not a number from 0 to " + max + ": " + value);
     }
 }
--- a/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
+++ b/balancer/src/main/java/loadbalancer/recovery/RecoveryStore.java
@@ -14,24 +14,24 @@
 import loadbalancer.storage.SnapshotStore;
 
 /**
- * Persists the state of a balancer in a directory that outlives the process, and recovers it at the
- * start.
+ * Persists the state of a balancer in a directory that outlives the process, and recovers it when
+ * the process starts.
  *
  * <table>
- *   <caption>What is persisted</caption>
- *   <tr><th>state</th><th>when, by whom</th><th>recovered by</th></tr>
+ *   <caption>Persisted state</caption>
+ *   <tr><th>state</th><th>written by</th><th>recovered by</th></tr>
  *   <tr><td>endpoint list, policy snapshot</td><td>{@link #takeSnapshot}, each {@link
  *       #snapshotIntervalMs}, from the event loop</td><td>{@link #newestEndpointList}, {@link
  *       #recoveredPolicySnapshot}</td></tr>
- *   <tr><td>incarnation</td><td>with each snapshot</td><td>{@link #incarnation}</td></tr>
- *   <tr><td>promises of leases</td><td>{@link #persistPromises}, before each is sent, from the
+ *   <tr><td>incarnation</td><td>each snapshot</td><td>{@link #incarnation}</td></tr>
+ *   <tr><td>lease promises</td><td>{@link #persistPromises}, before each promise is sent, from the
  *       event loop</td><td>{@link #recoveredPromises}</td></tr>
  * </table>
  *
- * <p>Threads: {@link #open} blocks on the disk and belongs to the start of the process. Afterwards
- * all methods belong to the event loop and none waits for the disk, except {@link #close}; the
- * writes happen on the disk thread. This store owns that thread and the lock of the directory, from
- * {@link #open} to {@link #close}.
+ * <p>Threads: {@link #open} blocks on the disk and is called while the process starts. After that
+ * all methods are called on the event loop, and none except {@link #close} waits for the disk; the
+ * disk thread does all writes. This store owns the disk thread and the directory's lock from {@link
+ * #open} to {@link #close}.
  */
 public final class RecoveryStore implements AutoCloseable {
     private static final long MAX_POLICY_SNAPSHOT_AGE_MICROS = 30_000_000;
@@ -47,7 +47,7 @@
     private final SnapshotThrottle throttle = new SnapshotThrottle();
     private final PersistedEndpoints endpoints = new PersistedEndpoints();
 
-    // Used on the disk thread once the constructor has recovered from them
+    // These are used only on the disk thread after the constructor has recovered from them.
     private final SnapshotStore snapshots;
     private final SnapshotStore promiseSnapshots;
     private final SnapshotWriter writer;
@@ -55,7 +55,7 @@
     private final Optional<Snapshot> recoveredSnapshot;
     private final Optional<Snapshot> recoveredPromises;
     private final long incarnation;
-    // By the wall clock
+    // Wall clock, in ms since 1970.
     private final long startedAtMs;
 
     private RecoveryStore(
@@ -97,15 +97,15 @@
     }
 
     /**
-     * Opens a directory and recovers from it.
+     * Opens a directory, locks it and recovers the stored state.
      *
-     * @param directory of this balancer alone; created if it does not exist
+     * @param directory directory that only this balancer uses; created if it does not exist
      * @param owner site and name of the balancer
      * @param boot names of zones and machine types
-     * @param snapshotIntervalMs how often {@link #takeSnapshot} shall be called
-     * @param log takes events for the operators, on the caller's thread and on the disk thread
-     * @return the store; empty, with an event logged, if the directory can't be used or its lock is
-     *     held
+     * @param snapshotIntervalMs interval between calls of {@link #takeSnapshot}, in ms
+     * @param log receives log lines, on the caller's thread and on the disk thread
+     * @return the store; empty, after logging the reason, if the directory can't be used or its
+     *     lock is held
      */
     public static Optional<RecoveryStore> open(
             Path directory,
@@ -147,24 +147,28 @@
         }
     }
 
-    /** The directory that this process owns. */
+    /** Returns the directory, which this process has locked. */
     public Path directory() {
         return directory;
     }
 
-    // ------------------------------------------------------------ recovered state
-
-    /** Incarnation of this process: higher than that of any earlier one that persisted its own. */
+    /**
+     * Returns the incarnation of this process, which is higher than that of every earlier process
+     * that persisted its incarnation.
+     */
     public long incarnation() {
         return incarnation;
     }
 
-    /** Promises as last persisted, in the form of their owner; empty without any. */
+    /** Returns the lease promises persisted last, as their owner encoded them; empty if none. */
     public Optional<byte[]> recoveredPromises() {
         return recoveredPromises.map(Snapshot::content);
     }
 
-    /** The recovered endpoint list, if its revision is higher than {@code known}'s; else that. */
+    /**
+     * Returns the recovered endpoint list if its revision is higher than that of {@code known},
+     * otherwise {@code known}.
+     */
     public EndpointList newestEndpointList(EndpointList known) {
         if (recoveredSnapshot.isEmpty()) {
             return known;
@@ -190,8 +194,8 @@
     }
 
     /**
-     * The knowledge of the routing policy; empty if none was stored, if it is malformed, older than
-     * 30 s, or of a time in the future (the wall clock was set back).
+     * Returns the recovered policy snapshot. Empty if none was stored, or if it is malformed, older
+     * than 30 s or from the future (the wall clock was set back).
      */
     public Optional<PolicySnapshot> recoveredPolicySnapshot() {
         if (recoveredSnapshot.isEmpty()
@@ -202,40 +206,41 @@
         try {
             return contentCodec.decodePolicySnapshot(recoveredSnapshot.get().content());
         } catch (MalformedPolicySnapshotException e) {
-            logUnreadablePolicySnapshot(e.field() + ": " + e.getMessage());
+            logUndecodablePolicySnapshot(e.field() + ": " + e.getMessage());
         } catch (IOException | IllegalArgumentException e) {
-            logUnreadablePolicySnapshot(e.getMessage());
+            logUndecodablePolicySnapshot(e.getMessage());
         }
         return Optional.empty();
     }
 
-    private void logUnreadablePolicySnapshot(String reason) {
+    private void logUndecodablePolicySnapshot(String reason) {
         log.accept("stored policy snapshot undecodable: reason=" + reason);
     }
 
     /**
-     * Age of the recovered snapshot at the start of this process; negative if the wall clock was
-     * set back. Only with a recovered snapshot.
+     * Returns the age that the recovered snapshot had when this process started, in µs; negative if
+     * the wall clock was set back.
+     *
+     * @throws java.util.NoSuchElementException if no snapshot was recovered
      */
     public long snapshotAgeMicros() {
         return (startedAtMs - recoveredSnapshot.orElseThrow().createdAtMs()) * MICROS_PER_MS;
     }
 
-    // ------------------------------------------------------------ persisting
-
-    /** Merges a list from discovery. */
+    /** Merges a list from discovery into the endpoint list that snapshots contain. */
     public void onEndpointList(EndpointListKind kind, EndpointList endpointList) {
         endpoints.apply(kind, endpointList);
     }
 
-    /** How often {@link #takeSnapshot} shall be called. */
+    /** Returns the interval between calls of {@link #takeSnapshot}, in ms. */
     public long snapshotIntervalMs() {
         return snapshotIntervalMs;
     }
 
     /**
-     * Has a snapshot written of the endpoint list and of {@code policySnapshot}, if there is one;
-     * does nothing if there is no endpoint, one is being written, or the last one took long.
+     * Starts writing a snapshot of the endpoint list and, if present, of {@code policySnapshot}.
+     * Does nothing if there is no endpoint, while another snapshot is being written, or during the
+     * pause that follows a slow write.
      */
     public void takeSnapshot(Optional<PolicySnapshot> policySnapshot) {
         if (endpoints.isEmpty() || !throttle.tryBegin()) {
@@ -252,21 +257,24 @@
     }
 
     /**
-     * Persists promises.
+     * Starts writing the lease promises.
      *
-     * @param content all promises, in the form of their owner
-     * @param onCompletion receives, on the disk thread, whether they are durable
+     * @param content all promises, as their owner encodes them
+     * @param onCompletion receives, on the disk thread, whether the promises are durable
      */
     public void persistPromises(byte[] content, Consumer<Boolean> onCompletion) {
         executeOnDiskThread(() -> onCompletion.accept(writer.save(promiseSnapshots, content)));
     }
 
-    /** Runs a task on the disk thread, where it may wait for the disk; dropped after the close. */
+    /** Runs a task on the disk thread, where it may block. Drops it after {@link #close}. */
     public void executeOnDiskThread(Runnable task) {
         diskThread.execute(task);
     }
 
-    /** Waits up to a second for writes that are queued, ends the disk thread, releases the lock. */
+    /**
+     * Waits up to one second for queued writes, stops the disk thread and releases the directory's
+     * lock.
+     */
     @Override
     public void close() {
         diskThread.close();
--- a/balancer/src/main/java/loadbalancer/recovery/SnapshotContentCodec.java
+++ b/balancer/src/main/java/loadbalancer/recovery/SnapshotContentCodec.java
@@ -11,20 +11,22 @@
 import loadbalancer.routing.api.PolicySnapshot;
 
 /**
- * Content of a snapshot as JSON: the endpoint list in the form of discovery's, so that {@link
- * EndpointListCodec} reads both, with the policy snapshot as one more key. The keys are those of
- * stored data and can't change. Immutable.
+ * Encodes and decodes the content of a snapshot as JSON. The endpoint list has the same form as
+ * discovery's lists, so that {@link EndpointListCodec} reads both; the policy snapshot is stored
+ * under an additional key. The keys must not change, because files written by earlier versions
+ * contain them. Immutable.
  */
 final class SnapshotContentCodec {
     private static final String POLICY_SNAPSHOT = "module";
 
-    // Names of zones and machine types
+    // Provides the names of zones and machine types.
     private final BootSettings boot;
 
     SnapshotContentCodec(BootSettings boot) {
         this.boot = boot;
     }
 
+    /** Returns the JSON text, UTF-8, of an endpoint list and, if present, a policy snapshot. */
     byte[] encode(EndpointList endpointList, Optional<PolicySnapshot> policySnapshot) {
         Map<String, Object> content = EndpointListCodec.encodeTree(endpointList, boot);
         policySnapshot.ifPresent(
@@ -32,23 +34,23 @@
         try {
             return JSON.std.asBytes(content);
         } catch (IOException e) {
-            throw new UncheckedIOException("can't encode the state in memory", e);
+            throw new UncheckedIOException("can't encode the snapshot content as JSON", e);
         }
     }
 
     /**
      * Decodes the endpoint list.
      *
-     * @throws loadbalancer.config.InvalidEndpointListException if it is malformed
+     * @throws loadbalancer.config.InvalidEndpointListException if the list is malformed
      */
     EndpointList decodeEndpoints(byte[] content) {
         return EndpointListCodec.decode(content, 0, content.length, boot);
     }
 
     /**
-     * Decodes the policy snapshot; empty if none was stored.
+     * Decodes the policy snapshot. Returns empty if none was stored.
      *
-     * @throws IOException if the content is no JSON
+     * @throws IOException if the content is not valid JSON
      * @throws MalformedPolicySnapshotException if the policy snapshot is malformed
      */
     Optional<PolicySnapshot> decodePolicySnapshot(byte[] content) throws IOException {
--- a/balancer/src/main/java/loadbalancer/recovery/SnapshotWriter.java
+++ b/balancer/src/main/java/loadbalancer/recovery/SnapshotWriter.java
@@ -5,7 +5,7 @@
 import loadbalancer.storage.SnapshotStore;
 
 /**
- * Saves snapshots of any kind and logs when that begins to fail and when it succeeds again.
+ * Saves snapshots of any kind. Logs the first failure of a series, and the first success after it.
  * Confined to the {@link DiskThread}.
  */
 final class SnapshotWriter {
@@ -18,7 +18,7 @@
         this.log = log;
     }
 
-    /** Saves a snapshot; returns whether it is durable. If not, the one before still is. */
+    /** Saves a snapshot. Returns whether it is durable; if not, the previous one still is. */
     boolean save(SnapshotStore store, byte[] content) {
         try {
             store.save(System.currentTimeMillis(), incarnation, content);
--- a/balancer/src/main/java/loadbalancer/storage/CorruptSnapshotException.java
+++ b/balancer/src/main/java/loadbalancer/storage/CorruptSnapshotException.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** Bytes are no snapshot of this program and owner; the message is the reason's description. */
+/**
+ * Thrown when bytes are not a valid snapshot of the expected owner. The message is the description
+ * of the {@link Corruption}.
+ */
 public final class CorruptSnapshotException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -13,7 +16,7 @@
         this.corruption = corruption;
     }
 
-    /** The reason. */
+    /** Returns what is wrong with the bytes. */
     public Corruption corruption() {
         return corruption;
     }
--- a/balancer/src/main/java/loadbalancer/storage/Corruption.java
+++ b/balancer/src/main/java/loadbalancer/storage/Corruption.java
@@ -2,24 +2,24 @@
 
 import java.util.Locale;
 
-/** Why bytes are no snapshot of this program and owner. */
+/** The reason why bytes are not a valid snapshot of the expected owner. */
 public enum Corruption {
-    /** Shorter than any snapshot, or unreadable. */
+    /** The file is shorter than the smallest snapshot, or can't be read. */
     TRUNCATED,
-    /** Another kind of file. */
+    /** The file does not start with the magic number of a snapshot. */
     BAD_MAGIC,
-    /** Written in a format that this version does not know. */
+    /** The format version is not the one that this program reads. */
     UNSUPPORTED_VERSION,
-    /** A length field contradicts the length of the file. */
+    /** A length field does not match the length of the file. */
     LENGTH_MISMATCH,
-    /** The bytes have changed since they were written. */
+    /** The checksum does not match: the bytes have changed since they were written. */
     CHECKSUM_MISMATCH,
-    /** A snapshot of another balancer. */
+    /** The snapshot belongs to another balancer. */
     WRONG_OWNER,
-    /** The sequence in the file is not that of its name. */
+    /** The sequence number in the file differs from the one in its name. */
     SEQUENCE_MISMATCH;
 
-    /** The reason as it stands in log lines, for example {@code bad magic}. */
+    /** Returns the reason as log lines show it, for example {@code bad magic}. */
     public String description() {
         return name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
--- a/balancer/src/main/java/loadbalancer/storage/FileSystemDirectory.java
+++ b/balancer/src/main/java/loadbalancer/storage/FileSystemDirectory.java
@@ -10,11 +10,15 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A directory of the file system. */
+/** A {@link SnapshotDirectory} in the file system. Its operations block on the disk. */
 public final class FileSystemDirectory implements SnapshotDirectory {
     private final Path directory;
 
-    /** Creates the directory, with its parents, if it does not exist. */
+    /**
+     * Creates the directory and its parents if they do not exist.
+     *
+     * @throws IOException if the directory can't be created
+     */
     public FileSystemDirectory(Path directory) throws IOException {
         this.directory = Files.createDirectories(directory);
     }
--- a/balancer/src/main/java/loadbalancer/storage/Snapshot.java
+++ b/balancer/src/main/java/loadbalancer/storage/Snapshot.java
@@ -5,9 +5,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * State of one balancer at one time, and its encoding as a file that can be verified.
+ * The state of one balancer at one time. Encodes it as a file with a checksum, and decodes and
+ * verifies such a file. Immutable, provided that nobody changes the content.
  *
- * <p>Layout, integers big-endian:
+ * <p>File layout, with big-endian integers:
  *
  * <pre>
  * header, 16 bytes:  magic (4), format version (4), length of the body (4), checksum (4)
@@ -15,20 +16,21 @@
  *                    owner (UTF-8), content
  * </pre>
  *
- * The checksum is a CRC32C over everything but itself.
+ * The checksum is a CRC32C of all bytes except the checksum itself.
  *
- * @param sequence increases with each snapshot of a directory
- * @param createdAtMs ms since 1970 by the wall clock, so that a reader can judge the age
- * @param incarnation of the process that wrote it
+ * @param sequence number that increases with each snapshot in a directory
+ * @param createdAtMs creation time by the wall clock, in ms since 1970, from which a reader
+ *     computes the age
+ * @param incarnation incarnation of the process that wrote the snapshot
  * @param owner site and name of the balancer whose state it is
- * @param content the state, in a form that only its owner knows; not copied
+ * @param content the state, opaque to this class; the array is not copied
  */
 public record Snapshot(
         long sequence, long createdAtMs, long incarnation, String owner, byte[] content) {
-    /** Bound on the encoded size. */
+    /** Maximum encoded size, in bytes. */
     public static final int MAX_BYTES = 4 << 20;
 
-    // "tfs1"
+    // "tfs1" in ASCII.
     private static final int MAGIC = 0x74667331;
     private static final int FORMAT_VERSION = 1;
     private static final int HEADER_BYTES = 16;
@@ -36,9 +38,9 @@
     private static final int FIXED_FIELDS_BYTES = 3 * Long.BYTES + Integer.BYTES;
 
     /**
-     * Encodes this snapshot.
+     * Encodes this snapshot as a file.
      *
-     * @throws SnapshotTooLargeException if it exceeds {@link #MAX_BYTES}
+     * @throws SnapshotTooLargeException if the file would exceed {@link #MAX_BYTES}
      */
     public byte[] encode() {
         byte[] ownerBytes = owner.getBytes(StandardCharsets.UTF_8);
@@ -69,10 +71,10 @@
     }
 
     /**
-     * Decodes a file.
+     * Decodes and verifies a file.
      *
-     * @param bytes all of the file
-     * @param owner site and name of the balancer that reads it
+     * @param bytes the whole file
+     * @param owner site and name of the balancer that must own the snapshot
      * @throws CorruptSnapshotException if the bytes are not a complete snapshot of {@code owner}
      */
     public static Snapshot decode(byte[] bytes, String owner) throws CorruptSnapshotException {
--- a/balancer/src/main/java/loadbalancer/storage/SnapshotStore.java
+++ b/balancer/src/main/java/loadbalancer/storage/SnapshotStore.java
@@ -9,12 +9,12 @@
 import java.util.regex.Pattern;
 
 /**
- * The snapshots of one kind in a directory.
+ * Saves and recovers the snapshots of one kind in a directory.
  *
- * <p>A new snapshot is written under a temporary name, synced, renamed, and the directory synced:
- * then it is durable, and only then older ones are deleted, so a crash at any point leaves at least
- * one valid snapshot. After a failed write the state of the file is unknown, so the next snapshot
- * is a new file with a new sequence.
+ * <p>A new snapshot is written under a temporary name, synced and renamed; then the directory is
+ * synced, which makes the snapshot durable. Older snapshots are deleted only after that, so a crash
+ * at any point leaves at least one valid snapshot. After a failed write the state of the file is
+ * unknown, so the next snapshot is a new file with a new sequence number.
  *
  * <p>Not thread-safe; all operations block on the disk.
  */
@@ -30,10 +30,10 @@
     private long lastSequence;
 
     /**
-     * What was found in a directory.
+     * The snapshots found in a directory.
      *
      * @param newest the newest valid snapshot
-     * @param discarded newer files that are not valid, each as {@code name: reason}
+     * @param discarded newer files that are invalid, each as {@code name: reason}
      */
     public record RecoveryResult(Optional<Snapshot> newest, List<String> discarded) {
         public RecoveryResult {
@@ -42,10 +42,10 @@
     }
 
     /**
-     * Creates a store; snapshots of other kinds may be in the same directory.
+     * Creates a store. The directory may also contain snapshots of other kinds.
      *
-     * @param directory of this balancer alone
-     * @param owner site and name of the balancer; snapshots of another one are not recovered
+     * @param directory directory that only this balancer uses
+     * @param owner site and name of the balancer; snapshots of other owners are not recovered
      * @param namePrefix kind of the snapshots; files are named {@code namePrefix-sequence}
      */
     public SnapshotStore(SnapshotDirectory directory, String owner, String namePrefix) {
@@ -56,13 +56,14 @@
     }
 
     /**
-     * Finds the newest valid snapshot. Never fails: what can't be read is reported as discarded.
+     * Finds the newest valid snapshot. Never throws: files that can't be read are reported as
+     * discarded.
      */
     public RecoveryResult recover() {
         List<String> discarded = new ArrayList<>();
         try {
             List<String> names = namesNewestFirst();
-            // An invalid file counts too, so that no name is used twice.
+            // Invalid files count too, so that no file name is used twice.
             lastSequence = names.isEmpty() ? 0 : sequenceOf(names.get(0));
             for (String name : names) {
                 try {
@@ -108,17 +109,17 @@
     }
 
     /**
-     * Saves a snapshot; when this returns, it survives a loss of power.
+     * Saves a snapshot. When this method returns, the snapshot survives a loss of power.
      *
-     * @param createdAtMs ms since 1970
-     * @param incarnation of this process
+     * @param createdAtMs creation time by the wall clock, in ms since 1970
+     * @param incarnation incarnation of this process
      * @param content the state
-     * @return the sequence of the snapshot
-     * @throws IOException if it is not durable; an earlier one still is
-     * @throws SnapshotTooLargeException if it exceeds {@link Snapshot#MAX_BYTES}
+     * @return the sequence number of the snapshot
+     * @throws IOException if the snapshot is not durable; an earlier one still is
+     * @throws SnapshotTooLargeException if the snapshot exceeds {@link Snapshot#MAX_BYTES}
      */
     public long save(long createdAtMs, long incarnation, byte[] content) throws IOException {
-        // Used even if the write fails
+        // A failed write uses up the number too, so that no file name is used twice.
         lastSequence++;
         byte[] bytes =
                 new Snapshot(lastSequence, createdAtMs, incarnation, owner, content).encode();
--- a/balancer/src/test/java/loadbalancer/recovery/PolicySnapshotCodecTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/PolicySnapshotCodecTest.java
@@ -17,7 +17,7 @@
         Map<String, Object> invalid =
                 PolicySnapshotCodec.encode(new PolicySnapshot(List.of(), List.of(-1.0)));
         assertEquals(
-                "no number from 0 to 1.0E9: -1.0",
+                "not a number from 0 to 1.0E9: -1.0",
                 assertThrows(
                                 MalformedPolicySnapshotException.class,
                                 () -> PolicySnapshotCodec.decode(invalid))
