--- a/balancer/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/balancer/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -6,19 +6,20 @@
 import java.util.Optional;
 
 /**
- * The configuration of one balancer process, from its environment and its configuration file.
+ * The configuration of one balancer process, read from its environment and its configuration file.
  * Immutable.
  *
- * @param name the balancer's name in the fleet
- * @param listenAddress where clients connect to
- * @param discoveryAddress where discovery's HTTP interface listens
- * @param seed seed of the routing policy's random draws
- * @param maxSockets how many sockets the process may have open
- * @param initialEndpoints the endpoint list that the configuration knows; empty: none
- * @param boot the platform's settings
- * @param peers addresses of the other balancers
- * @param adminAddress where the administration interface listens; empty: there is none
- * @param listenSocketInherited whether the clients' listening socket was inherited as descriptor 0
+ * @param name name of the balancer in the fleet
+ * @param listenAddress address on which the balancer accepts client connections
+ * @param discoveryAddress address of discovery's HTTP interface
+ * @param seed seed of the routing policy's random numbers
+ * @param maxSockets maximum number of sockets that the process may have open
+ * @param initialEndpoints endpoint list in the configuration; without entries if there is none
+ * @param boot settings of the platform
+ * @param peers addresses for datagrams between the balancers of the fleet
+ * @param adminAddress address of the administration interface; empty if there is none
+ * @param listenSocketInherited whether the listening socket for clients was inherited as file
+ *     descriptor 0
  * @param localSettings settings of the load balancer itself
  */
 public record BalancerConfig(
@@ -34,7 +35,8 @@
         boolean listenSocketInherited,
         LocalSettings localSettings) {
     /**
-     * Reads the file that {@code ROUTER_CONFIG} names; other variables override its fields.
+     * Reads the file that the variable {@code ROUTER_CONFIG} names. Other variables override its
+     * fields.
      *
      * @throws InvalidConfigException if the configuration can't be read or is invalid
      */
@@ -43,8 +45,8 @@
     }
 
     /**
-     * Reads the configuration again while the process runs. The environment is that of the start,
-     * so its address of discovery doesn't override the file's.
+     * Reads the configuration again while the process runs. The environment dates from the start of
+     * the process, so its discovery address does not override the one in the file.
      *
      * @throws InvalidConfigException if the configuration can't be read or is invalid
      */
@@ -55,7 +57,7 @@
     }
 
     /**
-     * Parses the tree that a JSON reader made of a configuration file.
+     * Parses the JSON tree of a configuration file.
      *
      * @throws InvalidConfigException if the configuration is invalid
      */
--- a/balancer/src/main/java/loadbalancer/config/BalancerConfigParser.java
+++ b/balancer/src/main/java/loadbalancer/config/BalancerConfigParser.java
@@ -11,9 +11,9 @@
 import java.util.Optional;
 
 /**
- * Turns a configuration file's JSON tree and the environment into a {@link BalancerConfig}. All
- * methods throw {@link InvalidConfigException} at the first fault, which names the field. Belongs
- * to the thread that reads the configuration.
+ * Parses the JSON tree of a configuration file, with the environment, into a {@link
+ * BalancerConfig}. All methods throw an {@link InvalidConfigException} for the first error, with
+ * the name of the field. Confined to the thread that reads the configuration.
  */
 final class BalancerConfigParser {
     /** Overrides the file's field {@code discovery}. */
@@ -22,7 +22,7 @@
     private static final String FILE_VARIABLE = "ROUTER_CONFIG";
     private static final String ACCEPT_FD_VARIABLE = "ROUTER_ACCEPT_FD";
     private static final String INHERITED_DESCRIPTOR = "0";
-    // Assumed where neither the file nor the system has a limit
+    // Applies if neither the file nor the operating system sets a limit.
     private static final int DEFAULT_MAX_SOCKETS = 1024;
     private static final int HEXADECIMAL = 16;
 
@@ -34,7 +34,7 @@
         this.json = json;
     }
 
-    /** The JSON tree of the file that the environment names; empty for a file without content. */
+    /** Returns the JSON tree of the file that the environment names; empty for an empty file. */
     static Map<String, Object> readFile(Map<String, String> environment) {
         String file = environment.get(FILE_VARIABLE);
         if (file == null || file.isBlank()) {
@@ -57,7 +57,7 @@
         }
     }
 
-    // The fields are read in this order: the first fault is the one that is reported.
+    /** Parses the configuration. The order of the fields decides which error is reported first. */
     BalancerConfig parse() {
         String name = requiredText("ROUTER_NAME", "name");
         InetSocketAddress listenAddress =
@@ -88,7 +88,7 @@
         if (descriptor.isPresent() && !descriptor.get().strip().equals(INHERITED_DESCRIPTOR)) {
             throw new InvalidConfigException(
                     ACCEPT_FD_VARIABLE
-                            + ": only descriptor 0 can be taken over, not '"
+                            + ": only descriptor 0 can be inherited, not '"
                             + descriptor.get()
                             + "'");
         }
@@ -164,7 +164,7 @@
         return value.get();
     }
 
-    /** The variable's value, else the field's; empty where both are missing or blank. */
+    /** Returns the value of the variable, else of the field; empty if both are missing or blank. */
     private Optional<String> text(String variable, String field) {
         String value = environment.get(variable);
         if (value != null && !value.isBlank()) {
--- a/balancer/src/main/java/loadbalancer/config/BootSettings.java
+++ b/balancer/src/main/java/loadbalancer/config/BootSettings.java
@@ -4,16 +4,18 @@
 import loadbalancer.routing.api.RoutingSettings;
 
 /**
- * The platform's settings of one balancer, fixed for the life of its process. Immutable.
+ * The platform's settings for one balancer, fixed while its process runs. Immutable.
  *
- * @param settings the routing policy's settings, in which classes, tenants, zones and machine types
- *     are numbers: positions in the lists of names that follow
- * @param loadFields names of the values of a load report on the simulator's wire, in its order
+ * @param settings settings of the routing policy, which refer to classes, tenants, zones and
+ *     machine types by their index in the lists of names below
+ * @param loadFields names of the values in a load report on the simulator's wire, in their order
+ *     there
  * @param classNames names of the request classes
  * @param tenantNames names of the tenants
  * @param zoneNames names of the zones
  * @param machineTypeNames names of the machine types
- * @param idleTimeoutMicros after what time an upstream closes an idle connection, µs; 0: never
+ * @param idleTimeoutMicros time after which an upstream closes an idle connection, in µs; 0 if it
+ *     never does
  */
 public record BootSettings(
         RoutingSettings settings,
--- a/balancer/src/main/java/loadbalancer/config/EndpointList.java
+++ b/balancer/src/main/java/loadbalancer/config/EndpointList.java
@@ -6,32 +6,32 @@
 import loadbalancer.routing.api.Endpoint;
 
 /**
- * A list of upstream endpoints as discovery gave it; {@link EndpointListCodec} reads it. Immutable.
+ * A list of upstream endpoints from discovery, which {@link EndpointListCodec} decodes. Immutable.
  *
- * @param revision discovery's version of the list, which a watch resumes from
- * @param complete whether these are all endpoints, or those that changed
+ * @param revision version of the list at discovery, from which a watch resumes
+ * @param complete whether the list has all endpoints or only those that changed
  * @param entries the endpoints in discovery's order
  */
 public record EndpointList(long revision, boolean complete, List<Entry> entries) {
     /**
-     * One endpoint.
+     * One endpoint of a list.
      *
-     * @param endpoint the endpoint as the routing policy knows it
-     * @param address where this balancer connects to it; empty only for a removed endpoint
+     * @param endpoint the endpoint as the routing policy sees it
+     * @param address address to which the balancer connects; empty only for a removed endpoint
      */
     public record Entry(Endpoint endpoint, Optional<InetSocketAddress> address) {
-        /** An endpoint whose address is known. */
+        /** Creates an entry for an endpoint with a known address. */
         public Entry(Endpoint endpoint, InetSocketAddress address) {
             this(endpoint, Optional.of(address));
         }
     }
 
-    /** A complete list without endpoints, older than any of discovery's. */
+    /** Returns a complete list without endpoints, with a revision below those of discovery. */
     static EndpointList empty() {
         return new EndpointList(0, true, List.of());
     }
 
-    /** The endpoints without their addresses, in the list's order. */
+    /** Returns the endpoints without their addresses, in the order of the list. */
     public List<Endpoint> endpoints() {
         return entries.stream().map(Entry::endpoint).toList();
     }
--- a/balancer/src/main/java/loadbalancer/config/EndpointListCodec.java
+++ b/balancer/src/main/java/loadbalancer/config/EndpointListCodec.java
@@ -19,18 +19,17 @@
 
 /**
  * Decodes endpoint lists from discovery's JSON, {@code {"rev": N, "all": true, "targets": [...]}},
- * and encodes lists in the same form. Fields that it doesn't know are skipped. All methods that
- * decode throw {@link InvalidEndpointListException} for a document that is not such a list.
- * Stateless.
+ * and encodes lists in the same form. Unknown fields are skipped. All decoding methods throw an
+ * {@link InvalidEndpointListException} for a document that is not such a list. Stateless.
  */
 public final class EndpointListCodec {
-    /** Entries that one list may have; more would not fit into memory beside the requests. */
+    /** Maximum number of entries; more would not fit into memory along with the requests. */
     static final int MAX_ENTRIES = 20_000;
 
     private static final String ENTRIES_FIELD = "targets";
     private static final String REVISION_FIELD = "rev";
     private static final String COMPLETE_FIELD = "all";
-    // Of one entry
+    // Fields of one entry.
     private static final String ID_FIELD = "uid";
     private static final String ADDRESS_FIELD = "endpoint";
     private static final String STATUS_FIELD = "state";
@@ -46,13 +45,15 @@
 
     private EndpointListCodec() {}
 
-    /** Decodes a JSON text; {@code boot} names the zones and machine types. */
+    /** Decodes a JSON text. {@code boot} provides the names of zones and machine types. */
     public static EndpointList decode(String json, BootSettings boot) {
         byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
         return decode(bytes, 0, bytes.length, boot);
     }
 
-    /** Decodes the readable bytes of {@code json}, which keeps its reference count and indexes. */
+    /**
+     * Decodes the readable bytes of {@code json}, whose reference count and indexes stay the same.
+     */
     public static EndpointList decode(ByteBuf json, BootSettings boot) {
         byte[] bytes = json.hasArray() ? json.array() : ByteBufUtil.getBytes(json);
         int offset = json.hasArray() ? json.arrayOffset() + json.readerIndex() : 0;
@@ -60,8 +61,8 @@
     }
 
     /**
-     * Decodes {@code length} bytes of UTF-8 from {@code offset} on, entry by entry: as one tree, a
-     * list of 14,000 entries took many times its own size in memory.
+     * Decodes {@code length} bytes of UTF-8 that begin at {@code offset}. Reads entry by entry,
+     * because the tree of a list with 14,000 entries takes many times the memory of the list.
      */
     public static EndpointList decode(byte[] json, int offset, int length, BootSettings boot) {
         try (JsonParser parser = JSON_FACTORY.createParser(json, offset, length)) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /** Decodes a list that is part of a larger document, from the tree that its reader made. */
+    /** Decodes a list that is part of a larger document, from its JSON tree. */
     static EndpointList decodeTree(Object json, BootSettings boot) {
         if (!(json instanceof Map<?, ?> fields)
                 || !(fields.get(ENTRIES_FIELD) instanceof List<?> elements)) {
@@ -100,7 +101,7 @@
     private static List<EndpointList.Entry> decodeEntries(JsonParser parser, BootSettings boot)
             throws IOException {
         List<EndpointList.Entry> entries = new ArrayList<>();
-        // One map for all entries: a map for each would be most of what decoding allocates
+        // All entries share one map; a map per entry would dominate the allocations of decoding.
         Map<String, Object> fields = new HashMap<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             fields.clear();
@@ -122,7 +123,7 @@
         }
     }
 
-    // Duplicate names are rejected, as the configuration's JSON reader rejects them.
+    // Rejects duplicate names, as the JSON reader of the configuration does.
     private static void putUnique(Map<String, Object> fields, String name, Object value) {
         if (fields.containsKey(name)) {
             throw new InvalidEndpointListException("not JSON");
@@ -130,8 +131,8 @@
         fields.put(name, value);
     }
 
-    // A string, number or boolean; null stands for JSON's null, and for objects and arrays, which
-    // are skipped.
+    // Returns a string, number or boolean. Skips objects and arrays and returns null for them, as
+    // for JSON's null.
     private static Object readPlainValue(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
             case VALUE_STRING -> parser.getText();
@@ -206,8 +207,10 @@
     }
 
     /**
-     * The tree for a JSON writer from which {@link #decode} gives {@code endpointList} again; the
-     * caller may add fields. No entry may be without an address.
+     * Returns a tree for a JSON writer whose output {@link #decode} decodes to {@code endpointList}
+     * again. The caller may add fields.
+     *
+     * @throws java.util.NoSuchElementException if an entry has no address
      */
     public static Map<String, Object> encodeTree(EndpointList endpointList, BootSettings boot) {
         Map<String, Object> tree = new LinkedHashMap<>();
--- a/balancer/src/main/java/loadbalancer/config/FileChangeDetector.java
+++ b/balancer/src/main/java/loadbalancer/config/FileChangeDetector.java
@@ -8,26 +8,26 @@
 import java.util.Optional;
 
 /**
- * Polls a file's attributes for a change of its content or its replacement by another file. Not
- * thread-safe: it belongs to the thread that polls.
+ * Polls the attributes of a file to detect that its content changed or that another file replaced
+ * it. Not thread-safe; confined to the thread that polls.
  */
 public final class FileChangeDetector {
     private final Path file;
-    // Empty until the file has been seen
+    // Empty until the file has been read successfully.
     private Optional<Fingerprint> lastFingerprint;
 
-    /** What differs between two versions of a file, as far as its attributes show. */
+    /** Attributes that identify a version of a file. */
     private record Fingerprint(Object fileKey, long sizeBytes, FileTime lastModified) {}
 
-    /** Takes the file's present version as the one to compare with. */
+    /** Creates a detector that compares with the current version of the file. */
     public FileChangeDetector(Path file) {
         this.file = file;
         this.lastFingerprint = fingerprint();
     }
 
     /**
-     * Whether the file differs from the version that the last call saw. A missing file is no
-     * change: while a file is being replaced there may be none for a moment.
+     * Returns whether the file differs from the version at the last call. A missing file is not a
+     * change, since the file may be missing briefly while it is being replaced.
      */
     public boolean hasChanged() {
         Optional<Fingerprint> currentFingerprint = fingerprint();
@@ -38,7 +38,7 @@
         return true;
     }
 
-    // Empty where the file can't be read.
+    // Returns empty if the attributes can't be read.
     private Optional<Fingerprint> fingerprint() {
         try {
             BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
--- a/balancer/src/main/java/loadbalancer/config/InvalidAddressException.java
+++ b/balancer/src/main/java/loadbalancer/config/InvalidAddressException.java
@@ -1,6 +1,6 @@
 package loadbalancer.config;
 
-/** A text that is not an address literal with a port, such as {@code 10.0.0.1:8080}. */
+/** Thrown when a text is not an address literal with a port, such as {@code 10.0.0.1:8080}. */
 public final class InvalidAddressException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/loadbalancer/config/InvalidConfigException.java
+++ b/balancer/src/main/java/loadbalancer/config/InvalidConfigException.java
@@ -1,8 +1,8 @@
 package loadbalancer.config;
 
 /**
- * The configuration can't be used. The message is one line for operators that names the file or
- * variable, the field and what is wrong with it.
+ * Thrown when the configuration can't be used. The message is one line for operators that names the
+ * file or variable, the field and the error.
  */
 public final class InvalidConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
--- a/balancer/src/main/java/loadbalancer/config/InvalidEndpointListException.java
+++ b/balancer/src/main/java/loadbalancer/config/InvalidEndpointListException.java
@@ -1,6 +1,6 @@
 package loadbalancer.config;
 
-/** A document that is not an endpoint list in discovery's form; the message names the fault. */
+/** Thrown when a document is not an endpoint list in discovery's form. The message says why. */
 public final class InvalidEndpointListException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/loadbalancer/config/InvalidSettingException.java
+++ b/balancer/src/main/java/loadbalancer/config/InvalidSettingException.java
@@ -1,6 +1,6 @@
 package loadbalancer.config;
 
-/** A setting of the platform's configuration that is missing or out of its bounds. */
+/** Thrown when a setting of the platform is missing, malformed or out of range. */
 public final class InvalidSettingException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -19,12 +19,12 @@
         this.problem = cause.getMessage();
     }
 
-    /** The setting's path, joined by dots, such as {@code Classes.0.GoalTime}. */
+    /** Returns the path of the setting, joined by dots, such as {@code Classes.0.GoalTime}. */
     public String path() {
         return path;
     }
 
-    /** What is wrong with the setting, and where it has bounds, what they are. */
+    /** Returns what is wrong with the setting, with its bounds if it has any. */
     public String problem() {
         return problem;
     }
--- a/balancer/src/main/java/loadbalancer/config/InvalidValueException.java
+++ b/balancer/src/main/java/loadbalancer/config/InvalidValueException.java
@@ -1,6 +1,6 @@
 package loadbalancer.config;
 
-/** A text that does not have the form of its value; the message quotes it. */
+/** Thrown when a text can't be parsed as the expected type. The message quotes the text. */
 public final class InvalidValueException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/loadbalancer/config/LocalSetting.java
+++ b/balancer/src/main/java/loadbalancer/config/LocalSetting.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * A setting of the load balancer itself: its names, its default and which values it may have.
- * Values are texts in the form of environment variables. The order is that of the table in {@code
+ * A setting of the load balancer itself, with its names, its default and its valid values. Values
+ * are texts as an environment variable would have them. The order is that of the table in {@code
  * docs/settings.md}.
  */
 public enum LocalSetting {
@@ -16,26 +16,26 @@
             "TANSYFERRY_MEMBERSHIP",
             false,
             "SWIM membership: balancers detect which of them are alive"),
-    /** Whether leases are held; needs membership. */
+    /** Whether leases are used, which requires membership. */
     LEASES_ENABLED(
             "duties.on",
             "TANSYFERRY_DUTIES",
             false,
             "leases for work that one balancer does at a time; needs `membership.on`"),
-    /** Whether requests fail over to other zones as a whole. */
+    /** Whether a lost zone is ejected as a whole, so that its traffic fails over to other zones. */
     ZONE_FAILOVER_ENABLED(
             "zones.on",
             "TANSYFERRY_ZONES",
             false,
             "zone failover: a lost zone is ejected as a whole, and its traffic ramps up"
                     + " again in steps"),
-    /** Where state that survives a crash is stored. */
+    /** Directory for state that survives a crash. */
     STATE_DIRECTORY(
             "state.dir",
             "TANSYFERRY_STATE_DIR",
             "directory of this balancer alone, for state that survives a crash; none: no"
                     + " state is stored"),
-    /** Least time between two snapshots. */
+    /** Minimum time between two snapshots, in ms. */
     SNAPSHOT_INTERVAL_MS(
             "state.every_ms",
             1_000,
@@ -52,7 +52,7 @@
     private final String environmentVariable;
     private final Type type;
     private final String defaultValue;
-    // Of a duration, in ms
+    // Bounds of a duration, in ms.
     private final long min;
     private final long max;
     private final String description;
@@ -64,17 +64,17 @@
         MILLISECONDS
     }
 
-    /** A boolean that a variable overrides. */
+    /** Creates a boolean setting that a variable overrides. */
     LocalSetting(String key, String environmentVariable, boolean defaultValue, String description) {
         this(key, environmentVariable, Type.BOOLEAN, booleanText(defaultValue), 0, 0, description);
     }
 
-    /** A directory that a variable overrides, none by default. */
+    /** Creates a directory setting that a variable overrides and that has no default. */
     LocalSetting(String key, String environmentVariable, String description) {
         this(key, environmentVariable, Type.DIRECTORY, NO_DIRECTORY, 0, 0, description);
     }
 
-    /** A duration that only the file sets, from {@code min} to {@code max} ms. */
+    /** Creates a duration setting, from {@code min} to {@code max} ms, that only the file sets. */
     LocalSetting(String key, long defaultValue, long min, long max, String description) {
         this(
                 key,
@@ -103,12 +103,12 @@
         this.description = description;
     }
 
-    /** Its key in the file: the name of its table, a dot and its name there. */
+    /** Returns the key in the file: the name of the table, a dot and the name within the table. */
     String key() {
         return key;
     }
 
-    /** The variable that overrides the file; empty if none does. */
+    /** Returns the variable that overrides the file; empty if there is none. */
     Optional<String> environmentVariable() {
         return environmentVariable.equals(NO_VARIABLE)
                 ? Optional.empty()
@@ -123,32 +123,32 @@
         return defaultValue;
     }
 
-    /** The least value of a duration, in ms. */
+    /** Returns the minimum of a duration, in ms. */
     long min() {
         return min;
     }
 
-    /** The greatest value of a duration, in ms. */
+    /** Returns the maximum of a duration, in ms. */
     long max() {
         return max;
     }
 
-    /** What it does, for {@code docs/settings.md}. */
+    /** Returns the description for {@code docs/settings.md}. */
     String description() {
         return description;
     }
 
-    /** The value for a boolean. */
+    /** Returns the text for a boolean. */
     static String booleanText(boolean value) {
         return value ? ON : OFF;
     }
 
-    /** The boolean for a valid value. */
+    /** Returns the boolean for a valid text. */
     static boolean parseBoolean(String value) {
         return value.equals(ON);
     }
 
-    /** What is wrong with a value; empty if nothing is. */
+    /** Returns what is wrong with a value; empty if it is valid. */
     Optional<String> problemWith(String value) {
         return switch (type) {
             case BOOLEAN ->
@@ -156,7 +156,9 @@
                             ? Optional.empty()
                             : Optional.of("neither on nor off: '" + value + "'");
             case DIRECTORY ->
-                    isValidPath(value) ? Optional.empty() : Optional.of("no path: '" + value + "'");
+                    isValidPath(value)
+                            ? Optional.empty()
+                            : Optional.of("not a path: '" + value + "'");
             case MILLISECONDS ->
                     isWithinBounds(value) ? Optional.empty() : Optional.of(typeProblem());
         };
@@ -177,11 +179,11 @@
         }
     }
 
-    /** What is wrong with a value of another type. */
+    /** Returns the message for a value of the wrong type. */
     String typeProblem() {
         return switch (type) {
             case BOOLEAN -> "not true or false";
-            case DIRECTORY -> "not a text that names a folder";
+            case DIRECTORY -> "not a string with the path of a directory";
             case MILLISECONDS -> "not a whole number of ms from " + min + " to " + max;
         };
     }
--- a/balancer/src/main/java/loadbalancer/config/LocalSettings.java
+++ b/balancer/src/main/java/loadbalancer/config/LocalSettings.java
@@ -9,15 +9,15 @@
 import java.util.Optional;
 
 /**
- * Settings of the load balancer itself, which the platform's configuration does not have: a TOML
- * file that {@code TANSYFERRY_SETTINGS} names, and environment variables that override it. Without
- * either each setting has its default. A file with errors is rejected as a whole, and all errors
- * are reported at once. Immutable.
+ * Settings of the load balancer itself, which are not part of the platform's configuration. They
+ * come from a TOML file that {@code TANSYFERRY_SETTINGS} names and from environment variables,
+ * which override the file; a setting that neither gives has its default. Invalid settings are
+ * rejected as a whole, and all errors are reported at once. Immutable.
  */
 public final class LocalSettings {
     private static final String FILE_VARIABLE = "TANSYFERRY_SETTINGS";
 
-    // As a variable would give them
+    // Texts as an environment variable would have them.
     private final Map<LocalSetting, String> values;
 
     private LocalSettings(Map<LocalSetting, String> values) {
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Reads the file that {@code environment} names, and the variables that override it.
+     * Reads the file that {@code environment} names and the variables that override it.
      *
      * @throws InvalidConfigException with all errors in one line
      */
@@ -45,7 +45,7 @@
         LocalSettings settings = new LocalSettings(values);
         if (settings.isEnabled(LocalSetting.LEASES_ENABLED)
                 && !settings.isEnabled(LocalSetting.MEMBERSHIP_ENABLED)) {
-            errors.add("duties are on without membership, by which they go");
+            errors.add("duties.on requires membership.on");
         }
         if (!errors.isEmpty()) {
             throw new InvalidConfigException(String.join("; ", errors));
@@ -69,23 +69,23 @@
         }
     }
 
-    /** Whether a boolean setting is on. */
+    /** Returns whether a boolean setting is on. */
     public boolean isEnabled(LocalSetting setting) {
         return LocalSetting.parseBoolean(values.get(setting));
     }
 
-    /** The path of a directory setting; empty if none is set. */
+    /** Returns the path of a directory setting; empty if it is not set. */
     public Optional<Path> directory(LocalSetting setting) {
         String path = values.get(setting);
         return path.isBlank() ? Optional.empty() : Optional.of(Path.of(path));
     }
 
-    /** The value of a duration setting, in ms. */
+    /** Returns the value of a duration setting, in ms. */
     public long milliseconds(LocalSetting setting) {
         return Long.parseLong(values.get(setting));
     }
 
-    /** The keys of the settings that differ in {@code other}, in their order. */
+    /** Returns the keys of the settings that differ from {@code other}, in their order. */
     public List<String> changedKeys(LocalSettings other) {
         return Arrays.stream(LocalSetting.values())
                 .filter(setting -> !values.get(setting).equals(other.values.get(setting)))
--- a/balancer/src/main/java/loadbalancer/config/LocalSettingsParser.java
+++ b/balancer/src/main/java/loadbalancer/config/LocalSettingsParser.java
@@ -19,8 +19,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Parses the TOML file of the local settings. A class apart from {@link LocalSettings}, so that a
- * start without such a file loads neither it nor the TOML library.
+ * Parses the TOML file of the local settings. Separate from {@link LocalSettings}, so that a
+ * process without such a file loads neither this class nor the TOML library. Confined to the thread
+ * that reads the settings.
  */
 final class LocalSettingsParser {
     private static final Pattern TABLE_HEADER =
@@ -33,10 +34,10 @@
     private final List<String> errors = new ArrayList<>();
 
     /**
-     * What a file holds.
+     * The content of a file.
      *
-     * @param values the valid values, each as an environment variable would give it
-     * @param errors all that is wrong, each with file, line and key as far as they are known
+     * @param values the valid values, as texts that an environment variable would have
+     * @param errors all errors, each with file, line and key as far as they are known
      */
     record Result(Map<LocalSetting, String> values, List<String> errors) {}
 
@@ -44,7 +45,7 @@
         this.fileName = fileName;
     }
 
-    /** Parses all of a file; one that can't be read or is no TOML gives a single error. */
+    /** Parses a whole file. A file that can't be read or is not TOML results in a single error. */
     static Result parse(String fileName) {
         LocalSettingsParser parser = new LocalSettingsParser(fileName);
         try {
@@ -60,7 +61,8 @@
         return new Result(parser.values, parser.errors);
     }
 
-    // The line of each key that stands on a line of its own: the library's tree has no locations.
+    // Finds the line of each key that has a line of its own, as the library's tree has no
+    // locations.
     private void indexLines(String text) {
         String tablePrefix = "";
         int lineNumber = 0;
@@ -105,7 +107,7 @@
         }
     }
 
-    // As an environment variable would give the value; empty where it is of another type.
+    // Returns the value as an environment variable would have it; empty if it has the wrong type.
     private static Optional<String> toVariableText(LocalSetting.Type type, JsonNode node) {
         boolean hasType =
                 switch (type) {
--- a/balancer/src/main/java/loadbalancer/config/NumberParser.java
+++ b/balancer/src/main/java/loadbalancer/config/NumberParser.java
@@ -1,13 +1,13 @@
 package loadbalancer.config;
 
-/** Parses numbers of settings and of the simulator's wire. Stateless. */
+/** Parses numbers from settings and from the simulator's wire. Stateless. */
 public final class NumberParser {
     private NumberParser() {}
 
     /**
      * Parses a decimal integer.
      *
-     * @throws InvalidValueException if {@code text} is not one, or does not fit 64 bits
+     * @throws InvalidValueException if {@code text} is not an integer or exceeds 64 bits
      */
     public static long parseLong(String text) {
         try {
@@ -20,7 +20,7 @@
     /**
      * Parses a floating-point number that is neither infinite nor NaN.
      *
-     * @throws InvalidValueException if {@code text} is not one
+     * @throws InvalidValueException if {@code text} is not such a number
      */
     public static double parseFiniteDouble(String text) {
         double number;
--- a/balancer/src/main/java/loadbalancer/config/PeerAddresses.java
+++ b/balancer/src/main/java/loadbalancer/config/PeerAddresses.java
@@ -5,21 +5,24 @@
 import java.util.Optional;
 
 /**
- * Addresses for datagrams between balancers. Immutable.
+ * The addresses for datagrams between balancers. Immutable.
  *
- * @param listenAddress where this balancer receives them; empty: peer messages are off
- * @param addresses all balancers of the fleet by their rank, this one included; empty: no peers
- * @param broadcastAddress where one datagram reaches all peers; empty: each peer is sent its own
+ * @param listenAddress address at which this balancer receives datagrams; empty if peer messages
+ *     are disabled
+ * @param addresses addresses of all balancers of the fleet, including this one, indexed by rank;
+ *     empty if there are no peers
+ * @param broadcastAddress address at which one datagram reaches all peers; empty if each peer is
+ *     sent a datagram of its own
  */
 public record PeerAddresses(
         Optional<InetSocketAddress> listenAddress,
         List<InetSocketAddress> addresses,
         Optional<InetSocketAddress> broadcastAddress) {
-    /** Peer messages are off. */
+    /** No addresses: peer messages are disabled. */
     static final PeerAddresses NONE =
             new PeerAddresses(Optional.empty(), List.of(), Optional.empty());
 
-    /** Whether {@code address} is the one where this balancer receives datagrams. */
+    /** Returns whether this balancer receives datagrams at {@code address}. */
     public boolean isOwnAddress(InetSocketAddress address) {
         return listenAddress.isPresent() && listenAddress.get().equals(address);
     }
--- a/balancer/src/main/java/loadbalancer/config/PlatformTerms.java
+++ b/balancer/src/main/java/loadbalancer/config/PlatformTerms.java
@@ -10,16 +10,16 @@
 import loadbalancer.routing.api.LoadReportSource;
 
 /**
- * The platform's vocabulary in its configuration and in discovery's lists, and the terms that the
- * code has for it. The platform's texts are fixed by its pages, whatever the constants are called.
- * Stateless.
+ * Translates between the platform's terms, in its configuration and in discovery's lists, and the
+ * constants of the code. The platform defines its terms, so the texts must not change, whatever the
+ * constants are called. Stateless.
  */
 public final class PlatformTerms {
-    /** Setting {@code MembershipMode}, in upper case. */
+    /** Values of the setting {@code MembershipMode}, in upper case. */
     static final Map<String, DiscoveryMode> DISCOVERY_MODES =
             Map.of("PUSH", DiscoveryMode.PUSH, "ASK", DiscoveryMode.POLL);
 
-    /** Setting {@code Stats.How}, in upper case. */
+    /** Values of the setting {@code Stats.How}, in upper case. */
     static final Map<String, LoadReportSource> LOAD_REPORT_SOURCES =
             Map.of(
                     "ANSWERS",
@@ -29,7 +29,7 @@
                     "NONE",
                     LoadReportSource.NONE);
 
-    /** Setting {@code Classes.N.Idempotency}, in upper case. */
+    /** Values of the setting {@code Classes.N.Idempotency}, in upper case. */
     static final Map<String, Idempotency> IDEMPOTENCY =
             Map.of(
                     "SAFE",
@@ -39,7 +39,7 @@
                     "UNSAFE",
                     Idempotency.NON_IDEMPOTENT);
 
-    /** Setting {@code Classes.N.DedupScope}, in upper case. */
+    /** Values of the setting {@code Classes.N.DedupScope}, in upper case. */
     static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPES =
             Map.of(
                     "ALL",
@@ -63,12 +63,12 @@
 
     private PlatformTerms() {}
 
-    /** The status that field {@code state} of a list's entry names; empty if it is unknown. */
+    /** Returns the status for the field {@code state} of a list entry; empty if it is unknown. */
     static Optional<EndpointStatus> endpointStatus(String term) {
         return Optional.ofNullable(ENDPOINT_STATUSES.get(term));
     }
 
-    /** The value of field {@code state} for a status. */
+    /** Returns the value of the field {@code state} for a status. */
     static String endpointStatusTerm(EndpointStatus status) {
         return switch (status) {
             case UP -> IN_SERVICE;
@@ -78,14 +78,15 @@
     }
 
     /**
-     * A name as the platform writes it in settings: spaces and commas, which separate values there,
-     * become underscores. Names from elsewhere (headers, endpoint lists) are compared in this form.
+     * Returns a name as the platform writes it in settings: with underscores instead of spaces and
+     * commas, which separate values there. Names from other sources (headers, endpoint lists) are
+     * compared in this form.
      */
     public static String normalizeName(Object name) {
         return String.valueOf(name).replace(' ', '_').replace(',', '_');
     }
 
-    /** The position of {@code name} in {@code normalizedNames}, or -1 if it is not one of them. */
+    /** Returns the index of {@code name} in {@code normalizedNames}, or -1 if it is missing. */
     static int indexOfName(List<String> normalizedNames, Object name) {
         return normalizedNames.indexOf(normalizeName(name));
     }
--- a/balancer/src/main/java/loadbalancer/config/ProcessLimits.java
+++ b/balancer/src/main/java/loadbalancer/config/ProcessLimits.java
@@ -6,21 +6,21 @@
 import java.util.Locale;
 
 /**
- * Limits of the operating system on this process, from Linux's {@code /proc/self/limits}. The JDK's
- * management classes know them too, but loading those makes a start longer.
+ * Reads the operating system's limits on this process from Linux's {@code /proc/self/limits}. The
+ * JDK's management classes provide them too, but loading those classes slows the start. Stateless.
  */
 final class ProcessLimits {
-    /** The system has no such limit, or does not tell it. */
+    /** Stands for a limit that does not exist or can't be read. */
     static final int UNLIMITED = Integer.MAX_VALUE;
 
     private static final Path LIMITS_FILE = Path.of("/proc/self/limits");
     private static final String OPEN_FILES_PREFIX = "max open files";
-    // Columns: three words of the name, then the soft limit
+    // The name of the limit takes the first three columns.
     private static final int SOFT_LIMIT_COLUMN = 3;
 
     private ProcessLimits() {}
 
-    /** The soft limit on open file descriptors, or {@link #UNLIMITED}. */
+    /** Returns the soft limit on open file descriptors, or {@link #UNLIMITED}. */
     static int maxOpenDescriptors() {
         try {
             for (String line : Files.readAllLines(LIMITS_FILE)) {
@@ -30,7 +30,7 @@
                 }
             }
         } catch (IOException | NumberFormatException e) {
-            // The text is "unlimited", or the system has no such file
+            // The limit is "unlimited", or the system has no such file.
             return UNLIMITED;
         }
         return UNLIMITED;
--- a/balancer/src/main/java/loadbalancer/config/SettingsFlattener.java
+++ b/balancer/src/main/java/loadbalancer/config/SettingsFlattener.java
@@ -6,14 +6,15 @@
 import java.util.stream.Collectors;
 
 /**
- * Turns the configuration's tree of settings into the path=value pairs of the simulator's wire, so
- * that both have one reader, {@link SettingsReader}. Paths are joined by dots, lists of plain
- * values by commas; a list of objects has a {@code .count} and numbered paths. Stateless.
+ * Converts the configuration's tree of settings into the path=value pairs of the simulator's wire,
+ * so that {@link SettingsReader} reads both. The parts of a path are joined by dots, and the values
+ * of a plain list by commas. A list of objects becomes a {@code .count} and numbered paths.
+ * Stateless.
  */
 public final class SettingsFlattener {
     private SettingsFlattener() {}
 
-    /** The pairs of {@code settings}, a tree of maps and lists as a JSON reader gives it. */
+    /** Returns the pairs for {@code settings}, a JSON tree of maps and lists. */
     public static Map<String, String> flatten(Map<?, ?> settings) {
         Map<String, String> values = new HashMap<>();
         flattenMap("", settings, values);
--- a/balancer/src/main/java/loadbalancer/config/SettingsReader.java
+++ b/balancer/src/main/java/loadbalancer/config/SettingsReader.java
@@ -13,9 +13,9 @@
 import loadbalancer.routing.api.Tenant;
 
 /**
- * Reads the platform's settings of a balancer from path=value pairs, whether they come from the
- * simulator's wire or from the configuration of a real balancer. Paths that it doesn't know are
- * ignored. Durations are in µs. Belongs to the thread that reads the settings.
+ * Reads the platform's settings for a balancer from path=value pairs, which come from the
+ * simulator's wire or from the configuration of a real balancer. Unknown paths are ignored.
+ * Durations are in µs. Confined to the thread that reads the settings.
  */
 public final class SettingsReader {
     private static final String CLASSES = "Classes";
@@ -23,7 +23,7 @@
     private static final String ZONES = "Areas";
     private static final String MACHINE_TYPES = "Kinds";
     private static final String OWN_ZONE = "Locality";
-    // Where the message of an error that concerns several settings points to
+    // Path in the message of an error that concerns several settings.
     private static final String ALL_SETTINGS = "BootInfo";
 
     private final SettingsValues values;
@@ -37,9 +37,11 @@
     }
 
     /**
-     * Reads {@code values}, pairs of a path and its value.
+     * Reads the settings.
      *
-     * @throws InvalidSettingException at the first setting that is missing or out of its bounds
+     * @param values values by their path
+     * @throws InvalidSettingException for the first setting that is missing, malformed or out of
+     *     range
      */
     public static BootSettings read(Map<String, String> values) {
         SettingsValues settingsValues = new SettingsValues(values);
@@ -66,7 +68,7 @@
         return List.copyOf(names);
     }
 
-    // The settings are read in this order: the first fault is the one that is reported.
+    // The order of reading decides which error is reported first.
     private RoutingSettings routingSettings() {
         List<RequestClass> requestClasses = requestClasses();
         List<Tenant> tenants = tenants();
@@ -154,7 +156,7 @@
                 values.integer("Rules.OrderPause", 0));
     }
 
-    // Required only where the list is polled.
+    // The setting is required only if the list is polled.
     private long pollDeadlineMicros(DiscoveryMode discoveryMode) {
         String path = "Rules.AskWithin";
         return discoveryMode == DiscoveryMode.POLL ? values.integer(path) : values.integer(path, 0);
@@ -175,7 +177,7 @@
                 values.number("Prices.Peer", 0.0));
     }
 
-    /** The zone of this balancer; it must be one of the named ones, where zones are named. */
+    /** Returns the zone of this balancer. If zones are named, it must be one of them. */
     private int ownZone() {
         long zone = values.integer(OWN_ZONE, 0);
         boolean beyondNamedZones = zone >= zoneCount && values.contains(ZONES);
--- a/balancer/src/main/java/loadbalancer/config/SettingsValues.java
+++ b/balancer/src/main/java/loadbalancer/config/SettingsValues.java
@@ -9,9 +9,10 @@
 import java.util.function.Function;
 
 /**
- * Typed access to settings that stand as path=value pairs. A value of {@code -} counts as missing.
- * All methods throw {@link InvalidSettingException} for a value that does not have its type, and
- * those without a default for a missing one. Belongs to the thread that reads the settings.
+ * Provides typed access to settings in the form of path=value pairs. A value of {@code -} counts as
+ * missing. All methods throw an {@link InvalidSettingException} for a value of the wrong type;
+ * methods without a default also throw it for a missing value. Confined to the thread that reads
+ * the settings.
  */
 final class SettingsValues {
     private static final String ABSENT = "-";
@@ -24,27 +25,27 @@
         this.values = values;
     }
 
-    /** Whether the setting is given, be it as absent. */
+    /** Returns whether the path is present, even if its value is {@code -}. */
     boolean contains(String path) {
         return values.containsKey(path);
     }
 
     String text(String path) {
-        return present(path)
+        return find(path)
                 .orElseThrow(
                         () -> new InvalidSettingException(path, "required setting is missing"));
     }
 
     String text(String path, String defaultValue) {
-        return present(path).orElse(defaultValue);
+        return find(path).orElse(defaultValue);
     }
 
-    // Empty where the setting is missing.
-    private Optional<String> present(String path) {
+    // Returns empty if the setting is missing.
+    private Optional<String> find(String path) {
         return Optional.ofNullable(values.get(path)).filter(value -> !value.equals(ABSENT));
     }
 
-    /** Values separated by commas; none where the setting is missing or empty. */
+    /** Returns the comma-separated values; none if the setting is missing or empty. */
     List<String> textList(String path) {
         String value = text(path, "");
         return value.isEmpty() ? List.of() : List.of(value.split(","));
@@ -82,9 +83,9 @@
         };
     }
 
-    // Empty where the setting is missing.
+    // Returns empty if the setting is missing.
     private <T> Optional<T> parse(String path, Function<String, T> parser) {
-        return present(path).map(value -> parse(path, value, parser));
+        return find(path).map(value -> parse(path, value, parser));
     }
 
     private static <T> T parse(String path, String value, Function<String, T> parser) {
@@ -95,12 +96,12 @@
         }
     }
 
-    /** The number of numbered settings below {@code path}. */
+    /** Returns the number of numbered settings below {@code path}. */
     int count(String path) {
         return checkCount(path, integer(path + COUNT_SUFFIX));
     }
 
-    /** The number of numbered settings below {@code path}; 0 where none are given. */
+    /** Returns the number of numbered settings below {@code path}; 0 if it is missing. */
     int countOrZero(String path) {
         return checkCount(path, integer(path + COUNT_SUFFIX, 0));
     }
@@ -108,12 +109,12 @@
     private int checkCount(String path, long count) {
         if (count < 0 || count > values.size()) {
             throw new InvalidSettingException(
-                    path + COUNT_SUFFIX, "not a count of what follows: " + count);
+                    path + COUNT_SUFFIX, "not a valid number of entries: " + count);
         }
         return (int) count;
     }
 
-    /** Positions in a list of {@code size} names; none where the setting is missing or empty. */
+    /** Returns indexes in a list of {@code size} names; none if the setting is missing or empty. */
     Set<Integer> indexSet(String path, int size) {
         Set<Integer> indexes = new TreeSet<>();
         String value = text(path, "");
@@ -130,7 +131,7 @@
         return indexes;
     }
 
-    /** The constant that a term of the platform, in any case, stands for in {@code terms}. */
+    /** Returns the constant in {@code terms} for a term of the platform, ignoring case. */
     <E> E term(String path, Map<String, E> terms) {
         return toConstant(path, text(path), terms);
     }
--- a/balancer/src/main/java/loadbalancer/config/SocketAddressParser.java
+++ b/balancer/src/main/java/loadbalancer/config/SocketAddressParser.java
@@ -6,8 +6,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Parses address literals with a port, {@code 10.0.0.1:8080} or {@code [::1]:8080}. It never looks
- * a name up: there is no DNS here, and a look-up would block the event loop. Stateless.
+ * Parses address literals with a port, such as {@code 10.0.0.1:8080} or {@code [::1]:8080}. Never
+ * resolves host names: there is no DNS, and a lookup would block the event loop. Stateless.
  */
 public final class SocketAddressParser {
     private static final int MAX_PORT = 65_535;
@@ -15,7 +15,7 @@
     private static final int MAX_OCTET = 255;
     private static final int MAX_OCTET_DIGITS = 3;
     private static final int IPV4_BYTES = 4;
-    // Above all limits on values, and small enough for one more digit to fit
+    // Larger than every valid value, and small enough that appending a digit does not overflow.
     private static final int OVERFLOW_VALUE = 1_000_000;
     private static final int INVALID = -1;
     private static final Pattern IP_LITERAL =
@@ -47,7 +47,7 @@
         }
     }
 
-    // The forms other than four octets; the pattern keeps names away from the resolver.
+    // Parses all forms other than four octets. The pattern keeps host names from the resolver.
     private static InetSocketAddress parseIpLiteral(String host, int port) {
         if (!IP_LITERAL.matcher(host).matches()) {
             throw new InvalidAddressException("an address", host);
@@ -59,9 +59,9 @@
         }
     }
 
-    // Reads text[0, end) into octets if it has the usual form, four of them, and returns whether it
-    // has. By hand, since matching a pattern for each entry took most of the time that a large
-    // endpoint list took.
+    // Parses text[0, end) into octets if it consists of four of them, and returns whether it does.
+    // Does not use a pattern, since matching one for each entry took most of the time of decoding
+    // a large endpoint list.
     private static boolean parseIpv4(String text, int end, byte[] octets) {
         int start = 0;
         for (int i = 0; i < IPV4_BYTES; i++) {
@@ -79,7 +79,8 @@
         return true;
     }
 
-    // The number in text[from, to), or INVALID: no digits, too many, or a value above max.
+    // Returns the number in text[from, to), or INVALID if it has no digits, too many digits, other
+    // characters or a value above max.
     private static int parseDigits(String text, int from, int to, int maxDigits, int max) {
         int value = 0;
         for (int i = from; i < to; i++) {
--- a/balancer/src/test/java/loadbalancer/cluster/DecodeFailureLogTest.java
+++ b/balancer/src/test/java/loadbalancer/cluster/DecodeFailureLogTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests {@link DecodeFailureLog}: a peer can't flood the log. */
 class DecodeFailureLogTest {
     @Test
     void onlyTheFirstFailureIsLogged() {
--- a/balancer/src/test/java/loadbalancer/cluster/GoldenFleetRecordTest.java
+++ b/balancer/src/test/java/loadbalancer/cluster/GoldenAuditLogTest.java
@@ -20,13 +20,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The lines of the fleet's audit record, byte for byte but for the time of writing, which is the
- * wall clock's and stands as {@link #RECORDED_AT_MS} in the golden file.
+ * Compares the lines of the cluster's audit log byte for byte, except for the time of writing. That
+ * is the wall clock's, and {@link #RECORDED_AT_MS} replaces it in the golden file.
  */
-class GoldenFleetRecordTest {
+class GoldenAuditLogTest {
     private static final String FILE = "fleet-record/record.jsonl";
     private static final long RECORDED_AT_MS = 1_764_680_000_123L;
-    private static final long GREATEST_EPOCH = (1L << 48) - 1;
+    private static final long MAX_EPOCH = (1L << 48) - 1;
     private static final Pattern WRITTEN_AT =
             Pattern.compile("^\\{\"at_ms\":(\\d+),", Pattern.MULTILINE);
 
@@ -49,11 +49,11 @@
         return new MembershipView(0, 0, List.of(new MemberUpdate(0, MemberStatus.LEFT, 0)));
     }
 
-    /** The file that a lease holder writes in this directory. */
+    /** Writes two records in {@code directory} as a lease holder and returns the file's text. */
     static String written(Path directory, List<String> log) throws IOException {
         ClusterAuditLog greatest = new ClusterAuditLog(directory, 16_383, log::add);
         greatest.appendAsync(
-                new Lease(GREATEST_EPOCH, Long.MAX_VALUE), viewOfEachStatus(), Runnable::run);
+                new Lease(MAX_EPOCH, Long.MAX_VALUE), viewOfEachStatus(), Runnable::run);
         ClusterAuditLog least = new ClusterAuditLog(directory, 0, log::add);
         least.appendAsync(new Lease(0, Long.MAX_VALUE), viewWithoutQuorum(), Runnable::run);
         return WRITTEN_AT
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void valuesGiveBytes() throws IOException {
+    void writtenLinesMatchGoldenFile() throws IOException {
         assertEquals(GoldenFiles.text(FILE), written(directory, log));
         assertTrue(
                 log.get(0)
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void timeOfWritingIsThatOfTheWallClock() throws IOException {
+    void timeOfWritingIsWallClockTime() throws IOException {
         long before = System.currentTimeMillis();
         new ClusterAuditLog(directory, 0, log::add)
                 .appendAsync(new Lease(0, Long.MAX_VALUE), viewWithoutQuorum(), Runnable::run);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void bytesGiveValues() throws IOException {
+    void goldenFileHasExpectedValues() throws IOException {
         String[] lines = GoldenFiles.text(FILE).split("\n");
         assertEquals(2, lines.length);
         assertEquals(
@@ -93,7 +93,7 @@
                         "at_ms",
                         RECORDED_AT_MS,
                         "epoch",
-                        GREATEST_EPOCH,
+                        MAX_EPOCH,
                         "balancer",
                         16_383,
                         "view",
--- a/balancer/src/test/java/loadbalancer/cluster/PeerTransportTest.java
+++ b/balancer/src/test/java/loadbalancer/cluster/PeerTransportTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The datagrams between balancers. */
+/** Tests {@link PeerTransport}: which datagrams are sent, received and dropped. */
 class PeerTransportTest {
     private static final int TIMEOUT_MS = 5_000;
-    // In which a datagram that must not arrive would arrive.
+    // Time to wait for a datagram that must not arrive.
     private static final int QUIET_MS = 50;
     private static final int MAX_DATAGRAM_BYTES = 256;
     private static final int ALL_PEERS = -1;
-    private static final int STRANGERS_DATAGRAMS = 20;
+    private static final int UNKNOWN_SENDER_DATAGRAMS = 20;
     private static final int MAX_LOG_LINES = 10;
 
     private record ReceivedDatagram(int fromPeer, byte[] payload) {}
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void messagesReachOneOrAllWithSender() throws Exception {
+    void messagesReachOneOrAllPeers() throws Exception {
         PeerTransport transport = startTransport(Optional.empty());
         sendOnLoop(transport, ALL_PEERS, new byte[] {1, 2});
         SocketAddress transportAddress = receive(firstPeer).getSocketAddress();
@@ -110,9 +110,9 @@
         assertArrayEquals(new byte[MAX_DATAGRAM_BYTES], message.payload());
     }
 
-    /** A message to all is sent once to the broadcast address and to no peer of its own. */
+    /** A message to all peers is sent once to the broadcast address and not to each peer. */
     @Test
-    void broadcastAddressReachesAll() throws Exception {
+    void messageToAllIsSentToBroadcastAddress() throws Exception {
         sendOnLoop(
                 startTransport(Optional.of((InetSocketAddress) secondPeer.getLocalSocketAddress())),
                 ALL_PEERS,
@@ -123,13 +123,13 @@
     }
 
     @Test
-    void unknownSendersAndLongDatagramsAreCounted() throws Exception {
+    void datagramsThatAreLongOrFromUnknownSendersAreCounted() throws Exception {
         PeerTransport transport = startTransport(Optional.empty());
         sendOnLoop(transport, 0, new byte[] {1});
         SocketAddress transportAddress = receive(firstPeer).getSocketAddress();
-        try (DatagramSocket stranger = openPeer()) {
-            for (int i = 0; i < STRANGERS_DATAGRAMS; i++) {
-                send(stranger, 5, transportAddress);
+        try (DatagramSocket unknownSender = openPeer()) {
+            for (int i = 0; i < UNKNOWN_SENDER_DATAGRAMS; i++) {
+                send(unknownSender, 5, transportAddress);
             }
         }
         send(firstPeer, MAX_DATAGRAM_BYTES + 1, transportAddress);
@@ -137,7 +137,9 @@
         assertEquals(2, receivedDatagrams.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS).payload().length);
         assertTrue(receivedDatagrams.isEmpty(), receivedDatagrams.toString());
         long strayCount = events.count(EventLog.Kind.STRAY);
-        assertTrue(strayCount >= STRANGERS_DATAGRAMS + 1, strayCount + " stray datagrams counted");
+        assertTrue(
+                strayCount >= UNKNOWN_SENDER_DATAGRAMS + 1,
+                strayCount + " stray datagrams counted");
         assertTrue(logLines.size() <= MAX_LOG_LINES, "lines: " + logLines);
     }
 
@@ -150,7 +152,7 @@
         assertEquals(3, receive(firstPeer).getLength());
     }
 
-    /** The start ends all the same, and sending does nothing. */
+    /** If the address is in use, the start still completes and sending does nothing. */
     @Test
     void addressInUseDisablesMessages() throws Exception {
         PeerTransport transport =
@@ -164,7 +166,7 @@
                         events);
         assertTrue(
                 transport.start(logLines::add).await(TIMEOUT_MS, TimeUnit.MILLISECONDS),
-                "the start has not ended");
+                "the start has not completed");
         eventLoopGroup
                 .next()
                 .submit(() -> transport.send(ALL_PEERS, new byte[] {1}))
--- a/balancer/src/test/java/loadbalancer/cluster/RateLimitedLogTest.java
+++ b/balancer/src/test/java/loadbalancer/cluster/RateLimitedLogTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** {@link RateLimitedLog}: the bound on the lines of one second. */
+/** Tests {@link RateLimitedLog}: the limit on the lines per second. */
 class RateLimitedLogTest {
     private static final long SECOND_MICROS = 1_000_000;
 
@@ -21,14 +21,14 @@
     }
 
     @Test
-    void linesOfOneSecondAreBounded() {
+    void linesPerSecondAreLimited() {
         logTimes(RateLimitedLog.MAX_LINES_PER_SECOND + 5);
         assertEquals(20, lines.size());
         assertEquals("line 19", lines.get(19));
     }
 
     @Test
-    void nextSecondHasItsOwnBound() {
+    void limitResetsEachSecond() {
         logTimes(RateLimitedLog.MAX_LINES_PER_SECOND + 5);
         nowMicros += SECOND_MICROS;
         logTimes(RateLimitedLog.MAX_LINES_PER_SECOND + 5);
--- a/balancer/src/test/java/loadbalancer/cluster/TickSchedulerTest.java
+++ b/balancer/src/test/java/loadbalancer/cluster/TickSchedulerTest.java
@@ -12,12 +12,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** {@link TickScheduler}: when ticks run, and that none runs after a stop. */
+/** Tests {@link TickScheduler}: when ticks run, and that none runs after a stop. */
 class TickSchedulerTest {
     private static final int TIMEOUT_MS = 5_000;
-    // In which a tick that must not run would run.
+    // Time to wait for a tick that must not run.
     private static final int QUIET_MS = 50;
-    private static final long FAR_MICROS = TimeUnit.HOURS.toMicros(1);
+    // Delay longer than the test.
+    private static final long LONG_DELAY_MICROS = TimeUnit.HOURS.toMicros(1);
 
     private final EventLoop loop = new DefaultEventLoop();
     private final AtomicLong dueMicros = new AtomicLong(Long.MAX_VALUE);
@@ -43,14 +44,14 @@
 
     @Test
     void earlierTimeReplacesTimer() throws Exception {
-        scheduleAt(MonotonicClock.nowMicros() + FAR_MICROS);
+        scheduleAt(MonotonicClock.nowMicros() + LONG_DELAY_MICROS);
         scheduleAt(MonotonicClock.nowMicros());
         assertTrue(ticked.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "no tick");
     }
 
     @Test
     void noTickFollowsStop() throws Exception {
-        scheduleAt(MonotonicClock.nowMicros() + FAR_MICROS);
+        scheduleAt(MonotonicClock.nowMicros() + LONG_DELAY_MICROS);
         loop.submit(scheduler::stop).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         scheduleAt(MonotonicClock.nowMicros());
         assertFalse(ticked.await(QUIET_MS, TimeUnit.MILLISECONDS), "a tick after the stop");
--- a/balancer/src/test/java/loadbalancer/config/EndpointListCodecTest.java
+++ b/balancer/src/test/java/loadbalancer/config/EndpointListCodecTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** {@link EndpointListCodec}: what it decodes, what it rejects, and what decoding allocates. */
+/** Tests {@link EndpointListCodec}: decoding, rejected lists, and how much decoding allocates. */
 class EndpointListCodecTest {
     private static final BootSettings BOOT_SETTINGS =
             new BootSettings(
@@ -138,9 +138,11 @@
                 "\"1.2.3.04:6\"");
     }
 
-    /** The streaming decoder gives what the decoder of a tree gives, and rejects the same lists. */
+    /**
+     * The streaming decoder and the tree decoder have the same results and reject the same lists.
+     */
     @Test
-    void streamedListEqualsTree() {
+    void streamingDecoderMatchesTreeDecoder() {
         Random random = new Random(5);
         int parsedCount = 0;
         for (int i = 0; i < 2_000; i++) {
@@ -149,7 +151,7 @@
             try {
                 expected = EndpointListCodec.decodeTree(JSON.std.anyFrom(json), BOOT_SETTINGS);
             } catch (IOException e) {
-                // A field name occurs twice
+                // A field name occurs twice.
                 parseError(json);
                 continue;
             } catch (IllegalArgumentException e) {
@@ -159,10 +161,10 @@
             parsedCount++;
             assertDecoded(expected, json);
         }
-        assertTrue(parsedCount > 1_000, parsedCount + " lists could be read");
+        assertTrue(parsedCount > 1_000, parsedCount + " lists decoded");
     }
 
-    // From a text, a buffer without an array, and one whose list begins within its array.
+    // Decodes a text, a buffer without an array, and a buffer whose list begins within its array.
     private static void assertDecoded(EndpointList expected, String json) {
         assertEquals(expected, EndpointListCodec.decode(json, BOOT_SETTINGS), json);
         byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
@@ -178,14 +180,14 @@
 
     @ParameterizedTest
     @CsvSource({"in_service, UP", "terminating, DRAINING", "terminated, REMOVED"})
-    void stateOfThePlatformBecomesAStatus(String state, EndpointStatus expected) {
+    void platformStateIsDecodedToStatus(String state, EndpointStatus expected) {
         String json = listJson(1).replace("in_service", state);
         EndpointList list = EndpointListCodec.decode(json, BOOT_SETTINGS);
         assertEquals(expected, list.endpoints().get(0).status());
     }
 
     @Test
-    void encodedListIsDecodedToTheSame() {
+    void encodingAndDecodingPreserveTheList() {
         EndpointList list =
                 EndpointListCodec.decode(
                         listJson(2).replaceFirst("in_service", "terminating"), BOOT_SETTINGS);
@@ -202,7 +204,7 @@
     }
 
     @Test
-    void invalidListIsRejectedInOneLine() {
+    void invalidListIsRejectedWithOneLineMessage() {
         assertEquals("no list of targets", parseError("[]"));
         assertEquals("no list of targets", parseError("{\"targets\":{}}"));
         assertEquals("not JSON", parseError("{\"targets\":[" + entryJson(1)));
@@ -228,7 +230,10 @@
                         .getMessage());
     }
 
-    /** Bytes allocated for each entry; decoding by a tree or a copy of the text took 1,455. */
+    /**
+     * Decoding allocates fewer than 1,100 bytes per entry. Decoding from a tree or from a copy of
+     * the text allocated 1,455.
+     */
     @Test
     void parsingAllocationIsBounded() {
         byte[] json = listJson(14_000).getBytes(StandardCharsets.UTF_8);
@@ -241,6 +246,6 @@
                     (threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - bytesBefore)
                             / 14_000;
         }
-        assertTrue(bytesPerEntry < 1_100, bytesPerEntry + " bytes an entry");
+        assertTrue(bytesPerEntry < 1_100, bytesPerEntry + " bytes per entry");
     }
 }
--- a/balancer/src/test/java/loadbalancer/config/FileChangeDetectorTest.java
+++ b/balancer/src/test/java/loadbalancer/config/FileChangeDetectorTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** {@link FileChangeDetector}: which differences of a file count as a change. */
+/** Tests {@link FileChangeDetector}: which differences of a file count as a change. */
 class FileChangeDetectorTest {
     @TempDir private Path directory;
 
     @Test
-    void writtenFileHasChangedOnce() throws IOException {
+    void modifiedFileIsReportedOnce() throws IOException {
         Path file = Files.writeString(directory.resolve("config.json"), "a");
         FileChangeDetector detector = new FileChangeDetector(file);
         assertFalse(detector.hasChanged());
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void missingFileIsNoChange() throws IOException {
+    void missingFileIsNotAChange() throws IOException {
         Path file = Files.writeString(directory.resolve("config.json"), "a");
         FileChangeDetector detector = new FileChangeDetector(file);
         Path moved = Files.move(file, directory.resolve("moved"));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void fileThatAppearsLaterHasChanged() throws IOException {
+    void fileCreatedLaterIsAChange() throws IOException {
         Path file = directory.resolve("config.json");
         FileChangeDetector detector = new FileChangeDetector(file);
         assertFalse(detector.hasChanged());
--- a/balancer/src/test/java/loadbalancer/config/LocalSettingsTest.java
+++ b/balancer/src/test/java/loadbalancer/config/LocalSettingsTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests {@link LocalSettings}: the precedence of sources, all error messages, and the docs. */
 class LocalSettingsTest {
     @TempDir private Path directory;
 
@@ -66,7 +67,7 @@
                 List.of(
                         "own.toml: line 2: membership.on: not true or false",
                         "own.toml: line 4: state.every_ms: not a whole number of ms from 100 to 60000",
-                        "own.toml: line 5: state.dir: not a text that names a folder"),
+                        "own.toml: line 5: state.dir: not a string with the path of a directory"),
                 errors("[membership]\non = \"yes\"\n[state]\nevery_ms = 99\ndir = 5\n"));
         assertTrue(
                 errors("[state]\nevery_ms = 60001\n")
@@ -79,9 +80,7 @@
                                 "own.toml: line 3: zones.speed: unknown, known are membership.on, "));
         assertTrue(errors("[else]\n").get(0).startsWith("own.toml: line 1: else: unknown"));
         assertTrue(errors("[zones]\non = tr").get(0).startsWith("own.toml: line 2: "));
-        assertEquals(
-                List.of("duties are on without membership, by which they go"),
-                errors("duties.on = true\n"));
+        assertEquals(List.of("duties.on requires membership.on"), errors("duties.on = true\n"));
         assertTrue(errors("state = 3\n").get(0).startsWith("own.toml: line 1: state: unknown"));
     }
 
--- a/balancer/src/test/java/loadbalancer/config/SettingsReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/config/SettingsReaderTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** {@link SettingsReader} on settings as {@link SettingsFlattener} gives them. */
+/** Tests {@link SettingsReader} with settings from {@link SettingsFlattener}. */
 class SettingsReaderTest {
     private static Map<String, String> settings() {
         Map<String, Object> tree = new HashMap<>();
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void platformTermsBecomeTheFieldsTerms() {
+    void platformTermsAreTranslatedToConstants() {
         BootSettings boot = SettingsReader.read(settings());
         assertEquals(DiscoveryMode.POLL, boot.settings().discoveryMode());
         assertEquals(LoadReportSource.RESPONSES, boot.settings().loadReportSource());
@@ -91,10 +91,10 @@
         "Rules.ColdFrom, NaN, not a finite number: 'NaN'",
         "Limits.Cancel, yes, not true or false: 'yes'",
         "MembershipMode, pull, unknown word: 'pull'",
-        "Classes.count, 99, not a count of what follows: 99",
+        "Classes.count, 99, not a valid number of entries: 99",
         "Locality, 2, not between 0 and 1: 2",
     })
-    void invalidSettingIsNamedWithItsFault(String path, String value, String problem) {
+    void invalidSettingIsReportedWithItsProblem(String path, String value, String problem) {
         Map<String, String> settings = settings();
         settings.put(path, value);
         InvalidSettingException exception = readInvalid(settings);
@@ -103,9 +103,9 @@
         assertEquals(path + ": " + problem, exception.getMessage());
     }
 
-    /** A pushed list is not polled, so the deadline of polls may be missing. */
+    /** The deadline of polls may be missing if the list is pushed. */
     @Test
-    void pollDeadlineIsOptionalWhereListsArePushed() {
+    void pollDeadlineIsOptionalIfListsArePushed() {
         Map<String, String> settings = settings();
         settings.put("MembershipMode", "PUSH");
         settings.remove("Rules.AskWithin");
--- a/balancer/src/test/java/loadbalancer/config/SocketAddressParserTest.java
+++ b/balancer/src/test/java/loadbalancer/config/SocketAddressParserTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** {@link SocketAddressParser}: which literals it takes, and that it never looks a name up. */
+/** Tests {@link SocketAddressParser}: valid literals, and that host names are rejected. */
 class SocketAddressParserTest {
     @ParameterizedTest
     @CsvSource({
@@ -18,7 +18,7 @@
         "255.255.255.255:65535, 255.255.255.255, 65535",
         "[2001:db8::1]:8080, 2001:db8:0:0:0:0:0:1, 8080",
     })
-    void literalGivesAddressAndPort(String text, String host, int port) {
+    void literalIsParsedToAddressAndPort(String text, String host, int port) {
         InetSocketAddress address = SocketAddressParser.parse(text);
         assertEquals(host, address.getAddress().getHostAddress());
         assertEquals(port, address.getPort());
@@ -34,13 +34,13 @@
         "localhost:80, not an address: 'localhost'",
         "10.0.0.256:80, not an address: '10.0.0.256'",
     })
-    void otherTextIsRejectedWithItsFault(String text, String expectedMessage) {
+    void invalidTextIsRejectedWithMessage(String text, String expectedMessage) {
         InvalidAddressException exception =
                 assertThrows(InvalidAddressException.class, () -> SocketAddressParser.parse(text));
         assertEquals(expectedMessage, exception.getMessage());
     }
 
-    /** The parser written by hand and the JDK's agree on octets above 127, which are negative. */
+    /** Octets above 127, which are negative as Java bytes, are parsed correctly. */
     @Test
     void octetsAreUnsigned() {
         assertArrayEquals(
--- a/balancer/src/test/java/loadbalancer/recovery/GoldenStateContentTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/GoldenSnapshotContentTest.java
@@ -31,12 +31,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What a balancer stores of the endpoint list and of its endpoints, byte for byte, as JSON and
- * within a snapshot. The order of the two keys of the policy's part differs from one process to the
- * next, as that of {@link java.util.Map#of} does: there is a golden file of each.
+ * Compares the stored endpoint list and policy snapshot byte for byte, as JSON and within a
+ * snapshot file. The order of the two keys of the policy snapshot differs between processes, as
+ * that of {@link java.util.Map#of} does, so there is a golden file for each order.
  */
 @Timeout(60)
-class GoldenStateContentTest {
+class GoldenSnapshotContentTest {
     private static final String ENDPOINTS_FIRST = "state/endpoints-first.json";
     private static final String LATENCIES_FIRST = "state/latencies-first.json";
     private static final String LIST_ONLY = "state/list-only.json";
@@ -54,7 +54,7 @@
     }
 
     /**
-     * A list with the least and greatest value of each field, and each field absent that may be.
+     * Returns a list with the minimum and maximum of each field, and without each optional field.
      */
     static EndpointList list() {
         return new EndpointList(
@@ -86,7 +86,7 @@
                                 SocketAddressParser.parse("[2001:db8::1]:80"))));
     }
 
-    /** What the policy knew, with the least and greatest value of each field. */
+    /** Returns a policy snapshot with the minimum and maximum of each field. */
     static PolicySnapshot policySnapshot() {
         return new PolicySnapshot(
                 List.of(
@@ -107,7 +107,7 @@
                 List.of(0.0, 60_000.5, 1e9));
     }
 
-    /** The content of the snapshot that a balancer takes in this directory. */
+    /** Takes a snapshot in {@code directory} and returns its content. */
     static String stored(Path directory, Optional<PolicySnapshot> policySnapshot)
             throws IOException {
         RecoveryStore store =
@@ -136,17 +136,17 @@
         return RecoveryStore.open(directory, OWNER, boot(), 1_000, log::add).orElseThrow();
     }
 
-    private static void assertListIsRecovered(RecoveryStore store) {
+    private static void assertListRecovered(RecoveryStore store) {
         EndpointList configuredList = new EndpointList(REVISION - 1, true, List.of());
         assertEquals(list(), store.newestEndpointList(configuredList));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {ENDPOINTS_FIRST, LATENCIES_FIRST})
-    void bytesGiveValues(String file) throws IOException {
+    void goldenContentIsRecovered(String file) throws IOException {
         RecoveryStore store = openWith(file);
         try {
-            assertListIsRecovered(store);
+            assertListRecovered(store);
             assertEquals(Optional.of(policySnapshot()), store.recoveredPolicySnapshot());
         } finally {
             store.close();
@@ -154,10 +154,10 @@
     }
 
     @Test
-    void bytesOfListOnlyGiveValues() throws IOException {
+    void goldenContentWithoutPolicySnapshotIsRecovered() throws IOException {
         RecoveryStore store = openWith(LIST_ONLY);
         try {
-            assertListIsRecovered(store);
+            assertListRecovered(store);
             assertEquals(Optional.empty(), store.recoveredPolicySnapshot());
         } finally {
             store.close();
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void valuesGiveBytes() throws IOException {
+    void storedContentMatchesGoldenFile() throws IOException {
         String stored = stored(directory, Optional.of(policySnapshot()));
         assertTrue(
                 Set.of(GoldenFiles.text(ENDPOINTS_FIRST), GoldenFiles.text(LATENCIES_FIRST))
@@ -174,17 +174,17 @@
     }
 
     @Test
-    void valuesOfListOnlyGiveBytes() throws IOException {
+    void storedContentWithoutPolicySnapshotMatchesGoldenFile() throws IOException {
         assertEquals(GoldenFiles.text(LIST_ONLY), stored(directory, Optional.empty()));
     }
 
     @Test
-    void snapshotFileGivesValues() throws IOException {
+    void goldenSnapshotFileIsRecovered() throws IOException {
         Files.write(directory.resolve("snapshot-1"), GoldenFiles.bytes(SNAPSHOT));
         RecoveryStore store =
                 RecoveryStore.open(directory, OWNER, boot(), 1_000, log::add).orElseThrow();
         try {
-            assertListIsRecovered(store);
+            assertListRecovered(store);
         } finally {
             store.close();
         }
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void valuesGiveSnapshotFile() {
+    void encodedSnapshotMatchesGoldenFile() {
         byte[] content = GoldenFiles.text(ENDPOINTS_FIRST).getBytes(StandardCharsets.UTF_8);
         assertEquals(GoldenFiles.text(SNAPSHOT), GoldenFiles.hexLines(snapshot(content).encode()));
     }
--- a/balancer/src/test/java/loadbalancer/recovery/PolicySnapshotCodecTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/PolicySnapshotCodecTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** {@link PolicySnapshotCodec}: which persisted values are not restored. */
+/** Tests {@link PolicySnapshotCodec}: which malformed snapshots are rejected. */
 class PolicySnapshotCodecTest {
     @Test
     void numberOutOfRangeIsRejected() {
--- a/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/RecoveryStoreTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** {@link RecoveryStore}: what a balancer persists, and what its next start restores. */
+/** Tests {@link RecoveryStore}: what a balancer persists and what its next process recovers. */
 @Timeout(60)
 class RecoveryStoreTest {
     private static final String LIST_JSON =
@@ -75,7 +75,7 @@
         openedStore.ifPresent(RecoveryStore::close);
     }
 
-    /** Takes a snapshot with this list and {@link #policySnapshot}, and closes the store. */
+    /** Takes a snapshot of this list and {@link #policySnapshot} and closes the store. */
     private void persist(EndpointList endpointList) throws IOException, InterruptedException {
         RecoveryStore store = open();
         store.onEndpointList(EndpointListKind.COMPLETE, endpointList);
@@ -105,7 +105,7 @@
                 logLines.toString());
     }
 
-    /** The list of the platform's configuration is taken unless the snapshot's is newer. */
+    /** The configured list is used unless the recovered one has a higher revision. */
     @Test
     void configuredListWinsAtEqualRevision() throws IOException, InterruptedException {
         persist(parseList(41, true, "in_service"));
--- a/balancer/src/test/java/loadbalancer/storage/CrashSimulatingDirectory.java
+++ b/balancer/src/test/java/loadbalancer/storage/CrashSimulatingDirectory.java
@@ -11,16 +11,17 @@
 
 /**
  * A directory in memory that reports, after each operation, every state that a loss of power could
- * leave: with any subset of the unsynced changes of names lost, and of each unsynced file nothing,
- * all, the part before a sector, or the part from a sector on.
+ * leave. In such a state, any subset of the unsynced changes of file names is lost. An unsynced
+ * file has its old content, its new content, or only the part of the new content before or after a
+ * sector boundary.
  */
 final class CrashSimulatingDirectory implements SnapshotDirectory {
     private static final int SECTOR_BYTES = 512;
 
-    /** Content of a file, independent of its name, which may change. */
+    /** The content of a file, independent of its name, which may change. */
     private static final class FileContent {
         private byte[] bytes = {};
-        // As of its last sync
+        // Content at the last sync.
         private byte[] durableBytes = {};
     }
 
@@ -30,8 +31,10 @@
     private final Consumer<Map<String, byte[]>> crashObserver;
 
     /**
-     * Creates an empty directory; {@code crashObserver} receives each state that a loss of power
-     * could leave, after each operation.
+     * Creates an empty directory.
+     *
+     * @param crashObserver receives, after each operation, each state that a loss of power could
+     *     leave, as file contents by name
      */
     CrashSimulatingDirectory(Consumer<Map<String, byte[]>> crashObserver) {
         this.crashObserver = crashObserver;
@@ -55,7 +58,7 @@
         }
     }
 
-    // All combinations of the possible contents of each file
+    // Reports all combinations of the possible contents of each file.
     private void enumerateContents(
             List<String> fileNames,
             int index,
@@ -77,9 +80,9 @@
         }
         List<byte[]> variants = new ArrayList<>(List.of(content.durableBytes, content.bytes));
         for (int length = SECTOR_BYTES; length < content.bytes.length; length += SECTOR_BYTES) {
-            // Only the first sectors were written
+            // Only the first sectors were written.
             variants.add(Arrays.copyOf(content.bytes, length));
-            // Only the last sectors were written
+            // Only the last sectors were written.
             byte[] lostPrefix = content.bytes.clone();
             Arrays.fill(lostPrefix, 0, length, (byte) 0);
             variants.add(lostPrefix);
@@ -95,7 +98,7 @@
     @Override
     public byte[] read(String name, int maxBytes) throws IOException {
         if (!files.containsKey(name)) {
-            throw new IOException("no " + name);
+            throw new IOException("file does not exist: " + name);
         }
         return files.get(name).bytes.clone();
     }
@@ -137,7 +140,7 @@
         apply(entries -> entries.remove(name));
     }
 
-    /** A directory with these files, all durable. */
+    /** Returns a directory with these files, all of them durable. */
     static CrashSimulatingDirectory containing(Map<String, byte[]> contents) {
         CrashSimulatingDirectory directory = new CrashSimulatingDirectory(ignored -> {});
         contents.forEach(
--- a/balancer/src/test/java/loadbalancer/storage/GoldenSnapshotTest.java
+++ b/balancer/src/test/java/loadbalancer/storage/GoldenSnapshotTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The file format of snapshots, byte for byte: header, checksum and content. */
+/** Compares the file format of snapshots (header, checksum, content) byte for byte. */
 class GoldenSnapshotTest {
     private static final String STORED = "snapshot/first-stored.hex";
     private static final String OWNER = "site-1/balancer-1";
     private static final long STORED_AT_MS = 1_764_680_000_123L;
 
-    /** The snapshots by the names of their golden files. */
+    /** Returns the snapshots by the names of their golden files. */
     static Map<String, Snapshot> snapshots() {
         Map<String, Snapshot> snapshots = new LinkedHashMap<>();
         snapshots.put("least.hex", new Snapshot(0, 0, 0, "", new byte[0]));
@@ -57,20 +57,20 @@
 
     @ParameterizedTest
     @MethodSource("names")
-    void bytesGiveValues(String name) {
+    void goldenFileIsDecoded(String name) {
         assertSnapshot(snapshots().get(name), GoldenFiles.bytes("snapshot/" + name));
     }
 
     @ParameterizedTest
     @MethodSource("names")
-    void valuesGiveBytes(String name) {
+    void encodedSnapshotMatchesGoldenFile(String name) {
         assertEquals(
                 GoldenFiles.text("snapshot/" + name),
                 GoldenFiles.hexLines(snapshots().get(name).encode()));
     }
 
     @Test
-    void directoryGivesStoredValues(@TempDir Path directory) throws IOException {
+    void goldenFileIsRecoveredFromDirectory(@TempDir Path directory) throws IOException {
         Files.write(directory.resolve("promises-1"), GoldenFiles.bytes(STORED));
         SnapshotStore.RecoveryResult recovered =
                 new SnapshotStore(new FileSystemDirectory(directory), OWNER, "promises").recover();
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void valuesGiveStoredFile(@TempDir Path directory) throws IOException {
+    void savedSnapshotMatchesGoldenFile(@TempDir Path directory) throws IOException {
         new SnapshotStore(new FileSystemDirectory(directory), OWNER, "promises")
                 .save(STORED_AT_MS, 7, storedContent());
         assertEquals(List.of("promises-1"), new FileSystemDirectory(directory).list());
--- a/balancer/src/test/java/loadbalancer/storage/SnapshotStoreTest.java
+++ b/balancer/src/test/java/loadbalancer/storage/SnapshotStoreTest.java
@@ -23,22 +23,23 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Tests {@link SnapshotStore}: which snapshots survive a loss of power and other disk failures. */
 class SnapshotStoreTest {
     private static final String OWNER = "site/n1";
 
     /**
-     * Steps to save a snapshot: those of {@link SnapshotStore}, or others with a planted mistake.
+     * The steps that save a snapshot: those of {@link SnapshotStore}, or a variant with a mistake.
      */
     private interface PersistProcedure {
         void persist(SnapshotStore store, CrashSimulatingDirectory directory, int sequence)
                 throws IOException;
     }
 
-    /** Runs a procedure, and recovers from every directory that a loss of power could leave. */
+    /** Runs a procedure and recovers from every directory that a loss of power could leave. */
     private static final class CrashExplorer {
         private final PersistProcedure procedure;
         private long directoryStates;
-        // Reported durable by the procedure
+        // The last sequence number that the procedure reported as durable.
         private int lastConfirmed;
         private int lastStarted;
         private String violation;
@@ -92,10 +93,10 @@
                 explorer.directoryStates > 100_000, explorer.directoryStates + " directory states");
     }
 
-    /** The explorer must find a step that is left out or wrong. */
+    /** The explorer detects each missing or wrong step. */
     @ParameterizedTest
     @EnumSource
-    void explorerDetectsPlantedMistakes(Mistake mistake) throws IOException {
+    void explorerDetectsMistakes(Mistake mistake) throws IOException {
         CrashExplorer explorer =
                 new CrashExplorer(
                         (store, directory, sequence) ->
@@ -111,7 +112,7 @@
         WRITTEN_IN_PLACE
     }
 
-    /** The steps of {@link SnapshotStore#save}, with one left out or wrong. */
+    /** Runs the steps of {@link SnapshotStore#save} with one step missing or wrong. */
     private static void saveWithMistake(
             Mistake mistake, CrashSimulatingDirectory directory, int sequence) {
         int fileSequence = mistake == Mistake.WRITTEN_IN_PLACE ? 1 : sequence;
@@ -158,12 +159,12 @@
         SnapshotStore.RecoveryResult recovered = reopened.recover();
         assertEquals(2, recovered.newest().orElseThrow().createdAtMs());
         assertEquals(List.of("snapshot-3: " + corruption), recovered.discarded());
-        // No name is used twice
+        // The name of the corrupt file is not used again.
         assertEquals(4, reopened.save(4, 2, contentOf(4)));
     }
 
     @Test
-    void corruptOrForeignSnapshotsAreDropped(@TempDir Path path) throws IOException {
+    void corruptOrForeignSnapshotsAreDiscarded(@TempDir Path path) throws IOException {
         FileSystemDirectory directory = new FileSystemDirectory(path);
         new SnapshotStore(directory, "site/n2", "snapshot").save(1, 1, contentOf(1));
         Files.writeString(path.resolve("snapshot-9"), "");
@@ -175,9 +176,7 @@
                 List.of("snapshot-9: truncated", "snapshot-1: wrong owner"), recovered.discarded());
     }
 
-    /**
-     * If any operation of the disk fails, the error is thrown and earlier snapshots remain valid.
-     */
+    /** If any disk operation fails, the error is thrown and earlier snapshots remain valid. */
     @ParameterizedTest
     @ValueSource(strings = {"write", "sync", "rename", "syncDirectory", "delete"})
     void ioErrorKeepsEarlierSnapshots(String failingOperation) throws IOException {
--- a/balancer/src/test/java/loadbalancer/storage/SnapshotTest.java
+++ b/balancer/src/test/java/loadbalancer/storage/SnapshotTest.java
@@ -8,19 +8,20 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Tests {@link Snapshot}: corrupt and oversized files are rejected. */
 class SnapshotTest {
     private static final String OWNER = "site/n1";
 
-    /** Content of several sectors. */
+    /** Returns a content of several sectors that depends on {@code sequence}. */
     static byte[] contentOf(int sequence) {
         byte[] bytes = new byte[2_600 + sequence % 50];
         Arrays.fill(bytes, (byte) sequence);
         return bytes;
     }
 
-    /** The checksum covers all of the file. */
+    /** The checksum covers the whole file, so any flipped bit and any missing byte is detected. */
     @Test
-    void singleBitFlipIsDetected() throws IOException {
+    void bitFlipAndTruncationAreDetected() throws IOException {
         byte[] valid = new Snapshot(3, 4, 5, OWNER, contentOf(7)).encode();
         assertArrayEquals(contentOf(7), Snapshot.decode(valid, OWNER).content());
         for (int i = 0; i < valid.length; i++) {
