--- a/balancer/src/test/java/loadbalancer/cluster/GoldenAuditLogTest.java
+++ b/balancer/src/test/java/loadbalancer/cluster/GoldenAuditLogTest.java
@@ -33,7 +33,7 @@
     @TempDir private Path directory;
     private final List<String> log = new ArrayList<>();
 
-    private static MembershipView viewOfEachStatus() {
+    private static MembershipView viewWithEachStatus() {
         return new MembershipView(
                 Long.MAX_VALUE,
                 3,
@@ -45,17 +45,18 @@
                         new MemberUpdate(4, MemberStatus.LEFT, 5)));
     }
 
-    private static MembershipView viewWithoutQuorum() {
+    private static MembershipView viewWithoutMajority() {
         return new MembershipView(0, 0, List.of(new MemberUpdate(0, MemberStatus.LEFT, 0)));
     }
 
     /** Writes two records in {@code directory} as a lease holder and returns the file's text. */
-    static String written(Path directory, List<String> log) throws IOException {
-        ClusterAuditLog greatest = new ClusterAuditLog(directory, 16_383, log::add);
-        greatest.appendAsync(
-                new Lease(MAX_EPOCH, Long.MAX_VALUE), viewOfEachStatus(), Runnable::run);
-        ClusterAuditLog least = new ClusterAuditLog(directory, 0, log::add);
-        least.appendAsync(new Lease(0, Long.MAX_VALUE), viewWithoutQuorum(), Runnable::run);
+    static String writeAuditLog(Path directory, List<String> log) throws IOException {
+        ClusterAuditLog maximalRecordLog = new ClusterAuditLog(directory, 16_383, log::add);
+        maximalRecordLog.appendAsync(
+                new Lease(MAX_EPOCH, Long.MAX_VALUE), viewWithEachStatus(), Runnable::run);
+        ClusterAuditLog minimalRecordLog = new ClusterAuditLog(directory, 0, log::add);
+        minimalRecordLog.appendAsync(
+                new Lease(0, Long.MAX_VALUE), viewWithoutMajority(), Runnable::run);
         return WRITTEN_AT
                 .matcher(Files.readString(directory.resolve("record-1")))
                 .replaceAll("{\"at_ms\":" + RECORDED_AT_MS + ",");
@@ -63,7 +64,7 @@
 
     @Test
     void writtenLinesMatchGoldenFile() throws IOException {
-        assertEquals(GoldenFiles.text(FILE), written(directory, log));
+        assertEquals(GoldenFiles.text(FILE), writeAuditLog(directory, log));
         assertTrue(
                 log.get(0)
                         .matches(
@@ -79,7 +80,7 @@
     void timeOfWritingIsWallClockTime() throws IOException {
         long before = System.currentTimeMillis();
         new ClusterAuditLog(directory, 0, log::add)
-                .appendAsync(new Lease(0, Long.MAX_VALUE), viewWithoutQuorum(), Runnable::run);
+                .appendAsync(new Lease(0, Long.MAX_VALUE), viewWithoutMajority(), Runnable::run);
         Object at = JSON.std.mapFrom(Files.readString(directory.resolve("record-1"))).get("at_ms");
         assertTrue(before <= (Long) at && (Long) at <= System.currentTimeMillis(), "at_ms " + at);
     }
--- a/balancer/src/test/java/loadbalancer/recovery/GoldenSnapshotContentTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/GoldenSnapshotContentTest.java
@@ -108,7 +108,7 @@
     }
 
     /** Takes a snapshot in {@code directory} and returns its content. */
-    static String stored(Path directory, Optional<PolicySnapshot> policySnapshot)
+    static String takeSnapshot(Path directory, Optional<PolicySnapshot> policySnapshot)
             throws IOException {
         RecoveryStore store =
                 RecoveryStore.open(directory, OWNER, boot(), 1_000, line -> {}).orElseThrow();
@@ -166,7 +166,7 @@
 
     @Test
     void storedContentMatchesGoldenFile() throws IOException {
-        String stored = stored(directory, Optional.of(policySnapshot()));
+        String stored = takeSnapshot(directory, Optional.of(policySnapshot()));
         assertTrue(
                 Set.of(GoldenFiles.text(ENDPOINTS_FIRST), GoldenFiles.text(LATENCIES_FIRST))
                         .contains(stored),
@@ -175,7 +175,7 @@
 
     @Test
     void storedContentWithoutPolicySnapshotMatchesGoldenFile() throws IOException {
-        assertEquals(GoldenFiles.text(LIST_ONLY), stored(directory, Optional.empty()));
+        assertEquals(GoldenFiles.text(LIST_ONLY), takeSnapshot(directory, Optional.empty()));
     }
 
     @Test
