--- a/balancer/src/main/java/loadbalancer/config/LocalSettingsParser.java
+++ b/balancer/src/main/java/loadbalancer/config/LocalSettingsParser.java
@@ -61,8 +61,7 @@
         return new Result(parser.values, parser.errors);
     }
 
-    // Finds the line of each key that has a line of its own, as the library's tree has no
-    // locations.
+    // Finds the line of each key that has its own line; the library's tree has no locations.
     private void indexLines(String text) {
         String tablePrefix = "";
         int lineNumber = 0;
