--- a/balancer/src/test/java/loadbalancer/recovery/PolicySnapshotCodecTest.java
+++ b/balancer/src/test/java/loadbalancer/recovery/PolicySnapshotCodecTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** {@link PolicySnapshotCodec}: which persisted values are not restored. */
+/** Tests {@link PolicySnapshotCodec}: which malformed snapshots are rejected. */
 class PolicySnapshotCodecTest {
     @Test
     void numberOutOfRangeIsRejected() {
         Map<String, Object> invalid =
                 PolicySnapshotCodec.encode(new PolicySnapshot(List.of(), List.of(-1.0)));
         assertEquals(
-                "no number from 0 to 1.0E9: -1.0",
+                "not a number from 0 to 1.0E9: -1.0",
                 assertThrows(
                                 MalformedPolicySnapshotException.class,
                                 () -> PolicySnapshotCodec.decode(invalid))
