--- a/balancer/src/main/java/loadbalancer/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/Dispatcher.java
@@ -115,7 +115,7 @@
     }
 
     /** Returns the number of listed endpoints that are currently ejected. */
-    public int avoidedEndpointCount() {
+    public int ejectedEndpointCount() {
         return policy.ejectedEndpointCount(nowMicros());
     }
 
--- a/balancer/src/main/java/loadbalancer/http/HttpFrontend.java
+++ b/balancer/src/main/java/loadbalancer/http/HttpFrontend.java
@@ -77,7 +77,7 @@
 
     /**
      * Uses a socket that is already listening, possibly shared with another process; accepts
-     * nothing before {@link #ready}. Must not be called on the event loop.
+     * nothing before {@link #setReady}. Must not be called on the event loop.
      *
      * @return the address in use
      * @throws IOException if the thread is interrupted
@@ -92,7 +92,7 @@
     }
 
     /** Makes the readiness check succeed and starts accepting connections. */
-    public void ready() {
+    public void setReady() {
         servingState.setReady();
         if (!listener.isAccepting() && !servingState.isStopping()) {
             listener.startAccepting();
@@ -120,7 +120,7 @@
      * Begins a shutdown: the readiness check fails, and connections are closed after their pending
      * responses. New connections are still accepted, unless another process accepts them.
      */
-    public void stopping(boolean anotherProcessAccepts) {
+    public void beginShutdown(boolean anotherProcessAccepts) {
         servingState.setStopping();
         if (anotherProcessAccepts) {
             listener.stopAccepting();
--- a/balancer/src/main/java/loadbalancer/routing/AttemptRecorder.java
+++ b/balancer/src/main/java/loadbalancer/routing/AttemptRecorder.java
@@ -114,7 +114,8 @@
             long latencyMicros,
             long now,
             RoutingActions actions) {
-        double usualLatencyMicros = latencyTracker.usualMicros(attempt.request().classIndex());
+        double usualLatencyMicros =
+                latencyTracker.usualLatencyMicros(attempt.request().classIndex());
         long penaltyMicros = (long) (PENALTY_LATENCIES * usualLatencyMicros);
         switch (outcome) {
             case OK -> recordSuccess(attempt, latencyMicros, now, actions);
@@ -204,7 +205,7 @@
 
     /** Records that an endpoint aborted a response whose success was already recorded. */
     void recordAbortedResponse(EndpointState endpoint, long now, RoutingActions actions) {
-        long penaltyMicros = (long) latencyTracker.shortestUsualMicros();
+        long penaltyMicros = (long) latencyTracker.minUsualLatencyMicros();
         recordFailure(endpoint, FULL_FAILURE_WEIGHT, penaltyMicros, now, actions);
     }
 
@@ -224,6 +225,7 @@
     }
 
     private double expectedLatencyMicros(PendingRequest request) {
-        return latencyTracker.usualMicros(request.classIndex()) * request.expectedLatencyRatio();
+        return latencyTracker.usualLatencyMicros(request.classIndex())
+                * request.expectedLatencyRatio();
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/QueueLengthEstimator.java
+++ b/balancer/src/main/java/loadbalancer/routing/QueueLengthEstimator.java
@@ -117,6 +117,7 @@
         }
         double reportAgeMicros = now - endpoint.reportedAtMicros();
         return Math.exp(
-                -reportAgeMicros / (REPORT_TRUST_LATENCIES * latencyTracker.shortestUsualMicros()));
+                -reportAgeMicros
+                        / (REPORT_TRUST_LATENCIES * latencyTracker.minUsualLatencyMicros()));
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/RequestLifecycle.java
+++ b/balancer/src/main/java/loadbalancer/routing/RequestLifecycle.java
@@ -248,7 +248,7 @@
         if (objectiveMicros <= 0) {
             return request.arrivedAtMicros();
         }
-        double usualLatencyMicros = latencyTracker.usualMicros(request.classIndex());
+        double usualLatencyMicros = latencyTracker.usualLatencyMicros(request.classIndex());
         return Math.max(
                 request.arrivedAtMicros() + objectiveMicros / MIN_WAIT_DIVISOR,
                 request.latencyObjectiveAtMicros()
--- a/balancer/src/main/java/loadbalancer/routing/RetryPolicy.java
+++ b/balancer/src/main/java/loadbalancer/routing/RetryPolicy.java
@@ -182,7 +182,8 @@
     // time to serve the hedged request within the latency objective.
     private double hedgeDelayMicros(PendingRequest request) {
         double expectedLatencyMicros =
-                latencyTracker.usualMicros(request.classIndex()) * request.expectedLatencyRatio();
+                latencyTracker.usualLatencyMicros(request.classIndex())
+                        * request.expectedLatencyRatio();
         return Math.max(
                 expectedLatencyMicros,
                 request.latencyObjectiveAtMicros()
@@ -222,7 +223,7 @@
             return 0;
         }
         long remainingMicros = request.deadlineMicros() - now;
-        double usualLatencyMicros = latencyTracker.usualMicros(request.classIndex());
+        double usualLatencyMicros = latencyTracker.usualLatencyMicros(request.classIndex());
         long timeoutMicros =
                 Math.max(remainingMicros / 2, (long) (MIN_TIMEOUT_LATENCIES * usualLatencyMicros));
         return Math.max(1, Math.min(remainingMicros, timeoutMicros));
--- a/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingEngine.java
@@ -223,7 +223,7 @@
         requests.open(request);
         if (workHint > 0) {
             double relativeWork = latencyTracker.recordWorkHint(classIndex, workHint);
-            request.expectLatencyRatio(1 + WORK_HINT_WEIGHT * (relativeWork - 1));
+            request.setExpectedLatencyRatio(1 + WORK_HINT_WEIGHT * (relativeWork - 1));
         }
         scheduleTimerWithin(now, tickMicros, actions);
         retryPolicy.onRequest();
@@ -273,7 +273,7 @@
             long now, String requestId, long remainingMicros, RoutingActions actions) {
         PendingRequest request = requests.find(requestId);
         if (request != null) {
-            request.startClock(now, remainingMicros);
+            request.onUploadCompleted(now, remainingMicros);
         }
     }
 
@@ -309,7 +309,7 @@
 
     @Override
     public double remoteRequestsPerSecond() {
-        return loadGossip.remoteRate();
+        return loadGossip.remoteRequestsPerSecond();
     }
 
     @Override
@@ -361,7 +361,7 @@
         if (now >= refreshAtMicros) {
             refresh(now, actions);
         }
-        latencyTracker.updateShortest();
+        latencyTracker.updateMinUsualLatency();
         queueLengths.updateMeanInFlight(elapsedMicros);
         updateSheddingLevel(elapsedMicros, now);
         requests.drainPendingQueue(now, actions);
@@ -404,7 +404,7 @@
 
     // Returns the known arrival rate of all balancers together.
     private double fleetRequestsPerSecond() {
-        return fleetCapacity.requestsPerSecond() + loadGossip.remoteRate();
+        return fleetCapacity.requestsPerSecond() + loadGossip.remoteRequestsPerSecond();
     }
 
     // Returns whether hedging is allowed now. Hedged requests must not increase an overload.
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/LatencyTracker.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/LatencyTracker.java
@@ -20,19 +20,19 @@
     private static final int DEADLINE_TOLERANCE_DIVISOR = 32;
 
     private final List<RequestClass> requestClasses;
-    private final double[] usualMicros;
+    private final double[] usualLatencyMicros;
     private final double[] meanWorkHints;
     private final long[] maxFirstAttemptMicros;
-    private double shortestUsualMicros;
+    private double minUsualLatencyMicros;
 
     /** Creates a tracker whose initial latencies are derived from the latency objectives. */
     public LatencyTracker(List<RequestClass> requestClasses) {
         this.requestClasses = requestClasses;
-        this.usualMicros =
+        this.usualLatencyMicros =
                 requestClasses.stream().mapToDouble(LatencyTracker::initialMicros).toArray();
-        this.meanWorkHints = new double[usualMicros.length];
-        this.maxFirstAttemptMicros = new long[usualMicros.length];
-        updateShortest();
+        this.meanWorkHints = new double[usualLatencyMicros.length];
+        this.maxFirstAttemptMicros = new long[usualLatencyMicros.length];
+        updateMinUsualLatency();
     }
 
     private static double initialMicros(RequestClass requestClass) {
@@ -40,25 +40,26 @@
     }
 
     /** Returns the moving mean of a class's latency, in µs. */
-    public double usualMicros(int classIndex) {
-        return usualMicros[classIndex];
+    public double usualLatencyMicros(int classIndex) {
+        return usualLatencyMicros[classIndex];
     }
 
     /**
-     * Returns the lowest usual latency of any class, in µs, as of the last {@link #updateShortest}.
+     * Returns the lowest usual latency of any class, in µs, as of the last {@link
+     * #updateMinUsualLatency}.
      */
-    public double shortestUsualMicros() {
-        return shortestUsualMicros;
+    public double minUsualLatencyMicros() {
+        return minUsualLatencyMicros;
     }
 
-    /** Recomputes {@link #shortestUsualMicros}. */
-    public void updateShortest() {
-        shortestUsualMicros = Arrays.stream(usualMicros).min().getAsDouble();
+    /** Recomputes {@link #minUsualLatencyMicros}. */
+    public void updateMinUsualLatency() {
+        minUsualLatencyMicros = Arrays.stream(usualLatencyMicros).min().getAsDouble();
     }
 
     /** Returns the usual latency of each class, in µs. */
     public List<Double> snapshot() {
-        return Arrays.stream(usualMicros).boxed().toList();
+        return Arrays.stream(usualLatencyMicros).boxed().toList();
     }
 
     /**
@@ -69,24 +70,26 @@
      * @param ageMicros age of the snapshot in µs
      */
     public void restore(List<Double> savedMicros, long ageMicros) {
-        if (savedMicros.size() == usualMicros.length) {
+        if (savedMicros.size() == usualLatencyMicros.length) {
             double snapshotWeight = Math.exp(-ageMicros / SNAPSHOT_WEIGHT_DECAY_MICROS);
-            for (int classIndex = 0; classIndex < usualMicros.length; classIndex++) {
+            for (int classIndex = 0; classIndex < usualLatencyMicros.length; classIndex++) {
                 restore(classIndex, savedMicros.get(classIndex), snapshotWeight);
             }
         }
-        updateShortest();
+        updateMinUsualLatency();
     }
 
     private void restore(int classIndex, double savedMicros, double snapshotWeight) {
         double maxMicros = (double) requestClasses.get(classIndex).deadlineMicros();
         double plausibleMicros = Math.max(1, Math.min(maxMicros, savedMicros));
-        usualMicros[classIndex] += snapshotWeight * (plausibleMicros - usualMicros[classIndex]);
+        usualLatencyMicros[classIndex] +=
+                snapshotWeight * (plausibleMicros - usualLatencyMicros[classIndex]);
     }
 
     /** Adds the latency of a successful attempt, in µs. */
     public void recordLatency(int classIndex, long latencyMicros) {
-        usualMicros[classIndex] += SMOOTHING * (latencyMicros - usualMicros[classIndex]);
+        usualLatencyMicros[classIndex] +=
+                SMOOTHING * (latencyMicros - usualLatencyMicros[classIndex]);
     }
 
     /** Adds a work hint; returns its ratio to the mean, which already includes it. */
--- a/balancer/src/main/java/loadbalancer/routing/endpoint/PendingRequest.java
+++ b/balancer/src/main/java/loadbalancer/routing/endpoint/PendingRequest.java
@@ -113,7 +113,7 @@
     }
 
     /** Sets {@link #expectedLatencyRatio()}, which is 1 initially. */
-    public void expectLatencyRatio(double ratio) {
+    public void setExpectedLatencyRatio(double ratio) {
         expectedLatencyRatio = ratio;
     }
 
@@ -123,8 +123,8 @@
     }
 
     /**
-     * Records that the body is still incomplete after the head was received; {@link #startClock}
-     * ends this state.
+     * Records that the body is still incomplete after the head was received; {@link
+     * #onUploadCompleted} ends this state.
      */
     public void onUploadStarted() {
         uploading = true;
@@ -135,7 +135,7 @@
      *
      * @param remainingMicros time until the client's deadline, in µs
      */
-    public void startClock(long now, long remainingMicros) {
+    public void onUploadCompleted(long now, long remainingMicros) {
         latencyObjectiveAtMicros += now - arrivedAtMicros;
         arrivedAtMicros = now;
         deadlineMicros = now + remainingMicros;
--- a/balancer/src/main/java/loadbalancer/routing/gossip/AggregatedRate.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/AggregatedRate.java
@@ -31,7 +31,7 @@
         int reportingPeerCount =
                 (int) partition.balancersOf(ownBlock).filter(peers::contains).count();
         lastLocalRate = localRate;
-        aggregator.ownBlock(
+        aggregator.setOwnBlockRecord(
                 now, 1 + reportingPeerCount, Math.round(localRate) + reportedRate(ownBlock));
         aggregator.tick(now, peers::contains, sender);
     }
--- a/balancer/src/main/java/loadbalancer/routing/gossip/FleetLoadAggregator.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/FleetLoadAggregator.java
@@ -105,7 +105,7 @@
      * @param presentCount number of balancers present in the own block, this one included
      * @param requestsPerSecond requests per second that they receive together
      */
-    public void ownBlock(long now, int presentCount, long requestsPerSecond) {
+    public void setOwnBlockRecord(long now, int presentCount, long requestsPerSecond) {
         if (presentCounts[ownBlock] == 0) {
             // At the start all blocks are assumed to be present until EXPIRY_MICROS have passed.
             IntStream.range(0, presentCounts.length)
--- a/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossip.java
+++ b/balancer/src/main/java/loadbalancer/routing/gossip/LoadGossip.java
@@ -156,7 +156,7 @@
     }
 
     /** Returns the known requests per second that the other balancers receive together. */
-    public double remoteRate() {
+    public double remoteRequestsPerSecond() {
         return remoteRate.requestsPerSecond();
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/health/OutlierEjection.java
+++ b/balancer/src/main/java/loadbalancer/routing/health/OutlierEjection.java
@@ -90,8 +90,8 @@
         if (oldest == null || oldest.request().isUploading()) {
             return false;
         }
-        double usualMicros = latencies.usualMicros(oldest.request().classIndex());
-        double stallTimeoutMicros = STALL_LATENCY_MULTIPLE * usualMicros + tickMicros;
+        double usualLatencyMicros = latencies.usualLatencyMicros(oldest.request().classIndex());
+        double stallTimeoutMicros = STALL_LATENCY_MULTIPLE * usualLatencyMicros + tickMicros;
         return now - oldest.sentAtMicros() > stallTimeoutMicros
                 && now - endpoint.lastSuccessAtMicros() > stallTimeoutMicros;
     }
--- a/balancer/src/main/java/loadbalancer/server/BalancerServer.java
+++ b/balancer/src/main/java/loadbalancer/server/BalancerServer.java
@@ -230,8 +230,8 @@
                 metrics.snapshot(
                         frontend.isReady(),
                         dispatcher.pendingRequestCount(),
-                        upstreamPool.listedEndpoints(),
-                        dispatcher.avoidedEndpointCount());
+                        upstreamPool.listedEndpointCount(),
+                        dispatcher.ejectedEndpointCount());
     }
 
     /**
@@ -411,7 +411,7 @@
 
     private void updateReadiness() {
         if (hasUsableEndpointList && warmedUp) {
-            frontend.ready();
+            frontend.setReady();
             publishStats();
             // The process that this one replaces may hold file descriptors until this timeout.
             loop.schedule(
@@ -431,7 +431,7 @@
     }
 
     private void beginShutdown() {
-        frontend.stopping(listenerShared);
+        frontend.beginShutdown(listenerShared);
         publishStats();
         cluster.ifPresent(ClusterCoordinator::leave);
         if (listenerShared) {
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamPool.java
@@ -99,7 +99,7 @@
     }
 
     /** Returns the number of endpoints in the list, including draining ones. */
-    public int listedEndpoints() {
+    public int listedEndpointCount() {
         return listedEndpoints.size();
     }
 
--- a/balancer/src/test/java/loadbalancer/admin/GoldenStatsdTest.java
+++ b/balancer/src/test/java/loadbalancer/admin/GoldenStatsdTest.java
@@ -56,13 +56,13 @@
     }
 
     @Test
-    void valuesGiveBytes() {
+    void encodesToGoldenBytes() {
         assertEquals(GoldenFiles.text(EXTREMES), extremes().toStatsdText());
         assertEquals(GoldenFiles.text(DISTINCT_COUNTS), distinctCounts().toStatsdText());
     }
 
     @Test
-    void bytesGiveValues() {
+    void decodesGoldenBytes() {
         assertEquals(
                 List.of(
                         new Metric("app.transactions.browse.answered", 1, "c"),
--- a/balancer/src/test/java/loadbalancer/lease/GoldenVoterPromisesTest.java
+++ b/balancer/src/test/java/loadbalancer/lease/GoldenVoterPromisesTest.java
@@ -27,14 +27,14 @@
     }
 
     @Test
-    void bytesGiveValues() {
+    void decodesGoldenBytes() {
         assertEquals(
                 Optional.of(promises()),
                 VoterPromise.decode(GoldenFiles.bytes(FILE), promises().size()));
     }
 
     @Test
-    void valuesGiveBytes() {
+    void encodesToGoldenBytes() {
         assertEquals(GoldenFiles.text(FILE), GoldenFiles.hexLines(VoterPromise.encode(promises())));
     }
 
--- a/balancer/src/test/java/loadbalancer/membership/GoldenMembershipMessageTest.java
+++ b/balancer/src/test/java/loadbalancer/membership/GoldenMembershipMessageTest.java
@@ -70,13 +70,13 @@
 
     @ParameterizedTest
     @MethodSource("names")
-    void bytesGiveValues(String name) {
+    void decodesGoldenBytes(String name) {
         GOLDEN.assertDecoded(name);
     }
 
     @ParameterizedTest
     @MethodSource("names")
-    void valuesGiveBytes(String name) {
+    void encodesToGoldenBytes(String name) {
         GOLDEN.assertEncoded(name);
     }
 }
--- a/balancer/src/test/java/loadbalancer/routing/gossip/FleetLoadAggregatorTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/FleetLoadAggregatorTest.java
@@ -177,7 +177,7 @@
         BlockPartition partition = new BlockPartition(100);
         FleetLoadAggregator receiver = new FleetLoadAggregator(20, partition);
         FleetLoadAggregator sender = new FleetLoadAggregator(0, partition);
-        sender.ownBlock(SECOND_MICROS, 14, 1_000);
+        sender.setOwnBlockRecord(SECOND_MICROS, 14, 1_000);
         byte[][] sentDatagram = new byte[1][];
         sender.tick(0, balancer -> false, (to, data) -> sentDatagram[0] = data);
         byte[] valid = sentDatagram[0];
--- a/balancer/src/test/java/loadbalancer/routing/gossip/GoldenFleetLoadTest.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/GoldenFleetLoadTest.java
@@ -74,7 +74,7 @@
     private static byte[] ownRecordDatagram(int block) {
         FleetLoadAggregator aggregator =
                 new FleetLoadAggregator(MAX_PARTITION.firstBalancer(block), MAX_PARTITION);
-        aggregator.ownBlock(
+        aggregator.setOwnBlockRecord(
                 FIRST_STEP_AT_MICROS - ageAtFirstStepMicros(block),
                 presentCount(block),
                 rate(block));
@@ -94,7 +94,7 @@
      */
     private static List<Datagram> datagramsOfLastStep() {
         FleetLoadAggregator aggregator = new FleetLoadAggregator(0, MAX_PARTITION);
-        aggregator.ownBlock(FIRST_STEP_AT_MICROS, presentCount(0), rate(0));
+        aggregator.setOwnBlockRecord(FIRST_STEP_AT_MICROS, presentCount(0), rate(0));
         for (int block = 1; block < BLOCK_COUNT; block++) {
             if (block != UNKNOWN_BLOCK) {
                 assertTrue(
@@ -104,7 +104,7 @@
                                 ownRecordDatagram(block)));
             }
         }
-        aggregator.ownBlock(LAST_STEP_AT_MICROS, presentCount(0), rate(0));
+        aggregator.setOwnBlockRecord(LAST_STEP_AT_MICROS, presentCount(0), rate(0));
         return sentDatagrams(aggregator, LAST_STEP_AT_MICROS);
     }
 
@@ -123,7 +123,7 @@
      */
     static byte[] singleRecordDatagram() {
         FleetLoadAggregator aggregator = new FleetLoadAggregator(0, new BlockPartition(34));
-        aggregator.ownBlock(0, 11, 0);
+        aggregator.setOwnBlockRecord(0, 11, 0);
         return sentDatagrams(aggregator, 20_000_000).get(0).data();
     }
 
--- a/balancer/src/test/java/loadbalancer/routing/gossip/SimulatedAggregatorFleet.java
+++ b/balancer/src/test/java/loadbalancer/routing/gossip/SimulatedAggregatorFleet.java
@@ -88,7 +88,7 @@
             rate += alive[peer] ? rates[peer] : 0;
         }
         FleetLoadAggregator aggregator = aggregators.get(memberIndex);
-        aggregator.ownBlock(localTime(memberIndex), presentCount, rate);
+        aggregator.setOwnBlockRecord(localTime(memberIndex), presentCount, rate);
         aggregator.tick(
                 localTime(memberIndex),
                 peer -> alive[peer],
--- a/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
@@ -169,7 +169,7 @@
     @Test
     void policyExceptionDoesNotStopTheServer() throws IOException, InterruptedException {
         start();
-        policy.failing = true;
+        policy.throwsOnRequest = true;
         try (HttpTestClient client = new HttpTestClient(address)) {
             assertEquals(502, client.send(IDEMPOTENT_REQUEST.replace("20000", "150")).readStatus());
             assertEquals("gone", policy.nextEvent());
@@ -177,7 +177,7 @@
                     logLines.get(logLines.size() - 2)
                             .startsWith("routing policy exception: count=1 "),
                     logLines.toString());
-            policy.failing = false;
+            policy.throwsOnRequest = false;
             client.send(IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(200, "", "ok");
             assertEquals(200, client.readStatus());
--- a/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
+++ b/balancer/src/test/java/loadbalancer/server/ScriptedPolicy.java
@@ -24,7 +24,7 @@
     final BlockingQueue<String> acceptedRequests = new LinkedBlockingQueue<>();
     volatile long timeoutMicros;
     // Whether a new request makes the policy throw.
-    volatile boolean failing;
+    volatile boolean throwsOnRequest;
     volatile boolean allowsAttemptStarts = true;
     volatile boolean retriesRejected;
     volatile boolean cancelsOnDisconnect = true;
@@ -61,7 +61,7 @@
             RoutingActions actions) {
         lastRequestId = requestId;
         acceptedRequests.add(classIndex + " " + key + " " + workHint + " " + resubmission);
-        if (failing) {
+        if (throwsOnRequest) {
             throw new IllegalStateException("broken");
         }
         if (endpointId != null) {
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/AggregationTransitions.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/AggregationTransitions.java
@@ -174,7 +174,7 @@
             List<InFlightDatagram> inFlight) {
         int block = blocks.blockOf(member);
         int presentCount = Integer.bitCount(rateBits(block, down));
-        aggregator.ownBlock(nowMicros, presentCount, rateBits(block, down));
+        aggregator.setOwnBlockRecord(nowMicros, presentCount, rateBits(block, down));
         aggregator.tick(
                 nowMicros,
                 other -> !down[other],
