--- a/testbed/src/main/java/loadbalancer/testbed/simulation/BaselinePolicy.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/BaselinePolicy.java
@@ -19,29 +19,30 @@
 import loadbalancer.routing.api.RoutingSettings;
 
 /**
- * A baseline to compare the routing policy with: an algorithm that selects an upstream, and nothing
- * else. It forwards each request to a listed upstream, retries if nothing can have been executed or
- * the request is idempotent, and fails it otherwise. It knows its own requests in flight only.
- * Single-threaded.
+ * A baseline for comparisons with the routing policy, which only has an algorithm that selects an
+ * upstream. It forwards each request to a listed upstream. A failed attempt is retried if the
+ * request cannot have been executed, or if it is idempotent and the attempt did not time out;
+ * otherwise the request fails. The policy knows only its own requests in flight. Used only by the
+ * thread that runs the simulation.
  */
 public final class BaselinePolicy implements RoutingPolicy {
     private static final int MAX_ATTEMPTS = 4;
-    // d of the paper
+    // Called d in the JSQ-DAS paper.
     private static final int SAMPLE_SIZE = 4;
-    // a of the paper
+    // Called a in the JSQ-DAS paper.
     private static final int ACCOMPLISHED_SAMPLE_SIZE = 2;
 
     /** The selection algorithm. */
     public enum Algorithm {
-        /** An upstream at random. */
+        /** Selects an upstream at random. */
         RANDOM,
-        /** The upstreams in turn. */
+        /** Selects the upstreams in turn. */
         ROUND_ROBIN,
-        /** The shorter queue of two upstreams chosen at random. */
+        /** Selects the upstream with the shorter queue of two chosen at random. */
         TWO_CHOICES,
-        /** The shortest of all queues. */
+        /** Selects the upstream with the shortest of all queues. */
         LEAST_QUEUE,
-        /** The shortest of sampled queues, as the paper's JSQ-DAS has it. */
+        /** Selects the upstream with the shortest of the queues that JSQ-DAS samples. */
         JSQ_DAS
     }
 
@@ -76,8 +77,8 @@
     /**
      * Creates a policy without upstreams.
      *
-     * @param accomplishedFraction fraction of the upstreams that counts as accomplished, p of the
-     *     paper
+     * @param accomplishedFraction fraction of the upstreams that counts as accomplished, called p
+     *     in the JSQ-DAS paper
      */
     public BaselinePolicy(
             Algorithm algorithm, double accomplishedFraction, RoutingSettings settings, long seed) {
@@ -130,26 +131,26 @@
             actions.fail(requestId);
             return;
         }
-        Candidate candidate = select();
+        Candidate candidate = selectCandidate();
         candidate.inFlight++;
         candidate.dispatchCount++;
         pendingRequest.attempts.add(candidate);
         actions.send(requestId, candidate.id, 0);
     }
 
-    private Candidate select() {
+    private Candidate selectCandidate() {
         return switch (algorithm) {
             case RANDOM -> available.get(random.nextInt(available.size()));
             case ROUND_ROBIN -> available.get(roundRobinIndex++ % available.size());
             case TWO_CHOICES -> shortestQueue(sample(available, 2));
             case LEAST_QUEUE -> shortestQueue(sample(available, available.size()));
-            case JSQ_DAS -> selectAccomplished();
+            case JSQ_DAS -> selectByJsqDas();
         };
     }
 
-    // Ranked by dispatch count; between equal queues the more accomplished, which comes first,
-    // wins.
-    private Candidate selectAccomplished() {
+    // Candidates are ranked by dispatch count. Among equally short queues the more accomplished
+    // candidate wins because it comes first.
+    private Candidate selectByJsqDas() {
         List<Candidate> ranked = new ArrayList<>(available);
         ranked.sort(Comparator.comparingLong(candidate -> -candidate.dispatchCount));
         if (ranked.size() == 1) {
@@ -234,11 +235,11 @@
             long latencyMicros,
             LoadReport load,
             RoutingActions actions) {
-        // It requests no health checks.
+        // This policy requests no health checks.
     }
 
     @Override
     public void onTimer(long now, RoutingActions actions) {
-        // It schedules no timers.
+        // This policy schedules no timers.
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/EndpointListHistory.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/EndpointListHistory.java
@@ -8,14 +8,15 @@
 import loadbalancer.routing.api.EndpointStatus;
 
 /**
- * The endpoint list of discovery and all changes of it since the start, stored once for the fleet.
- * Agents learn of changes in one order, so that an agent's list follows from the number of changes
- * that it knows. Single-threaded.
+ * Stores the initial endpoint list of discovery and all changes since then, once for the whole
+ * fleet. All discovery agents receive the changes in the same order, so the number of changes that
+ * an agent has delivered determines the list of its balancer. Used only by the thread that runs the
+ * simulation.
  */
 final class EndpointListHistory {
     private final List<Endpoint> changes = new ArrayList<>();
     private final List<Endpoint> initial;
-    // The list returned last, and the number of changes in it
+    // The list that was returned last, after the first cachedChangeCount changes.
     private List<Endpoint> cachedList;
     private int cachedChangeCount;
 
@@ -28,12 +29,15 @@
         changes.add(change);
     }
 
-    /** The change of that index, from 0. */
+    /** Returns the change with an index, from 0. */
     Endpoint change(int index) {
         return changes.get(index);
     }
 
-    /** The list after that many changes; the same instance for consecutive calls. */
+    /**
+     * Returns the list after the first {@code changeCount} changes. Consecutive calls with the same
+     * count return the same instance.
+     */
     List<Endpoint> listAfter(int changeCount) {
         if (changeCount != cachedChangeCount) {
             Map<String, Endpoint> endpointsById = new LinkedHashMap<>();
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/EventQueue.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/EventQueue.java
@@ -3,8 +3,9 @@
 import java.util.Arrays;
 
 /**
- * A priority queue of events by time and sequence number: a heap with four children per node in
- * plain arrays, as a fleet of thousands has a million events queued. Single-threaded.
+ * A priority queue of events, ordered by time and sequence number. It is a heap with four children
+ * per node in plain arrays, because a fleet of thousands of balancers has a million events queued.
+ * Used only by the thread that runs the simulation.
  */
 final class EventQueue {
     private static final int CHILDREN_PER_NODE = 4;
@@ -19,7 +20,7 @@
         return size == 0;
     }
 
-    /** The time of the first event in µs; undefined if the queue is empty. */
+    /** Returns the time of the first event in µs; undefined if the queue is empty. */
     long nextTimeMicros() {
         return timesMicros[0];
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/FleetSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/FleetSimulation.java
@@ -25,15 +25,16 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * Plays a scenario in virtual time with routing policies alone, for fleets larger than a machine
- * can run. Plan, upstream model, links and invariants are those of runs with real processes; the
- * cost of sockets and processors is missing. Single-threaded; one run per instance.
+ * Runs a scenario in virtual time with the routing policies only, for fleets that are larger than
+ * one machine can run. Workload plan, upstream model, links and invariants are those of runs with
+ * real processes. The costs of sockets and CPUs are not modelled. Used only by the thread that runs
+ * the simulation, for one run per instance.
  */
 public final class FleetSimulation {
-    // From the start of a process until it is ready
+    // Time from the start of a balancer process until it is ready.
     private static final long STARTUP_MICROS = 1_000_000;
-    // After the last deadline, for open requests
-    private static final long DRAIN_MICROS = 5_000_000;
+    // Time after the last deadline in which open requests may still end.
+    private static final long OPEN_REQUESTS_GRACE_MICROS = 5_000_000;
 
     private final WorkloadPlan plan;
     private final Scenario scenario;
@@ -56,19 +57,23 @@
         RoutingPolicy create(RoutingSettings settings, long seed);
     }
 
-    /** Is notified of each attempt at an upstream in slow start. */
+    /** Listens to the attempts that arrive at upstreams in slow start. */
     public interface SlowStartListener {
         /**
-         * An attempt arrives.
+         * Handles the arrival of an attempt.
          *
-         * @param upstream its number
-         * @param nowMicros time of the run
-         * @param capacity its present capacity in seconds of work per second
+         * @param upstream number of the upstream
+         * @param nowMicros time of the run in µs
+         * @param capacity current capacity of the upstream in seconds of work per second
          */
         void onAttempt(int upstream, long nowMicros, double capacity);
     }
 
-    /** Creates a simulation; {@code logListener} gets the log lines of the policies. */
+    /**
+     * Creates a simulation.
+     *
+     * @param logListener receives the log lines of the routing policies
+     */
     public FleetSimulation(
             WorkloadPlan plan, PolicyFactory policyFactory, Consumer<String> logListener) {
         this.plan = plan;
@@ -104,13 +109,14 @@
                 endpoint -> onEndpointChange(balancer, endpoint));
     }
 
-    /** Reports attempts at upstreams in slow start from now on, none of which crashes any more. */
+    /**
+     * Reports attempts at upstreams in slow start to the listener from now on. Exceeding the
+     * slow-start budget no longer crashes an upstream then.
+     */
     public void observeSlowStart(SlowStartListener listener) {
         upstreams.observeSlowStart(listener);
     }
 
-    // ------------------------------------------------------------ discovery
-
     private List<Endpoint> initialEndpoints() {
         return upstreams.all().stream()
                 .filter(SimulatedUpstream::alive)
@@ -143,9 +149,12 @@
                 upstream.spec().zone());
     }
 
-    // ------------------------------------------------------------ the run
-
-    /** Plays the plan; the same plan and policies give the same result to the byte. */
+    /**
+     * Runs the workload plan and returns the result. The same plan and policies give the same
+     * result to the byte.
+     *
+     * @throws InvalidScenarioException if the plan has a fault that resets connections
+     */
     public RunResult run() {
         for (int balancer = 0; balancer < balancers.size(); balancer++) {
             startBalancer(balancer);
@@ -156,7 +165,8 @@
                 arrivals.size(),
                 i -> arrivals.get(i).atMicros(),
                 i -> clients.attempt(new ClientRequest(arrivals.get(i))));
-        scheduler.runUntil(scenario.lengthMicros() + maxDeadlineMicros() + DRAIN_MICROS);
+        scheduler.runUntil(
+                scenario.lengthMicros() + maxDeadlineMicros() + OPEN_REQUESTS_GRACE_MICROS);
         invariants.runEnded(scheduler.nowMicros());
         return buildResult();
     }
@@ -200,7 +210,7 @@
         balancers.get(balancer).pause(paused);
     }
 
-    /** Applies the plan's faults to the parts of this simulation. */
+    /** Applies the faults of the plan to the parts of this simulation. */
     private final class SimulatedFaults implements FaultableEnvironment<SimulatedUpstream> {
         @Override
         public SimulatedUpstream upstream(int number) {
@@ -236,7 +246,9 @@
         @Override
         public void resetConnections(WorkloadPlan.Fault fault) {
             throw new InvalidScenarioException(
-                    scenario.name(), fault.kind().keyword(), "can't be played in simulated time");
+                    scenario.name(),
+                    fault.kind().keyword(),
+                    "is not supported by the simulation in virtual time");
         }
 
         @Override
@@ -280,17 +292,17 @@
                 0);
     }
 
-    /** The number of events so far, in proportion to which a run costs. */
+    /** Returns the number of events so far; the cost of a run is proportional to it. */
     public long processedEvents() {
         return scheduler.processedEvents();
     }
 
-    /** Virtual time so far, in seconds. */
+    /** Returns the virtual time so far in seconds. */
     public double simulatedSeconds() {
         return scheduler.nowMicros() / 1e6;
     }
 
-    /** Datagrams that one balancer received from another within the run's length. */
+    /** Returns how many datagrams one balancer received from another within the run's length. */
     public long datagramsDelivered(int from, int to) {
         return datagrams.deliveredCount(from, to);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/JsqDasExperiment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/JsqDasExperiment.java
@@ -5,38 +5,39 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Repeats the main experiment of "Smart Dispatching in Heterogeneous Systems": one dispatcher that
- * knows the length of every queue, fast and slow servers with exponential service times in order of
- * arrival, and the mean response time by load. The paper's unit of time is a second here.
- * Single-threaded; one run per instance.
+ * Reproduces the main experiment of the paper "Smart Dispatching in Heterogeneous Systems". One
+ * dispatcher knows the length of every queue. Fast and slow servers serve jobs in order of arrival
+ * with exponential service times. The result is the mean response time at a load. The paper's unit
+ * of time is a second here. Used only by the thread that runs the simulation, for one run per
+ * instance.
  */
 public final class JsqDasExperiment {
-    // The first third of the jobs does not count
+    // The first third of the jobs is warm-up and is left out of the mean.
     private static final int WARM_UP_DIVISOR = 3;
     private static final long STEP_MICROS = (long) QueueingServers.MICROS_PER_SECOND;
 
-    /** The policies of the paper's Figure 2, and this project's {@code RoutingEngine}. */
+    /** The policies in Figure 2 of the paper, and this project's {@code RoutingEngine}. */
     public enum DispatchPolicy {
-        /** Joins the shortest of all queues. */
+        /** Selects the server with the shortest of all queues. */
         JSQ,
-        /** Joins the shortest of sampled queues. */
+        /** Selects the sampled server with the shortest queue. */
         JSQ_D,
-        /** Joins the sampled queue with the shortest expected delay, from known service rates. */
+        /** Selects the sampled server with the shortest expected delay; knows the service rates. */
         SED_D,
-        /** Samples fast and slow servers separately, from known service rates. */
+        /** Samples fast and slow servers separately; knows the service rates. */
         JSQ_DF_DS,
-        /** Samples accomplished servers, which have got the most jobs, and the others. */
+        /** Samples accomplished servers, which have received the most jobs, and other servers. */
         JSQ_DAS,
-        /** This project's routing policy. */
+        /** Uses the routing policy of this project. */
         MODULE
     }
 
     /**
      * The result of a run.
      *
-     * @param meanResponseTime in the paper's unit of time
-     * @param foundFastFraction fraction of the fast servers that are among the servers with the
-     *     most jobs, as many as there are fast ones
+     * @param meanResponseTime mean response time in seconds, the paper's unit of time
+     * @param foundFastFraction fraction of the n fast servers that are among the n servers that
+     *     received the most jobs
      */
     public record ExperimentResult(double meanResponseTime, double foundFastFraction) {}
 
@@ -55,7 +56,7 @@
     /**
      * Creates an experiment.
      *
-     * @param load arrival rate per server, λ of the paper; less than 1
+     * @param load jobs per server and second, called λ in the paper; less than 1
      */
     public JsqDasExperiment(int serverCount, double load, int jobCount, long seed) {
         this.arrivalRate = load * serverCount;
@@ -69,7 +70,7 @@
         return jobCount / WARM_UP_DIVISOR;
     }
 
-    /** Runs the experiment with one of the policies. */
+    /** Runs the experiment with one of the policies and returns its result. */
     public ExperimentResult run(DispatchPolicy policy) {
         handleArrival(newDispatcher(policy));
         while (servers.completedJobs() < jobCount) {
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/LeaseSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/LeaseSimulation.java
@@ -13,17 +13,18 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Many members in virtual time that run the production {@link LeaseManager} on the views of a
- * {@link MembershipSimulation}: how soon a lease is transferred, whether two members ever hold the
- * same one, and what the protocol costs. Single-threaded; deterministic by the seed.
+ * Simulates a cluster whose members run the production {@link LeaseManager} on the views of a
+ * {@link MembershipSimulation}. Measures how soon a lease is transferred, whether two members ever
+ * hold the same lease, and what the protocol costs. The seed determines the whole run. Used only by
+ * the thread that runs the simulation.
  */
 public final class LeaseSimulation implements MembershipSimulation.ViewListener {
     private static final long DISK_SYNC_MICROS = 5_000;
     private static final int HISTOGRAM_DIGITS = 3;
-    // Separates the seeds of lease managers of neighbouring simulation seeds
+    // Keeps the lease managers' seeds of simulations with consecutive seeds apart.
     private static final long SEED_STRIDE = 1_000_003;
     private static final int NO_HOLDER = -1;
-    // The slot is held, or its holder did not end
+    // Marks a slot that is held or whose holder's process did not end.
     private static final long NOT_FREED = -1;
     private static final long NO_TIMER = Long.MAX_VALUE;
 
@@ -34,14 +35,15 @@
     private final long seed;
     private final LeaseManager[] leaseManagers;
     private final List<List<VoterPromise>> persistedPromises = new ArrayList<>();
-    // By member: when its timer is due
+    // Time in µs at which the timer of each member is due.
     private final long[] timerDueMicros;
-    // By slot: when its holder ended
-    private final long[] freeSinceMicros;
-    private final int[] holders;
+    // Time in µs at which the holder of each slot ended.
+    private final long[] freeSinceMicrosBySlot;
+    // The member that holds each slot.
+    private final int[] holderBySlot;
     private final Histogram transferTimes = new Histogram(HISTOGRAM_DIGITS);
     private final List<String> doubleHolders = new ArrayList<>();
-    private long startCount;
+    private long processCount;
     private long bytesSent;
     private long datagramsSent;
     private long acquisitions;
@@ -49,8 +51,8 @@
     /**
      * Creates a cluster whose members all start at time 0.
      *
-     * @param lossProbability of each datagram
-     * @param durable whether voters' promises outlive a process
+     * @param lossProbability probability that a datagram is lost
+     * @param durable whether voters' promises outlive their process
      */
     public LeaseSimulation(
             int memberCount,
@@ -65,16 +67,14 @@
         scheduler = membership.scheduler();
         leaseManagers = new LeaseManager[memberCount];
         timerDueMicros = new long[memberCount];
-        freeSinceMicros = new long[timing.slotCount()];
-        holders = new int[timing.slotCount()];
-        Arrays.fill(freeSinceMicros, NOT_FREED);
-        Arrays.fill(holders, NO_HOLDER);
+        freeSinceMicrosBySlot = new long[timing.slotCount()];
+        holderBySlot = new int[timing.slotCount()];
+        Arrays.fill(freeSinceMicrosBySlot, NOT_FREED);
+        Arrays.fill(holderBySlot, NO_HOLDER);
         IntStream.range(0, memberCount).forEach(member -> persistedPromises.add(List.of()));
         membership.setListener(this);
     }
 
-    // ------------------------------------------------------------ processes
-
     @Override
     public void onStarted(int member) {
         leaseManagers[member] =
@@ -85,7 +85,7 @@
                         persistedPromises.get(member),
                         durable,
                         membership.wallClockMs(),
-                        seed * SEED_STRIDE + ++startCount,
+                        seed * SEED_STRIDE + ++processCount,
                         scheduler.nowMicros());
         timerDueMicros[member] = NO_TIMER;
         scheduleTick(member);
@@ -98,7 +98,7 @@
                 leaseManagers[member].onMembershipChanged(scheduler.nowMicros(), view::isPresent));
     }
 
-    // One timer is valid at a time; an earlier one replaces it.
+    // Each member has one valid timer. A timer that is due earlier replaces it.
     private void scheduleTick(int member) {
         LeaseManager leaseManager = leaseManagers[member];
         long nextMicros = leaseManager.nextTickMicros();
@@ -119,17 +119,17 @@
                 });
     }
 
-    /** Plays {@code durationMicros} µs more. */
+    /** Continues the simulation for {@code durationMicros} µs. */
     public void runFor(long durationMicros) {
         membership.runFor(durationMicros);
     }
 
-    /** Kills the process of a member, or ends it gracefully. */
+    /** Ends the process of a member, gracefully or by killing it. */
     public void endProcess(int member, boolean graceful) {
-        for (int slot = 0; slot < holders.length; slot++) {
-            if (holders[slot] == member) {
-                freeSinceMicros[slot] = scheduler.nowMicros();
-                holders[slot] = NO_HOLDER;
+        for (int slot = 0; slot < holderBySlot.length; slot++) {
+            if (holderBySlot[slot] == member) {
+                freeSinceMicrosBySlot[slot] = scheduler.nowMicros();
+                holderBySlot[slot] = NO_HOLDER;
             }
         }
         if (graceful) {
@@ -145,8 +145,6 @@
         membership.restart(member);
     }
 
-    // ------------------------------------------------------------ actions of lease managers
-
     private void perform(int member, List<LeaseManager.Action> actions) {
         for (LeaseManager.Action action : actions) {
             if (action instanceof LeaseManager.Send send) {
@@ -156,8 +154,8 @@
             } else if (action instanceof LeaseManager.Acquired acquired) {
                 recordAcquisition(member, acquired.slot());
             } else if (action instanceof LeaseManager.Released released
-                    && holders[released.slot()] == member) {
-                holders[released.slot()] = NO_HOLDER;
+                    && holderBySlot[released.slot()] == member) {
+                holderBySlot[released.slot()] = NO_HOLDER;
             }
         }
         scheduleTick(member);
@@ -190,8 +188,6 @@
                 });
     }
 
-    // ------------------------------------------------------------ measurements
-
     private void recordAcquisition(int member, int slot) {
         acquisitions++;
         for (int other = 0; other < leaseManagers.length; other++) {
@@ -199,10 +195,10 @@
                 recordDoubleHolder(slot, other, member);
             }
         }
-        holders[slot] = member;
-        if (freeSinceMicros[slot] != NOT_FREED) {
-            transferTimes.recordValue(scheduler.nowMicros() - freeSinceMicros[slot]);
-            freeSinceMicros[slot] = NOT_FREED;
+        holderBySlot[slot] = member;
+        if (freeSinceMicrosBySlot[slot] != NOT_FREED) {
+            transferTimes.recordValue(scheduler.nowMicros() - freeSinceMicrosBySlot[slot]);
+            freeSinceMicrosBySlot[slot] = NOT_FREED;
         }
     }
 
@@ -224,10 +220,10 @@
         }
     }
 
-    /** The member that holds the most slots; the first of several. */
+    /** Returns the member that holds the most slots, the lowest-numbered of several. */
     public int busiestMember() {
         int[] slotCounts = new int[leaseManagers.length];
-        Arrays.stream(holders)
+        Arrays.stream(holderBySlot)
                 .filter(member -> member != NO_HOLDER)
                 .forEach(member -> slotCounts[member]++);
         return IntStream.range(0, slotCounts.length)
@@ -235,32 +231,32 @@
                 .getAsInt();
     }
 
-    /** The number of slots that some member holds. */
+    /** Returns the number of slots that are held. */
     public long heldSlots() {
-        return Arrays.stream(holders).filter(member -> member != NO_HOLDER).count();
+        return Arrays.stream(holderBySlot).filter(member -> member != NO_HOLDER).count();
     }
 
-    /** Time in µs from the end of a slot's holder until another member acquired the slot. */
+    /** Returns the times in µs from the end of a slot's holder to the slot's next acquisition. */
     public Histogram transferTimes() {
         return transferTimes;
     }
 
-    /** Slots that two members held at once; at most 100. */
+    /** Returns descriptions of slots that two members held at the same time; at most 100. */
     public List<String> doubleHolders() {
         return doubleHolders;
     }
 
-    /** Bytes of all messages sent so far by all members. */
+    /** Returns the bytes of all messages that all members have sent. */
     public long bytesSent() {
         return bytesSent;
     }
 
-    /** Messages sent so far by all members. */
+    /** Returns the number of messages that all members have sent. */
     public long datagramsSent() {
         return datagramsSent;
     }
 
-    /** How often a slot was acquired so far. */
+    /** Returns the number of acquisitions of slots so far. */
     public long acquisitions() {
         return acquisitions;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/MembershipSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/MembershipSimulation.java
@@ -14,21 +14,21 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Many members in virtual time that run the production {@link Membership}: how soon a killed member
- * is detected, whether a running one is ever declared dead, and what the protocol costs.
- * Single-threaded; deterministic by the seed.
+ * Simulates a cluster whose members run the production {@link Membership}. Measures how soon a
+ * killed member is detected, whether a running member is ever declared dead, and what the protocol
+ * costs. The seed determines the whole run. Used only by the thread that runs the simulation.
  */
 public final class MembershipSimulation {
-    /** Result of {@link #microsUntilConverged} if views do not converge in time. */
+    /** The result of {@link #microsUntilConverged} if the views do not converge in time. */
     public static final long NOT_CONVERGED = -1;
 
-    /** The wall clock of all members in ms at time 0. */
+    /** The wall clock of all members at time 0 of the simulation, in ms since the epoch. */
     private static final long WALL_CLOCK_EPOCH_MS = 1_700_000_000_000L;
 
-    /** Limit of the descriptions that a simulation collects of one kind of violation. */
+    /** The maximum number of descriptions that a simulation keeps per kind of violation. */
     static final int MAX_RECORDED_VIOLATIONS = 100;
 
-    // One way
+    // Limits of the one-way delay of a datagram.
     private static final long MIN_DELAY_MICROS = 1_200;
     private static final long MAX_DELAY_MICROS = 10_000;
     private static final long MAX_TIMER_LATENESS_MICROS = 1_000;
@@ -41,12 +41,14 @@
     private final UniformRandomProvider random;
     private final Histogram detectionTimes = new Histogram(HISTOGRAM_DIGITS);
     private final List<String> falsePositives = new ArrayList<>();
-    // Messages pass only between members for which it is the same
-    private IntPredicate partitionSide = MembershipSimulation::anySide;
+    // Datagrams pass only between members for which this predicate has the same value.
+    private IntPredicate partitionSide = MembershipSimulation::sameSide;
     private long datagramsSent;
     private ViewListener listener = ViewListener.NONE;
 
-    /** A protocol that runs in the members' processes and depends on their views. */
+    /**
+     * Listens to the processes and the views of the members, for a protocol that builds on them.
+     */
     interface ViewListener {
         /** Ignores all events. */
         ViewListener NONE =
@@ -58,17 +60,17 @@
                     public void onViewChanged(int member, MembershipView view) {}
                 };
 
-        /** A process of that member starts. */
+        /** Handles the start of a process of the member. */
         void onStarted(int member);
 
-        /** The view of a member changes. */
+        /** Handles a change of the member's view. */
         void onViewChanged(int member, MembershipView view);
     }
 
     /**
      * Creates a cluster whose members all start at time 0.
      *
-     * @param lossProbability of each datagram
+     * @param lossProbability probability that a datagram is lost
      */
     public MembershipSimulation(int memberCount, double lossProbability, long seed) {
         this.lossProbability = lossProbability;
@@ -81,7 +83,7 @@
         }
     }
 
-    /** Sets the listener, which is notified of all processes that run already. */
+    /** Sets the listener and notifies it of the start of every member. */
     void setListener(ViewListener newListener) {
         listener = newListener;
         for (int member = 0; member < members.size(); member++) {
@@ -97,23 +99,21 @@
         return members.get(member).isRunning();
     }
 
-    /** The wall clock of all members in ms. */
+    /** Returns the time of the wall clock that all members share, in ms since the epoch. */
     long wallClockMs() {
         return WALL_CLOCK_EPOCH_MS + scheduler.nowMicros() / 1000;
     }
 
-    // ------------------------------------------------------------ processes
-
     private void start(int member) {
         long incarnation = wallClockMs();
-        Membership protocol =
+        Membership membership =
                 new Membership(
                         member,
                         members.size(),
                         MembershipTiming.DEFAULT,
                         incarnation,
                         scheduler.nowMicros());
-        members.get(member).start(protocol, incarnation);
+        members.get(member).start(membership, incarnation);
         scheduleTick(member);
         listener.onStarted(member);
     }
@@ -121,17 +121,18 @@
     private void scheduleTick(int member) {
         scheduleTimer(
                 member,
-                members.get(member).protocol().nextTickMicros(),
+                members.get(member).membership().nextTickMicros(),
                 () -> {
-                    Membership protocol = members.get(member).protocol();
-                    perform(member, protocol.tick(scheduler.nowMicros()));
+                    Membership membership = members.get(member).membership();
+                    perform(member, membership.tick(scheduler.nowMicros()));
                     scheduleTick(member);
                 });
     }
 
     /**
-     * Schedules a timer of the present process of a member. It runs at {@code dueMicros} or up to 1
-     * ms late, like timers of an event loop, and not at all if the process has ended by then.
+     * Schedules a timer of the current process of a member. The action runs at {@code dueMicros} or
+     * up to 1 ms later, like the timers of an event loop. It does not run if the process has ended
+     * by then.
      */
     void scheduleTimer(int member, long dueMicros, Runnable action) {
         SimulatedMember process = members.get(member);
@@ -146,7 +147,7 @@
                 });
     }
 
-    /** Plays {@code durationMicros} µs more. */
+    /** Continues the simulation for {@code durationMicros} µs. */
     public void runFor(long durationMicros) {
         scheduler.runUntil(scheduler.nowMicros() + durationMicros);
     }
@@ -156,19 +157,17 @@
         members.get(member).kill(scheduler.nowMicros());
     }
 
-    /** Ends the process of a member gracefully: it tells the others that it leaves. */
+    /** Ends the process of a member gracefully: the member tells the others that it leaves. */
     public void leave(int member) {
-        perform(member, members.get(member).protocol().leave(scheduler.nowMicros()));
+        perform(member, members.get(member).membership().leave(scheduler.nowMicros()));
         members.get(member).leave();
     }
 
-    /** Starts a new process of a member, which knows nothing of the earlier one. */
+    /** Starts a new process of a member, which keeps no state of the earlier one. */
     public void restart(int member) {
         start(member);
     }
 
-    // ------------------------------------------------------------ messages
-
     private void perform(int sender, List<Membership.Action> actions) {
         for (Membership.Action action : actions) {
             if (action instanceof Membership.Send send) {
@@ -182,21 +181,21 @@
 
     private void send(int sender, Membership.Send send) {
         byte[] payload = send.message().encode();
-        members.get(sender).countSent(payload.length);
+        members.get(sender).addBytesSent(payload.length);
         datagramsSent++;
         sendDatagram(sender, send.to(), () -> receive(sender, send.to(), payload));
     }
 
     private void receive(int sender, int recipient, byte[] payload) {
         MembershipMessage message = MembershipMessage.decode(payload).orElseThrow();
-        Membership protocol = members.get(recipient).protocol();
-        perform(recipient, protocol.onPeerMessage(scheduler.nowMicros(), sender, message));
+        Membership membership = members.get(recipient).membership();
+        perform(recipient, membership.onPeerMessage(scheduler.nowMicros(), sender, message));
     }
 
     /**
      * Sends a datagram, which may be lost.
      *
-     * @param onArrival runs when it arrives, unless the recipient does not run then
+     * @param onArrival runs when the datagram arrives, if the recipient is running then
      */
     void sendDatagram(int sender, int recipient, Runnable onArrival) {
         if (random.nextDouble() < lossProbability
@@ -213,23 +212,23 @@
                 });
     }
 
-    /** Partitions the network: messages pass only between members for which it is the same. */
+    /**
+     * Partitions the network: only members with the same value of the predicate can communicate.
+     */
     public void partition(IntPredicate newPartitionSide) {
         partitionSide = newPartitionSide;
     }
 
-    // Without a partition all members are on one side
-    private static boolean anySide(int member) {
+    // Without a partition all members are on the same side.
+    private static boolean sameSide(int member) {
         return true;
     }
 
     /** Ends the partition. */
     public void heal() {
-        partitionSide = MembershipSimulation::anySide;
+        partitionSide = MembershipSimulation::sameSide;
     }
 
-    // ------------------------------------------------------------ measurements
-
     private void recordChange(int observer, Membership.ViewChanged change) {
         if (change.update().status() != MemberStatus.DEAD) {
             return;
@@ -237,7 +236,8 @@
         int subject = change.update().member();
         SimulatedMember member = members.get(subject);
         if (member.isKilled()) {
-            // Only the first of an observer; more may follow with higher incarnations
+            // Only the first detection by an observer counts. The observer may declare the member
+            // dead again with higher incarnations.
             if (member.addDetection(observer)) {
                 detectionTimes.recordValue(scheduler.nowMicros() - member.killedAtMicros());
             }
@@ -255,15 +255,15 @@
     }
 
     /**
-     * Whether at least one member runs, and every running member has all running members present
-     * and the others not.
+     * Returns whether at least one member is running, and the view of every running member has
+     * exactly the running members present.
      */
     public boolean isConverged() {
         boolean anyRunning = false;
         for (SimulatedMember member : members) {
             if (member.isRunning()) {
                 anyRunning = true;
-                if (!isAccurate(member.protocol().view())) {
+                if (!isAccurate(member.membership().view())) {
                     return false;
                 }
             }
@@ -281,8 +281,9 @@
     }
 
     /**
-     * Plays until {@link #isConverged}, checked every 20 ms, and returns how long that took in µs,
-     * or {@link #NOT_CONVERGED} if it takes longer than {@code maxMicros}.
+     * Continues the simulation until {@link #isConverged}, which is checked every 20 ms. Returns
+     * the time in µs that this took, or {@link #NOT_CONVERGED} if it takes longer than {@code
+     * maxMicros}.
      */
     public long microsUntilConverged(long maxMicros) {
         long startMicros = scheduler.nowMicros();
@@ -295,22 +296,25 @@
         return NOT_CONVERGED;
     }
 
-    /** Time in µs from the kill of a member until another one detected it, for every pair. */
+    /** Returns the times in µs from the kill of a member to its detection, for each observer. */
     public Histogram detectionTimes() {
         return detectionTimes;
     }
 
-    /** Running members that were declared dead outside of partitions; at most 100. */
+    /**
+     * Returns descriptions of running members that were declared dead; at most 100. Members that
+     * are declared dead because of a partition are included.
+     */
     public List<String> falsePositives() {
         return falsePositives;
     }
 
-    /** Bytes sent so far, mean of the members. */
+    /** Returns the mean number of bytes that a member has sent. */
     public double meanBytesSent() {
         return members.stream().mapToLong(SimulatedMember::bytesSent).average().orElse(0);
     }
 
-    /** Datagrams sent so far by all members. */
+    /** Returns the number of datagrams that all members have sent. */
     public long datagramsSent() {
         return datagramsSent;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/PeerDatagrams.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/PeerDatagrams.java
@@ -3,21 +3,22 @@
 import java.util.List;
 
 /**
- * Datagrams between balancers in virtual time, delayed, lost and duplicated by the network. Counts
- * those that are delivered within the length of the run. Single-threaded.
+ * Transmits datagrams between balancers in virtual time. The network delays, loses and duplicates
+ * them. Counts the datagrams that are delivered within the length of the run. Used only by the
+ * thread that runs the simulation.
  */
 final class PeerDatagrams {
     private final VirtualTimeScheduler scheduler;
     private final SimulatedNetwork network;
     private final List<SimulatedBalancer> balancers;
     private final long lengthMicros;
-    // By sender and recipient; a sender's row is null until one of its datagrams arrives
+    // Delivered datagrams by sender and recipient. A sender's row is null until its first delivery.
     private final int[][] deliveredCounts;
 
     /**
-     * Creates the datagrams of a run.
+     * Creates the datagram transport of a run.
      *
-     * @param balancers may be filled later, up to {@code balancerCount}
+     * @param balancers list of the balancers, which may be filled later up to {@code balancerCount}
      * @param lengthMicros length of the run in µs
      */
     PeerDatagrams(
@@ -64,7 +65,7 @@
         deliveredCounts[sender][recipient] += scheduler.nowMicros() < lengthMicros ? 1 : 0;
     }
 
-    /** Datagrams that one balancer received from another within the run's length. */
+    /** Returns how many datagrams one balancer received from another within the run's length. */
     long deliveredCount(int sender, int recipient) {
         return deliveredCounts[sender] == null ? 0 : deliveredCounts[sender][recipient];
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/PolicyEventLoop.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/PolicyEventLoop.java
@@ -4,57 +4,57 @@
 import java.util.Deque;
 
 /**
- * The event loop of one balancer process in virtual time. Events of the routing policy run one
- * after the other and are not re-entrant: an event that is submitted by another runs after it.
- * Events of a paused process wait until it resumes, and timers end with the process that set them.
- * Single-threaded.
+ * The event loop of one balancer process in virtual time. Events of the routing policy run one at a
+ * time: an event that another event submits runs after it. Events of a paused process wait until
+ * the process resumes. The timers of a process are dropped when it ends. Used only by the thread
+ * that runs the simulation.
  */
 final class PolicyEventLoop {
-    // The policy's clock at time 0 of the run
+    // The time of the policy's clock at time 0 of the run.
     private static final long POLICY_CLOCK_EPOCH_MICROS = 1_000_000_000;
 
     private final VirtualTimeScheduler scheduler;
     private final Deque<Runnable> pendingEvents = new ArrayDeque<>();
     private boolean alive;
     private boolean paused;
-    private boolean draining;
-    // Counts starts and ends of the process; timers of an earlier count are obsolete
-    private int incarnation;
+    private boolean runningEvents;
+    // Number of starts and ends of the process. Timers of an earlier generation are obsolete.
+    private int generation;
 
     PolicyEventLoop(VirtualTimeScheduler scheduler) {
         this.scheduler = scheduler;
     }
 
-    /** The policy's clock at a time of the run, in µs. */
+    /** Converts a time of the run in µs to the time of the policy's clock in µs. */
     static long policyTimeMicros(long runMicros) {
         return runMicros + POLICY_CLOCK_EPOCH_MICROS;
     }
 
-    /** The policy's clock now, in µs. */
+    /** Returns the current time of the policy's clock in µs. */
     long policyNowMicros() {
         return policyTimeMicros(scheduler.nowMicros());
     }
 
-    /** Whether its process runs or is paused. */
+    /** Returns whether the process is running or paused. */
     boolean isAlive() {
         return alive;
     }
 
-    /** A process starts. */
+    /** Handles the start of a process. */
     void start() {
         alive = true;
         paused = false;
-        incarnation++;
+        generation++;
     }
 
-    /** The process ends; its events and timers are dropped. */
+    /** Handles the end of the process; its events and timers are dropped. */
     void stop() {
         alive = false;
-        incarnation++;
+        generation++;
         pendingEvents.clear();
     }
 
-    /** Pauses the process, or resumes it and runs the events that waited. */
+    /** Pauses the process, or resumes it and runs the pending events. */
     void setPaused(boolean newPaused) {
         paused = newPaused;
         if (!newPaused) {
@@ -62,31 +62,31 @@
         }
     }
 
-    /** Runs an event now, or once the events before it have run and the process is not paused. */
+    /** Runs an event after the events before it, as soon as the process is not paused. */
     void submit(Runnable event) {
         pendingEvents.add(event);
-        if (!draining && !paused) {
+        if (!runningEvents && !paused) {
             runPendingEvents();
         }
     }
 
     /** Submits an event {@code delayMicros} µs from now, unless the process has ended by then. */
     void submitAfter(long delayMicros, Runnable event) {
-        int scheduledIncarnation = incarnation;
+        int scheduledGeneration = generation;
         scheduler.scheduleAfter(
                 delayMicros,
                 () -> {
-                    if (incarnation == scheduledIncarnation) {
+                    if (generation == scheduledGeneration) {
                         submit(event);
                     }
                 });
     }
 
     private void runPendingEvents() {
-        draining = true;
+        runningEvents = true;
         while (!pendingEvents.isEmpty() && alive && !paused) {
             pendingEvents.poll().run();
         }
-        draining = false;
+        runningEvents = false;
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/QueueingServers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/QueueingServers.java
@@ -8,13 +8,14 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * Fast and slow servers of {@link JsqDasExperiment}: each serves one job at a time in order of
- * arrival, with exponential service times. The fast servers come first. Single-threaded.
+ * The fast and slow servers of {@link JsqDasExperiment}. Each server serves one job at a time in
+ * order of arrival, with exponential service times. The fast servers have the lowest numbers. Used
+ * only by the thread that runs the simulation.
  */
 final class QueueingServers {
     static final double MICROS_PER_SECOND = 1e6;
 
-    // Jobs per second, as in the paper
+    // Service rates in jobs per second, from the JSQ-DAS paper.
     private static final double FAST_SERVICE_RATE = 1.95;
     private static final double SLOW_SERVICE_RATE = 0.6;
     private static final double FAST_FRACTION = 0.3;
@@ -24,8 +25,8 @@
     private final int fastCount;
     private final List<Deque<QueuedJob>> queues = new ArrayList<>();
     private final long[] dispatchCounts;
-    // Jobs that complete before this one do not count
-    private final int firstCountedJob;
+    // The first completed job, counted from 1, whose response time is measured.
+    private final int firstMeasuredJob;
     private double responseTimeSumMicros;
     private int completedJobs;
 
@@ -45,7 +46,7 @@
         this.unitExponential = ZigguratSampler.Exponential.of(random, 1);
         this.fastCount = (int) Math.round(FAST_FRACTION * count);
         this.dispatchCounts = new long[count];
-        this.firstCountedJob = warmUpJobs + 1;
+        this.firstMeasuredJob = warmUpJobs + 1;
         for (int server = 0; server < count; server++) {
             queues.add(new ArrayDeque<>());
         }
@@ -59,22 +60,22 @@
         return fastCount;
     }
 
-    /** Whether a server is one of the fast ones. */
+    /** Returns whether a server is fast. */
     boolean isFast(int server) {
         return server < fastCount;
     }
 
-    /** Service rate of a server in jobs per second. */
+    /** Returns the service rate of a server in jobs per second. */
     double serviceRate(int server) {
         return isFast(server) ? FAST_SERVICE_RATE : SLOW_SERVICE_RATE;
     }
 
-    /** Jobs at a server, with the one that it serves. */
+    /** Returns the number of jobs at a server, including the one in service. */
     int queueLength(int server) {
         return queues.get(server).size();
     }
 
-    /** Jobs that were ever sent to a server. */
+    /** Returns the number of jobs that were sent to a server. */
     long dispatchCount(int server) {
         return dispatchCounts[server];
     }
@@ -83,17 +84,17 @@
         return completedJobs;
     }
 
-    /** Sum of the response times in µs of all jobs that completed after the warm-up. */
+    /** Returns the sum of the response times in µs of all jobs that completed after the warm-up. */
     double responseTimeSumMicros() {
         return responseTimeSumMicros;
     }
 
-    /** Draws an exponential time in µs of that mean rate per second. */
+    /** Draws an exponentially distributed time in µs for a rate per second. */
     long drawExponentialMicros(double ratePerSecond) {
         return (long) (unitExponential.sample() / ratePerSecond * MICROS_PER_SECOND);
     }
 
-    /** Sends a job to a server; {@code onCompletion} runs when it is served. */
+    /** Sends a job to a server; {@code onCompletion} runs when the job completes. */
     void enqueue(int server, Runnable onCompletion) {
         dispatchCounts[server]++;
         queues.get(server).add(new QueuedJob(scheduler.nowMicros(), onCompletion));
@@ -110,7 +111,7 @@
     private void completeJob(int server) {
         QueuedJob job = queues.get(server).poll();
         completedJobs++;
-        if (completedJobs >= firstCountedJob) {
+        if (completedJobs >= firstMeasuredJob) {
             responseTimeSumMicros += scheduler.nowMicros() - job.arrivedAtMicros;
         }
         if (queueLength(server) > 0) {
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/ResourceUsage.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/ResourceUsage.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import java.util.Locale;
 
-/** Resources that this process has used since an instance was created, for the cost of a run. */
+/** Measures the resources that this process uses from the creation of an instance on. */
 public final class ResourceUsage {
     private static final Path PROC_STATUS = Path.of("/proc/self/status");
     private static final String PEAK_RESIDENT_FIELD = "VmHWM:";
@@ -30,12 +30,12 @@
                     .map(line -> Long.parseLong(line.replaceAll("\\D", "")) >> 10)
                     .orElse(0L);
         } catch (IOException e) {
-            // Unknown outside Linux
+            // The file exists on Linux only.
             return 0;
         }
     }
 
-    /** One line: simulated and real time, CPU, events and memory. */
+    /** Returns a line with simulated and real time, CPU time, number of events and peak memory. */
     public String simulationSummary(double simulatedS, long events) {
         return String.format(
                 Locale.ROOT,
@@ -45,7 +45,7 @@
                 events);
     }
 
-    /** One line: real time, CPU and memory. */
+    /** Returns a line with real time, CPU time and peak memory. */
     public String summary() {
         return "cost: " + usage();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/RoutingPolicyDispatcher.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/RoutingPolicyDispatcher.java
@@ -21,12 +21,13 @@
 import loadbalancer.routing.api.RoutingSettings;
 
 /**
- * The production routing policy as the one dispatcher of {@link JsqDasExperiment}: its own requests
- * in flight are the queues. Single-threaded.
+ * Runs the production routing policy as the only dispatcher of {@link JsqDasExperiment}, so the
+ * requests that the policy has in flight at a server are the server's whole queue. Used only by the
+ * thread that runs the simulation.
  */
 final class RoutingPolicyDispatcher implements RoutingActions {
     private static final long FAR_FUTURE_MICROS = 3_600_000_000L;
-    // The policy's clock at time 0 of the experiment
+    // The time of the policy's clock at time 0 of the experiment.
     private static final long POLICY_CLOCK_EPOCH_MICROS = (long) QueueingServers.MICROS_PER_SECOND;
     private static final long SEED = 1;
     private static final int UNKNOWN_WORK = -1;
@@ -35,7 +36,7 @@
     private final VirtualTimeScheduler scheduler;
     private final RoutingPolicy policy;
 
-    /** The policy asked for something that the experiment does not have. */
+    /** Thrown when the policy rejects or fails a job, which must not happen in the experiment. */
     static final class UnexpectedActionException extends IllegalStateException {
         private static final long serialVersionUID = 1L;
 
@@ -44,7 +45,7 @@
         }
     }
 
-    /** Creates a dispatcher whose policy has all servers listed as endpoints. */
+    /** Creates a dispatcher whose policy has all servers as endpoints. */
     RoutingPolicyDispatcher(QueueingServers servers, VirtualTimeScheduler scheduler) {
         this.servers = servers;
         this.scheduler = scheduler;
@@ -106,7 +107,7 @@
         return scheduler.nowMicros() + POLICY_CLOCK_EPOCH_MICROS;
     }
 
-    /** Submits a job to the policy, which sends it to a server at once. */
+    /** Submits a job to the policy, which sends it to a server immediately. */
     void dispatch(int job) {
         policy.onRequest(
                 policyNowMicros(),
@@ -155,8 +156,8 @@
                 Math.max(1, delayMicros), () -> policy.onTimer(policyNowMicros(), this));
     }
 
-    // Attempts always succeed, the list of servers is fixed, and there are no peers: what else the
-    // policy asks for has no effect.
+    // The other actions have no effect: attempts always succeed, the list of servers is fixed, and
+    // there are no peers.
 
     @Override
     public void cancel(String requestId, int attemptNumber) {}
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SampledServerSelector.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SampledServerSelector.java
@@ -6,21 +6,21 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The dispatching policies of the paper, which select a server by the lengths of sampled queues.
- * Single-threaded.
+ * Implements the dispatching policies of the JSQ-DAS paper, which select a server by the lengths of
+ * all queues or of a sample. Used only by the thread that runs the simulation.
  */
 final class SampledServerSelector {
-    // d of the paper
+    // Called d in the paper.
     private static final int SAMPLE_SIZE = 4;
-    // A, d_F and d_S of the paper
+    // Called a, d_F and d_S in the paper.
     private static final int GROUP_SAMPLE_SIZE = 2;
-    // The ranking is renewed after that part of the servers' number of jobs; dispatch counts differ
-    // by far more than that
-    private static final int RANKING_RENEWALS = 100;
+    // The ranking is renewed each time the number of new jobs reaches the number of servers divided
+    // by this. The dispatch counts of servers differ by far more than those jobs.
+    private static final int RANKING_INTERVAL_DIVISOR = 100;
 
     private final QueueingServers servers;
     private final UniformRandomProvider random;
-    // Servers by dispatch count, most first; empty until it is needed
+    // Servers by dispatch count, highest first; empty until first needed.
     private int[] ranking = {};
     private int rankedAtJob;
 
@@ -32,14 +32,14 @@
     /**
      * Selects the server of a job.
      *
-     * @param startedJobs number of jobs so far, with this one
+     * @param startedJobs number of jobs so far, including this one
      */
     int select(JsqDasExperiment.DispatchPolicy policy, int startedJobs) {
         return switch (policy) {
             case JSQ -> shortestQueue(IntStream.range(0, servers.count()).toArray());
             case JSQ_D -> shortestQueue(sample(0, servers.count(), SAMPLE_SIZE));
             case SED_D -> shortestExpectedDelay(sample(0, servers.count(), SAMPLE_SIZE));
-            case JSQ_DF_DS -> selectFastThenSlow();
+            case JSQ_DF_DS -> selectFromFastAndSlow();
             case JSQ_DAS, MODULE -> selectAccomplished(startedJobs);
         };
     }
@@ -64,7 +64,7 @@
         return IntStream.range(0, length).anyMatch(i -> values[i] == value);
     }
 
-    // The search starts at a random server: of several shortest queues the first found wins.
+    // The search starts at a random position because the first of several shortest queues wins.
     private int shortestQueue(int[] sampled) {
         int start = random.nextInt(sampled.length);
         int best = sampled[start];
@@ -90,7 +90,7 @@
         return (servers.queueLength(server) + 1) / servers.serviceRate(server);
     }
 
-    private int selectFastThenSlow() {
+    private int selectFromFastAndSlow() {
         int shortestFast = shortestQueue(sample(0, servers.fastCount(), GROUP_SAMPLE_SIZE));
         int shortestSlow =
                 shortestQueue(sample(servers.fastCount(), servers.count(), GROUP_SAMPLE_SIZE));
@@ -104,7 +104,7 @@
         int[] accomplished = sample(0, servers.fastCount(), GROUP_SAMPLE_SIZE);
         int[] others =
                 sample(servers.fastCount(), servers.count(), SAMPLE_SIZE - GROUP_SAMPLE_SIZE);
-        // The more accomplished come first: of equal queues theirs wins
+        // The more accomplished servers come first, so they win among equally short queues.
         int[] ranks =
                 IntStream.concat(Arrays.stream(accomplished), Arrays.stream(others))
                         .sorted()
@@ -117,14 +117,14 @@
     }
 
     private void renewRankingIfDue(int startedJobs) {
-        int renewalInterval = Math.max(1, servers.count() / RANKING_RENEWALS);
+        int renewalInterval = Math.max(1, servers.count() / RANKING_INTERVAL_DIVISOR);
         if (ranking.length == 0 || startedJobs - rankedAtJob >= renewalInterval) {
             ranking = rankByDispatchCount(servers);
             rankedAtJob = startedJobs;
         }
     }
 
-    /** All servers by the number of jobs that were sent to them, most first. */
+    /** Returns all servers by the number of jobs that were sent to them, highest first. */
     static int[] rankByDispatchCount(QueueingServers servers) {
         return IntStream.range(0, servers.count())
                 .boxed()
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedAttempt.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedAttempt.java
@@ -2,21 +2,21 @@
 
 import loadbalancer.testbed.endpointmodel.Job;
 
-/** One attempt of an exchange at an upstream. Single-threaded. */
+/** One attempt of an exchange at an upstream. Used only by the thread that runs the simulation. */
 final class SimulatedAttempt {
     private final SimulatedExchange exchange;
     private final int number;
     private final SimulatedUpstream upstream;
     private final long startedAtMicros;
-    // Null until the upstream accepts it
+    // Null until the upstream accepts the attempt.
     private Job job;
     private boolean ended;
 
     /**
      * Creates an attempt that the upstream has not received yet.
      *
-     * @param number its number in the exchange, from 0
-     * @param startedAtMicros time of the run in µs at which the policy asked for it
+     * @param number number of the attempt in the exchange, from 0
+     * @param startedAtMicros time of the run in µs at which the policy requested the attempt
      */
     SimulatedAttempt(
             SimulatedExchange exchange,
@@ -45,29 +45,29 @@
         return startedAtMicros;
     }
 
-    /** The upstream has accepted it as this job. */
+    /** Sets the job as which the upstream has accepted the attempt. */
     void setJob(Job acceptedJob) {
         job = acceptedJob;
     }
 
-    /** Cancels what the upstream has accepted of it, if anything. */
+    /** Cancels the job at the upstream, if the upstream has accepted the attempt. */
     void cancelJob() {
         if (job != null) {
             upstream.cancel(job);
         }
     }
 
-    /** Whether the upstream has accepted it. */
+    /** Returns whether the upstream has accepted the attempt. */
     boolean isAccepted() {
         return job != null;
     }
 
-    /** Whether the balancer knows its outcome or no longer waits for it. */
+    /** Returns whether the balancer knows the outcome or no longer waits for it. */
     boolean ended() {
         return ended;
     }
 
-    void end() {
+    void markEnded() {
         ended = true;
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedBalancer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedBalancer.java
@@ -7,8 +7,9 @@
 import loadbalancer.testbed.invariant.ClientAttempt;
 
 /**
- * One balancer in virtual time: the life cycle of its process, and the events that reach its
- * routing policy through {@link PolicyEventLoop} and {@link SimulatedDispatcher}. Single-threaded.
+ * One balancer in virtual time: controls the life cycle of its process and submits the events of
+ * its routing policy to {@link PolicyEventLoop} and {@link SimulatedDispatcher}. Used only by the
+ * thread that runs the simulation.
  */
 final class SimulatedBalancer {
     private final int number;
@@ -16,7 +17,7 @@
     private final PolicyEventLoop eventLoop;
     private final SimulatedDispatcher dispatcher;
 
-    /** Creates a balancer that does not run yet. */
+    /** Creates a balancer whose process is not running yet. */
     SimulatedBalancer(
             int number, SimulationContext context, SimulatedDiscoveryAgent discoveryAgent) {
         this.number = number;
@@ -29,7 +30,7 @@
         return number;
     }
 
-    /** Whether its process runs or is paused. */
+    /** Returns whether the process is running or paused. */
     boolean alive() {
         return eventLoop.isAlive();
     }
@@ -46,41 +47,41 @@
         return dispatcher.connectionsOpened();
     }
 
-    /** Starts a process with a new policy and the endpoint list that was cached for it. */
+    /** Starts a process with a new routing policy and the cached endpoint list. */
     void start(RoutingPolicy newPolicy, List<Endpoint> cachedEndpoints) {
         dispatcher.setPolicy(newPolicy);
         eventLoop.start();
         onEndpointList(EndpointListKind.CACHED, cachedEndpoints);
     }
 
-    /** Kills its process: clients that wait for a response see the connection close. */
+    /** Kills the process. Clients that wait for a response see their connection close. */
     void kill() {
         eventLoop.stop();
         dispatcher.closeAll();
     }
 
-    /** Pauses its process, or resumes it. */
+    /** Pauses or resumes the process. */
     void pause(boolean paused) {
         eventLoop.setPaused(paused);
     }
 
-    /** Discovery delivers the endpoint list or a part of it. */
+    /** Handles the endpoint list or a part of it from discovery. */
     void onEndpointList(EndpointListKind kind, List<Endpoint> endpoints) {
         eventLoop.submit(() -> dispatcher.onEndpointList(kind, endpoints));
     }
 
-    /** A datagram of another balancer arrives. */
+    /** Handles a datagram from another balancer. */
     void onPeerMessage(int sender, byte[] payload) {
         eventLoop.submit(() -> dispatcher.onPeerMessage(sender, payload));
     }
 
-    /** A client sends a request. */
+    /** Accepts a request from a client. */
     void accept(ClientAttempt clientAttempt) {
         long deadlineMicros = scheduler.nowMicros() + clientAttempt.timeoutMicros();
         eventLoop.submit(() -> dispatcher.accept(clientAttempt, deadlineMicros));
     }
 
-    /** The client of an attempt has disconnected. */
+    /** Handles the disconnection of the client of an attempt. */
     void onClientDisconnected(ClientAttempt clientAttempt) {
         eventLoop.submit(() -> dispatcher.onClientDisconnected(clientAttempt));
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedClients.java
@@ -14,8 +14,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Clients and their front end in virtual time. A request is accepted, answered and abandoned at the
- * times at which sockets would bring it.
+ * Simulates the clients and their front end in virtual time. Requests are accepted, answered and
+ * abandoned at the times at which this would happen over sockets. Used only by the thread that runs
+ * the simulation.
  */
 final class SimulatedClients {
     private static final int STATUS_OK = 200;
@@ -46,7 +47,7 @@
         idRandom = RandomStreams.stream(plan.seed(), "clients");
     }
 
-    /** The front end finds that the balancer is ready. */
+    /** Informs the front end that the balancer is ready. */
     void onReady(int balancer) {
         rotation.onReadiness(balancer, true);
     }
@@ -103,7 +104,7 @@
                 });
     }
 
-    /** A balancer's response; ignored if the client has disconnected. */
+    /** Handles the response of a balancer; ignores it if the attempt has ended. */
     void onResponse(ClientAttempt attempt, int status, long retryAfterMicros) {
         if (attempt.ended()) {
             return;
@@ -118,7 +119,7 @@
         }
     }
 
-    /** The attempt's connection ended together with the process of its balancer. */
+    /** Handles the close of an attempt's connection when the process of the balancer ends. */
     void onConnectionClosed(ClientAttempt attempt) {
         invariants.closedIncomplete(attempt, false, scheduler.nowMicros());
         lifecycle.retryOrEnd(attempt, ClientRequest.Outcome.FAILED, 0);
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedDiscoveryAgent.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedDiscoveryAgent.java
@@ -9,8 +9,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The discovery agent of one balancer in virtual time: how many of the list's changes it knows and
- * has delivered. Stale, silent and denied all delay delivery until the fault ends. Single-threaded.
+ * The discovery agent of one balancer in virtual time: tracks how many changes of the endpoint list
+ * it has received and delivered. The faults stale, silent and denied all delay delivery until the
+ * fault ends. Used only by the thread that runs the simulation.
  */
 final class SimulatedDiscoveryAgent implements FaultableDiscoveryAgent {
     private final VirtualTimeScheduler scheduler;
@@ -18,19 +19,19 @@
     private final Range delayRangeMs;
     private final EndpointListHistory history;
     private final Consumer<Endpoint> listener;
-    private long lastArrivalMicros;
+    private long lastReceiptMicros;
     private long extraDelayMicros;
-    private int muteCount;
-    // Changes that the agent knows
+    private int activeMutingFaults;
+    // Number of changes that the agent has received.
     private int receivedCount;
-    // Of those, changes that it delivered
+    // Number of received changes that the agent has delivered to its balancer.
     private int deliveredCount;
 
     /**
-     * Creates an agent that knows the initial list.
+     * Creates an agent that has the initial list.
      *
-     * @param delayRangeMs range of the delay of a change
-     * @param listener is notified of each change when it is delivered to the balancer
+     * @param delayRangeMs range of the delay in ms after which the agent receives a change
+     * @param listener receives each change that is delivered to the balancer
      */
     SimulatedDiscoveryAgent(
             VirtualTimeScheduler scheduler,
@@ -45,26 +46,28 @@
         this.listener = listener;
     }
 
-    /** The list as the agent delivers it. */
+    /** Returns the endpoint list with all changes that the agent has delivered. */
     List<Endpoint> endpoints() {
         return history.listAfter(deliveredCount);
     }
 
-    /** The list has changed: the agent learns of it after its delay, in order. */
+    /**
+     * Handles a change of the endpoint list: the agent receives changes in order, after a delay.
+     */
     void onChange() {
         long delayMicros = Math.round(1e3 * RandomStreams.drawUniform(random, delayRangeMs));
-        lastArrivalMicros =
-                Math.max(lastArrivalMicros, scheduler.nowMicros() + delayMicros + extraDelayMicros);
-        scheduler.schedule(lastArrivalMicros, this::onReceived);
+        lastReceiptMicros =
+                Math.max(lastReceiptMicros, scheduler.nowMicros() + delayMicros + extraDelayMicros);
+        scheduler.schedule(lastReceiptMicros, this::onChangeReceived);
     }
 
-    private void onReceived() {
+    private void onChangeReceived() {
         receivedCount++;
         deliverPending();
     }
 
     private void deliverPending() {
-        while (muteCount == 0 && deliveredCount < receivedCount) {
+        while (activeMutingFaults == 0 && deliveredCount < receivedCount) {
             listener.accept(history.change(deliveredCount++));
         }
     }
@@ -90,7 +93,7 @@
     }
 
     private void setMuted(boolean active) {
-        muteCount += active ? 1 : -1;
+        activeMutingFaults += active ? 1 : -1;
         deliverPending();
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedDispatcher.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedDispatcher.java
@@ -12,17 +12,18 @@
 import loadbalancer.testbed.invariant.ClientAttempt;
 
 /**
- * The exchanges and attempts of one balancer process: gives the routing policy its events and
- * carries out its actions. A client gets the first final response of its exchange; what happens to
- * the other attempts only informs the policy. All methods but {@link #closeAll} are called as
- * events of the balancer's process.
+ * Manages the exchanges and attempts of one balancer process: passes events to the routing policy
+ * and carries out its actions. A client receives the first final response of its exchange. The
+ * outcomes of the other attempts are reported to the policy only. Events are handled on the
+ * balancer's {@link PolicyEventLoop}. {@link #setPolicy} and {@link #closeAll} are called directly
+ * when the process starts and ends. Used only by the thread that runs the simulation.
  */
 final class SimulatedDispatcher implements RoutingActions, SimulatedTransport.AttemptListener {
     private static final int MAX_ATTEMPTS = 4;
     private static final int STATUS_OK = 200;
     private static final int STATUS_INTERNAL_ERROR = 500;
     private static final int STATUS_SERVICE_UNAVAILABLE = 503;
-    // The policy is not told how much work a request is
+    // The policy is not told the work of a request.
     private static final int UNKNOWN_WORK = -1;
 
     private final int balancer;
@@ -36,7 +37,7 @@
     private long datagramsSent;
     private long bytesSent;
 
-    /** Creates a dispatcher without exchanges, which has no policy until {@link #setPolicy}. */
+    /** Creates a dispatcher without exchanges; it has no policy until {@link #setPolicy}. */
     SimulatedDispatcher(
             int balancer,
             SimulationContext context,
@@ -50,7 +51,7 @@
         this.transport = new SimulatedTransport(balancer, context, eventLoop, this);
     }
 
-    /** Sets the policy of a process that starts. */
+    /** Sets the routing policy of a new process. */
     void setPolicy(RoutingPolicy newPolicy) {
         policy = newPolicy;
     }
@@ -67,26 +68,27 @@
         return transport.connectionsOpened();
     }
 
-    /** Discovery has delivered the endpoint list or a part of it. */
+    /** Passes the endpoint list or a part of it to the policy. */
     void onEndpointList(EndpointListKind kind, List<Endpoint> endpoints) {
         policy.onEndpointList(eventLoop.policyNowMicros(), kind, endpoints, this);
     }
 
-    /** A datagram of another balancer has arrived. */
+    /** Passes a datagram from another balancer to the policy. */
     void onPeerMessage(int sender, byte[] payload) {
         policy.onPeerMessage(eventLoop.policyNowMicros(), sender, payload, this);
     }
 
-    // ------------------------------------------------------------ exchanges
-
-    /** The process has ended: clients that wait for a response see the connection close. */
+    /**
+     * Ends all exchanges because the process has ended. Clients that wait for a response see their
+     * connection close.
+     */
     void closeAll() {
         List<SimulatedExchange> openExchanges =
                 exchanges.values().stream()
                         .filter(exchange -> !exchange.isClosed())
                         .sorted(Comparator.comparing(SimulatedExchange::requestId))
                         .toList();
-        exchanges.values().forEach(SimulatedDispatcher::abandonAttempts);
+        exchanges.values().forEach(SimulatedDispatcher::cancelOpenAttempts);
         exchanges
                 .values()
                 .forEach(exchange -> context.invariants().forget(exchange.clientAttempt()));
@@ -96,16 +98,16 @@
                 exchange -> context.clients().onConnectionClosed(exchange.clientAttempt()));
     }
 
-    private static void abandonAttempts(SimulatedExchange exchange) {
+    private static void cancelOpenAttempts(SimulatedExchange exchange) {
         for (SimulatedAttempt attempt : exchange.attempts()) {
             if (!attempt.ended()) {
                 attempt.cancelJob();
-                attempt.end();
+                attempt.markEnded();
             }
         }
     }
 
-    /** Accepts a request whose client waits until {@code deadlineMicros} of the run. */
+    /** Accepts a request whose client waits until {@code deadlineMicros}, time of the run in µs. */
     void accept(ClientAttempt clientAttempt, long deadlineMicros) {
         SimulatedExchange exchange = new SimulatedExchange(clientAttempt, deadlineMicros);
         exchanges.put(exchange.requestId(), exchange);
@@ -120,7 +122,7 @@
                 false,
                 this);
         eventLoop.submitAfter(
-                Math.max(0, exchange.timeUntilGuardMicros(scheduler.nowMicros())),
+                Math.max(0, exchange.timeUntilMarginMicros(scheduler.nowMicros())),
                 () -> failAtDeadline(exchange));
     }
 
@@ -131,11 +133,11 @@
         }
     }
 
-    /** The client of an attempt has disconnected. */
+    /** Closes the exchange of a client that has disconnected, and notifies the policy. */
     void onClientDisconnected(ClientAttempt clientAttempt) {
         SimulatedExchange exchange = exchanges.get(clientAttempt.id());
         if (exchange != null && !exchange.isClosed()) {
-            exchange.close();
+            exchange.markClosed();
             policy.onClientDisconnected(eventLoop.policyNowMicros(), exchange.requestId(), this);
             removeIfFinished(exchange);
         }
@@ -144,7 +146,7 @@
     private void respondToClient(String requestId, int status, long retryAfterMicros) {
         SimulatedExchange exchange = exchanges.get(requestId);
         if (exchange != null && !exchange.isClosed()) {
-            exchange.close();
+            exchange.markClosed();
             context.clients().onResponse(exchange.clientAttempt(), status, retryAfterMicros);
             removeIfFinished(exchange);
         }
@@ -157,8 +159,6 @@
         }
     }
 
-    // ------------------------------------------------------------ attempts
-
     @Override
     public void send(String requestId, String endpointId, long timeoutMicros) {
         SimulatedExchange exchange = exchanges.get(requestId);
@@ -167,7 +167,7 @@
         }
         SimulatedAttempt attempt =
                 exchange.newAttempt(context.upstreams().byUid(endpointId), scheduler.nowMicros());
-        long timeLeftMicros = exchange.timeUntilGuardMicros(scheduler.nowMicros());
+        long timeLeftMicros = exchange.timeUntilMarginMicros(scheduler.nowMicros());
         if (exchange.isClosed()
                 || timeLeftMicros <= 0
                 || exchange.attempts().size() > MAX_ATTEMPTS) {
@@ -198,7 +198,7 @@
         if (attempt.ended()) {
             return;
         }
-        attempt.end();
+        attempt.markEnded();
         if (isResponse(outcome)) {
             transport.release(attempt);
         } else {
@@ -206,7 +206,7 @@
         }
         SimulatedExchange exchange = attempt.exchange();
         if (outcome == AttemptOutcome.OK && !exchange.isClosed()) {
-            exchange.close();
+            exchange.markClosed();
             context.clients().onResponse(exchange.clientAttempt(), STATUS_OK, 0);
         }
         policy.onAttemptEnded(
@@ -228,8 +228,6 @@
         };
     }
 
-    // ------------------------------------------------------------ other actions of the policy
-
     @Override
     public void reject(String requestId, long retryAfterMicros) {
         respondToClient(requestId, STATUS_SERVICE_UNAVAILABLE, retryAfterMicros);
@@ -258,7 +256,7 @@
 
     @Override
     public void watchEndpoints(boolean enabled) {
-        // Discovery pushes changes in the simulation.
+        // Discovery always pushes changes in the simulation.
     }
 
     @Override
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedMember.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedMember.java
@@ -4,57 +4,57 @@
 import loadbalancer.membership.Membership;
 
 /**
- * One member of a {@link MembershipSimulation}: its present process and what is known of its latest
- * end. Single-threaded.
+ * One member of a {@link MembershipSimulation}: holds the state of its current process and the
+ * detections of its latest kill. Used only by the thread that runs the simulation.
  */
 final class SimulatedMember {
     private static final long NEVER_KILLED = -1;
 
-    // Of the present process, or of the latest one if none runs
-    private Membership protocol;
+    // State machine of the current process, or of the latest one if no process is running.
+    private Membership membership;
     private long initialIncarnation;
     private int processNumber;
     private boolean running;
     private long bytesSent;
     private long killedAtMicros = NEVER_KILLED;
-    // Members that have detected the latest kill
+    // Members that have detected the latest kill.
     private final BitSet detectedBy;
 
     SimulatedMember(int memberCount) {
         detectedBy = new BitSet(memberCount);
     }
 
-    /** A new process starts, whose incarnations begin with {@code incarnation}. */
-    void start(Membership newProtocol, long incarnation) {
-        protocol = newProtocol;
+    /** Starts a new process whose first incarnation is {@code incarnation}. */
+    void start(Membership newMembership, long incarnation) {
+        membership = newMembership;
         initialIncarnation = incarnation;
         processNumber++;
         running = true;
         killedAtMicros = NEVER_KILLED;
     }
 
-    /** Its process has left the cluster and ended. */
+    /** Records that the process has left the cluster and ended. */
     void leave() {
         running = false;
     }
 
-    /** Its process is killed at a time of the simulation in µs. */
+    /** Records that the process is killed at a time of the simulation in µs. */
     void kill(long nowMicros) {
         running = false;
         killedAtMicros = nowMicros;
         detectedBy.clear();
     }
 
-    Membership protocol() {
-        return protocol;
+    Membership membership() {
+        return membership;
     }
 
-    /** The first incarnation of the present process. */
+    /** Returns the first incarnation of the current process. */
     long initialIncarnation() {
         return initialIncarnation;
     }
 
-    /** Counts the processes of this member, from 1. */
+    /** Returns the number of the current process, counted from 1. */
     int processNumber() {
         return processNumber;
     }
@@ -63,28 +63,28 @@
         return running;
     }
 
-    /** Whether its latest process was killed and no new one has started. */
+    /** Returns whether the latest process was killed and no new one has started. */
     boolean isKilled() {
         return killedAtMicros != NEVER_KILLED;
     }
 
-    /** Time of the simulation in µs of the latest kill; valid if {@link #isKilled}. */
+    /** Returns the time of the latest kill in µs of the simulation; valid if {@link #isKilled}. */
     long killedAtMicros() {
         return killedAtMicros;
     }
 
-    /** Records that another member detects the latest kill; false if it had before. */
+    /** Records a detection of the latest kill. Returns whether it is the observer's first one. */
     boolean addDetection(int observer) {
         boolean first = !detectedBy.get(observer);
         detectedBy.set(observer);
         return first;
     }
 
-    void countSent(int bytes) {
+    void addBytesSent(int bytes) {
         bytesSent += bytes;
     }
 
-    /** Bytes sent by all processes of this member. */
+    /** Returns the bytes that all processes of this member have sent. */
     long bytesSent() {
         return bytesSent;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedNetwork.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedNetwork.java
@@ -13,33 +13,34 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The links between balancers, and between balancers and upstreams, in virtual time. For a pair
- * without faults only its delay is stored. A pair gets links of its own when it is first used after
- * a fault; the faults so far are applied to them then. Single-threaded.
+ * Simulates the links between balancers, and between balancers and upstreams, in virtual time. For
+ * a pair without faults only the delay is stored. When a pair is first used after a fault, its own
+ * links are created and all faults so far are applied to them. Used only by the thread that runs
+ * the simulation.
  */
 final class SimulatedNetwork {
-    // Of a pair's key: width of its second half
-    private static final int KEY_HALF_BITS = 32;
-    // One way, within a zone
+    // The first number of a pair is shifted by this many bits in the key of the pair.
+    private static final int PAIR_KEY_SHIFT = 32;
+    // One-way delay within a zone.
     private static final int BASE_DELAY_MICROS = 1;
 
     private final List<WorkloadPlan.UpstreamSpec> upstreams;
     private final UniformRandomProvider upstreamRandom;
     private final UniformRandomProvider peerRandom;
     private final Scenario.Network networkSettings;
-    // By balancer and upstream, without faults
+    // One-way delay without faults, by balancer and upstream.
     private final int[][] delaysMicros;
-    // Between any two balancers, without faults
+    // Used between any two balancers as long as no fault has affected peer links.
     private final NetworkLink healthyPeerLink;
-    private final List<FaultChange> upstreamChanges = new ArrayList<>();
-    private final List<FaultChange> peerChanges = new ArrayList<>();
-    // By balancer and upstream, created on use
+    private final List<FaultChange> upstreamFaultChanges = new ArrayList<>();
+    private final List<FaultChange> peerFaultChanges = new ArrayList<>();
+    // Links by the key of balancer and upstream, created on first use after a fault.
     private final Map<Long, LinkPair> upstreamLinks = new HashMap<>();
-    // By sender and recipient, created on use
+    // Links by the key of sender and recipient, created on first use after a fault.
     private final Map<Long, NetworkLink> peerLinks = new HashMap<>();
     private final List<WorkloadPlan.Fault> activeRefusals = new ArrayList<>();
 
-    /** The begin or the end of a fault of links. */
+    /** The start or the end of a link fault. */
     private record FaultChange(
             WorkloadPlan.Fault fault, NetworkLink.LinkFault linkFault, boolean active) {
         void applyTo(NetworkLink link) {
@@ -47,7 +48,7 @@
         }
     }
 
-    /** The links from a balancer to an upstream and back. */
+    /** The link from a balancer to an upstream and the link back. */
     private record LinkPair(NetworkLink forward, NetworkLink reverse) {}
 
     SimulatedNetwork(WorkloadPlan plan) {
@@ -75,10 +76,10 @@
     }
 
     private static long pairKey(int first, int second) {
-        return ((long) first << KEY_HALF_BITS) | second;
+        return ((long) first << PAIR_KEY_SHIFT) | second;
     }
 
-    private static void replay(
+    private static void applyAffecting(
             List<FaultChange> changes, Predicate<WorkloadPlan.Fault> affects, NetworkLink link) {
         for (FaultChange change : changes) {
             if (affects.test(change.fault)) {
@@ -87,66 +88,67 @@
         }
     }
 
-    /** The link from one balancer to another. */
+    /** Returns the link from one balancer to another. */
     NetworkLink peerLink(int from, int to) {
-        return peerChanges.isEmpty()
+        return peerFaultChanges.isEmpty()
                 ? healthyPeerLink
-                : peerLinks.computeIfAbsent(pairKey(from, to), key -> faultyPeerLink(from, to));
+                : peerLinks.computeIfAbsent(
+                        pairKey(from, to), key -> newPeerLinkWithFaults(from, to));
     }
 
-    private NetworkLink faultyPeerLink(int from, int to) {
+    private NetworkLink newPeerLinkWithFaults(int from, int to) {
         NetworkLink link = newPeerLink();
-        replay(peerChanges, fault -> fault.affectsPeers(from, to), link);
+        applyAffecting(peerFaultChanges, fault -> fault.affectsPeers(from, to), link);
         return link;
     }
 
     private LinkPair linkPair(int balancer, int upstream) {
         return upstreamLinks.computeIfAbsent(
-                pairKey(balancer, upstream), key -> faultyLinkPair(balancer, upstream));
+                pairKey(balancer, upstream), key -> newLinkPairWithFaults(balancer, upstream));
     }
 
-    private LinkPair faultyLinkPair(int balancer, int upstream) {
+    private LinkPair newLinkPairWithFaults(int balancer, int upstream) {
         int position = upstreams.get(upstream).position();
         int delayMicros = delaysMicros[balancer][upstream];
         LinkPair pair =
                 new LinkPair(
                         new NetworkLink(upstreamRandom, delayMicros),
                         new NetworkLink(upstreamRandom, delayMicros));
-        replay(
-                upstreamChanges,
+        applyAffecting(
+                upstreamFaultChanges,
                 fault -> fault.affectsForwardPath(balancer, position),
                 pair.forward);
-        replay(
-                upstreamChanges,
+        applyAffecting(
+                upstreamFaultChanges,
                 fault -> fault.affectsReversePath(balancer, position),
                 pair.reverse);
         return pair;
     }
 
-    /** Draws the delay from a balancer to an upstream in µs. */
+    /** Draws the one-way delay from a balancer to an upstream in µs. */
     long forwardDelayMicros(int balancer, int upstream, long nowMicros) {
-        return upstreamChanges.isEmpty()
+        return upstreamFaultChanges.isEmpty()
                 ? delaysMicros[balancer][upstream]
                 : linkPair(balancer, upstream).forward.tcpDelayMicros(nowMicros, 0);
     }
 
-    /** Draws the delay from an upstream to a balancer in µs. */
+    /** Draws the one-way delay from an upstream to a balancer in µs. */
     long reverseDelayMicros(int balancer, int upstream, long nowMicros) {
-        return upstreamChanges.isEmpty()
+        return upstreamFaultChanges.isEmpty()
                 ? delaysMicros[balancer][upstream]
                 : linkPair(balancer, upstream).reverse.tcpDelayMicros(nowMicros, 0);
     }
 
-    /** Whether nothing passes in at least one direction. */
+    /** Returns whether the link is cut in at least one direction. */
     boolean isCut(int balancer, int upstream) {
-        if (upstreamChanges.isEmpty()) {
+        if (upstreamFaultChanges.isEmpty()) {
             return false;
         }
         LinkPair pair = linkPair(balancer, upstream);
         return pair.forward.isCut() || pair.reverse.isCut();
     }
 
-    /** Whether connections from the balancer to the upstream are refused. */
+    /** Returns whether a fault refuses connections from the balancer to the upstream. */
     boolean refusesConnections(int balancer, int upstream) {
         for (WorkloadPlan.Fault fault : activeRefusals) {
             if (fault.balancers().contains(balancer)
@@ -157,24 +159,24 @@
         return false;
     }
 
-    /** A fault of links begins or ends. */
+    /** Applies the start or the end of a link fault to all links that it affects. */
     void applyLinkFault(WorkloadPlan.Fault fault, boolean active) {
         FaultChange change = new FaultChange(fault, NetworkLink.LinkFault.of(fault), active);
         if (!fault.balancers().isEmpty() && !fault.toBalancers().isEmpty()) {
-            peerChanges.add(change);
+            peerFaultChanges.add(change);
             peerLinks.forEach((key, link) -> applyToPeerLink(change, key, link));
         }
         boolean affectsUpstreamLinks =
                 (!fault.balancers().isEmpty() && !fault.toUpstreams().isEmpty())
                         || (!fault.upstreams().isEmpty() && !fault.toBalancers().isEmpty());
         if (affectsUpstreamLinks) {
-            upstreamChanges.add(change);
+            upstreamFaultChanges.add(change);
             upstreamLinks.forEach((key, pair) -> applyToLinkPair(change, key, pair));
         }
     }
 
     private static int firstOf(long pairKey) {
-        return (int) (pairKey >> KEY_HALF_BITS);
+        return (int) (pairKey >> PAIR_KEY_SHIFT);
     }
 
     private static int secondOf(long pairKey) {
@@ -198,7 +200,7 @@
         }
     }
 
-    /** A fault begins, or one ends, in which connections are refused. */
+    /** Applies the start or the end of a fault that refuses connections. */
     void setRefusing(WorkloadPlan.Fault fault, boolean active) {
         if (active) {
             activeRefusals.add(fault);
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedTransport.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedTransport.java
@@ -8,15 +8,15 @@
 import loadbalancer.testbed.invariant.RequestInvariants;
 
 /**
- * The connections of one balancer to the upstreams. In place of sockets it brings the outcomes of
- * attempts at the times at which sockets would. Connections are modelled as far as outcomes depend
- * on them: a new one costs a round trip, and only an established one can become silent after a
- * request is written. Single-threaded.
+ * Simulates the connections of one balancer to the upstreams and reports the outcomes of attempts
+ * at the times at which sockets would. Connections are modelled only as far as outcomes depend on
+ * them: a new connection costs a round trip, and only an established connection can become silent
+ * after a request is written. Used only by the thread that runs the simulation.
  */
 final class SimulatedTransport {
-    // A round trip for the connection, then the request
-    private static final int TRIPS_ON_NEW_CONNECTION = 3;
-    private static final int TRIPS_UNTIL_REFUSED = 2;
+    // A round trip to open the connection, then the request.
+    private static final int ONE_WAY_TRIPS_ON_NEW_CONNECTION = 3;
+    private static final int ONE_WAY_TRIPS_UNTIL_REFUSED = 2;
 
     private final int balancer;
     private final VirtualTimeScheduler scheduler;
@@ -27,16 +27,16 @@
     private final Map<SimulatedUpstream, Integer> idleConnections = new HashMap<>();
     private long connectionsOpened;
 
-    /** Is notified of the outcome of an attempt, as an event of the balancer's process. */
+    /** Listens to the outcomes of attempts, in events of the balancer's event loop. */
     interface AttemptListener {
-        /** May be called more than once for an attempt; the first outcome counts. */
+        /** Handles an outcome. Only the first of several outcomes of an attempt counts. */
         void onAttemptEnded(SimulatedAttempt attempt, AttemptOutcome outcome);
     }
 
-    /** How a health check ends, and after how many µs. */
+    /** The outcome of a health check and the time in µs after which it is known. */
     record HealthCheckResult(AttemptOutcome outcome, long latencyMicros) {}
 
-    /** Creates a transport of a balancer without connections. */
+    /** Creates the transport of a balancer, without connections. */
     SimulatedTransport(
             int balancer,
             SimulationContext context,
@@ -50,7 +50,7 @@
         this.listener = listener;
     }
 
-    /** The number of connections that it has tried to open. */
+    /** Returns the number of connections that the balancer has tried to open. */
     long connectionsOpened() {
         return connectionsOpened;
     }
@@ -65,19 +65,19 @@
         idleConnections.remove(upstream);
     }
 
-    /** The connection of an attempt is idle again. */
+    /** Returns the connection of an attempt to the idle connections. */
     void release(SimulatedAttempt attempt) {
         idleConnections.merge(attempt.upstream(), 1, Integer::sum);
     }
 
-    /** Closes the connection of an attempt; the upstream notices after the network's delay. */
+    /** Closes the connection of an attempt. The upstream notices after the network delay. */
     void abort(SimulatedAttempt attempt) {
         if (attempt.isAccepted()) {
             scheduler.scheduleAfter(forwardDelayMicros(attempt.upstream()), attempt::cancelJob);
         }
     }
 
-    /** Writes an attempt on an idle or a new connection; its timeout is up to the caller. */
+    /** Sends an attempt on an idle or a new connection. The caller schedules the timeout. */
     void send(SimulatedAttempt attempt) {
         SimulatedUpstream upstream = attempt.upstream();
         boolean newConnection = idleConnections.getOrDefault(upstream, 0) == 0;
@@ -94,13 +94,16 @@
                     attempt,
                     AttemptOutcome.CONNECT_FAILED);
         } else if (!upstream.alive() || upstreams.refusesConnections(balancer, upstream)) {
-            endAfter(TRIPS_UNTIL_REFUSED * delayMicros, attempt, AttemptOutcome.CONNECT_FAILED);
+            endAfter(
+                    ONE_WAY_TRIPS_UNTIL_REFUSED * delayMicros,
+                    attempt,
+                    AttemptOutcome.CONNECT_FAILED);
         } else {
-            scheduleArrival(attempt, true, TRIPS_ON_NEW_CONNECTION * delayMicros);
+            scheduleArrival(attempt, true, ONE_WAY_TRIPS_ON_NEW_CONNECTION * delayMicros);
         }
     }
 
-    /** The result of a health check that is sent now. */
+    /** Returns the result of a health check that is sent now. */
     HealthCheckResult checkHealth(SimulatedUpstream upstream) {
         if (!upstream.alive() || upstreams.isSilent(balancer, upstream)) {
             return new HealthCheckResult(
@@ -125,7 +128,7 @@
     private void arriveAtUpstream(SimulatedAttempt attempt, boolean newConnection) {
         SimulatedUpstream upstream = attempt.upstream();
         if (attempt.ended() || upstreams.isSilent(balancer, upstream)) {
-            // The timeout ends it
+            // The timeout ends the attempt.
             return;
         }
         long resetDelayMicros = forwardDelayMicros(upstream);
@@ -143,7 +146,7 @@
         long workMicros =
                 clientAttempt.request().arrival().workMicros()
                         + (newConnection ? upstreams.handshakeWorkMicros() : 0);
-        upstreams.checkSlowStartBudget(balancer, upstream, workMicros);
+        upstreams.applySlowStartRule(balancer, upstream, workMicros);
         execute(attempt, clientAttempt, workMicros);
     }
 
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstream.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstream.java
@@ -10,21 +10,22 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * An upstream in virtual time: the same {@link EndpointModel} as behind sockets, with the faults
- * that affect it. Single-threaded.
+ * An upstream in virtual time: combines the {@link EndpointModel}, which upstreams behind sockets
+ * use too, with the faults that affect the upstream. Used only by the thread that runs the
+ * simulation.
  */
 final class SimulatedUpstream implements FaultableUpstream {
     private final VirtualTimeScheduler scheduler;
     private final WorkloadPlan.UpstreamSpec spec;
     private final Scenario scenario;
     private final EndpointModel model;
-    private final IdentityHashMap<Job, Runnable> running = new IdentityHashMap<>();
+    private final IdentityHashMap<Job, Runnable> completionCallbacks = new IdentityHashMap<>();
     private long nextCompletionMicros = Long.MAX_VALUE;
     private boolean alive;
-    private int vanishCount;
+    private int activeVanishFaults;
     private final FaultableService service;
     private long startedAtMicros;
-    // Null unless it is in slow start after a start in the run
+    // Null unless the upstream is in slow start after a start during the run.
     private SlowStartBudget slowStartBudget;
     private double peakSlowStartUtilization;
     private long jobCount;
@@ -44,22 +45,22 @@
         return spec;
     }
 
-    /** Whether its process runs. */
+    /** Returns whether the process is running. */
     boolean alive() {
         return alive;
     }
 
-    /** Whether it neither accepts nor refuses connections. */
+    /** Returns whether the upstream neither accepts nor refuses connections. */
     boolean isSilent() {
-        return vanishCount > 0;
+        return activeVanishFaults > 0;
     }
 
-    /** Time of the run in µs of its latest start; 0: it runs since the beginning. */
+    /** Returns the time in µs of the latest start during the run; 0 if there was none. */
     long startedAtMicros() {
         return startedAtMicros;
     }
 
-    /** The largest part of a slow start's budget that was used; 1: all of it. */
+    /** Returns the largest fraction of a slow-start budget that was used; 1 is all of it. */
     double peakSlowStartUtilization() {
         return peakSlowStartUtilization;
     }
@@ -69,28 +70,34 @@
         return new Job(requestClass, workMicros, jobCount++);
     }
 
-    /** Accepts a job and runs {@code onCompletion} when it completes, or returns false. */
+    /** Accepts a job and runs {@code onCompletion} when it completes. Returns false if refused. */
     boolean tryAccept(Job job, Runnable onCompletion) {
         if (!alive || service.isDraining() || !model.tryAccept(scheduler.nowMicros(), job)) {
             return false;
         }
-        running.put(job, onCompletion);
+        completionCallbacks.put(job, onCompletion);
         scheduleCompletion();
         return true;
     }
 
-    /** Its present capacity in seconds of work per second. */
+    /** Returns the current capacity in seconds of work per second. */
     double capacity() {
         return model.capacity(scheduler.nowMicros());
     }
 
-    /** Whether it has been started in the run and has not all of its capacity yet. */
+    /** Returns whether the upstream started during the run and is below its full capacity. */
     boolean isInSlowStart() {
         return slowStartBudget != null && model.slowStartFraction(scheduler.nowMicros()) < 1;
     }
 
-    /** Records work that arrives; true if that exceeds the budget of its slow start. */
-    boolean exceedsSlowStartBudget(long workMicros, boolean notified) {
+    /**
+     * Records work that arrives, if the upstream is in slow start.
+     *
+     * @param workMicros work in µs at speed 1
+     * @param notified whether the sender had been notified of the start
+     * @return whether the work exceeds the slow-start budget; true at most once per start
+     */
+    boolean recordSlowStartWork(long workMicros, boolean notified) {
         long nowMicros = scheduler.nowMicros();
         if (slowStartBudget == null) {
             return false;
@@ -106,15 +113,15 @@
         return exceeded;
     }
 
-    /** Removes a job that is no longer waited for; does nothing if it has ended. */
+    /** Cancels a job; does nothing if the job has ended. */
     void cancel(Job job) {
-        if (running.remove(job) != null) {
+        if (completionCallbacks.remove(job) != null) {
             model.cancel(scheduler.nowMicros(), job);
             scheduleCompletion();
         }
     }
 
-    /** Whether it answers requests of that class, by position in the scenario, with an error. */
+    /** Returns whether requests of a class, by position in the scenario, get an error response. */
     boolean failsClass(int requestClass) {
         return service.failsClass(requestClass);
     }
@@ -131,14 +138,14 @@
 
     private void completeJobs(long plannedMicros) {
         if (plannedMicros != nextCompletionMicros) {
-            // The job that it was scheduled for was cancelled
+            // The next completion changed after this event was scheduled.
             return;
         }
         nextCompletionMicros = Long.MAX_VALUE;
         for (Job job = model.pollCompleted(scheduler.nowMicros());
                 job != null;
                 job = model.pollCompleted(scheduler.nowMicros())) {
-            Runnable onCompletion = running.remove(job);
+            Runnable onCompletion = completionCallbacks.remove(job);
             if (onCompletion != null) {
                 onCompletion.run();
             }
@@ -146,10 +153,10 @@
         scheduleCompletion();
     }
 
-    /** Its process ends; all that it has accepted is lost. */
+    /** Ends the process; all accepted jobs are lost. */
     void crash() {
         alive = false;
-        running.clear();
+        completionCallbacks.clear();
         model.restart(scheduler.nowMicros());
         nextCompletionMicros = Long.MAX_VALUE;
     }
@@ -170,6 +177,6 @@
 
     @Override
     public void setVanished(boolean newVanished) {
-        vanishCount += newVanished ? 1 : -1;
+        activeVanishFaults += newVanished ? 1 : -1;
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstreams.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstreams.java
@@ -10,16 +10,18 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * The upstreams of a simulated run and the network paths from the balancers to them, with the
- * platform's rule on load in slow start. Single-threaded.
+ * Holds the upstreams of a simulated run and the network paths from the balancers to them, and
+ * applies the platform's rule on load in slow start. Used only by the thread that runs the
+ * simulation.
  */
 final class SimulatedUpstreams {
-    /** Time in µs after which a balancer gives up opening a connection. */
+    /** The time in µs after which a balancer gives up opening a connection. */
     static final long CONNECT_TIMEOUT_MICROS = 150_000;
 
-    // Obsolete callbacks are removed once there are this many queues of callbacks, and some more
-    private static final int CALLBACK_QUEUES = 4;
-    private static final int ADDITIONAL_CALLBACKS = 64;
+    // Obsolete crash callbacks of an upstream are removed once there are more callbacks than this
+    // number per place in its queue, plus the extra ones.
+    private static final int CALLBACKS_PER_QUEUE_PLACE = 4;
+    private static final int EXTRA_CALLBACKS = 64;
 
     private final VirtualTimeScheduler scheduler;
     private final Scenario scenario;
@@ -32,7 +34,7 @@
 
     private record CrashCallback(Runnable action, BooleanSupplier isObsolete) {}
 
-    /** What happens when an attempt arrives at an upstream. */
+    /** The rule that is applied when an attempt arrives at an upstream. */
     private interface SlowStartRule {
         void onAttempt(int balancer, SimulatedUpstream upstream, long workMicros);
     }
@@ -54,7 +56,7 @@
         }
     }
 
-    /** All upstreams by number, with successors that have not started yet. */
+    /** Returns all upstreams by number, including successors that have not started yet. */
     List<SimulatedUpstream> all() {
         return upstreams;
     }
@@ -67,48 +69,46 @@
         return upstreamsByUid.get(uid);
     }
 
-    /** The work of a new connection's handshake in µs at speed 1. */
+    /** Returns the work of the handshake of a new connection in µs at speed 1. */
     long handshakeWorkMicros() {
         return Math.round(scenario.upstreams().handshakeMs() * 1e3);
     }
 
-    /** Draws the delay of a request in µs, one way. */
+    /** Draws the one-way delay of a request in µs. */
     long forwardDelayMicros(int balancer, SimulatedUpstream upstream) {
         return network.forwardDelayMicros(
                 balancer, upstream.spec().number(), scheduler.nowMicros());
     }
 
-    /** Draws the delay of a response in µs, one way. */
+    /** Draws the one-way delay of a response in µs. */
     long reverseDelayMicros(int balancer, SimulatedUpstream upstream) {
         return network.reverseDelayMicros(
                 balancer, upstream.spec().number(), scheduler.nowMicros());
     }
 
-    /** Whether nothing passes between the two in one of the directions. */
+    /** Returns whether the upstream has vanished or the path is cut in one direction at least. */
     boolean isSilent(int balancer, SimulatedUpstream upstream) {
         return upstream.isSilent() || network.isCut(balancer, upstream.spec().number());
     }
 
-    /** Whether a fault refuses connections between the two. */
+    /** Returns whether a fault refuses connections from the balancer to the upstream. */
     boolean refusesConnections(int balancer, SimulatedUpstream upstream) {
         return network.refusesConnections(balancer, upstream.spec().number());
     }
 
-    // ------------------------------------------------------------ crashes
-
-    /** Runs an action when the upstream crashes, unless it is obsolete by then. */
+    /** Runs an action when the upstream crashes, unless the action is obsolete by then. */
     void onCrash(SimulatedUpstream upstream, Runnable action, BooleanSupplier isObsolete) {
         List<CrashCallback> callbacks =
                 crashCallbacks.computeIfAbsent(upstream, k -> new ArrayList<>());
         callbacks.add(new CrashCallback(action, isObsolete));
         int maxCallbacks =
-                CALLBACK_QUEUES * scenario.upstreams().queueCapacity() + ADDITIONAL_CALLBACKS;
+                CALLBACKS_PER_QUEUE_PLACE * scenario.upstreams().queueCapacity() + EXTRA_CALLBACKS;
         if (callbacks.size() > maxCallbacks) {
             callbacks.removeIf(callback -> callback.isObsolete.getAsBoolean());
         }
     }
 
-    /** Ends the process of an upstream and runs the actions that wait for it. */
+    /** Ends the process of an upstream and runs its crash callbacks. */
     void crash(SimulatedUpstream upstream) {
         upstream.crash();
         List<CrashCallback> callbacks = crashCallbacks.remove(upstream);
@@ -119,19 +119,24 @@
         }
     }
 
-    // ------------------------------------------------------------ slow start
-
-    /** Reports attempts at upstreams in slow start from now on, none of which crashes any more. */
+    /**
+     * Reports attempts at upstreams in slow start to the listener from now on. Exceeding the
+     * slow-start budget no longer crashes an upstream then.
+     */
     void observeSlowStart(FleetSimulation.SlowStartListener listener) {
-        slowStartRule = (balancer, upstream, workMicros) -> report(upstream, listener);
+        slowStartRule = (balancer, upstream, workMicros) -> reportSlowStart(upstream, listener);
     }
 
-    /** Work arrives at an upstream, which crashes if that exceeds the budget of its slow start. */
-    void checkSlowStartBudget(int balancer, SimulatedUpstream upstream, long workMicros) {
+    /**
+     * Applies the slow-start rule to an arriving attempt. Unless slow start is only observed, the
+     * upstream crashes if the work exceeds the budget of its slow start.
+     */
+    void applySlowStartRule(int balancer, SimulatedUpstream upstream, long workMicros) {
         slowStartRule.onAttempt(balancer, upstream, workMicros);
     }
 
-    private void report(SimulatedUpstream upstream, FleetSimulation.SlowStartListener listener) {
+    private void reportSlowStart(
+            SimulatedUpstream upstream, FleetSimulation.SlowStartListener listener) {
         if (upstream.isInSlowStart()) {
             listener.onAttempt(
                     upstream.spec().number(), scheduler.nowMicros(), upstream.capacity());
@@ -142,7 +147,7 @@
         boolean notified =
                 invariants.isStartNotified(
                         balancer, upstream.spec().number(), upstream.startedAtMicros());
-        if (upstream.exceedsSlowStartBudget(workMicros, notified)) {
+        if (upstream.recordSlowStartWork(workMicros, notified)) {
             long sinceStartMicros = scheduler.nowMicros() - upstream.startedAtMicros();
             invariants.recordViolation(
                     "cold budget",
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulationContext.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulationContext.java
@@ -4,9 +4,9 @@
 import loadbalancer.testbed.invariant.RequestInvariants;
 
 /**
- * What the balancers of one simulated run share.
+ * The objects that all balancers of one simulated run share.
  *
- * @param logListener gets the log lines of the routing policies
+ * @param logListener receives the log lines of the routing policies
  */
 record SimulationContext(
         VirtualTimeScheduler scheduler,
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/VirtualTimeScheduler.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/VirtualTimeScheduler.java
@@ -5,8 +5,9 @@
 import loadbalancer.testbed.workload.RunClock;
 
 /**
- * The virtual time of a simulation. Events run in order of time, and events of one time in the
- * order in which they were scheduled. Single-threaded.
+ * The virtual clock and the event scheduler of a simulation. Events run in order of time, and
+ * events at the same time in the order in which they were scheduled. Used only by the thread that
+ * runs the simulation.
  */
 public final class VirtualTimeScheduler implements RunClock {
     private final EventQueue queue = new EventQueue();
@@ -19,7 +20,7 @@
         return nowMicros;
     }
 
-    /** The number of events that have run. */
+    /** Returns the number of events that have run. */
     public long processedEvents() {
         return processedEvents;
     }
@@ -30,10 +31,11 @@
     }
 
     /**
-     * Schedules a series of events, ordered as if all were scheduled now, while only the next one
-     * occupies the queue.
+     * Schedules a series of events. They are ordered as if all were scheduled now, but only the
+     * next event of the series is in the queue.
      *
-     * @param timeOf time in µs by index, which must not decrease
+     * @param timeOf returns the time of an event in µs by its index; must not decrease
+     * @param event runs with the index of the event
      */
     void scheduleSeries(int count, IntToLongFunction timeOf, IntConsumer event) {
         long firstSequence = nextSequence;
@@ -54,7 +56,7 @@
         }
     }
 
-    /** Runs all events up to a time in µs, inclusive. */
+    /** Runs all events up to and including a time in µs, and advances the clock to it. */
     public void runUntil(long endMicros) {
         while (!queue.isEmpty() && queue.nextTimeMicros() <= endMicros) {
             nowMicros = queue.nextTimeMicros();
--- a/testbed/src/test/java/loadbalancer/testbed/simulation/FleetSimulationTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/simulation/FleetSimulationTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Runs are reproducible, every kind of fault has an effect, and violations are found. */
+/**
+ * Tests that runs are reproducible, that faults have an effect without breaking invariants, and
+ * that policies which overload upstreams or do nothing are noticed.
+ */
 class FleetSimulationTest {
     private static final String SCENARIO =
             """
@@ -91,7 +94,7 @@
         assertEquals(0, result.violationCount());
     }
 
-    /** By fault the least number of requests that go unserved within 10 s of its start. */
+    /** Rows: a fault, and the minimum of requests that go unserved within 10 s of its start. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -107,7 +110,7 @@
                 "kind = `refuse`; at_s = 0; until_s = 2; on = `balancers`; to = `upstreams` | 100",
                 "kind = `replace`; at_s = 4; until_s = 6; on = `upstreams:0-3` | 0",
             })
-    void invariantsHoldUnderEachFault(String fault, int minUnserved) {
+    void invariantsHoldAndRequestsAreAccountedForUnderEachFault(String fault, int minUnserved) {
         RunResult result = simulation(fault, 3).run();
         assertEquals(List.of(), result.violations().stream().limit(3).toList());
         assertTrue(
@@ -141,8 +144,8 @@
     }
 
     @Test
-    void slowStartOverloadIsFound() {
-        // Every server has just started, and random choice holds nothing back.
+    void slowStartOverloadIsReportedAsViolation() {
+        // All upstreams have just restarted, and random selection ignores slow start.
         WorkloadPlan plan =
                 plan(
                         SCENARIO.replace("rate = 200", "rate = 900"),
@@ -152,11 +155,11 @@
         assertTrue(
                 result.violations().stream()
                         .anyMatch(violation -> violation.startsWith("cold budget")),
-                result.violationCount() + " broken");
+                result.violationCount() + " violations");
     }
 
     @Test
-    void silentPolicyIsFound() {
+    void silentPolicyServesNothingWithoutViolations() {
         RunResult result =
                 new FleetSimulation(
                                 plan(SCENARIO, "", 1),
@@ -164,7 +167,7 @@
                                 line -> {})
                         .run();
         assertEquals(0.0, result.metrics().get("served_share"));
-        // The balancer fails the requests in its place, before their deadlines
+        // The balancer fails the requests before their deadlines if the policy does not.
         assertEquals(0, result.violationCount());
     }
 
--- a/testbed/src/test/java/loadbalancer/testbed/simulation/JsqDasExperimentTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/simulation/JsqDasExperimentTest.java
@@ -11,7 +11,7 @@
         return new JsqDasExperiment(100, load, 60_000, 5).run(policy);
     }
 
-    /** At a low load jobs do not queue, and their response time is their service time. */
+    /** At a low load no job waits in a queue, so the response time equals the service time. */
     @Test
     void idleMeanEqualsServiceTime() {
         assertEquals(
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void jsqDasBeatsJsqAtHighLoad() {
+    void jsqDasBeatsSampledJsqAtHighLoad() {
         JsqDasExperiment.ExperimentResult jsqDas = run(0.9, DispatchPolicy.JSQ_DAS);
         assertTrue(jsqDas.foundFastFraction() > 0.95, jsqDas.toString());
         assertTrue(
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void speedAwarePoliciesWinAtLowLoad() {
+    void policiesWithKnownRatesBeatSampledJsqAtLowLoad() {
         double jsqMean = run(0.3, DispatchPolicy.JSQ_D).meanResponseTime();
         assertTrue(run(0.3, DispatchPolicy.SED_D).meanResponseTime() < 0.85 * jsqMean);
         assertTrue(run(0.3, DispatchPolicy.JSQ_DF_DS).meanResponseTime() < 0.7 * jsqMean);
--- a/testbed/src/test/java/loadbalancer/testbed/simulation/LeaseSimulationTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/simulation/LeaseSimulationTest.java
@@ -10,10 +10,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class LeaseSimulationTest {
-    /** Also with a tenth of the datagrams lost, and with promises that don't outlive a process. */
+    /**
+     * Covers loss of up to a tenth of the datagrams, and promises that end with a voter's process.
+     */
     @ParameterizedTest
     @CsvSource({"10, 0, true, 1", "10, 0.1, false, 2", "60, 0.05, true, 3"})
-    void leasesMoveWithinTwoTermsAndNeverOverlap(
+    void leasesMoveWithinTwoLeaseDurationsAndNeverOverlap(
             int members, double lossFraction, boolean durable, long seed) {
         LeaseSimulation fleet =
                 new LeaseSimulation(members, lossFraction, durable, LeaseTiming.DEFAULT, seed);
@@ -29,7 +31,7 @@
         assertEquals(List.of(), fleet.doubleHolders());
         assertTrue(
                 fleet.transferTimes().getTotalCount() >= 6,
-                fleet.transferTimes().getTotalCount() + " passed on");
+                fleet.transferTimes().getTotalCount() + " transfers");
         assertTrue(
                 fleet.transferTimes().getMaxValue() <= 2 * LeaseTiming.DEFAULT.leaseMicros(),
                 fleet.transferTimes().getMaxValue() + " µs");
@@ -41,10 +43,10 @@
         double largeFleet = bytesPerSecond(200);
         assertTrue(
                 largeFleet < 1.5 * smallFleet && smallFleet > 0,
-                smallFleet + " and " + largeFleet + " bytes a second");
+                smallFleet + " and " + largeFleet + " bytes per second");
     }
 
-    /** Bytes that all members of a fleet send per second once all leases are held. */
+    /** Returns the bytes per second that all members together send once all leases are held. */
     private static double bytesPerSecond(int memberCount) {
         LeaseSimulation fleet = new LeaseSimulation(memberCount, 0, true, LeaseTiming.DEFAULT, 1);
         fleet.runFor(8_000_000);
--- a/testbed/src/test/java/loadbalancer/testbed/simulation/SilentPolicy.java
+++ b/testbed/src/test/java/loadbalancer/testbed/simulation/SilentPolicy.java
@@ -8,7 +8,7 @@
 import loadbalancer.routing.api.RoutingActions;
 import loadbalancer.routing.api.RoutingPolicy;
 
-/** A policy that asks for nothing. */
+/** A routing policy that requests no actions. */
 final class SilentPolicy implements RoutingPolicy {
     @Override
     public void onEndpointList(
--- a/testbed/src/test/java/loadbalancer/testbed/simulation/VirtualTimeSchedulerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/simulation/VirtualTimeSchedulerTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The order of events in virtual time. */
+/** Tests the order of events in virtual time. */
 class VirtualTimeSchedulerTest {
     private record ExpectedEvent(long atMicros, long sequence) {}
 
@@ -25,7 +25,7 @@
         List<Long> actual = new ArrayList<>();
         List<Long> expected = new ArrayList<>();
         for (long sequence = 0; sequence < 50_000; sequence++) {
-            // Many at one time
+            // Many events have the same time.
             long atMicros = random.nextInt(500);
             long eventId = sequence;
             queue.add(atMicros, sequence, () -> actual.add(eventId));
