--- a/testbed/src/main/java/loadbalancer/testbed/client/ClientRequestLifecycle.java
+++ b/testbed/src/main/java/loadbalancer/testbed/client/ClientRequestLifecycle.java
@@ -7,15 +7,17 @@
 import loadbalancer.testbed.workload.RunClock;
 
 /**
- * What a client does between the attempts of a request: how much time is left, whether it retries
- * and after which backoff, and how the request ends. Confined to the thread that plays the run.
+ * Decides what a client does after each attempt of a request: whether it retries, after which
+ * backoff and with which timeout, or how the request ends. Confined to the thread that executes the
+ * run.
  */
 public final class ClientRequestLifecycle {
-    /** How long after its deadline a response still counts as received, in µs. */
+    /** How long after a request's deadline a response still counts as received, in µs. */
     public static final long LATE_RESPONSE_SLACK_MICROS = 70_000;
 
+    // A retry must have more than this time left after its backoff.
     private static final long MIN_RETRY_TIME_MICROS = 20_000;
-    // An impatient client gives up after this part of its deadline.
+    // An impatient client gives up after the deadline divided by this number.
     private static final int IMPATIENT_DEADLINE_DIVISOR = 2;
 
     private final Scenario scenario;
@@ -24,7 +26,7 @@
     private final Consumer<ClientRequest> endListener;
 
     /**
-     * Creates the lifecycle of all requests of a run.
+     * Creates the object that handles all requests of a run.
      *
      * @param attemptSender sends another attempt of a request
      * @param endListener is notified of each request once, after it has ended
@@ -40,7 +42,10 @@
         this.endListener = endListener;
     }
 
-    /** Counts another attempt of the request and returns it; its timeout is the time left. */
+    /**
+     * Creates another attempt of the request and counts it. Its timeout is the time left until the
+     * client gives up.
+     */
     public ClientAttempt newAttempt(ClientRequest request, String attemptId) {
         request.countAttempt();
         return new ClientAttempt(attemptId, request, timeLeftMicros(request));
@@ -57,11 +62,11 @@
     }
 
     /**
-     * An attempt ended without an effect: schedules a retry if the scenario allows one and enough
-     * time is left after the backoff, otherwise ends the request.
+     * Handles an attempt that ended without an effect. Schedules a retry if the scenario allows one
+     * and enough time is left after the backoff, otherwise ends the request.
      *
-     * @param outcome how the request ends if it is not retried
-     * @param retryAfterMicros the response's Retry-After in µs; 0: none
+     * @param outcome the outcome of the request if it is not retried
+     * @param retryAfterMicros the response's Retry-After in µs, or 0 if it has none
      */
     public void retryOrEnd(
             ClientAttempt attempt, ClientRequest.Outcome outcome, long retryAfterMicros) {
@@ -79,7 +84,7 @@
         }
     }
 
-    /** Ends a request; no effect if it has ended. */
+    /** Ends a request with an outcome. Has no effect on a request that has already ended. */
     public void end(ClientRequest request, ClientRequest.Outcome outcome) {
         if (request.outcome() == null) {
             request.outcome(outcome, clock.nowMicros());
--- a/testbed/src/main/java/loadbalancer/testbed/client/FrontendRotation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/client/FrontendRotation.java
@@ -4,32 +4,42 @@
 import loadbalancer.testbed.scenario.Scenario;
 
 /**
- * The balancers that the front end sends clients to, round robin within the client's zone. A
- * balancer that refuses connections leaves the rotation once it has done so for the scenario's
- * {@code front_notice_ms}; until then clients still meet the refusal. Times are µs of any one
- * clock. Confined to the thread that plays the run.
+ * Chooses the balancer that the frontend sends a client to, round robin within the client's zone. A
+ * balancer that refuses connections leaves the rotation after it has refused them for the
+ * scenario's {@code front_notice_ms}; until then clients are still sent to it and are refused. All
+ * times are µs of the same clock, whose origin does not matter. Confined to the thread that
+ * executes the run.
  */
 public final class FrontendRotation {
-    /** What {@link #chooseBalancer} returns if no balancer is in rotation. */
+    /** Returned by {@link #chooseBalancer} if no balancer is in rotation. */
     public static final int NO_BALANCER = -1;
 
     private static final long REACHABLE = Long.MIN_VALUE;
 
-    /** Where the round robin goes on after a client was sent to another zone. */
+    /** Selects where the round robin continues after a client was sent to another zone. */
     public enum FallbackPosition {
-        /** At the balancer that was chosen. */
+        /** The round robin continues after the balancer that was chosen. */
         ADVANCES,
-        /** Where it was: clients without a balancer in their zone all meet the same one. */
+        /**
+         * The round robin continues where it was, so that clients without a balancer in their zone
+         * are all sent to the same one.
+         */
         STAYS
     }
 
     private final Scenario scenario;
     private final FallbackPosition fallbackPosition;
     private final boolean[] inRotation;
+    // By balancer: time of the first of its successive refusals, or REACHABLE.
     private final long[] refusingSinceMicros;
     private int lastChosen;
 
-    /** Creates a rotation with the scenario's balancers, all reachable. */
+    /**
+     * Creates a rotation with the scenario's balancers, all reachable.
+     *
+     * @param initiallyInRotation whether the balancers are in rotation before the first call of
+     *     {@link #onReadiness}
+     */
     public FrontendRotation(
             Scenario scenario, boolean initiallyInRotation, FallbackPosition fallbackPosition) {
         this.scenario = scenario;
@@ -40,13 +50,13 @@
         Arrays.fill(refusingSinceMicros, REACHABLE);
     }
 
-    /** The balancer answered: it is in rotation if it said that it is ready. */
+    /** Puts a balancer that answered into rotation if it is ready, otherwise removes it. */
     public void onReadiness(int balancer, boolean ready) {
         inRotation[balancer] = ready;
         refusingSinceMicros[balancer] = REACHABLE;
     }
 
-    /** A connection to the balancer was refused. */
+    /** Handles a refused connection to the balancer. */
     public void onUnreachable(int balancer, long nowMicros) {
         if (refusingSinceMicros[balancer] == REACHABLE) {
             refusingSinceMicros[balancer] = nowMicros;
@@ -57,19 +67,19 @@
         }
     }
 
-    /** Whether the latest connection to the balancer was refused. */
+    /** Returns whether the latest connection to the balancer was refused. */
     public boolean isUnreachable(int balancer) {
         return refusingSinceMicros[balancer] != REACHABLE;
     }
 
-    /** Whether clients are sent to the balancer. */
+    /** Returns whether clients are sent to the balancer. */
     public boolean isInRotation(int balancer) {
         return inRotation[balancer];
     }
 
     /**
-     * Returns the next balancer of the client's zone, the next of any other zone if that one has
-     * none in rotation, or {@link #NO_BALANCER}.
+     * Returns the next balancer in rotation in the client's zone, or of any other zone if the
+     * client's zone has none, or {@link #NO_BALANCER}.
      */
     public int chooseBalancer(int zone) {
         int fallback = NO_BALANCER;
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/BalancerConfigurationBuilder.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/BalancerConfigurationBuilder.java
@@ -13,35 +13,35 @@
 
     private final Map<String, Object> configuration = new LinkedHashMap<>();
 
-    /** Starts a configuration with the balancer's name and its address for clients. */
+    /** Creates a configuration with the balancer's name and its address for clients. */
     public BalancerConfigurationBuilder(String name, String listenAddress) {
         configuration.put("name", name);
         configuration.put("listen", listenAddress);
     }
 
-    /** The address of the administration endpoint. */
+    /** Sets the address of the admin server. */
     public BalancerConfigurationBuilder admin(String address) {
         configuration.put("admin", address);
         return this;
     }
 
-    /** The address of discovery. */
+    /** Sets the address of the discovery agent. */
     public BalancerConfigurationBuilder discovery(String address) {
         configuration.put("discovery", address);
         return this;
     }
 
-    /** The seed of the balancer's random numbers, a hexadecimal number. */
+    /** Sets the seed of the balancer's random numbers, a hexadecimal number. */
     public BalancerConfigurationBuilder seed(String hexadecimalSeed) {
         configuration.put("seed", hexadecimalSeed);
         return this;
     }
 
     /**
-     * The limits of the process, with one core.
+     * Sets the limits of the process, which has one core.
      *
-     * @param memoryMb resident memory, MB
-     * @param sockets open file descriptors
+     * @param memoryMb maximum resident memory in MB
+     * @param sockets maximum number of open file descriptors
      */
     public BalancerConfigurationBuilder limits(int memoryMb, int sockets) {
         Map<String, Object> limits = new LinkedHashMap<>();
@@ -53,10 +53,10 @@
     }
 
     /**
-     * The addresses for datagrams between balancers.
+     * Sets the addresses for datagrams between balancers.
      *
-     * @param listenAddress the balancer's own address
-     * @param peerAddresses those of all balancers by rank, its own included
+     * @param listenAddress the address at which the balancer listens
+     * @param peerAddresses the addresses of all balancers by rank, its own included
      */
     public BalancerConfigurationBuilder peers(String listenAddress, List<String> peerAddresses) {
         configuration.put("peer_listen", listenAddress);
@@ -64,13 +64,16 @@
         return this;
     }
 
-    /** The address whose datagrams go to all other balancers. */
+    /** Sets the address whose datagrams go to all other balancers. */
     public BalancerConfigurationBuilder broadcast(String address) {
         configuration.put("peers_all", address);
         return this;
     }
 
-    /** The initial endpoint list in discovery's form, and the settings. */
+    /**
+     * Adds the initial endpoint list, in discovery's JSON form, and the settings, and returns a
+     * copy of the configuration.
+     */
     public Map<String, Object> build(
             Map<String, Object> endpointList, Map<String, Object> settings) {
         configuration.put("known", endpointList);
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/BalancerSettingsBuilder.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/BalancerSettingsBuilder.java
@@ -8,8 +8,8 @@
 
 /**
  * Builds the settings of a balancer's configuration: a tree of maps and lists with the platform's
- * keys and units. Keys appear in the order of the calls, and those of nested objects in the order
- * in which they are written here. Not thread-safe.
+ * keys and units. Top-level keys appear in the order of the calls, and keys of nested objects in a
+ * fixed order. Not thread-safe.
  */
 public final class BalancerSettingsBuilder {
     private static final int CLOCK_TICK_MICROS = 5_000;
@@ -23,14 +23,16 @@
     private final Map<String, Object> settings = new LinkedHashMap<>();
 
     /**
-     * What a balancer must observe: how late a response may be, and how upstreams drain and start.
+     * Holds the bounds that a balancer must observe: how late a response may be, and how upstreams
+     * drain and start.
      *
-     * @param responseSlackMicros how much later than its deadline a final response may be, µs
-     * @param drainGraceMicros how long a draining upstream finishes its requests, µs
-     * @param initialCapacityFraction the part of its capacity that a started upstream has at once
-     * @param slowStartMicros how long after its start an upstream reaches its full capacity, µs
+     * @param responseSlackMicros how long after its deadline a final response may be sent, in µs
+     * @param drainGraceMicros how long a draining upstream continues to process its requests, in µs
+     * @param initialCapacityFraction the fraction of its capacity that an upstream has at its start
+     * @param slowStartMicros how long after its start an upstream reaches its full capacity, in µs
      * @param overloadFactor the multiple of its capacity that overloads an upstream in slow start
-     * @param overloadWindowMicros the window over which this is measured, µs
+     * @param overloadWindowMicros the window over which the load of an upstream in slow start is
+     *     measured, in µs
      */
     public record Bounds(
             long responseSlackMicros,
@@ -39,7 +41,7 @@
             long slowStartMicros,
             double overloadFactor,
             long overloadWindowMicros) {
-        /** Bounds with the site's response slack and drain grace. */
+        /** Returns bounds with the site's response slack and drain grace. */
         public static Bounds ofSite(
                 double initialCapacityFraction,
                 long slowStartMicros,
@@ -55,15 +57,15 @@
         }
     }
 
-    /** The names of {@code count} zones or machine types: the prefix and a number from 0. */
+    /** Returns names of zones or machine types: the prefix followed by 0 to {@code count} - 1. */
     public static List<String> numberedNames(String prefix, int count) {
         return IntStream.range(0, count).mapToObj(number -> prefix + number).toList();
     }
 
     /**
-     * The settings of one request class that every class has; others may be added.
+     * Returns the settings that every request class has; the caller may add others.
      *
-     * @param idempotency in the platform's term
+     * @param idempotency the kind of idempotency, in the platform's terms
      */
     public static Map<String, Object> requestClass(
             String name, String idempotency, long latencyObjectiveMicros, long deadlineMicros) {
@@ -75,7 +77,11 @@
         return requestClass;
     }
 
-    /** Adds to a request class what its responses are worth; its bodies are not streamed. */
+    /**
+     * Adds the priority weight of its responses to a request class, whose bodies are not streamed.
+     *
+     * @param lateWeightFactor the fraction of the weight that a late response has
+     */
     public static void putPriority(
             Map<String, Object> requestClass, double priorityWeight, double lateWeightFactor) {
         requestClass.put("Gain", priorityWeight);
@@ -83,7 +89,7 @@
         requestClass.put("Stream", false);
     }
 
-    /** The settings of one tenant, with its quota in requests a second. */
+    /** Returns the settings of one tenant, with its quota in requests per second. */
     public static Map<String, Object> tenant(String name, double requestsPerSecond) {
         Map<String, Object> tenant = new LinkedHashMap<>();
         tenant.put("Name", name);
@@ -91,7 +97,7 @@
         return tenant;
     }
 
-    /** The zones, the size of the tier and this balancer's place in both. */
+    /** Sets the zones, the number of balancers, and this balancer's rank and zone index. */
     public BalancerSettingsBuilder tier(
             List<String> zoneNames, int balancerCount, int rank, int zone) {
         settings.put("Areas", zoneNames);
@@ -101,13 +107,13 @@
         return this;
     }
 
-    /** The names of the machine types of upstreams. */
+    /** Sets the names of the machine types of upstreams. */
     public BalancerSettingsBuilder machineTypes(List<String> names) {
         settings.put("Kinds", names);
         return this;
     }
 
-    /** The request classes, followed by discovery by watch and the site's clock tick. */
+    /** Sets the request classes, discovery by watch and the site's clock tick. */
     public BalancerSettingsBuilder requestClasses(List<Map<String, Object>> requestClasses) {
         settings.put("Classes", requestClasses);
         settings.put("MembershipMode", "push");
@@ -116,9 +122,9 @@
     }
 
     /**
-     * How the operators weigh the service.
+     * Sets the weights by which operators rate the service.
      *
-     * @param overQuotaWeightFactor the weight of requests over their tenant's quota
+     * @param overQuotaWeightFactor the factor on the weight of requests over their tenant's quota
      */
     public BalancerSettingsBuilder objective(
             double overQuotaWeightFactor, ObjectiveWeights weights) {
@@ -132,7 +138,9 @@
         return this;
     }
 
-    /** What an attempt in another zone and a message between balancers cost, in points. */
+    /**
+     * Sets the cost of an attempt in another zone and of a message between balancers, in points.
+     */
     public BalancerSettingsBuilder costs(double crossZone, double gossip) {
         Map<String, Object> prices = new LinkedHashMap<>();
         prices.put("CrossZone", crossZone);
@@ -141,7 +149,9 @@
         return this;
     }
 
-    /** What a message between balancers costs, in points; attempts in other zones are free. */
+    /**
+     * Sets the cost of a message between balancers, in points; attempts in other zones are free.
+     */
     public BalancerSettingsBuilder gossipCost(double gossip) {
         Map<String, Object> prices = new LinkedHashMap<>();
         prices.put("Peer", gossip);
@@ -149,7 +159,7 @@
         return this;
     }
 
-    /** The site's limits, with its timeout of idle connections. */
+    /** Sets the site's limits, with its timeout of idle connections. */
     public BalancerSettingsBuilder siteLimits() {
         Map<String, Object> limits =
                 limits(MAX_ATTEMPTS, CONNECT_TIMEOUT_MICROS, MAX_RETRY_AFTER_MICROS);
@@ -158,7 +168,7 @@
         return this;
     }
 
-    /** Limits without a timeout of idle connections; durations in µs. */
+    /** Sets limits without a timeout of idle connections. Durations are in µs. */
     public BalancerSettingsBuilder limitsWithoutIdleTimeout(
             int maxAttempts, long connectTimeoutMicros, long maxRetryAfterMicros) {
         settings.put("Limits", limits(maxAttempts, connectTimeoutMicros, maxRetryAfterMicros));
@@ -179,7 +189,7 @@
         return limits;
     }
 
-    /** The bounds of responses and upstreams. */
+    /** Sets the bounds of responses and upstreams. */
     public BalancerSettingsBuilder bounds(Bounds bounds) {
         Map<String, Object> rules = new LinkedHashMap<>();
         rules.put("AnswerSlack", bounds.responseSlackMicros());
@@ -192,7 +202,7 @@
         return this;
     }
 
-    /** The tenants; without any the key is left out. */
+    /** Sets the tenants; the key is omitted if there are none. */
     public BalancerSettingsBuilder tenants(List<Map<String, Object>> tenants) {
         if (!tenants.isEmpty()) {
             settings.put("Realms", tenants);
@@ -200,7 +210,7 @@
         return this;
     }
 
-    /** The settings as built so far. */
+    /** Returns a copy of the settings that have been set so far. */
     public Map<String, Object> build() {
         return new LinkedHashMap<>(settings);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/ClientEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/ClientEmulator.java
@@ -33,13 +33,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The clients, as an open loop: each request is sent when the plan says, whatever became of earlier
- * ones. A connection carries one request at a time, is kept open, and leads to one balancer, which
- * the frontend chooses. Confined to the emulation's event loop.
+ * Emulates the clients as an open loop: each request is sent at its planned time, regardless of the
+ * outcome of earlier ones. The frontend chooses the balancer of each attempt. A connection to a
+ * balancer carries one request at a time and is kept open. Confined to the emulation's event loop.
  */
 public final class ClientEmulator {
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    // Clients open at most this fraction of a balancer's descriptors.
+    // Clients open at most 1/CLIENT_DESCRIPTOR_DIVISOR of a balancer's file descriptors.
     private static final int CLIENT_DESCRIPTOR_DIVISOR = 3;
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
@@ -53,20 +53,24 @@
     private int openRequests;
     private Runnable onComplete = () -> {};
 
-    /** Creates clients that have not started. */
+    /** Creates clients that send no requests before {@link #start}. */
     ClientEmulator(Emulation emulation, FrontendEmulator frontend) {
         this.emulation = emulation;
         this.frontend = frontend;
         this.lifecycle =
                 new ClientRequestLifecycle(
-                        emulation.scenario(), emulation, this::attempt, this::onRequestEnded);
+                        emulation.scenario(), emulation, this::sendAttempt, this::onRequestEnded);
         this.random = RandomStreams.stream(emulation.plan().seed(), "clients");
         for (int balancer = 0; balancer < emulation.scenario().fleet().balancers(); balancer++) {
             pools.add(new ConnectionPool(balancer));
         }
     }
 
-    /** Sends the requests of the plan; {@code newOnComplete} is called when all have ended. */
+    /**
+     * Sends the requests of the plan at their times.
+     *
+     * @param newOnComplete called once all requests have ended
+     */
     void start(Runnable newOnComplete) {
         onComplete = newOnComplete;
         sendDueArrivals();
@@ -79,7 +83,7 @@
             WorkloadPlan.Arrival arrival = arrivals.get(nextArrival++);
             lateness.recordValue(nowMicros - arrival.atMicros());
             openRequests++;
-            attempt(new ClientRequest(arrival));
+            sendAttempt(new ClientRequest(arrival));
         }
         if (nextArrival < arrivals.size()) {
             emulation.schedule(arrivals.get(nextArrival).atMicros(), this::sendDueArrivals);
@@ -96,7 +100,7 @@
         }
     }
 
-    private void attempt(ClientRequest request) {
+    private void sendAttempt(ClientRequest request) {
         byte[] id = new byte[Long.BYTES];
         random.nextBytes(id);
         ClientAttempt attempt = lifecycle.newAttempt(request, HexFormat.of().formatHex(id));
@@ -108,16 +112,16 @@
         pools.get(balancer).send(attempt, false);
     }
 
-    /** How much later than planned requests were sent, in µs. */
+    /** Returns by how many µs requests were sent later than planned. */
     public Histogram lateness() {
         return lateness;
     }
 
-    /** The connections to one balancer. */
+    /** Holds the clients' connections to one balancer. */
     private final class ConnectionPool {
         private final int balancer;
         private final Deque<ClientConnection> idle = new ArrayDeque<>();
-        // Attempts that wait for a connection, each until its deadline
+        // Attempts that wait for a connection, each until its deadline.
         private final Deque<ClientAttempt> pendingAttempts = new ArrayDeque<>();
         private int connectionCount;
 
@@ -202,17 +206,17 @@
         }
     }
 
-    /** One connection of a client. */
+    /** Sends requests on one client connection and handles their responses. */
     private final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final ConnectionPool pool;
         private Channel channel;
         private boolean used;
-        // Whether the present request is the first of this connection
+        // Whether the current request is the first on this connection.
         private boolean firstRequest = true;
-        // The attempt without a complete response, or null
+        // The attempt without a complete response, or null.
         private ClientAttempt pendingAttempt;
         private ScheduledFuture<?> deadlineTimer;
-        // Whether bytes of a response to the present request have arrived
+        // Whether bytes of a response to the current request have arrived.
         private boolean responseStarted;
         private final ChannelInboundHandlerAdapter firstByteHandler =
                 new ChannelInboundHandlerAdapter() {
@@ -252,7 +256,7 @@
                     emulation.scenario().classes().get(arrival.requestClass());
             boolean isGet = requestClass.idempotency().equals("safe");
             String body = isGet ? "" : "order of " + attempt.id();
-            StringBuilder header =
+            StringBuilder requestText =
                     new StringBuilder(256)
                             .append(isGet ? "GET" : "POST")
                             .append(" /api HTTP/1.1\r\nHost: backend.local\r\nReq-Id: ")
@@ -263,20 +267,22 @@
                             .append(Math.max(1, attempt.timeoutMicros() / 1000))
                             .append("\r\n");
             if (!emulation.scenario().tenants().isEmpty()) {
-                header.append("Req-Owner: ")
+                requestText
+                        .append("Req-Owner: ")
                         .append(emulation.scenario().tenants().get(arrival.tenant()).name())
                         .append("\r\n");
             }
             if (requestClass.idempotency().equals("keyed")) {
-                header.append("Idempotency-Key: ")
+                requestText
+                        .append("Idempotency-Key: ")
                         .append(attempt.id())
                         .append(attempt.id())
                         .append("\r\n");
             }
             if (!isGet) {
-                header.append("Content-Length: ").append(body.length()).append("\r\n");
+                requestText.append("Content-Length: ").append(body.length()).append("\r\n");
             }
-            return header.append("\r\n").append(body);
+            return requestText.append("\r\n").append(body);
         }
 
         private void onDeadline() {
@@ -314,7 +320,7 @@
                                 "one answer",
                                 emulation.nowMicros(),
                                 null,
-                                "n" + pool.balancer + " sent an answer that nobody had asked for");
+                                "n" + pool.balancer + " sent a response without a request");
                 channel.close();
                 return;
             }
@@ -322,16 +328,16 @@
             deadlineTimer.cancel(false);
             int status = response.status().code();
             String body = response.content().toString(StandardCharsets.US_ASCII);
-            boolean genuine =
+            boolean bodyMatches =
                     answered.executions().stream()
                             .anyMatch(
-                                    run ->
+                                    execution ->
                                             body.equals(
                                                     UpstreamEmulator.responseBody(
-                                                            run.server(), answered.id())));
+                                                            execution.server(), answered.id())));
             emulation
                     .invariants()
-                    .responseReceived(answered, status, genuine, emulation.nowMicros());
+                    .responseReceived(answered, status, bodyMatches, emulation.nowMicros());
             if (HttpUtil.isKeepAlive(response) && response.decoderResult().isSuccess()) {
                 pool.idle.addLast(this);
                 pool.sendNextPending();
@@ -369,7 +375,9 @@
                     && interrupted.request().outcome() == null
                     && !frontend.rotation().isUnreachable(pool.balancer)) {
                 interrupted.addTraceEvent(
-                        emulation.nowMicros(), "client", "closed under it, sent once more");
+                        emulation.nowMicros(),
+                        "client",
+                        "connection closed, sent again on a new one");
                 pool.send(interrupted, true);
                 return;
             }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/ControllableListener.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/ControllableListener.java
@@ -16,22 +16,22 @@
 import java.util.function.Consumer;
 
 /**
- * The address at which one balancer reaches an emulated party. It accepts connections, refuses them
- * or leaves them without a response, as its state says. Confined to the emulation's event loop,
- * except for {@link #open}.
+ * Listens at the address at which one balancer reaches an emulated party. Depending on its state,
+ * it accepts connections, refuses them or leaves connection attempts unanswered. Confined to the
+ * emulation's event loop, except for {@link #open}.
  */
 final class ControllableListener {
     private static final int LISTEN_BACKLOG = 256;
     private static final int SILENT_BACKLOG = 1;
     private static final long RETRY_INTERVAL_MICROS = 20_000;
 
-    /** What happens to attempts to connect. */
+    /** Selects what happens to connection attempts. */
     enum State {
-        /** They are accepted. */
+        /** Connections are accepted. */
         OPEN,
-        /** The system refuses them, since nothing listens. */
+        /** The system refuses connections, since no socket listens. */
         REFUSING,
-        /** They neither succeed nor fail: the backlog is full, and the system drops packets. */
+        /** Connection attempts get no answer: the backlog is full, and the system drops packets. */
         SILENT
     }
 
@@ -44,7 +44,7 @@
     private final List<java.nio.channels.SocketChannel> backlogFillers = new ArrayList<>();
 
     /**
-     * Creates a listener that is not open.
+     * Creates a listener that is not bound.
      *
      * @param acceptHandler initializes the channel of each accepted connection
      */
@@ -59,7 +59,7 @@
      * Binds the listener to a free port, which it keeps, and accepts connections. Called before the
      * run, outside the event loop.
      *
-     * @throws IOException if the address can't be bound
+     * @throws IOException if the address cannot be bound
      */
     void open() throws IOException {
         try {
@@ -72,7 +72,7 @@
         state = State.OPEN;
     }
 
-    /** The address, with its port once the listener was opened. */
+    /** Returns the address; its port is 0 before {@link #open}. */
     InetSocketAddress address() {
         return address;
     }
@@ -93,7 +93,7 @@
                         });
     }
 
-    /** Changes the state; until the address is bound again, connections are refused. */
+    /** Changes the state. Connections are refused until the address has been bound again. */
     void setState(State newState) {
         if (state == newState) {
             return;
@@ -118,7 +118,7 @@
                         done -> {
                             if (!done.isSuccess()) {
                                 listener = null;
-                                retryLater();
+                                scheduleRetry();
                             }
                         });
             } else if (state == State.SILENT && silentSocket == null) {
@@ -136,11 +136,11 @@
             }
         } catch (IOException e) {
             closeSilentSocket();
-            retryLater();
+            scheduleRetry();
         }
     }
 
-    private void retryLater() {
+    private void scheduleRetry() {
         emulation.schedule(emulation.nowMicros() + RETRY_INTERVAL_MICROS, this::applyState);
     }
 
@@ -159,13 +159,13 @@
                             "testbed",
                             emulation.nowMicros(),
                             null,
-                            "a socket of the testbed can't be closed: " + e);
+                            "cannot close a socket of a silent listener: " + e);
         }
         backlogFillers.clear();
         silentSocket = null;
     }
 
-    /** Closes the address. */
+    /** Closes the listening socket. */
     void close() {
         closeSilentSocket();
         if (listener != null) {
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEmulator.java
@@ -30,16 +30,17 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The discovery agent on the machine of one balancer: it serves the complete list and watches, and
- * its faults withhold them. Changes reach the agent after a delay that the scenario sets; what it
- * has, it serves at once. Confined to the emulation's event loop, except for {@link #open}.
+ * Emulates the discovery agent on the machine of one balancer, with its faults. It serves the
+ * complete endpoint list and watches of its changes. A change reaches the agent after a delay that
+ * the scenario sets, and then watches get it immediately. Confined to the emulation's event loop,
+ * except for {@link #open}.
  */
 public final class DiscoveryEmulator implements FaultableDiscoveryAgent {
     private static final long FIRST_REVISION = 1;
     private static final long NO_WATCH = -1;
     private static final String LIST_URI = "/api/targets";
     private static final String WATCH_URI_PREFIX = "/api/targets?watch=1&from=";
-    // Time between the empty lines of a watch
+    // Interval of a watch's heartbeats, which are empty lines.
     private static final long HEARTBEAT_INTERVAL_MICROS = 2_000_000;
     private static final int MAX_REQUEST_BYTES = 4 << 10;
 
@@ -50,11 +51,11 @@
     private final Map<Integer, DiscoveryEntry> entriesByUpstream = new LinkedHashMap<>();
     // The change at index i has the revision FIRST_REVISION + i + 1.
     private final List<DiscoveryEntry> changes = new ArrayList<>();
-    // Changes that the agent gets when it is no longer stale
-    private final List<DiscoveryEntry> withheld = new ArrayList<>();
+    // Changes that are applied when the agent is no longer stale.
+    private final List<DiscoveryEntry> withheldChanges = new ArrayList<>();
     private final Set<DiscoveryConnection> connections = new LinkedHashSet<>();
     private ControllableListener listener;
-    private long lastUpdateMicros;
+    private long lastChangeMicros;
     private long extraDelayMicros;
     private int silentCount;
     private int staleCount;
@@ -64,8 +65,9 @@
     /**
      * Creates an agent.
      *
-     * @param random draws the delays of changes
-     * @param entryWriter writes an entry as this balancer is to see it
+     * @param random source of the delays of changes
+     * @param initialEntries the endpoint list at the first revision
+     * @param entryWriter converts an entry to the JSON object that this balancer gets
      */
     DiscoveryEmulator(
             Emulation emulation,
@@ -84,7 +86,7 @@
      * Opens the address and starts the heartbeats of watches. Called before the run, outside the
      * event loop.
      *
-     * @throws IOException if the address can't be bound
+     * @throws IOException if the address cannot be bound
      */
     void open(LoopbackAddresses addresses) throws IOException {
         listener =
@@ -94,7 +96,7 @@
         emulation.eventLoop().execute(this::sendHeartbeats);
     }
 
-    /** The address at which the balancer reaches this agent. */
+    /** Returns the address at which the balancer reaches this agent. */
     InetSocketAddress address() {
         return listener.address();
     }
@@ -103,20 +105,22 @@
         return FIRST_REVISION + changes.size();
     }
 
-    /** Announces a change, which the agent gets after the delay of updates. */
+    /**
+     * Schedules a change, which reaches the agent after the delay and in the order of the calls.
+     */
     void onChange(DiscoveryEntry entry) {
         double delayMs =
                 RandomStreams.drawUniform(
                         random, emulation.scenario().network().discoveryDelayMs());
         long delayMicros = Math.round(1e3 * delayMs);
-        lastUpdateMicros =
-                Math.max(lastUpdateMicros, emulation.nowMicros() + delayMicros + extraDelayMicros);
-        emulation.schedule(lastUpdateMicros, () -> applyChange(entry));
+        lastChangeMicros =
+                Math.max(lastChangeMicros, emulation.nowMicros() + delayMicros + extraDelayMicros);
+        emulation.schedule(lastChangeMicros, () -> applyChange(entry));
     }
 
     private void applyChange(DiscoveryEntry entry) {
         if (staleCount > 0) {
-            withheld.add(entry);
+            withheldChanges.add(entry);
             return;
         }
         if (entry.status().equals(DiscoveryEntry.REMOVED)) {
@@ -143,8 +147,8 @@
     public void setStale(boolean active) {
         staleCount += active ? 1 : -1;
         if (staleCount == 0) {
-            List<DiscoveryEntry> released = new ArrayList<>(withheld);
-            withheld.clear();
+            List<DiscoveryEntry> released = new ArrayList<>(withheldChanges);
+            withheldChanges.clear();
             released.forEach(this::applyChange);
         }
     }
@@ -168,7 +172,7 @@
                 .schedule(this::sendHeartbeats, HEARTBEAT_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
     }
 
-    /** The complete list in discovery's form, as the agent has it now. */
+    /** Returns the agent's current complete list in discovery's JSON form. */
     Map<String, Object> completeList() {
         return message(revision(), true, new ArrayList<>(entriesByUpstream.values()));
     }
@@ -196,7 +200,7 @@
                                         emulation.nowMicros()));
     }
 
-    /** The number of requests for the list, watches included. */
+    /** Returns the number of requests for the list, including watches. */
     public long requestCount() {
         return requestCount;
     }
@@ -209,11 +213,11 @@
                         new DiscoveryConnection(channel));
     }
 
-    /** One connection, on which a balancer polls the list or watches its changes. */
+    /** Serves one connection, on which a balancer polls the list or watches its changes. */
     private final class DiscoveryConnection extends ServerConnection {
-        // The URI of a request without a response, or null
+        // The URI of a request without a response, or null.
         private String pendingUri;
-        // The last revision that was sent on a watch, or NO_WATCH
+        // The last revision that was sent on the watch, or NO_WATCH.
         private long sentRevision = NO_WATCH;
 
         DiscoveryConnection(SocketChannel channel) {
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEntry.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEntry.java
@@ -3,11 +3,11 @@
 import loadbalancer.routing.api.EndpointStatus;
 
 /**
- * An upstream as discovery lists it. Immutable.
+ * Represents an upstream in discovery's endpoint list. Immutable.
  *
- * @param upstreamNumber its number in the plan
- * @param status its status, in discovery's terms
- * @param startedAtMs when it was started, in ms of Unix time, or 0 if that is unknown
+ * @param upstreamNumber the upstream's number in the plan
+ * @param status the upstream's status, in discovery's terms
+ * @param startedAtMs when the upstream was started, in ms of Unix time, or 0 if unknown
  */
 public record DiscoveryEntry(int upstreamNumber, String status, long startedAtMs) {
     static final String UP = "in_service";
@@ -19,8 +19,8 @@
     }
 
     /**
-     * The entry of an upstream whose status changes now, with the present time as that of its start
-     * if it comes up.
+     * Returns the entry of an upstream whose status changes now. The upstream's start time is the
+     * current time if its status becomes UP.
      */
     static DiscoveryEntry of(int upstreamNumber, EndpointStatus status) {
         return switch (status) {
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/EmulatedEnvironment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/EmulatedEnvironment.java
@@ -17,15 +17,16 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * All parties that balancers communicate with, and the network between them. It is built before the
- * run; during the run it is confined to the emulation's event loop.
+ * Holds all emulated parties that balancers communicate with and the network between them, and
+ * applies faults to them. Built before the run; confined to the emulation's event loop during the
+ * run.
  */
 public final class EmulatedEnvironment
         implements FaultableEnvironment<UpstreamEmulator>, AutoCloseable {
     private final Emulation emulation;
     private final LoopbackAddresses addresses = new LoopbackAddresses();
     private final InetSocketAddress[] balancerAddresses;
-    // Indexed by upstream, then by balancer
+    // Indexed by upstream, then by balancer.
     private final List<List<NetworkPath>> pathsByUpstream = new ArrayList<>();
     private final List<UpstreamEmulator> upstreams = new ArrayList<>();
     private final List<DiscoveryEmulator> discoveryAgents = new ArrayList<>();
@@ -34,9 +35,10 @@
     private final ClientEmulator clients;
 
     /**
-     * Opens all addresses. No requests or faults occur before {@link #start}.
+     * Creates the parties and opens their addresses. No requests or faults occur before {@link
+     * #start}.
      *
-     * @throws IOException if an address can't be bound
+     * @throws IOException if an address cannot be bound
      */
     public EmulatedEnvironment(Emulation emulation) throws IOException {
         this.emulation = emulation;
@@ -121,7 +123,7 @@
                 entry.startedAtMs());
     }
 
-    /** The configuration of a balancer that starts now. Called on the event loop. */
+    /** Returns the configuration of a balancer that starts now. Called on the event loop. */
     public Map<String, Object> configuration(int balancer, long seed) {
         Scenario.Fleet fleet = emulation.scenario().fleet();
         BalancerConfigurationBuilder configuration =
@@ -137,36 +139,36 @@
                     .peers(
                             LoopbackAddresses.format(peerNetwork.balancerAddress(balancer)),
                             peerNetwork.peerAddresses(balancer))
-                    .broadcast(peerNetwork.broadcast(balancer));
+                    .broadcast(peerNetwork.broadcastAddress(balancer));
         }
         return configuration.build(
                 discoveryAgents.get(balancer).completeList(),
                 PlatformSettings.settings(emulation.scenario(), balancer));
     }
 
-    /** Starts to poll the balancers' readiness. */
+    /** Starts polling the balancers' readiness. */
     public void startReadinessPolling() {
         emulation.eventLoop().execute(frontend::start);
     }
 
     /**
-     * Schedules the clients' requests, from the run's time 0 on, and the faults of the plan.
+     * Schedules the clients' requests, starting at the run's time 0, and the faults of the plan.
      *
-     * @param onComplete is called on the event loop when the last request has ended
+     * @param onComplete called on the event loop once the last request has ended
      */
     public void start(Runnable onComplete) {
         emulation.schedule(0, () -> clients.start(onComplete));
         new FaultInjector<>(emulation.plan(), this).scheduleFaults(emulation);
     }
 
-    /** Whether clients are sent to that balancer. Called on the event loop. */
+    /** Returns whether clients are sent to a balancer. Called on the event loop. */
     public boolean isInRotation(int balancer) {
         return frontend.rotation().isInRotation(balancer);
     }
 
-    /** The path between a balancer and an upstream. */
-    NetworkPath path(int balancer, int server) {
-        return pathsByUpstream.get(server).get(balancer);
+    /** Returns the path between a balancer and an upstream. */
+    NetworkPath path(int balancer, int upstream) {
+        return pathsByUpstream.get(upstream).get(balancer);
     }
 
     @Override
@@ -232,35 +234,35 @@
         }
     }
 
-    /** No effect: the processes belong to the fleet that runs them. */
+    /** Does nothing, because the fleet that runs the processes applies this fault. */
     @Override
     public void setProcessesDown(WorkloadPlan.Fault fault, boolean active) {}
 
-    /** No effect: the processes belong to the fleet that runs them. */
+    /** Does nothing, because the fleet that runs the processes applies this fault. */
     @Override
     public void setProcessesPaused(WorkloadPlan.Fault fault, boolean active) {}
 
-    /** The upstreams by number. */
+    /** Returns the upstreams, indexed by number. */
     public List<UpstreamEmulator> upstreams() {
         return upstreams;
     }
 
-    /** The discovery agents by balancer. */
+    /** Returns the discovery agents, indexed by balancer. */
     public List<DiscoveryEmulator> discoveryAgents() {
         return discoveryAgents;
     }
 
-    /** The network between balancers. */
+    /** Returns the network between balancers. */
     public PeerNetworkEmulator peerNetwork() {
         return peerNetwork;
     }
 
-    /** The clients. */
+    /** Returns the clients. */
     public ClientEmulator clients() {
         return clients;
     }
 
-    /** Closes the addresses of upstreams and discovery agents. */
+    /** Closes the addresses of upstreams and discovery agents; waits up to 2 s for it. */
     @Override
     public void close() {
         emulation
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/Emulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/Emulation.java
@@ -12,15 +12,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The event loop of all emulated parties, its clock, and how late it was. All state of a run is
- * changed on this loop, so that no order of events depends on locks.
+ * Owns the event loop of all emulated parties and the clock of the run, and measures the loop's
+ * lag. All state of a run is changed on this loop, so that the order of events does not depend on
+ * locks.
  */
 public final class Emulation implements RunClock, AutoCloseable {
-    // Time between two samples of the event loop's lag
+    // Time between two samples of the event loop's lag.
     private static final long LAG_SAMPLE_INTERVAL_MICROS = 5_000;
 
-    // Until the start of the run is known, it is assumed to be this far away, so that times before
-    // it are negative.
+    // Until the start of the run is known, it is assumed to be this far in the future, so that
+    // times before the start are negative.
     private static final long PRE_RUN_OFFSET_NANOS = 3_600_000_000_000L;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
@@ -31,50 +32,50 @@
     private final Histogram eventLoopLag = new Histogram(3);
     private volatile long originNanos = System.nanoTime() + PRE_RUN_OFFSET_NANOS;
 
-    /** Creates an emulation whose event loop runs, and whose run has not started. */
+    /** Creates an emulation whose event loop accepts tasks and whose run has not started. */
     public Emulation(WorkloadPlan plan, RequestInvariants invariants) {
         this.plan = plan;
         this.invariants = invariants;
         this.windows = new ServiceWindows(plan.scenario());
     }
 
-    /** The only event loop of the emulation. */
+    /** Returns the only event loop of the emulation. */
     public EventLoop eventLoop() {
         return eventLoop;
     }
 
-    /** The plan of the run. */
+    /** Returns the plan of the run. */
     public WorkloadPlan plan() {
         return plan;
     }
 
-    /** The scenario of the plan. */
+    /** Returns the scenario of the plan. */
     public Scenario scenario() {
         return plan.scenario();
     }
 
-    /** The invariants of requests, which collect the violations of all invariants. */
+    /** Returns the invariants of requests, which collect the violations of all invariants. */
     public RequestInvariants invariants() {
         return invariants;
     }
 
-    /** The outcomes of requests by time. */
+    /** Returns the outcomes of requests by time window. */
     public ServiceWindows windows() {
         return windows;
     }
 
-    /** The time of the run in µs; negative before its start. */
+    /** Returns the time since the start of the run in µs; negative before the start. */
     @Override
     public long nowMicros() {
         return toRunMicros(System.nanoTime());
     }
 
-    /** The time of the run in µs at that value of {@link System#nanoTime}. */
+    /** Converts a value of {@link System#nanoTime} to the time since the start of the run in µs. */
     public long toRunMicros(long nanoTime) {
         return Math.floorDiv(nanoTime - originNanos, 1000);
     }
 
-    /** Starts the run after so many µs, which is its time 0. */
+    /** Sets the start of the run, its time 0, to {@code delayMicros} µs from now. */
     public void startIn(long delayMicros) {
         originNanos = System.nanoTime() + delayMicros * 1000;
         eventLoop.schedule(() -> sampleLag(nowMicros()), delayMicros, TimeUnit.MICROSECONDS);
@@ -95,18 +96,18 @@
         scheduleTimer(timeMicros, task);
     }
 
-    /** Like {@link #schedule}, with a future by which the task can be cancelled. */
+    /** Schedules a task like {@link #schedule} and returns a future that can cancel it. */
     ScheduledFuture<?> scheduleTimer(long timeMicros, Runnable task) {
         return eventLoop.schedule(
                 task, Math.max(0, timeMicros - nowMicros()), TimeUnit.MICROSECONDS);
     }
 
-    /** How late tasks of the event loop ran, in µs, sampled every 5 ms during the run. */
+    /** Returns how late tasks of the event loop ran, in µs, sampled every 5 ms during the run. */
     public Histogram eventLoopLag() {
         return eventLoopLag;
     }
 
-    /** Ends the event loop; waits up to 5 s for it. */
+    /** Shuts down the event loop and waits up to 5 s until it has ended. */
     @Override
     public void close() {
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).awaitUninterruptibly(5, TimeUnit.SECONDS);
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/FrontendEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/FrontendEmulator.java
@@ -20,13 +20,13 @@
 import loadbalancer.testbed.client.FrontendRotation;
 
 /**
- * Distributes clients over the balancers of their zone, by polling the balancers' readiness. A
- * balancer that refuses connections is removed only after a delay that the scenario sets. Confined
- * to the emulation's event loop.
+ * Emulates the frontend that distributes clients over the ready balancers of their zone. It polls
+ * the balancers' readiness. A balancer that refuses connections leaves the rotation only after a
+ * delay that the scenario sets. Confined to the emulation's event loop.
  */
 public final class FrontendEmulator {
     private static final int READINESS_POLL_INTERVAL_MS = 100;
-    // A balancer in rotation is polled every so many intervals only.
+    // A reachable balancer in rotation is polled only once in this number of intervals.
     private static final int READY_POLL_DIVISOR = 5;
     private static final int MAX_RESPONSE_BYTES = 64 << 10;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
@@ -40,7 +40,11 @@
     private final boolean[] pollInFlight;
     private int pollRound;
 
-    /** Creates a frontend to which no balancer is ready; addresses are those for clients. */
+    /**
+     * Creates a frontend with no balancer in rotation.
+     *
+     * @param addresses the balancers' addresses for clients, indexed by balancer
+     */
     FrontendEmulator(Emulation emulation, InetSocketAddress[] addresses) {
         this.emulation = emulation;
         this.addresses = addresses;
@@ -50,7 +54,7 @@
         pollInFlight = new boolean[addresses.length];
     }
 
-    /** Starts to poll the readiness of all balancers. */
+    /** Starts polling the readiness of all balancers. */
     void start() {
         emulation
                 .eventLoop()
@@ -109,7 +113,7 @@
                         });
     }
 
-    /** Reads the response of one readiness poll. */
+    /** Handles the response to one readiness poll. */
     private final class ReadinessHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int balancer;
 
@@ -125,22 +129,22 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A timeout does not mean that the balancer is not ready.
+            // A poll that times out or fails leaves the rotation as it is.
             context.close();
         }
     }
 
-    /** Called when a connection to the balancer was refused. */
+    /** Handles a failed connection to the balancer. */
     void onUnreachable(int balancer) {
         rotation.onUnreachable(balancer, TimeUnit.NANOSECONDS.toMicros(System.nanoTime()));
     }
 
-    /** The balancers to which clients are sent. */
+    /** Returns the rotation of balancers that clients are sent to. */
     FrontendRotation rotation() {
         return rotation;
     }
 
-    /** The address of a balancer for clients. */
+    /** Returns a balancer's address for clients. */
     InetSocketAddress address(int balancer) {
         return addresses[balancer];
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/Json.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/Json.java
@@ -10,10 +10,10 @@
     private Json() {}
 
     /**
-     * Writes maps, lists, numbers and strings.
+     * Returns the JSON text of a value that consists of maps, lists, numbers and strings.
      *
-     * @throws IllegalArgumentException if the value contains anything else, which is a bug of the
-     *     testbed
+     * @throws IllegalArgumentException if the value contains an object that cannot be written as
+     *     JSON, which is a bug of the testbed
      */
     public static String write(Object value) {
         try {
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPath.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPath.java
@@ -7,10 +7,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The network between one balancer and one party that it connects to: a link in each direction and
- * the connections over them. The testbed owns the far end of each connection and delays and resets
- * it there: a relay would cost a second socket pair per connection and change nothing that the
- * balancer observes. Confined to the emulation's event loop.
+ * Models the network between one balancer and one party that it connects to: a link in each
+ * direction and the connections over them. The testbed owns the far end of each connection, and
+ * delays bytes and resets connections there. A relay would need a second pair of sockets per
+ * connection, and the balancer would observe no difference. Confined to the emulation's event loop.
  */
 public final class NetworkPath {
     private final NetworkLink forwardLink;
@@ -19,39 +19,44 @@
     private final Runnable onChange;
     private int refusalCount;
 
-    /** Creates a path; {@code onChange} runs when connections can no longer, or can again, open. */
+    /**
+     * Creates a path without faults.
+     *
+     * @param delayMicros the delay of each direction in µs
+     * @param onChange called after each change that may affect whether connections can be opened
+     */
     public NetworkPath(UniformRandomProvider random, long delayMicros, Runnable onChange) {
         this.forwardLink = new NetworkLink(random, delayMicros);
         this.reverseLink = new NetworkLink(random, delayMicros);
         this.onChange = onChange;
     }
 
-    /** The link from the balancer to the other party. */
+    /** Returns the link from the balancer to the other party. */
     NetworkLink forwardLink() {
         return forwardLink;
     }
 
-    /** The link from the other party to the balancer. */
+    /** Returns the link from the other party to the balancer. */
     NetworkLink reverseLink() {
         return reverseLink;
     }
 
-    /** The open connections, in the order in which they were opened. */
+    /** Returns the open connections, in the order in which they were opened. */
     Set<NetworkPathHandler> connections() {
         return connections;
     }
 
-    /** Whether connections do not open: they need both directions. */
+    /** Returns whether a direction is cut, so that connection attempts are not answered. */
     boolean isSilent() {
         return forwardLink.isCut() || reverseLink.isCut();
     }
 
-    /** Whether a fault refuses connections. */
+    /** Returns whether a fault makes the party refuse connections. */
     boolean refusesConnections() {
         return refusalCount > 0;
     }
 
-    /** Adds a fault to one link or both, or removes it. */
+    /** Adds a fault to one link or both if {@code active}, otherwise removes it. */
     void applyLinkFault(
             NetworkLink.LinkFault linkFault,
             boolean affectsForward,
@@ -73,7 +78,7 @@
         onChange.run();
     }
 
-    /** Resets all connections. */
+    /** Resets all open connections. */
     void resetConnections() {
         new ArrayList<>(connections).forEach(NetworkPathHandler::resetConnection);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPathHandler.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPathHandler.java
@@ -12,17 +12,18 @@
 import loadbalancer.testbed.network.NetworkLink;
 
 /**
- * The channel handler next to the socket of an emulated party: it delays bytes as the links of its
- * path do at the time, in order and without loss. Confined to the emulation's event loop.
+ * Delays the bytes of one connection by the current delays of its path's links, in order and
+ * without loss. It is the first handler of an emulated party's channel. Confined to the emulation's
+ * event loop.
  */
 final class NetworkPathHandler extends ChannelDuplexHandler {
-    // With more than this in one direction, the socket is no longer read.
+    // The socket is not read while this many bytes from the balancer are buffered.
     private static final int MAX_BUFFERED_BYTES = 256 << 10;
 
     private final Emulation emulation;
     private final NetworkPath path;
-    private final Lane forwardLane;
-    private final Lane reverseLane;
+    private final DelayQueue forwardQueue;
+    private final DelayQueue reverseQueue;
     private ChannelHandlerContext context;
     private long firstByteAtMicros = -1;
 
@@ -30,26 +31,26 @@
     NetworkPathHandler(Emulation emulation, NetworkPath path) {
         this.emulation = emulation;
         this.path = path;
-        this.forwardLane = new Lane(path.forwardLink());
-        this.reverseLane = new Lane(path.reverseLink());
+        this.forwardQueue = new DelayQueue(path.forwardLink());
+        this.reverseQueue = new DelayQueue(path.reverseLink());
     }
 
     private record DelayedBytes(ByteBuf bytes, ChannelPromise promise, long releaseAtMicros) {}
 
-    /** One direction of this connection, with the bytes that are delayed, oldest first. */
-    private final class Lane {
+    /** Queues the delayed bytes of one direction of this connection, oldest first. */
+    private final class DelayQueue {
         private final NetworkLink link;
-        private final Deque<DelayedBytes> queue = new ArrayDeque<>();
+        private final Deque<DelayedBytes> delayed = new ArrayDeque<>();
         private long lastReleaseMicros = Long.MIN_VALUE;
         private long bufferedBytes;
         private boolean drainScheduled;
 
-        Lane(NetworkLink link) {
+        DelayQueue(NetworkLink link) {
             this.link = link;
         }
 
         void offer(ByteBuf bytes, ChannelPromise promise) {
-            if (queue.isEmpty() && link.isTransparent()) {
+            if (delayed.isEmpty() && link.isTransparent()) {
                 deliver(bytes, promise);
                 return;
             }
@@ -59,20 +60,20 @@
                             emulation.nowMicros()
                                     + link.tcpDelayMicros(
                                             emulation.nowMicros(), bytes.readableBytes()));
-            queue.add(new DelayedBytes(bytes, promise, lastReleaseMicros));
+            delayed.add(new DelayedBytes(bytes, promise, lastReleaseMicros));
             bufferedBytes += bytes.readableBytes();
             drain();
         }
 
         void drain() {
-            while (!queue.isEmpty()
+            while (!delayed.isEmpty()
                     && !link.isCut()
-                    && queue.peek().releaseAtMicros <= emulation.nowMicros()) {
-                DelayedBytes item = queue.poll();
+                    && delayed.peek().releaseAtMicros <= emulation.nowMicros()) {
+                DelayedBytes item = delayed.poll();
                 bufferedBytes -= item.bytes.readableBytes();
                 deliver(item.bytes, item.promise);
             }
-            if (!queue.isEmpty() && !link.isCut() && !drainScheduled) {
+            if (!delayed.isEmpty() && !link.isCut() && !drainScheduled) {
                 drainScheduled = true;
                 context.executor()
                         .schedule(
@@ -80,10 +81,10 @@
                                     drainScheduled = false;
                                     drain();
                                 },
-                                Math.max(1, queue.peek().releaseAtMicros - emulation.nowMicros()),
+                                Math.max(1, delayed.peek().releaseAtMicros - emulation.nowMicros()),
                                 TimeUnit.MICROSECONDS);
             }
-            if (this == forwardLane) {
+            if (this == forwardQueue) {
                 boolean readable = bufferedBytes < MAX_BUFFERED_BYTES && !link.isCut();
                 if (context.channel().config().isAutoRead() != readable) {
                     context.channel().config().setAutoRead(readable);
@@ -103,22 +104,25 @@
         }
 
         void releaseAll() {
-            queue.forEach(item -> ReferenceCountUtil.release(item.bytes));
-            queue.clear();
+            delayed.forEach(item -> ReferenceCountUtil.release(item.bytes));
+            delayed.clear();
         }
     }
 
-    /** When the first byte since the last call of this method arrived, in µs; -1: none has. */
+    /**
+     * Returns when the first byte since the last call of this method was delivered, in µs since the
+     * start of the run, or -1 if there was none.
+     */
     long takeFirstByteMicros() {
         long timeMicros = firstByteAtMicros;
         firstByteAtMicros = -1;
         return timeMicros;
     }
 
-    /** Called when the links of the path have changed. */
+    /** Handles a change of the path's links: delivers the bytes that may pass now. */
     void onPathChanged() {
-        forwardLane.drain();
-        reverseLane.drain();
+        forwardQueue.drain();
+        reverseQueue.drain();
     }
 
     /** Closes the connection with a TCP reset. */
@@ -135,22 +139,22 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ignored, Object message) {
-        forwardLane.offer((ByteBuf) message, null);
+        forwardQueue.offer((ByteBuf) message, null);
     }
 
     @Override
     public void write(ChannelHandlerContext ignored, Object message, ChannelPromise promise) {
-        reverseLane.offer((ByteBuf) message, promise);
+        reverseQueue.offer((ByteBuf) message, promise);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ignored) {
         path.connections().remove(this);
-        while (!forwardLane.queue.isEmpty()) {
-            // Bytes that arrived before the end are delivered before it.
-            forwardLane.deliver(forwardLane.queue.poll().bytes, null);
+        while (!forwardQueue.delayed.isEmpty()) {
+            // Bytes that arrived before the connection ended are delivered before the end.
+            forwardQueue.deliver(forwardQueue.delayed.poll().bytes, null);
         }
-        reverseLane.releaseAll();
+        reverseQueue.releaseAll();
         context.fireChannelInactive();
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/PeerNetworkEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/PeerNetworkEmulator.java
@@ -18,31 +18,36 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The network of datagrams between balancers. Balancer i knows balancer j by the address of a
- * socket of the testbed, and j knows i by another: what arrives at the one is sent from the other,
- * delayed, duplicated or dropped by the link of that direction. Confined to the emulation's event
- * loop.
+ * Emulates the datagram network between balancers. Balancer i sends datagrams for balancer j to a
+ * socket of the testbed, and j sends those for i to another one. A datagram that arrives at one of
+ * the two sockets is sent from the other, delayed, duplicated or dropped by the link of that
+ * direction. Confined to the emulation's event loop, except for {@link #open}.
  */
 public final class PeerNetworkEmulator {
     private static final int MAX_DATAGRAM_BYTES = 256;
-    // Beyond it a link with limited bandwidth drops datagrams.
+    // A datagram that waits longer than this for limited bandwidth is dropped.
     private static final long MAX_QUEUE_DELAY_MICROS = 500_000;
 
     private final Emulation emulation;
     private final LoopbackAddresses addresses;
     private final int balancerCount;
-    // The addresses at which the balancers listen
+    // The addresses at which the balancers listen.
     private final InetSocketAddress[] balancerAddresses;
-    // [i][j]: the socket that balancer i takes for balancer j
+    // peerSockets[i][j]: the socket that represents balancer j to balancer i.
     private final Channel[][] peerSockets;
-    private final Channel[] broadcast;
-    // [i][j]: the link from balancer i to balancer j
+    // The socket of each balancer whose datagrams go to all other balancers.
+    private final Channel[] broadcastSockets;
+    // links[i][j]: the link from balancer i to balancer j.
     private final NetworkLink[][] links;
     private final long[] datagramsSent;
     private final long[] bytesSent;
     private final long[][] datagramsDelivered;
 
-    /** Creates a network without sockets; {@code random} draws delays, losses and duplicates. */
+    /**
+     * Creates a network without sockets.
+     *
+     * @param random source of delays, losses and duplicates
+     */
     PeerNetworkEmulator(
             Emulation emulation, LoopbackAddresses addresses, UniformRandomProvider random) {
         this.emulation = emulation;
@@ -50,7 +55,7 @@
         balancerCount = emulation.scenario().fleet().balancers();
         balancerAddresses = new InetSocketAddress[balancerCount];
         peerSockets = new Channel[balancerCount][balancerCount];
-        broadcast = new Channel[balancerCount];
+        broadcastSockets = new Channel[balancerCount];
         links = new NetworkLink[balancerCount][balancerCount];
         datagramsSent = new long[balancerCount];
         bytesSent = new long[balancerCount];
@@ -63,7 +68,11 @@
         }
     }
 
-    /** Opens all sockets. Called before the run, outside the event loop. */
+    /**
+     * Opens all sockets. Called before the run, outside the event loop.
+     *
+     * @throws IOException if an address cannot be bound
+     */
     void open() throws IOException {
         for (int balancer = 0; balancer < balancerCount; balancer++) {
             balancerAddresses[balancer] = addresses.findFreePort(addresses.clientAddress(balancer));
@@ -72,7 +81,7 @@
                     peerSockets[balancer][peer] = bind(balancer, peer);
                 }
             }
-            broadcast[balancer] = bind(balancer, -1);
+            broadcastSockets[balancer] = bind(balancer, -1);
         }
     }
 
@@ -94,8 +103,8 @@
                             @Override
                             public void exceptionCaught(
                                     ChannelHandlerContext context, Throwable cause) {
-                                // A balancer that is not there makes the system report an
-                                // unreachable port.
+                                // The system reports an unreachable port while a balancer does
+                                // not run.
                             }
                         })
                 .bind(new InetSocketAddress(addresses.peerAddress(balancer), 0))
@@ -117,7 +126,7 @@
                             "datagrams",
                             emulation.nowMicros(),
                             null,
-                            "n" + sender + " sent " + length + " bytes");
+                            "n" + sender + " sent a datagram of " + length + " bytes");
         }
         for (int recipient = 0; recipient < balancerCount; recipient++) {
             if (recipient != sender && (destination < 0 || destination == recipient)) {
@@ -149,17 +158,17 @@
         }
     }
 
-    /** The link from one balancer to another. */
+    /** Returns the link from one balancer to another. */
     NetworkLink link(int from, int to) {
         return links[from][to];
     }
 
-    /** The address at which a balancer listens for datagrams. */
+    /** Returns the address at which a balancer listens for datagrams. */
     InetSocketAddress balancerAddress(int balancer) {
         return balancerAddresses[balancer];
     }
 
-    /** The addresses of all balancers as one of them is configured, its own included. */
+    /** Returns the addresses of all balancers for the configuration of one, its own included. */
     List<String> peerAddresses(int balancer) {
         List<String> peers = new ArrayList<>();
         for (int peer = 0; peer < balancerCount; peer++) {
@@ -173,22 +182,23 @@
         return peers;
     }
 
-    /** The address whose datagrams go from that balancer to all others. */
-    String broadcast(int balancer) {
-        return LoopbackAddresses.format((InetSocketAddress) broadcast[balancer].localAddress());
+    /** Returns the address from which a balancer's datagrams go to all other balancers. */
+    String broadcastAddress(int balancer) {
+        return LoopbackAddresses.format(
+                (InetSocketAddress) broadcastSockets[balancer].localAddress());
     }
 
-    /** Datagrams that a balancer sent; one to everyone counts once. */
+    /** Returns the number of datagrams that a balancer sent; a broadcast counts once. */
     public long datagramsSent(int balancer) {
         return datagramsSent[balancer];
     }
 
-    /** Bytes of the datagrams that a balancer sent. */
+    /** Returns the number of bytes in the datagrams that a balancer sent. */
     public long bytesSent(int balancer) {
         return bytesSent[balancer];
     }
 
-    /** Datagrams delivered from one balancer to another, duplicates included. */
+    /** Returns the number of datagrams delivered from one balancer to another, with duplicates. */
     public long datagramsDelivered(int from, int to) {
         return datagramsDelivered[from][to];
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/PlatformSettings.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/PlatformSettings.java
@@ -9,20 +9,21 @@
 import loadbalancer.testbed.scenario.Scenario;
 
 /**
- * The settings that the balancers of a scenario get when they start, with the platform's keys and
- * units. Stateless.
+ * Converts a scenario to the settings that its balancers get when they start, with the platform's
+ * keys and units. Stateless.
  */
 public final class PlatformSettings {
-    // Points of the objective, as the site has them
+    // Costs in points of the site's objective.
     private static final double CROSS_ZONE_COST = 0.015;
     private static final double GOSSIP_COST = 0.03;
+    // Weights of the site's objective.
     private static final double OVER_QUOTA_WEIGHT_FACTOR = 0.2;
     private static final ObjectiveWeights OBJECTIVE_WEIGHTS =
             new ObjectiveWeights(0.65, 0.05, 0.2, 0.1);
 
     private PlatformSettings() {}
 
-    /** The settings of one balancer, nested as in its configuration. */
+    /** Returns the settings of one balancer, nested as in its configuration. */
     static Map<String, Object> settings(Scenario scenario, int balancer) {
         Scenario.Fleet fleet = scenario.fleet();
         double crossZoneCost = fleet.zones().size() > 1 ? CROSS_ZONE_COST : 0;
@@ -74,7 +75,7 @@
         return settings;
     }
 
-    /** The settings of one balancer as the program reads them from its configuration. */
+    /** Returns the settings of one balancer as the program reads them from its configuration. */
     public static BootSettings bootSettings(Scenario scenario, int balancer) {
         return SettingsReader.read(SettingsFlattener.flatten(settings(scenario, balancer)));
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/ServerConnection.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/ServerConnection.java
@@ -6,26 +6,26 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 
 /**
- * The server's side of one HTTP connection that a balancer has opened to an emulated party. A
- * connection on which an exception occurs is closed. Confined to the emulation's event loop.
+ * Handles the server's side of one HTTP connection that a balancer has opened to an emulated party.
+ * Closes a connection on which an exception occurs. Confined to the emulation's event loop.
  */
 abstract class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final SocketChannel channel;
 
-    /** Creates the handler of a connection; it is the last one of the channel's pipeline. */
+    /** Creates the handler of a connection, which must be the last in the channel's pipeline. */
     ServerConnection(SocketChannel channel) {
         this.channel = channel;
     }
 
-    /** The channel of the connection. */
+    /** Returns the channel of the connection. */
     final SocketChannel channel() {
         return channel;
     }
 
-    /** Called when the connection is established. */
+    /** Handles the establishment of the connection. */
     abstract void onOpened();
 
-    /** Called when the connection has ended. */
+    /** Handles the end of the connection. */
     abstract void onClosed();
 
     @Override
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/UpstreamEmulator.java
@@ -30,8 +30,9 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * An emulated upstream: an {@link EndpointModel} behind sockets, with one address for each balancer
- * and with its faults. Confined to the emulation's event loop, except for {@link #open}.
+ * Emulates an upstream and its faults: serves HTTP requests as an {@link EndpointModel} computes,
+ * on one address for each balancer. Confined to the emulation's event loop, except for {@link
+ * #open}.
  */
 public final class UpstreamEmulator implements FaultableUpstream {
     private static final int MAX_BODY_BYTES = 64 << 10;
@@ -58,7 +59,11 @@
     private long jobCount;
     private long connectionsAccepted;
 
-    /** Creates an upstream; {@code paths} are indexed by balancer. */
+    /**
+     * Creates an upstream without addresses.
+     *
+     * @param paths the network paths to the upstream, indexed by balancer
+     */
     UpstreamEmulator(Emulation emulation, WorkloadPlan.UpstreamSpec spec, List<NetworkPath> paths) {
         this.emulation = emulation;
         this.spec = spec;
@@ -71,7 +76,7 @@
     /**
      * Opens the addresses. Called before the run, outside the event loop.
      *
-     * @throws IOException if an address can't be bound
+     * @throws IOException if an address cannot be bound
      */
     void open(LoopbackAddresses addresses) throws IOException {
         for (int balancer = 0; balancer < paths.size(); balancer++) {
@@ -87,7 +92,7 @@
         emulation.eventLoop().execute(this::updateListeners);
     }
 
-    /** The address at which a balancer reaches this upstream. */
+    /** Returns the address at which a balancer reaches this upstream. */
     InetSocketAddress address(int balancer) {
         return listeners.get(balancer).address();
     }
@@ -97,7 +102,7 @@
         return spec;
     }
 
-    /** Opens or closes the addresses after a change of the paths or the process. */
+    /** Updates the state of all addresses after a change of the paths or of the process. */
     void updateListeners() {
         for (int balancer = 0; balancer < listeners.size(); balancer++) {
             NetworkPath path = paths.get(balancer);
@@ -125,13 +130,14 @@
                         new Connection(channel, pathHandler, balancer));
     }
 
-    /** One connection of a balancer, which carries one request at a time. */
+    /** Serves one connection of a balancer, which carries one request at a time. */
     private final class Connection extends ServerConnection {
         private final NetworkPathHandler pathHandler;
         private final int balancer;
         private boolean newConnection = true;
-        // The attempt that is being executed and its job, or null
+        // The attempt that is being executed; meaningful only while there is a running job.
         private ClientAttempt runningAttempt;
+        // The job of the running attempt, or null.
         private Job runningJob;
 
         Connection(SocketChannel channel, NetworkPathHandler pathHandler, int balancer) {
@@ -154,7 +160,7 @@
                 runningAttempt.addTraceEvent(
                         emulation.nowMicros(),
                         "s" + spec.number(),
-                        "n" + balancer + " ended the connection");
+                        "connection to n" + balancer + " closed");
                 runningJob = null;
                 scheduleCompletion();
             }
@@ -177,9 +183,9 @@
                                 requestId,
                                 "n"
                                         + balancer
-                                        + " wrote a request to s"
+                                        + " sent a request to s"
                                         + spec.number()
-                                        + " behind another on one connection");
+                                        + " while another was in progress on the same connection");
             } else {
                 handleAttempt(requestId, firstByteMicros, emulation.nowMicros());
             }
@@ -212,7 +218,7 @@
                     || connections.size() > emulation.scenario().upstreams().maxConnections()
                     || !alive
                     || !model.tryAccept(nowMicros, newJob)) {
-                receivedAttempt.addTraceEvent(nowMicros, "s" + spec.number(), "turned away");
+                receivedAttempt.addTraceEvent(nowMicros, "s" + spec.number(), "rejected");
                 respond(503, true, "");
                 return;
             }
@@ -246,7 +252,7 @@
                                 null,
                                 "s"
                                         + spec.number()
-                                        + " was pushed over "
+                                        + " exceeded its slow-start budget "
                                         + (nowMicros - startedAtMicros) / 1000
                                         + " ms after its start");
                 crash();
@@ -259,7 +265,7 @@
         void completeJob(long nowMicros) {
             boolean fails = service.failsClass(runningJob.requestClass());
             runningAttempt.addTraceEvent(
-                    nowMicros, "s" + spec.number(), fails ? "fails it" : "answers");
+                    nowMicros, "s" + spec.number(), fails ? "fails" : "responds");
             ClientAttempt completedAttempt = runningAttempt;
             runningJob = null;
             runningAttempt = null;
@@ -284,7 +290,7 @@
         }
     }
 
-    /** The body of the response to a request, which only this upstream writes. */
+    /** Returns the body of an upstream's response to a request, unique to both. */
     static String responseBody(int upstream, String requestId) {
         return "s" + upstream + " made this for " + requestId;
     }
@@ -318,7 +324,7 @@
         scheduleCompletion();
     }
 
-    /** Ends the process: its connections are reset, and new ones are refused. */
+    /** Ends the process: resets its connections and refuses new ones. */
     void crash() {
         alive = false;
         updateListeners();
@@ -355,12 +361,12 @@
         updateListeners();
     }
 
-    /** The largest fraction of the slow-start budget that was ever used. */
+    /** Returns the largest fraction of the slow-start budget that has been used so far. */
     public double peakSlowStartUtilization() {
         return peakSlowStartUtilization;
     }
 
-    /** The number of connections that were established. */
+    /** Returns the number of connections that have been established. */
     public long connectionsAccepted() {
         return connectionsAccepted;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/fault/FaultInjector.java
+++ b/testbed/src/main/java/loadbalancer/testbed/fault/FaultInjector.java
@@ -7,21 +7,22 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * Begins and ends the faults of a plan in an environment.
+ * Starts and ends the faults of a plan in an environment. Confined to the thread that executes the
+ * run.
  *
- * @param <U> the environment's upstreams
+ * @param <U> the type of the environment's upstreams
  */
 public final class FaultInjector<U extends FaultableUpstream> {
     private final WorkloadPlan plan;
     private final FaultableEnvironment<U> environment;
 
-    /** Creates an injector; nothing happens before {@link #scheduleFaults}. */
+    /** Creates an injector that applies no faults before {@link #scheduleFaults} is called. */
     public FaultInjector(WorkloadPlan plan, FaultableEnvironment<U> environment) {
         this.plan = plan;
         this.environment = environment;
     }
 
-    /** Schedules the begin and the end of each fault of the plan. */
+    /** Schedules the start and the end of each fault of the plan. */
     public void scheduleFaults(RunClock clock) {
         for (WorkloadPlan.Fault fault : plan.faults()) {
             clock.schedule(fault.startMicros(), () -> applyFault(fault, true));
@@ -31,7 +32,7 @@
         }
     }
 
-    /** Begins or ends a fault now. */
+    /** Starts the fault now if {@code active}, otherwise ends it. */
     public void applyFault(WorkloadPlan.Fault fault, boolean active) {
         Scenario.FaultSpec spec = fault.spec();
         switch (fault.kind()) {
--- a/testbed/src/main/java/loadbalancer/testbed/fault/FaultableDiscoveryAgent.java
+++ b/testbed/src/main/java/loadbalancer/testbed/fault/FaultableDiscoveryAgent.java
@@ -1,16 +1,19 @@
 package loadbalancer.testbed.fault;
 
-/** The discovery agent of one balancer as faults change it. Several faults may overlap. */
+/**
+ * The operations by which faults change the discovery agent of one balancer. Several faults may be
+ * active at once. Called on the thread that executes the run.
+ */
 public interface FaultableDiscoveryAgent {
-    /** Adds to the delay of updates in µs; negative: takes back what was added. */
+    /** Increases the delay of updates by a number of µs; a negative number reduces it again. */
     void addExtraDelayMicros(long deltaMicros);
 
-    /** A fault begins, or one ends, in which the agent serves the list as it was then. */
+    /** Starts or ends a fault during which the list that the agent serves does not change. */
     void setStale(boolean active);
 
-    /** A fault begins, or one ends, in which the agent responds to nothing. */
+    /** Starts or ends a fault during which the agent does not respond to requests. */
     void setSilent(boolean active);
 
-    /** A fault begins, or one ends, in which the agent refuses connections. */
+    /** Starts or ends a fault during which the agent refuses connections. */
     void setDenied(boolean active);
 }
--- a/testbed/src/main/java/loadbalancer/testbed/fault/FaultableEnvironment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/fault/FaultableEnvironment.java
@@ -4,35 +4,36 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * What a fault can act on: upstreams, paths, discovery agents and the balancers' processes.
+ * Gives faults access to all that they act on: upstreams, links, discovery agents and the
+ * balancers' processes. Called on the thread that executes the run.
  *
- * @param <U> the environment's upstreams
+ * @param <U> the type of the environment's upstreams
  */
 public interface FaultableEnvironment<U extends FaultableUpstream> {
-    /** The upstream of that number in the plan. */
+    /** Returns the upstream with a number of the plan. */
     U upstream(int number);
 
-    /** The discovery agent of that balancer. */
+    /** Returns the discovery agent of a balancer. */
     FaultableDiscoveryAgent discoveryAgent(int balancer);
 
-    /** Ends the upstream's process together with all that is in flight there. */
+    /** Ends the upstream's process; its requests in flight are lost. */
     void crash(U upstream);
 
-    /** Discovery learns of a change of the upstream; every agent after its own delay. */
+    /** Announces the upstream's new status to every discovery agent, after the agent's delay. */
     void publish(U upstream, EndpointStatus status);
 
-    /** Adds a fault to, or removes it from, every link that it affects. */
+    /** Adds a fault to every link that it affects if {@code active}, otherwise removes it. */
     void applyLinkFault(WorkloadPlan.Fault fault, boolean active);
 
-    /** Connections between the fault's balancers and upstreams are refused, or no longer. */
+    /** Starts or ends refusing connections between the fault's balancers and upstreams. */
     void setRefusing(WorkloadPlan.Fault fault, boolean active);
 
     /** Resets the connections between the fault's balancers and upstreams. */
     void resetConnections(WorkloadPlan.Fault fault);
 
-    /** Ends, or starts again, the processes of the fault's balancers. */
+    /** Ends the processes of the fault's balancers if {@code active}, otherwise restarts them. */
     void setProcessesDown(WorkloadPlan.Fault fault, boolean active);
 
-    /** Stops, or resumes, the processes of the fault's balancers. */
+    /** Suspends the processes of the fault's balancers if {@code active}, else resumes them. */
     void setProcessesPaused(WorkloadPlan.Fault fault, boolean active);
 }
--- a/testbed/src/main/java/loadbalancer/testbed/fault/FaultableUpstream.java
+++ b/testbed/src/main/java/loadbalancer/testbed/fault/FaultableUpstream.java
@@ -3,17 +3,19 @@
 import loadbalancer.testbed.endpointmodel.FaultableService;
 import loadbalancer.testbed.workload.WorkloadPlan;
 
-/** An upstream as faults change it. */
+/**
+ * The operations by which faults change an upstream. Called on the thread that executes the run.
+ */
 public interface FaultableUpstream {
-    /** The upstream as the plan has it. */
+    /** Returns the plan's description of the upstream. */
     WorkloadPlan.UpstreamSpec spec();
 
-    /** Starts its process, in slow start and without requests. */
+    /** Starts the upstream's process in slow start, without requests in flight. */
     void start();
 
-    /** How it serves requests, as faults change it. */
+    /** Returns the service whose processing of requests faults change. */
     FaultableService service();
 
-    /** Its machine stops answering at all, or answers again. */
+    /** Starts or ends a fault during which the upstream's machine does not answer at all. */
     void setVanished(boolean vanished);
 }
--- a/testbed/src/main/java/loadbalancer/testbed/network/NetworkLink.java
+++ b/testbed/src/main/java/loadbalancer/testbed/network/NetworkLink.java
@@ -8,31 +8,34 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * One direction of the network between two parties, with the faults that are present. Faults may
- * overlap: their delays add up, their probabilities apply one after the other. Times are µs of the
- * run. Confined to the thread that plays the run.
+ * Computes the delays and losses in one direction of the network between two parties, with the
+ * faults that are active. Faults may overlap: their delays add up, and their probabilities apply
+ * one after the other. Times are µs since the start of the run. Confined to the thread that
+ * executes the run.
  */
 public final class NetworkLink {
-    // Added to what a TCP connection carries, in place of a loss.
+    // Delay of TCP bytes where a datagram would be lost.
     private static final long RETRANSMISSION_DELAY_MICROS = 200_000;
 
     private final UniformRandomProvider random;
     private final long baseDelayMicros;
     private final List<LinkFault> faults = new ArrayList<>(2);
-    // When the bytes sent so far have passed at the present bandwidth.
-    private long freeAtMicros;
+    // Time at which all bytes sent so far have been transmitted at the limited bandwidth.
+    private long transmissionEndMicros;
 
     /**
-     * The effect of one fault on a link; 0 and false change nothing.
+     * Holds the effect of one fault on a link. A component that is 0 or false has no effect.
      *
-     * @param cut whether nothing passes
-     * @param lossProbability of each datagram; TCP pays a retransmission instead
-     * @param delayMicros added delay in µs; of the copy or of the datagram that is overtaken, if
-     *     datagrams are duplicated or reordered
-     * @param jitterMicros upper bound of a random delay in µs
-     * @param duplicateProbability of each datagram
-     * @param reorderProbability of each datagram, to be overtaken by later ones
-     * @param bytesPerSecond bandwidth; 0: unlimited
+     * @param cut whether the link passes nothing
+     * @param lossProbability probability that a datagram is lost; TCP bytes get a retransmission
+     *     delay instead
+     * @param delayMicros added delay in µs; a fault that duplicates or reorders datagrams delays
+     *     only the copy or the reordered datagram
+     * @param jitterMicros upper bound of an additional random delay in µs
+     * @param duplicateProbability probability that a datagram is duplicated
+     * @param reorderProbability probability that a datagram is delayed so that later ones can
+     *     overtake it
+     * @param bytesPerSecond bandwidth; 0 means unlimited
      */
     public record LinkFault(
             boolean cut,
@@ -42,7 +45,7 @@
             double duplicateProbability,
             double reorderProbability,
             double bytesPerSecond) {
-        /** Nothing passes. */
+        /** Returns a fault that lets nothing pass. */
         public static LinkFault cutOff() {
             return new LinkFault(true, 0, 0, 0, 0, 0, 0);
         }
@@ -68,7 +71,7 @@
         }
 
         /**
-         * The effect of a fault of the plan on each direction that it affects.
+         * Returns the effect of a planned fault on each direction that it affects.
          *
          * @throws UnsupportedFaultException if the fault's kind does not affect links
          */
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Creates a link without faults; {@code baseDelayMicros} is its delay in µs. */
+    /** Creates a link without faults that delays everything by {@code baseDelayMicros} µs. */
     public NetworkLink(UniformRandomProvider random, long baseDelayMicros) {
         this.random = random;
         this.baseDelayMicros = baseDelayMicros;
@@ -106,7 +109,7 @@
         return link;
     }
 
-    /** Adds a fault, or removes one that was added. */
+    /** Adds a fault if {@code active}, otherwise removes one that was added before. */
     public void setFault(LinkFault fault, boolean active) {
         if (active) {
             faults.add(fault);
@@ -115,12 +118,12 @@
         }
     }
 
-    /** Whether bytes pass at once, without faults or delay. */
+    /** Returns whether bytes pass immediately, because there are no faults and no delay. */
     public boolean isTransparent() {
         return faults.isEmpty() && baseDelayMicros == 0;
     }
 
-    /** Whether nothing passes. Called for each attempt, so without streams. */
+    /** Returns whether nothing passes. Avoids streams because it is called for each attempt. */
     public boolean isCut() {
         for (LinkFault fault : faults) {
             if (fault.cut) {
@@ -134,7 +137,10 @@
         return probability > 0 && random.nextDouble() < probability;
     }
 
-    /** Draws whether a datagram is lost. Called for each datagram, so without streams. */
+    /**
+     * Decides at random whether a datagram is lost. Avoids streams because it is called for each
+     * datagram.
+     */
     public boolean dropsDatagram() {
         for (LinkFault fault : faults) {
             if (fault.cut || occurs(fault.lossProbability)) {
@@ -145,8 +151,8 @@
     }
 
     /**
-     * Draws the delays in µs of a datagram and of its duplicates; one that is to be overtaken is
-     * delayed further.
+     * Samples the delays in µs of a datagram and of its duplicates. A datagram that later ones may
+     * overtake is delayed further.
      */
     public List<Long> datagramDelaysMicros() {
         List<Long> delaysMicros = new ArrayList<>(2);
@@ -177,7 +183,7 @@
         return delayMicros;
     }
 
-    /** Draws the delay in µs of that many bytes of a TCP connection. */
+    /** Samples the delay in µs of a number of bytes that are sent now on a TCP connection. */
     public long tcpDelayMicros(long nowMicros, int bytes) {
         long delayMicros = sampleDelayMicros() + transmissionDelayMicros(nowMicros, bytes);
         for (LinkFault fault : faults) {
@@ -189,21 +195,23 @@
     }
 
     /**
-     * Returns the time in µs until that many bytes have passed at the smallest bandwidth of the
-     * present faults, behind the bytes that were sent before; 0 without such a fault.
+     * Returns the time in µs until a number of bytes have been transmitted at the smallest
+     * bandwidth of the active faults, after all bytes that were sent before, and counts them as
+     * sent. Returns 0 if no fault limits the bandwidth.
      */
     public long transmissionDelayMicros(long nowMicros, int bytes) {
         double bytesPerSecond = 0;
         for (LinkFault fault : faults) {
-            boolean narrower = bytesPerSecond == 0 || fault.bytesPerSecond < bytesPerSecond;
-            if (fault.bytesPerSecond > 0 && narrower) {
+            boolean slower = bytesPerSecond == 0 || fault.bytesPerSecond < bytesPerSecond;
+            if (fault.bytesPerSecond > 0 && slower) {
                 bytesPerSecond = fault.bytesPerSecond;
             }
         }
         if (bytesPerSecond == 0) {
             return 0;
         }
-        freeAtMicros = Math.max(freeAtMicros, nowMicros) + (long) (bytes / bytesPerSecond * 1e6);
-        return freeAtMicros - nowMicros;
+        transmissionEndMicros =
+                Math.max(transmissionEndMicros, nowMicros) + (long) (bytes / bytesPerSecond * 1e6);
+        return transmissionEndMicros - nowMicros;
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/network/UnsupportedFaultException.java
+++ b/testbed/src/main/java/loadbalancer/testbed/network/UnsupportedFaultException.java
@@ -2,11 +2,11 @@
 
 import loadbalancer.testbed.scenario.FaultKind;
 
-/** A fault was applied to a link whose kind does not affect links. */
+/** Thrown when a fault that does not affect links is converted into the effect on a link. */
 public final class UnsupportedFaultException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
     UnsupportedFaultException(FaultKind kind) {
-        super(kind.keyword() + " does not affect links");
+        super("fault kind " + kind.keyword() + " does not affect links");
     }
 }
--- a/testbed/src/test/java/loadbalancer/testbed/emulation/BalancerConfigurationBuilderTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/emulation/BalancerConfigurationBuilderTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The text of a configuration is fixed to the byte. */
+/** Verifies the exact JSON text of a configuration. */
 class BalancerConfigurationBuilderTest {
     @Test
     void allKeysAreWrittenInOrderOfCalls() {
--- a/testbed/src/test/java/loadbalancer/testbed/emulation/FaultInjectorTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/emulation/FaultInjectorTest.java
@@ -33,21 +33,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each kind of fault takes effect on the path or party that it names, and on no other. */
+/**
+ * Verifies that each kind of fault takes effect on the path or party that it names, and on no
+ * other.
+ */
 @Timeout(60)
 class FaultInjectorTest {
     // A response that does not arrive within this time is considered withheld.
     private static final int TIMEOUT_MS = 400;
 
     private Emulation emulation;
-    private EmulatedEnvironment stage;
+    private EmulatedEnvironment environment;
     private FaultInjector<UpstreamEmulator> faultInjector;
     private WorkloadPlan plan;
     private final List<AutoCloseable> openSockets = new ArrayList<>();
     private int requestCount;
 
-    // Three balancers, whose part the test plays, and three servers: one of each in each zone.
-    private void stage(String fault) throws IOException {
+    // Starts three upstreams for three balancers, one of each per zone. The test itself opens the
+    // sockets of the balancers.
+    private void startEnvironment(String fault) throws IOException {
         plan =
                 WorkloadPlan.generate(
                         ScenarioReader.parse(
@@ -78,8 +82,8 @@
         RequestInvariants requestInvariants =
                 new RequestInvariants(plan.scenario(), violation -> {});
         emulation = new Emulation(plan, requestInvariants);
-        stage = new EmulatedEnvironment(emulation);
-        faultInjector = new FaultInjector<>(plan, stage);
+        environment = new EmulatedEnvironment(emulation);
+        faultInjector = new FaultInjector<>(plan, environment);
         emulation.startIn(0);
     }
 
@@ -88,7 +92,7 @@
         for (AutoCloseable socket : openSockets) {
             socket.close();
         }
-        stage.close();
+        environment.close();
         emulation.close();
     }
 
@@ -99,15 +103,15 @@
                 .syncUninterruptibly();
     }
 
-    private Socket connect(int balancer, int server) throws IOException {
+    private Socket connect(int balancer, int upstream) throws IOException {
         Socket socket = new Socket();
         openSockets.add(socket);
-        socket.connect(stage.upstream(server).address(balancer), TIMEOUT_MS);
+        socket.connect(environment.upstream(upstream).address(balancer), TIMEOUT_MS);
         socket.setSoTimeout(TIMEOUT_MS);
         return socket;
     }
 
-    /** Sends a request of the first class on a connection, and returns the status of its answer. */
+    /** Sends a request of the first class on a connection and returns the response status. */
     private int sendRequest(Socket socket, int balancer) throws IOException {
         String requestId = "r" + requestCount++;
         emulation
@@ -139,7 +143,7 @@
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         String statusLine = reader.readLine();
         if (statusLine == null) {
-            throw new SocketException("ended");
+            throw new SocketException("connection closed without a response");
         }
         int length = 0;
         for (String line = reader.readLine(); !line.isEmpty(); line = reader.readLine()) {
@@ -154,24 +158,24 @@
         return Integer.parseInt(statusLine.split(" ")[1]);
     }
 
-    private int sendRequest(int balancer, int server) throws IOException {
-        return sendRequest(connect(balancer, server), balancer);
+    private int sendRequest(int balancer, int upstream) throws IOException {
+        return sendRequest(connect(balancer, upstream), balancer);
     }
 
-    private void awaitRecovery(int balancer, int server) {
+    private void awaitRecovery(int balancer, int upstream) {
         await().ignoreExceptions()
                 .atMost(Duration.ofSeconds(10))
-                .until(() -> sendRequest(balancer, server) == 200);
+                .until(() -> sendRequest(balancer, upstream) == 200);
     }
 
     @Test
     void partitionHoldsConnectionsOfItsPath() throws IOException {
-        stage("kind = `cut`; on = `balancers:0`; to = `upstreams:0`");
+        startEnvironment("kind = `cut`; on = `balancers:0`; to = `upstreams:0`");
         Socket blockedConnection = connect(0, 0);
         assertEquals(200, sendRequest(blockedConnection, 0));
         setFault(true);
         assertThrows(SocketTimeoutException.class, () -> sendRequest(blockedConnection, 0));
-        // The listener becomes silent shortly after the path is cut.
+        // The listener becomes silent a short time after the path is cut.
         await().until(() -> connectTimesOut(0, 0));
         assertEquals(200, sendRequest(0, 1));
         assertEquals(200, sendRequest(1, 0));
@@ -181,9 +185,9 @@
         awaitRecovery(0, 0);
     }
 
-    private boolean connectTimesOut(int balancer, int server) throws IOException {
+    private boolean connectTimesOut(int balancer, int upstream) throws IOException {
         try {
-            connect(balancer, server);
+            connect(balancer, upstream);
             return false;
         } catch (SocketTimeoutException e) {
             return true;
@@ -191,8 +195,8 @@
     }
 
     @Test
-    void oneWayPartitionPassesTheOtherWay() throws IOException {
-        stage("kind = `cut`; on = `upstreams:0`; to = `balancers:0`; one_way = true");
+    void oneWayPartitionHoldsOnlyResponses() throws IOException {
+        startEnvironment("kind = `cut`; on = `upstreams:0`; to = `balancers:0`; one_way = true");
         Socket blockedConnection = connect(0, 0);
         assertEquals(200, sendRequest(blockedConnection, 0));
         setFault(true);
@@ -205,7 +209,7 @@
 
     @Test
     void refusedPathRejectsConnections() throws IOException {
-        stage("kind = `refuse`; on = `balancers:0`; to = `upstreams:0`");
+        startEnvironment("kind = `refuse`; on = `balancers:0`; to = `upstreams:0`");
         setFault(true);
         await().ignoreExceptions()
                 .until(() -> assertThrows(ConnectException.class, () -> connect(0, 0)) != null);
@@ -217,7 +221,7 @@
 
     @Test
     void resetEndsConnectionsOfItsPath() throws IOException {
-        stage("kind = `reset`; on = `balancers:0`; to = `upstreams:0`");
+        startEnvironment("kind = `reset`; on = `balancers:0`; to = `upstreams:0`");
         Socket faultyConnection = connect(0, 0);
         Socket otherConnection = connect(1, 0);
         assertEquals(200, sendRequest(faultyConnection, 0));
@@ -235,7 +239,7 @@
         "'kind = `thin`; amount = 250.0', 140"
     })
     void delayedPathAddsLatency(String fault, long minMs) throws IOException {
-        stage(fault + "; on = `balancers:0`; to = `upstreams:0`");
+        startEnvironment(fault + "; on = `balancers:0`; to = `upstreams:0`");
         Socket connection = connect(0, 0);
         connection.setSoTimeout(10_000);
         assertEquals(200, sendRequest(connection, 0));
@@ -247,33 +251,35 @@
     }
 
     @Test
-    void crashedServerRefusesAndReturnsInSlowStart() throws IOException {
-        stage("kind = `crash`; on = `upstreams:0`");
+    void crashedUpstreamRefusesAndReturnsInSlowStart() throws IOException {
+        startEnvironment("kind = `crash`; on = `upstreams:0`");
         Socket blockedConnection = connect(1, 0);
         assertEquals(200, sendRequest(blockedConnection, 1));
         setFault(true);
         assertThrows(SocketException.class, () -> sendRequest(blockedConnection, 1));
         await().ignoreExceptions()
                 .until(() -> assertThrows(ConnectException.class, () -> connect(0, 0)) != null);
-        await().until(() -> listedTargets(0).size() == 2);
+        await().until(() -> listedEndpoints(0).size() == 2);
         setFault(false);
         awaitRecovery(0, 0);
-        await().until(() -> listedTargets(0).size() == 3);
-        assertTrue(stage.upstream(0).peakSlowStartUtilization() > 0, "its budget is counted");
+        await().until(() -> listedEndpoints(0).size() == 3);
+        assertTrue(
+                environment.upstream(0).peakSlowStartUtilization() > 0,
+                "use of the slow-start budget is not recorded");
     }
 
-    private List<?> listedTargets(int balancer) throws Exception {
+    private List<?> listedEndpoints(int balancer) throws Exception {
         return (List<?>)
                 emulation
                         .eventLoop()
-                        .submit(() -> stage.discoveryAgent(balancer).completeList())
+                        .submit(() -> environment.discoveryAgent(balancer).completeList())
                         .get()
                         .get("targets");
     }
 
     @Test
-    void vanishedServerIsSilent() throws IOException {
-        stage("kind = `vanish`; on = `upstreams:0`");
+    void vanishedUpstreamIsSilent() throws IOException {
+        startEnvironment("kind = `vanish`; on = `upstreams:0`");
         Socket blockedConnection = connect(1, 0);
         assertEquals(200, sendRequest(blockedConnection, 1));
         setFault(true);
@@ -283,8 +289,8 @@
     }
 
     @Test
-    void hangingServerAnswersOnResume() throws IOException {
-        stage("kind = `hang`; on = `upstreams:0`");
+    void hangingUpstreamRespondsAfterTheFault() throws IOException {
+        startEnvironment("kind = `hang`; on = `upstreams:0`");
         setFault(true);
         Socket pendingConnection = connect(0, 0);
         assertThrows(SocketTimeoutException.class, () -> sendRequest(pendingConnection, 0));
@@ -294,8 +300,8 @@
 
     @ParameterizedTest
     @CsvSource({"x, 500", "y, 200"})
-    void serverFailsTheNamedClass(String className, int expectedStatus) throws IOException {
-        stage("kind = `fail`; on = `upstreams:0`; class = `" + className + "`");
+    void upstreamFailsOnlyTheNamedClass(String className, int expectedStatus) throws IOException {
+        startEnvironment("kind = `fail`; on = `upstreams:0`; class = `" + className + "`");
         setFault(true);
         assertEquals(expectedStatus, sendRequest(0, 0));
         assertEquals(200, sendRequest(0, 1));
@@ -304,33 +310,35 @@
     }
 
     @Test
-    void slowServerIsSlowerByTheFactor() throws IOException {
-        stage("kind = `slow`; amount = 200; on = `upstreams:0`");
+    void slowUpstreamIsSlowerByTheFactor() throws IOException {
+        startEnvironment("kind = `slow`; amount = 200; on = `upstreams:0`");
         setFault(true);
         long startNanos = System.nanoTime();
         assertEquals(200, sendRequest(0, 0));
-        assertTrue(System.nanoTime() - startNanos >= 200_000_000, "1 ms of work took 200");
+        assertTrue(
+                System.nanoTime() - startNanos >= 200_000_000,
+                "1 ms of work took less than 200 ms");
     }
 
     @Test
-    void replacedServerDrainsToItsSuccessor() throws IOException {
-        stage("kind = `replace`; on = `upstreams:0`");
+    void replacedUpstreamDrainsAndItsSuccessorServes() throws IOException {
+        startEnvironment("kind = `replace`; on = `upstreams:0`");
         setFault(true);
         assertEquals(503, sendRequest(0, 0));
-        await().until(() -> listedTargets(0).toString().contains("terminating"));
+        await().until(() -> listedEndpoints(0).toString().contains("terminating"));
         setFault(false);
         awaitRecovery(0, 3);
         await().ignoreExceptions()
                 .until(() -> assertThrows(ConnectException.class, () -> connect(0, 0)) != null);
         await().until(
                         () ->
-                                !listedTargets(0).toString().contains("terminating")
-                                        && listedTargets(0).size() == 3);
+                                !listedEndpoints(0).toString().contains("terminating")
+                                        && listedEndpoints(0).size() == 3);
     }
 
-    private String fetchTargets(int balancer) throws IOException {
+    private String fetchListStatus(int balancer) throws IOException {
         try (Socket socket = new Socket()) {
-            InetSocketAddress address = stage.discoveryAgent(balancer).address();
+            InetSocketAddress address = environment.discoveryAgent(balancer).address();
             socket.connect(address, TIMEOUT_MS);
             socket.setSoTimeout(TIMEOUT_MS);
             String request = "GET /api/targets HTTP/1.1\r\n\r\n";
@@ -342,62 +350,66 @@
         }
     }
 
-    private void crashServer() {
+    private void crashUpstream() {
         emulation
                 .eventLoop()
                 .submit(
                         () -> {
-                            stage.crash(stage.upstream(2));
-                            stage.publish(stage.upstream(2), EndpointStatus.REMOVED);
+                            environment.crash(environment.upstream(2));
+                            environment.publish(environment.upstream(2), EndpointStatus.REMOVED);
                         })
                 .syncUninterruptibly();
     }
 
     @Test
-    void silentDiscoveryAcceptsWithoutAnswer() throws IOException {
-        stage("kind = `silent`; on = `balancers:0`");
+    void silentDiscoveryAcceptsConnectionsWithoutResponding() throws IOException {
+        startEnvironment("kind = `silent`; on = `balancers:0`");
         setFault(true);
-        assertThrows(SocketTimeoutException.class, () -> fetchTargets(0));
-        assertEquals("HTTP/1.1 200 OK", fetchTargets(1));
+        assertThrows(SocketTimeoutException.class, () -> fetchListStatus(0));
+        assertEquals("HTTP/1.1 200 OK", fetchListStatus(1));
         setFault(false);
-        assertEquals("HTTP/1.1 200 OK", fetchTargets(0));
+        assertEquals("HTTP/1.1 200 OK", fetchListStatus(0));
     }
 
     @Test
-    void deniedDiscoveryRefusesItsBalancers() throws IOException {
-        stage("kind = `deny`; on = `balancers:0`");
+    void deniedDiscoveryRefusesConnections() throws IOException {
+        startEnvironment("kind = `deny`; on = `balancers:0`");
         setFault(true);
         await().ignoreExceptions()
-                .until(() -> assertThrows(ConnectException.class, () -> fetchTargets(0)) != null);
-        assertEquals("HTTP/1.1 200 OK", fetchTargets(1));
+                .until(
+                        () ->
+                                assertThrows(ConnectException.class, () -> fetchListStatus(0))
+                                        != null);
+        assertEquals("HTTP/1.1 200 OK", fetchListStatus(1));
         setFault(false);
-        await().ignoreExceptions().until(() -> fetchTargets(0).equals("HTTP/1.1 200 OK"));
+        await().ignoreExceptions().until(() -> fetchListStatus(0).equals("HTTP/1.1 200 OK"));
     }
 
     @Test
-    void staleDiscoveryAnswersOldState() throws Exception {
-        stage("kind = `stale`; on = `balancers:0`");
+    void staleDiscoveryServesTheOldList() throws Exception {
+        startEnvironment("kind = `stale`; on = `balancers:0`");
         setFault(true);
-        crashServer();
-        await().until(() -> listedTargets(1).size() == 2);
-        assertEquals(3, listedTargets(0).size());
-        assertEquals("HTTP/1.1 200 OK", fetchTargets(0));
+        crashUpstream();
+        await().until(() -> listedEndpoints(1).size() == 2);
+        assertEquals(3, listedEndpoints(0).size());
+        assertEquals("HTTP/1.1 200 OK", fetchListStatus(0));
         setFault(false);
-        await().until(() -> listedTargets(0).size() == 2);
+        await().until(() -> listedEndpoints(0).size() == 2);
     }
 
     @Test
     void delayedUpdatesArriveLate() throws Exception {
-        stage("kind = `late`; delay_ms = 600; on = `balancers:0`");
+        startEnvironment("kind = `late`; delay_ms = 600; on = `balancers:0`");
         setFault(true);
-        crashServer();
-        await().until(() -> listedTargets(1).size() == 2);
-        assertEquals(3, listedTargets(0).size());
-        await().until(() -> listedTargets(0).size() == 2);
+        crashUpstream();
+        await().until(() -> listedEndpoints(1).size() == 2);
+        assertEquals(3, listedEndpoints(0).size());
+        await().until(() -> listedEndpoints(0).size() == 2);
     }
 
     private DatagramSocket openPeerSocket(int balancer) throws IOException {
-        DatagramSocket socket = new DatagramSocket(stage.peerNetwork().balancerAddress(balancer));
+        DatagramSocket socket =
+                new DatagramSocket(environment.peerNetwork().balancerAddress(balancer));
         openSockets.add(socket);
         socket.setSoTimeout(TIMEOUT_MS);
         return socket;
@@ -407,7 +419,7 @@
             throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
         String[] addressParts =
-                stage.peerNetwork().peerAddresses(balancer).get(receiver).split(":");
+                environment.peerNetwork().peerAddresses(balancer).get(receiver).split(":");
         sender.send(
                 new DatagramPacket(
                         bytes,
@@ -435,17 +447,19 @@
     }
 
     private List<List<String>> exchangeDatagrams() throws IOException {
-        DatagramSocket[] homes = {openPeerSocket(0), openPeerSocket(1), openPeerSocket(2)};
+        DatagramSocket[] balancerSockets = {
+            openPeerSocket(0), openPeerSocket(1), openPeerSocket(2)
+        };
         for (int i = 0; i < 3; i++) {
             for (int j = 0; j < 3; j++) {
                 if (i != j) {
-                    send(homes[i], i, j, i + "to" + j);
+                    send(balancerSockets[i], i, j, i + "to" + j);
                 }
             }
         }
         List<List<String>> receivedByBalancer = new ArrayList<>();
-        for (DatagramSocket home : homes) {
-            receivedByBalancer.add(receiveAll(home).stream().sorted().toList());
+        for (DatagramSocket balancerSocket : balancerSockets) {
+            receivedByBalancer.add(receiveAll(balancerSocket).stream().sorted().toList());
         }
         return receivedByBalancer;
     }
@@ -463,7 +477,7 @@
     void partitionBetweenBalancersDropsDatagrams(
             String paths, String expectedAtFirst, String expectedAtSecond, String expectedAtThird)
             throws IOException {
-        stage("kind = `cut`; " + paths);
+        startEnvironment("kind = `cut`; " + paths);
         setFault(true);
         assertEquals(
                 List.of(expectedAtFirst, expectedAtSecond, expectedAtThird),
@@ -474,7 +488,7 @@
 
     @Test
     void duplicatedDatagramsArriveTwice() throws IOException {
-        stage(
+        startEnvironment(
                 "kind = `repeat`; amount = 1.0; delay_ms = 20; on = `balancers:0`; to = `balancers:1`; "
                         + "one_way = true");
         setFault(true);
@@ -483,14 +497,14 @@
 
     @Test
     void lostDatagramsDoNotArrive() throws IOException {
-        stage("kind = `loss`; amount = 1.0; on = `balancers:0`; to = `balancers:1`");
+        startEnvironment("kind = `loss`; amount = 1.0; on = `balancers:0`; to = `balancers:1`");
         setFault(true);
         assertEquals(List.of("2to1"), exchangeDatagrams().get(1));
     }
 
     @Test
     void reorderingLosesNothing() throws IOException {
-        stage(
+        startEnvironment(
                 "kind = `reorder`; amount = 0.5; delay_ms = 30; on = `balancers:0`; to = `balancers:1`");
         setFault(true);
         DatagramSocket sender = openPeerSocket(0);
@@ -501,22 +515,24 @@
             send(sender, 0, 1, "m" + i);
         }
         List<String> received = receiveAll(receiver);
-        assertFalse(received.equals(sent), "in order");
+        assertFalse(received.equals(sent), "the datagrams arrived in order");
         assertEquals(sent, received.stream().sorted().toList());
     }
 
     @Test
     void broadcastReachesAllOthers() throws IOException {
-        stage("kind = `cut`; on = `balancers:0`; to = `balancers:1`");
-        DatagramSocket[] homes = {openPeerSocket(0), openPeerSocket(1), openPeerSocket(2)};
-        String[] addressParts = stage.peerNetwork().broadcast(0).split(":");
-        homes[0].send(
+        startEnvironment("kind = `cut`; on = `balancers:0`; to = `balancers:1`");
+        DatagramSocket[] balancerSockets = {
+            openPeerSocket(0), openPeerSocket(1), openPeerSocket(2)
+        };
+        String[] addressParts = environment.peerNetwork().broadcastAddress(0).split(":");
+        balancerSockets[0].send(
                 new DatagramPacket(
                         new byte[] {'x'},
                         1,
                         new InetSocketAddress(addressParts[0], Integer.parseInt(addressParts[1]))));
-        assertEquals(List.of("x"), receiveAll(homes[1]));
-        assertEquals(List.of("x"), receiveAll(homes[2]));
-        assertEquals(List.of(), receiveAll(homes[0]));
+        assertEquals(List.of("x"), receiveAll(balancerSockets[1]));
+        assertEquals(List.of("x"), receiveAll(balancerSockets[2]));
+        assertEquals(List.of(), receiveAll(balancerSockets[0]));
     }
 }
--- a/testbed/src/test/java/loadbalancer/testbed/emulation/PlatformSettingsTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/emulation/PlatformSettingsTest.java
@@ -9,7 +9,7 @@
 import loadbalancer.testbed.scenario.ScenarioReader;
 import org.junit.jupiter.api.Test;
 
-/** The settings that a scenario's balancers get stay those of the recorded runs. */
+/** Compares the settings of a scenario's balancers with recorded golden settings. */
 class PlatformSettingsTest {
     @Test
     void scenarioWithTenantsGivesRecordedSettings() throws IOException {
