--- a/testbed/src/main/java/loadbalancer/testbed/error/EventLoopException.java
+++ b/testbed/src/main/java/loadbalancer/testbed/error/EventLoopException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** A task on an event loop has failed, or was not executed in time. */
+/** Thrown if a task on an event loop fails or is not executed in time. */
 public final class EventLoopException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the exception. */
+    /** Creates an exception with the failure of the task, or the timeout, as its cause. */
     public EventLoopException(Throwable cause) {
         super(cause);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/error/InsufficientResourcesException.java
+++ b/testbed/src/main/java/loadbalancer/testbed/error/InsufficientResourcesException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** The machine or the JVM does not have the resources that a measurement requires. */
+/** Thrown if the machine or the JVM lacks resources that a measurement requires. */
 public final class InsufficientResourcesException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the exception; {@code message} is one line with what is required. */
+    /** Creates an exception; {@code message} is one line that names the required resources. */
     public InsufficientResourcesException(String message) {
         super(message);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/error/InvalidInputException.java
+++ b/testbed/src/main/java/loadbalancer/testbed/error/InvalidInputException.java
@@ -1,10 +1,10 @@
 package loadbalancer.testbed.error;
 
-/** Input of the user is invalid. The message is one line that says what is wrong. */
+/** Thrown if the user's input is invalid. The message is one line that describes the problem. */
 public class InvalidInputException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the exception; {@code message} names the input and says what is wrong. */
+    /** Creates an exception; {@code message} names the input and the problem. */
     public InvalidInputException(String message) {
         super(message);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/process/BalancerEnvironment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/BalancerEnvironment.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The environment variables of balancer processes. Stateless. */
+/** Sets the environment variables of balancer processes. Stateless. */
 public final class BalancerEnvironment {
     /** The variable that names the directory of a balancer's persistent state. */
     public static final String STATE_DIRECTORY_VARIABLE = "TANSYFERRY_STATE_DIR";
@@ -18,10 +18,10 @@
     private BalancerEnvironment() {}
 
     /**
-     * Gives a process the variables that every balancer gets, and removes what it would inherit
-     * from the testbed beyond the basic ones.
+     * Sets the variables that every balancer process has, and removes all inherited variables
+     * except {@code PATH}, {@code HOME}, {@code LANG} and {@code JAVA_HOME}.
      *
-     * @return the variables of {@code builder}, to which others may be added
+     * @return the modifiable variables of {@code builder}
      */
     public static Map<String, String> configure(
             ProcessBuilder builder, String name, Path configFile, Path tempDirectory) {
--- a/testbed/src/main/java/loadbalancer/testbed/process/BalancerProcess.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/BalancerProcess.java
@@ -15,19 +15,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * One balancer over all its processes: the present process, the log with the testbed's timestamps,
- * and resource usage. The fleet's thread starts and ends processes; one thread for each process
+ * One balancer across all its restarts: the current process, the log with the testbed's timestamps,
+ * and resource usage. The fleet's thread starts and ends processes; each process has a thread that
  * reads its log. Thread-safe.
  */
 public final class BalancerProcess {
-    // Beyond this size of the log of a run, lines are read and dropped.
+    // Lines beyond this total size of a balancer's log are read and discarded.
     private static final long MAX_LOG_BYTES = 32L << 20;
 
     private final int number;
     private final Path logFile;
     private final LongSupplier clock;
     private final BiConsumer<Long, String> lineListener;
-    private final List<Incarnation> incarnations = new ArrayList<>();
+    private final List<ProcessLifetime> lifetimes = new ArrayList<>();
     private Process process;
     private long loggedBytes;
     private long previousCpuMs;
@@ -37,19 +37,19 @@
     private boolean expectedToEnd;
 
     /**
-     * One process of a balancer.
+     * The start and the end of one process of a balancer.
      *
-     * @param startNanos its start, by {@link System#nanoTime}
-     * @param endNanos its end, by the same clock, or 0 while it runs
-     * @param exitReason why it has ended, or null while it runs
+     * @param startNanos time of the start in ns, by {@link System#nanoTime}
+     * @param endNanos time of the end in ns, by the same clock; 0 while the process runs
+     * @param exitReason why the process ended; null while it runs
      */
-    public record Incarnation(long startNanos, long endNanos, String exitReason) {}
+    public record ProcessLifetime(long startNanos, long endNanos, String exitReason) {}
 
     /**
      * Creates a balancer without a process.
      *
-     * @param clock the time of the run, µs
-     * @param lineListener is called for each line of the log with its time in µs, on the thread
+     * @param clock returns the time since the start of the run in µs
+     * @param lineListener called with the time in µs and the text of each log line, on the thread
      *     that reads the log
      */
     BalancerProcess(
@@ -60,12 +60,12 @@
         this.lineListener = lineListener;
     }
 
-    /** Notes that a process was started, and starts the thread that reads its log. */
+    /** Records the start of a process, and starts the thread that reads its log. */
     synchronized void onStarted(Process newProcess) {
         process = newProcess;
         expectedToEnd = false;
         previousCpuMs = cpuMs;
-        incarnations.add(new Incarnation(System.nanoTime(), 0, null));
+        lifetimes.add(new ProcessLifetime(System.nanoTime(), 0, null));
         Thread logReader = new Thread(() -> copyLog(newProcess), "log of n" + number);
         logReader.setDaemon(true);
         logReader.start();
@@ -94,27 +94,27 @@
         }
     }
 
-    /** Notes that the present process is about to be ended by the testbed. */
+    /** Records that the testbed is about to end the current process. */
     synchronized void expectEnd() {
         expectedToEnd = true;
     }
 
-    /** Whether the present process is ended by the testbed. */
+    /** Returns whether the testbed ends the current process, so that its exit is no crash. */
     synchronized boolean expectedToEnd() {
         return expectedToEnd;
     }
 
-    /** Notes the end of the present process; a second call for the same process has no effect. */
+    /** Records the end of the current process; a second call for the same process has no effect. */
     synchronized void onEnded(String reason) {
-        Incarnation latest = incarnations.get(incarnations.size() - 1);
+        ProcessLifetime latest = lifetimes.get(lifetimes.size() - 1);
         if (latest.exitReason == null) {
-            incarnations.set(
-                    incarnations.size() - 1,
-                    new Incarnation(latest.startNanos, System.nanoTime(), reason));
+            lifetimes.set(
+                    lifetimes.size() - 1,
+                    new ProcessLifetime(latest.startNanos, System.nanoTime(), reason));
         }
     }
 
-    /** Reads the resource usage of the present process, if it runs. */
+    /** Updates the resource usage from the current process, if it runs. */
     synchronized void sampleUsage() {
         if (process == null || !process.isAlive()) {
             return;
@@ -127,37 +127,37 @@
         }
     }
 
-    /** The number of the balancer, from 0. */
+    /** Returns the number of the balancer, from 0. */
     public int number() {
         return number;
     }
 
-    /** The present or last process, or null before the first start. */
+    /** Returns the current or last process, or null before the first start. */
     synchronized Process process() {
         return process;
     }
 
-    /** The file of the log, with lines of all processes. */
+    /** Returns the log file, which contains the lines of all processes of this balancer. */
     Path logFile() {
         return logFile;
     }
 
-    /** The processes so far, in order of time. */
-    public synchronized List<Incarnation> incarnations() {
-        return List.copyOf(incarnations);
+    /** Returns the lifetimes of all processes so far, in order of their starts. */
+    public synchronized List<ProcessLifetime> lifetimes() {
+        return List.copyOf(lifetimes);
     }
 
-    /** The CPU time of all processes so far, ms, as of the last sample. */
+    /** Returns the CPU time of all processes so far in ms, as of the last sample. */
     public synchronized long cpuMs() {
         return cpuMs;
     }
 
-    /** The largest resident memory of any sample, kB. */
+    /** Returns the largest sampled resident memory in kB. */
     public synchronized long peakResidentKb() {
         return peakResidentKb;
     }
 
-    /** The largest number of open file descriptors of any sample. */
+    /** Returns the largest sampled number of open file descriptors. */
     public synchronized int peakDescriptors() {
         return peakDescriptors;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/process/LaunchCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/LaunchCommand.java
@@ -10,14 +10,14 @@
 import loadbalancer.testbed.error.InvalidFileException;
 
 /**
- * The command that starts a balancer: that of {@code run} in the deploy file, with the jar under
- * test in place of the deployed one, and with the class archive beside that jar, if there is one.
- * Immutable.
+ * The command that starts a balancer. It is the value of {@code run} in the deploy file, with the
+ * deployed jar replaced by the jar under test, and with the class data sharing archive next to that
+ * jar if it exists. Immutable.
  *
  * @param command the program and its arguments
  */
 public record LaunchCommand(List<String> command) {
-    /** The jar of the project's build, relative to the project's root. */
+    /** The jar that the project's build writes, relative to the project's root. */
     public static final String DEFAULT_JAR = "balancer/target/load-balancer.jar";
 
     private static final String ARCHIVE_OPTION = "-XX:SharedArchiveFile=";
@@ -28,7 +28,7 @@
     }
 
     /**
-     * The command that starts a balancer from the jar of the project's build.
+     * Returns the command that starts a balancer from the jar that the project's build writes.
      *
      * @throws IOException if the deploy file or the jar can't be used
      */
@@ -38,7 +38,7 @@
     }
 
     /**
-     * The command that starts a balancer from {@code jar}, by the deploy file of this project.
+     * Returns the command that starts a balancer from {@code jar}, by this project's deploy file.
      *
      * @throws IOException if the deploy file or the jar can't be used
      */
@@ -47,19 +47,19 @@
     }
 
     /**
-     * Reads the command from a deploy file and puts {@code jar} into it.
+     * Reads the command from a deploy file and replaces its jar by {@code jar}.
      *
      * @throws IOException if the deploy file or the jar can't be used, with a message that names it
      */
     static LaunchCommand fromDeployFile(Path deployFile, Path jar) throws IOException {
         JsonNode runNode = new TomlMapper().readTree(Files.readString(deployFile)).get("run");
         if (runNode == null || !runNode.isTextual()) {
-            throw new InvalidFileException(deployFile + " has no run");
+            throw new InvalidFileException(deployFile + ": key 'run' is missing or not a string");
         }
         Path absoluteJar = jar.toAbsolutePath().normalize();
         if (!Files.isReadable(absoluteJar)) {
             throw new InvalidFileException(
-                    "no jar " + absoluteJar + ": build it first, or name one with --build");
+                    "jar " + absoluteJar + " can't be read: build it, or set another with --build");
         }
         Path classArchive =
                 absoluteJar.resolveSibling(
@@ -80,7 +80,11 @@
         return new LaunchCommand(command);
     }
 
-    /** The deploy file in the working directory or the nearest directory above that has one. */
+    /**
+     * Returns the deploy file of the working directory, or of its nearest ancestor that has one.
+     *
+     * @throws IOException if there is none
+     */
     static Path findDeployFile() throws IOException {
         for (Path directory = Path.of("").toAbsolutePath();
                 directory != null;
@@ -90,6 +94,7 @@
                 return file;
             }
         }
-        throw new InvalidFileException("no deploy/balancer.toml here or above");
+        throw new InvalidFileException(
+                "deploy/balancer.toml not found in the working directory or an ancestor of it");
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/process/ProcessFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ProcessFleet.java
@@ -25,17 +25,18 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * The balancers' processes: starts, ends, pauses and restarts them as the plan says, and checks
- * that they stay within their limits. Faults and samples run on the fleet's own thread; invariants
- * are notified on the emulation's event loop. {@link #close} ends the thread and every process.
+ * Starts, ends, pauses and restarts the balancers' processes according to the plan, and checks that
+ * they stay within their limits. Faults are applied and processes sampled on the fleet's own
+ * thread; invariants are notified on the emulation's event loop. {@link #close} ends the thread and
+ * every process.
  */
 public final class ProcessFleet implements AutoCloseable {
     private static final long SAMPLE_INTERVAL_MS = 250;
-    // From SIGTERM: the longest deadline and 0.7 s
+    // Counted from SIGTERM: the longest deadline of a request plus 0.7 s.
     private static final long SHUTDOWN_TIMEOUT_MS = 3_700;
     private static final long EVENT_LOOP_TIMEOUT_SECONDS = 10;
     private static final String SHUTDOWN_INVARIANT = "an orderly end";
-    private static final String ENDED_AS_EXPECTED = "ended as asked";
+    private static final String ENDED_AS_EXPECTED = "ended as expected";
     private static final String CRASHED = "crashed";
 
     private final Emulation emulation;
@@ -60,8 +61,8 @@
     /**
      * Creates a fleet without processes.
      *
-     * @param outputDirectory for configurations, logs, temporary files and state directories
-     * @param invariants are notified of events and log lines, on the emulation's event loop
+     * @param outputDirectory directory of configurations, logs, temporary files and state
+     * @param invariants notified of events and log lines on the emulation's event loop
      */
     public ProcessFleet(
             Emulation emulation,
@@ -88,7 +89,7 @@
         startCounts = new int[balancers.size()];
     }
 
-    /** Called on the threads that read logs; invariants are notified on the event loop. */
+    /** Handles a log line on the thread that read it; notifies the invariants on the event loop. */
     private void onLogLine(int balancer, long atMicros, String line) {
         emulation
                 .eventLoop()
@@ -99,14 +100,14 @@
                                                 invariant.onLogLine(balancer, atMicros, line)));
     }
 
-    /** The balancers by number. */
+    /** Returns the balancers in order of their numbers. */
     public List<BalancerProcess> balancers() {
         return balancers;
     }
 
     /**
-     * Starts all processes, together or one after another as the scenario says, and begins to
-     * sample their resource usage. Returns when they run, before they are ready.
+     * Starts all processes, at once or one after another as the scenario specifies, and begins to
+     * sample their resource usage. Returns when they run, which is before they are ready.
      *
      * @throws IOException if a process can't be started
      */
@@ -153,7 +154,7 @@
         process.onExit().thenAccept(ended -> onEnded(balancer, ended));
     }
 
-    /** Records a violation on the emulation's event loop, after this method has returned. */
+    /** Submits a violation to the emulation's event loop without waiting until it is recorded. */
     private void recordViolationLater(String rule, String description) {
         emulation.eventLoop().execute(() -> recordViolation(rule, description));
     }
@@ -201,7 +202,7 @@
         }
     }
 
-    /** Schedules the start and the end of each fault of the plan that concerns processes. */
+    /** Schedules the start and the end of each fault of the plan that affects processes. */
     public void scheduleFaults() {
         for (WorkloadPlan.Fault fault : emulation.plan().faults()) {
             if (fault.kind() != FaultKind.KILL
@@ -226,7 +227,7 @@
                     try {
                         action.run();
                     } catch (IOException | RuntimeException e) {
-                        recordViolationLater("testbed", "a fault could not be played: " + e);
+                        recordViolationLater("testbed", "a fault could not be injected: " + e);
                     }
                 },
                 Math.max(0, atMicros - emulation.nowMicros()),
@@ -246,7 +247,7 @@
             processes.forEach(this::enforceShutdownTimeout);
             return;
         }
-        // Before the signal, since the balancer is excused from what happens after it.
+        // The invariants are notified first: they tolerate failures only after the notification.
         boolean paused = fault.kind() == FaultKind.PAUSE;
         runOnEventLoop(
                 () -> {
@@ -310,12 +311,14 @@
         }
     }
 
-    // On a busy machine, a killed process ends some time after the signal.
+    // On a busy machine, a killed process may end some time after the signal.
     private static void awaitEnd(BalancerProcess balancer) throws IOException {
         try {
             if (!balancer.process().waitFor(SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
                 throw new ProcessFailedException(
-                        "n" + balancer.number() + " is to start again and has not ended");
+                        "n"
+                                + balancer.number()
+                                + " can't be restarted: its previous process has not ended");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -323,7 +326,7 @@
         }
     }
 
-    /** Notifies every invariant of each target, on the event loop, and waits until it is done. */
+    /** Notifies every invariant of each target on the event loop, and waits until that is done. */
     private void notifyInvariants(
             List<BalancerProcess> targets, ObjIntConsumer<RunInvariant> notification)
             throws IOException {
@@ -375,8 +378,8 @@
     }
 
     /**
-     * Sends SIGTERM to all processes that run, and returns when all have ended. Those that exceed
-     * the timeout are killed, which is a violation.
+     * Sends SIGTERM to all processes that run, and waits until all have ended. A process that
+     * exceeds the timeout is killed, and a violation is recorded.
      *
      * @throws IOException if the signal can't be sent
      */
@@ -412,7 +415,7 @@
                                 + process.exitValue()
                                 + " after SIGTERM");
             }
-            // The notification of Process.onExit comes later, on another thread.
+            // Process.onExit notifies later, on another thread.
             balancer.onEnded(ENDED_AS_EXPECTED);
         }
     }
--- a/testbed/src/main/java/loadbalancer/testbed/process/ProcessMetrics.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ProcessMetrics.java
@@ -6,20 +6,20 @@
 import java.nio.file.Path;
 
 /**
- * The resource usage of a process as the system reports it. Immutable.
+ * The resource usage of a process, as the operating system reports it. Immutable.
  *
- * @param cpuMs CPU time since its start, ms
- * @param residentKb resident memory, kB
- * @param descriptors open file descriptors
+ * @param cpuMs CPU time since the start of the process in ms
+ * @param residentKb resident memory in kB
+ * @param descriptors number of open file descriptors
  */
 public record ProcessMetrics(long cpuMs, long residentKb, int descriptors) {
-    // Linux counts CPU time in hundredths of a second.
+    // Linux reports CPU time in units of 10 ms.
     private static final long CLOCK_TICK_MS = 10;
-    // Positions of fields in /proc/PID/stat, counted after the command's name
+    // Indexes of fields in /proc/PID/stat, counted from the field after the command's name.
     private static final int USER_TIME_FIELD = 11;
     private static final int SYSTEM_TIME_FIELD = 12;
 
-    /** The present usage of a process; all values are -1 if it has ended. */
+    /** Returns the current usage of a process; all values are -1 if it has ended. */
     public static ProcessMetrics read(long pid) {
         Path proc = Path.of("/proc", Long.toString(pid));
         try {
--- a/testbed/src/main/java/loadbalancer/testbed/process/ProcessSpawner.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ProcessSpawner.java
@@ -15,9 +15,9 @@
 import loadbalancer.testbed.error.ProcessFailedException;
 
 /**
- * Starts processes and sends signals to them. All processes are started by one thread that lives as
- * long as the spawner: the system kills a process when the thread that started it ends, so that no
- * process outlives a testbed that was itself killed. Thread-safe.
+ * Starts processes and sends signals to them. One thread, which lives as long as the spawner,
+ * starts all processes: the operating system kills a process when the thread that started it ends,
+ * so no process outlives the testbed even if the testbed is killed. Thread-safe.
  */
 public final class ProcessSpawner implements AutoCloseable {
     private static final Path SETPRIV = Path.of("/usr/bin/setpriv");
@@ -33,7 +33,7 @@
     private final Thread shutdownHook =
             new Thread(() -> liveProcesses.forEach(Process::destroyForcibly), "end of processes");
 
-    /** Creates a spawner whose processes end with this program, however it ends. */
+    /** Creates a spawner whose processes are killed when this program ends for any reason. */
     public ProcessSpawner() {
         Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
@@ -41,9 +41,10 @@
     /**
      * Starts a command.
      *
-     * @param descriptors the limit of the process on open file descriptors
-     * @param builder has the environment and the redirections of the process
-     * @throws ProcessFailedException if it can't be started
+     * @param command the program and its arguments
+     * @param descriptors the maximum number of open file descriptors of the process
+     * @param builder the environment and the redirections of the process
+     * @throws ProcessFailedException if the process can't be started
      */
     public Process start(List<String> command, int descriptors, ProcessBuilder builder)
             throws ProcessFailedException {
@@ -74,7 +75,7 @@
     /**
      * Sends a signal to several processes at once. Processes that have ended are ignored.
      *
-     * @param name the signal's name without its prefix, such as {@code TERM}
+     * @param name the name of the signal without {@code SIG}, for example {@code TERM}
      * @throws IOException if the signal can't be sent
      */
     static void signal(String name, Collection<Process> processes) throws IOException {
@@ -85,7 +86,7 @@
                         .collect(Collectors.joining(" "));
         if (!pids.isEmpty()) {
             try {
-                // For a process that has ended meanwhile, kill only prints an error.
+                // If a process has ended in the meantime, kill only prints an error.
                 new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + pids + " 2>/dev/null")
                         .start()
                         .waitFor();
@@ -95,7 +96,7 @@
         }
     }
 
-    /** Kills the processes that still run. */
+    /** Kills the processes that still run, and ends the spawner's thread. */
     @Override
     public void close() {
         liveProcesses.forEach(Process::destroyForcibly);
--- a/testbed/src/main/java/loadbalancer/testbed/process/RequestTracePrinter.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/RequestTracePrinter.java
@@ -14,15 +14,15 @@
 import loadbalancer.testbed.invariant.Violation;
 
 /**
- * Prints the traces of requests that violated an invariant: what the emulated parties observed and
- * what the balancers logged, in order of time. Used after the run.
+ * Prints the traces of requests that violated an invariant: what the emulated clients and upstreams
+ * observed and what the balancers logged, in order of time. Used by one thread, after the run.
  */
 final class RequestTracePrinter {
     private static final int MAX_TRACES = 3;
 
     private final Consumer<String> output;
 
-    /** Creates a printer; {@code output} is called for each line. */
+    /** Creates a printer that passes each line to {@code output}. */
     RequestTracePrinter(Consumer<String> output) {
         this.output = output;
     }
@@ -30,7 +30,7 @@
     private record TraceLine(double atSeconds, String text) {}
 
     /**
-     * Prints the traces of the first violations that concern a request.
+     * Prints the traces of the first {@value #MAX_TRACES} requests that violated an invariant.
      *
      * @throws IOException if a balancer's log can't be read
      */
@@ -78,7 +78,7 @@
         }
     }
 
-    // BalancerProcess writes the time of the run in seconds in front of each line.
+    // BalancerProcess starts each line with the time in seconds since the start of the run.
     private static TraceLine parseLogLine(String line) {
         int timeEnd = line.indexOf(' ');
         return new TraceLine(
--- a/testbed/src/main/java/loadbalancer/testbed/process/ScenarioRunner.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ScenarioRunner.java
@@ -32,16 +32,16 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * One run of a scenario with real processes, from the first start to the written result. Used by
- * one thread; progress is also reported from the emulation's event loop.
+ * Runs a scenario once with real processes, from the first start to the written result. Used by one
+ * thread; the emulation's event loop reports progress, too.
  */
 public final class ScenarioRunner {
     private static final long READY_TIMEOUT_S = 30;
-    // Time between readiness and the first request
+    // Time from readiness of all balancers to the start of the plan.
     private static final long LEAD_TIME_MICROS = 300_000;
-    // A run that is longer than planned by this is ended.
+    // A run that takes this much longer than planned is aborted.
     private static final long MAX_OVERRUN_S = 90;
-    // Limit of the 99th percentile of the testbed's own lateness
+    // Above this 99th percentile of the testbed's own lateness, a run is not trusted.
     private static final double MAX_LATENESS_MICROS = 25e3;
     private static final int MAX_REPORTED_VIOLATIONS = 3;
 
@@ -54,8 +54,8 @@
     /**
      * Creates a runner.
      *
-     * @param outputDirectory for logs, state directories and the result; created if missing
-     * @param progressListener is called for each line of progress
+     * @param outputDirectory directory of logs, state and the result; created if missing
+     * @param progressListener called with each line of progress
      */
     public ScenarioRunner(
             WorkloadPlan plan,
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Plays the plan and writes its result. Returns within a bounded time, without leaving a
-     * process.
+     * Runs the plan and writes its result. Returns within a bounded time, after all processes have
+     * ended.
      *
      * @throws IOException if a process can't be started or signalled, or a file can't be written
      */
@@ -100,7 +100,7 @@
                         null,
                         "not every balancer was ready within "
                                 + READY_TIMEOUT_S
-                                + " s; nothing was played");
+                                + " s; no request was sent");
             }
             SortedMap<String, Double> metrics = endInvariants(emulation, runInvariants);
             fleet.stopAll();
@@ -206,7 +206,7 @@
                 progressListener.accept(
                         String.format(
                                 Locale.ROOT,
-                                "%4.0f of %.0f s, served %.3f of the last 5 s, %d rules broken",
+                                "%4.0f of %.0f s, served fraction %.3f in the last 5 s, %d violations",
                                 nowMicros / 1e6,
                                 plan.scenario().lengthS(),
                                 emulation
@@ -223,7 +223,7 @@
                             "testbed",
                             emulation.nowMicros(),
                             null,
-                            "the run did not end by itself");
+                            "the run did not complete in time and was aborted");
         }
     }
 
@@ -294,12 +294,12 @@
                         emulation.eventLoopLag().getValueAtPercentile(99),
                         environment.clients().lateness().getValueAtPercentile(99));
         metrics.put("lab_late_ms", latenessMicros / 1e3);
-        String doubt =
+        String untrustedReason =
                 latenessMicros <= MAX_LATENESS_MICROS
                         ? ""
                         : String.format(
                                 Locale.ROOT,
-                                "the testbed itself was late by %.0f ms (99th percentile), %.0f are allowed",
+                                "the testbed itself was late by %.0f ms (99th percentile), limit %.0f ms",
                                 latenessMicros / 1e3,
                                 MAX_LATENESS_MICROS / 1e3);
         return RunResultBuilder.build(
@@ -310,7 +310,7 @@
                 fleet.balancers().stream()
                         .map(balancer -> toProcessResult(balancer, environment))
                         .toList(),
-                doubt);
+                untrustedReason);
     }
 
     private RunResult.BalancerUsage toProcessResult(
@@ -319,14 +319,14 @@
         return new RunResult.BalancerUsage(
                 number,
                 plan.scenario().fleet().zones().get(plan.scenario().zoneOfBalancer(number)),
-                balancer.incarnations().stream()
+                balancer.lifetimes().stream()
                         .map(
-                                incarnation ->
+                                lifetime ->
                                         new RunResult.Lifetime(
-                                                incarnation.startNanos() / 1e6,
-                                                incarnation.endNanos() < 0
+                                                lifetime.startNanos() / 1e6,
+                                                lifetime.endNanos() < 0
                                                         ? -1
-                                                        : incarnation.endNanos() / 1e6))
+                                                        : lifetime.endNanos() / 1e6))
                         .toList(),
                 balancer.cpuMs() / 1e3,
                 balancer.peakResidentKb() / 1024.0,
--- a/testbed/src/main/java/loadbalancer/testbed/process/StateDirectories.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/StateDirectories.java
@@ -13,19 +13,20 @@
 import java.util.stream.Stream;
 
 /**
- * The directories of the balancers' persistent state, and the changes that faults make to one while
- * its process is down: it is kept, emptied, its newest file is truncated or gets a flipped bit, or
- * it is replaced by the copy that was taken before the last start. Used by the fleet's thread.
+ * Manages the directories of the balancers' persistent state, and applies the changes that faults
+ * make to a directory while its process is down: it is kept or emptied, its newest file is
+ * truncated or has one bit flipped, or it is replaced by the copy that was made before the last
+ * start. Used by the fleet's thread.
  */
 final class StateDirectories {
     private final Path root;
 
-    /** Uses directories below {@code root}, which are created when they are needed. */
+    /** Creates a manager of directories below {@code root}, each created on its first use. */
     StateDirectories(Path root) {
         this.root = root;
     }
 
-    /** The directory of a balancer, created if it does not exist. */
+    /** Returns the directory of a balancer, and creates it if it does not exist. */
     Path directoryOf(int balancer) throws IOException {
         return Files.createDirectories(root.resolve("n" + balancer));
     }
@@ -34,16 +35,16 @@
         return root.resolve("n" + balancer + ".older");
     }
 
-    /** Copies the directory of a balancer, in place of an earlier copy. */
+    /** Copies the directory of a balancer, and replaces an earlier copy. */
     void backUp(int balancer) throws IOException {
         replaceDirectory(directoryOf(balancer), backupOf(balancer));
     }
 
     /**
-     * Changes the directory of a balancer.
+     * Applies a change to the directory of a balancer.
      *
-     * @param stateChange the change, in the scenario's terms
-     * @param byteOffset the byte of the newest file at which it is truncated or changed, from 0
+     * @param stateChange a value of {@code state} in a scenario file
+     * @param byteOffset offset in bytes at which the newest file is truncated or changed
      */
     void applyStateChange(int balancer, String stateChange, int byteOffset) throws IOException {
         Path directory = directoryOf(balancer);
@@ -98,7 +99,7 @@
         }
         List<Path> paths;
         try (Stream<Path> files = Files.walk(source)) {
-            // Parents come before their files.
+            // A directory comes before the files in it.
             paths = files.toList();
         }
         for (Path file : paths) {
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/FaultValidator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/FaultValidator.java
@@ -3,14 +3,14 @@
 import java.util.Set;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Validates the faults of a scenario by their kinds. */
+/** Validates the faults of a scenario according to their kinds. Stateless. */
 final class FaultValidator {
     private static final Set<String> STATE_CHANGES =
             Set.of("kept", "emptied", "cut", "flipped", "older");
     private static final double MAX_SLOWDOWN_FACTOR = 1000;
     private static final double MIN_BYTES_PER_SECOND = 100;
     private static final double MAX_BYTES_PER_SECOND = 1e9;
-    // Selectors are drawn again when the scenario is played
+    // Validation does not depend on the seed; a run selects its targets with its own seed.
     private static final long VALIDATION_SEED = 1;
 
     private final Scenario scenario;
@@ -24,7 +24,7 @@
     /**
      * Validates a fault.
      *
-     * @param location of the fault, for example {@code fault[0]}
+     * @param location the fault's location in the scenario, for example {@code fault[0]}
      * @throws InvalidScenarioException at the first field that is not allowed
      */
     void validate(Scenario.FaultSpec fault, String location) {
@@ -44,11 +44,11 @@
 
     private void validateTimes(Scenario.FaultSpec fault, FaultKind kind, String location) {
         if (fault.atS() == null) {
-            throw checks.invalid(location + ".at_s", "missing: when it begins");
+            throw checks.invalid(location + ".at_s", "missing: the fault's start in seconds");
         }
         checks.requireBetween(location + ".at_s", fault.atS(), 0, scenario.lengthS());
         if (kind.requiresEnd() && fault.untilS() == null) {
-            throw checks.invalid(location + ".until_s", "missing: when it ends");
+            throw checks.invalid(location + ".until_s", "missing: the fault's end in seconds");
         }
         if (fault.untilS() != null) {
             checks.requireBetween(
@@ -59,21 +59,23 @@
     private void validateTargets(Scenario.FaultSpec fault, FaultKind kind, String location) {
         TargetSelector targets = requireSelector(fault.target(), location + ".on");
         if (kind.targetKind() == FaultKind.TargetKind.BALANCERS && !targets.upstreams().isEmpty()) {
-            throw checks.invalid(location + ".on", kind.keyword() + " is for balancers");
+            throw checks.invalid(location + ".on", kind.keyword() + " accepts balancers only");
         }
         if (kind.targetKind() == FaultKind.TargetKind.UPSTREAMS && !targets.balancers().isEmpty()) {
-            throw checks.invalid(location + ".on", kind.keyword() + " is for upstreams");
+            throw checks.invalid(location + ".on", kind.keyword() + " accepts upstreams only");
         }
         if (kind.affectsPath()) {
             requireSelector(fault.counterpart(), location + ".to");
         } else if (fault.counterpart() != null) {
-            throw checks.invalid(location + ".to", kind.keyword() + " is about no path");
+            throw checks.invalid(
+                    location + ".to",
+                    kind.keyword() + " affects no network path, so it must not be set");
         }
     }
 
     private TargetSelector requireSelector(String selector, String location) {
         if (selector == null) {
-            throw checks.invalid(location, "missing: whom it is about");
+            throw checks.invalid(location, "missing: balancers, upstreams or zone:NAME");
         }
         try {
             return TargetSelector.parse(
@@ -94,7 +96,7 @@
 
     private void requireAmount(Scenario.FaultSpec fault, String location, double min, double max) {
         if (fault.amount() == null) {
-            throw checks.invalid(location, "missing");
+            throw checks.invalid(location, "missing: a number");
         }
         checks.requireBetween(location, fault.amount(), min, max);
     }
@@ -106,7 +108,7 @@
                                 .map(Scenario.RequestClass::name)
                                 .anyMatch(name -> name.equals(fault.requestClass()));
         if (!known) {
-            throw checks.invalid(location, "no class '" + fault.requestClass() + "'");
+            throw checks.invalid(location, "no class is named '" + fault.requestClass() + "'");
         }
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/FieldChecks.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/FieldChecks.java
@@ -6,26 +6,26 @@
 import java.util.regex.PatternSyntaxException;
 
 /**
- * Checks of single fields of a scenario. Each throws {@link InvalidScenarioException} with the
- * location of the field if its value is not allowed.
+ * Checks single fields of a scenario. Each check throws {@link InvalidScenarioException} with the
+ * location of the field if its value is not allowed. Immutable.
  */
 final class FieldChecks {
-    // In headers and comma-separated settings a space or comma would split a name
+    // A space or a comma would split a name in headers and in comma-separated settings.
     private static final Pattern PLAIN_NAME = Pattern.compile("[\\w-]+");
 
     private final String file;
 
-    /** Creates the checks of a file, whose name appears in exceptions. */
+    /** Creates the checks of a file, whose name appears in the messages of exceptions. */
     FieldChecks(String file) {
         this.file = file;
     }
 
-    /** The exception for a field at a location, for example {@code fault[0].at_s}. */
+    /** Returns the exception for a field at a location, for example {@code fault[0].at_s}. */
     InvalidScenarioException invalid(String location, String problem) {
         return new InvalidScenarioException(file, location, problem);
     }
 
-    /** Requires a number between two others, inclusive. */
+    /** Requires a number from {@code min} to {@code max}, both inclusive. */
     void requireBetween(String location, double value, double min, double max) {
         if (!(value >= min && value <= max)) {
             throw invalid(
@@ -42,26 +42,27 @@
         return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
     }
 
-    /** Requires one of some keywords. */
+    /** Requires one of the allowed keywords. */
     void requireOneOf(String location, String value, Set<String> allowed) {
         if (!allowed.contains(value)) {
             throw invalid(
                     location,
                     "'"
                             + value
-                            + "' is none of "
+                            + "' is not one of "
                             + String.join(", ", allowed.stream().sorted().toList()));
         }
     }
 
-    /** Requires a range of two numbers in order, neither of which is negative. */
+    /** Requires a range of two ascending numbers, neither of which is negative. */
     void requireRange(String location, Range range) {
         if (!range.isWellFormed()) {
-            throw invalid(location, "not a range [least, most]: " + range);
+            throw invalid(
+                    location, "not a range [lower, upper] with 0 <= lower <= upper: " + range);
         }
     }
 
-    /** Whether a text consists of letters, digits, underscores and hyphens. */
+    /** Returns whether a text consists of ASCII letters, digits, underscores and hyphens only. */
     static boolean isPlainName(String text) {
         return PLAIN_NAME.matcher(text).matches();
     }
@@ -71,12 +72,12 @@
         for (int i = 0; i < names.size(); i++) {
             if (!isPlainName(names.get(i))) {
                 throw invalid(
-                        location + "[" + i + "].name", "no plain name: '" + names.get(i) + "'");
+                        location + "[" + i + "].name",
+                        "only letters, digits, _ and - are allowed: '" + names.get(i) + "'");
             }
             if (names.indexOf(names.get(i)) < i) {
                 throw invalid(
-                        location + "[" + i + "].name",
-                        "there is one of that name already: '" + names.get(i) + "'");
+                        location + "[" + i + "].name", "duplicate name: '" + names.get(i) + "'");
             }
         }
     }
@@ -84,12 +85,12 @@
     /** Requires a regular expression. */
     void requirePattern(String location, String expression) {
         if (expression == null || expression.isEmpty()) {
-            throw invalid(location, "missing");
+            throw invalid(location, "missing: a regular expression");
         }
         try {
             Pattern.compile(expression);
         } catch (PatternSyntaxException e) {
-            throw invalid(location, "no regular expression: " + e.getDescription());
+            throw invalid(location, "invalid regular expression: " + e.getDescription());
         }
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/InvalidSelectorException.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/InvalidSelectorException.java
@@ -1,6 +1,6 @@
 package loadbalancer.testbed.scenario;
 
-/** A target selector of a fault is invalid; the message says why, without the location. */
+/** Thrown if a fault's target selector is invalid. The message is the problem without location. */
 public final class InvalidSelectorException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/Range.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/Range.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * A range of numbers, written as {@code [lower, upper]}. A range that was read may be malformed
- * until the scenario is validated.
+ * A range of numbers, written as {@code [lower, upper]}. A range that was read from a file may be
+ * malformed until the scenario is validated. Immutable.
  *
- * @param bounds the two numbers, once validated
+ * @param bounds the lower and the upper bound; until validation, any list of numbers
  */
 public record Range(List<Double> bounds) {
     private static final int LOWER = 0;
@@ -17,7 +17,7 @@
         bounds = List.copyOf(bounds);
     }
 
-    /** Creates a range of the numbers from {@code lower} to {@code upper}. */
+    /** Creates the range from {@code lower} to {@code upper}, both inclusive. */
     public static Range of(double lower, double upper) {
         return new Range(List.of(lower, upper));
     }
@@ -27,17 +27,17 @@
         return new Range(bounds);
     }
 
-    /** Whether it has two bounds in order, neither of which is negative. */
+    /** Returns whether it has two ascending bounds, neither of which is negative. */
     boolean isWellFormed() {
         return bounds.size() == 2 && lower() >= 0 && upper() >= lower();
     }
 
-    /** The smallest number in the range. */
+    /** Returns the smallest number in the range. */
     public double lower() {
         return bounds.get(LOWER);
     }
 
-    /** The largest number in the range. */
+    /** Returns the largest number in the range. */
     public double upper() {
         return bounds.get(UPPER);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/Scenario.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * One experiment: a fleet, the upstreams it forwards to, the load and the faults. {@link
- * ScenarioReader} reads and validates it; fields that a scenario file omits get the defaults of the
- * constructors here. The key of a field in the file is its name in snake case unless {@link
- * JsonProperty} names another. Names end in the unit: {@code S} seconds, {@code Ms} milliseconds.
- * Immutable.
+ * The description of a run: a fleet, the upstreams that it forwards to, the load and the faults.
+ * {@link ScenarioReader} reads and validates it; the constructors here set the defaults of the
+ * fields that a scenario file omits. The key of a field in the file is its name in snake case
+ * unless {@link JsonProperty} names another. Names of times end in the unit: {@code S} for seconds,
+ * {@code Ms} for milliseconds. Immutable.
  */
 public record Scenario(
         String name,
@@ -44,12 +44,13 @@
     /**
      * The balancers, assigned to the zones round robin.
      *
-     * @param memoryMb limit of each process
-     * @param sockets limit of each process's descriptors
-     * @param startMode {@code together}, or {@code in_step} with {@code startStepMs} between two
-     *     starts
+     * @param balancers number of balancers
+     * @param zones names of the zones
+     * @param memoryMb limit of the resident memory of each process in MiB
+     * @param sockets limit of the open file descriptors of each process
+     * @param startMode {@code together}, or {@code in_step} with {@code startStepMs} between starts
      * @param stateDir whether each balancer has a state directory that outlives its process
-     * @param environment variables that enable parts of the program
+     * @param environment environment variables that enable optional features of the balancer
      */
     public record Fleet(
             Integer balancers,
@@ -75,14 +76,15 @@
     /**
      * The upstreams, assigned to the zones round robin.
      *
-     * @param cores requests that one upstream works on at a time
-     * @param queueCapacity requests that it queues beyond that
-     * @param maxConnections connections that it accepts
-     * @param slowStartInitialFraction part of its capacity that it has right after a start
-     * @param slowStartWindowS time after a start until it has all of its capacity
+     * @param count number of upstreams
+     * @param cores number of requests that one upstream processes at a time
+     * @param queueCapacity number of further requests that it queues
+     * @param maxConnections number of connections that it accepts
+     * @param slowStartInitialFraction fraction of its capacity that it has right after a start
+     * @param slowStartWindowS time after a start until it has its full capacity
      * @param overloadFactor work that it withstands in slow start, as a multiple of its capacity
      * @param overloadWindowS window over which that work is measured
-     * @param handshakeMs work that a new connection costs it
+     * @param handshakeMs work of accepting a new connection
      */
     public record Upstreams(
             Integer count,
@@ -115,8 +117,8 @@
     /**
      * A kind of machine.
      *
-     * @param weight its part of the upstreams, relative to the other kinds
-     * @param speed beside 1
+     * @param weight its share of the upstreams, relative to the weights of the other kinds
+     * @param speed work that it does per unit of time, relative to a machine of speed 1
      */
     public record MachineKind(String name, @JsonProperty("share") Double weight, Double speed) {
         public MachineKind {
@@ -129,13 +131,13 @@
     /**
      * The clients.
      *
-     * @param requestsPerSecond rate of requests over all zones, retries not included
-     * @param zoneWeights each zone's part of the rate; empty: equal parts
-     * @param maxRetries retries after a rejection or an unreachable balancer
+     * @param requestsPerSecond rate of requests of all zones together, without retries
+     * @param zoneWeights relative shares of the zones in the rate; equal shares if empty
+     * @param maxRetries maximum number of retries after a rejection or an unreachable balancer
      * @param retryBackoffMs time before a retry
-     * @param impatientFraction part of the clients that give up at half of their deadline
-     * @param frontendDetectionMs time until the front end notices a dead balancer
-     * @param rampUpS time in which the rate rises linearly from a tenth
+     * @param impatientFraction fraction of clients that give up at half of their deadline
+     * @param frontendDetectionMs time until the front end detects a dead balancer
+     * @param rampUpS time in which the rate rises linearly from a tenth to its full value
      */
     public record Load(
             @JsonProperty("rate") Double requestsPerSecond,
@@ -157,15 +159,16 @@
     }
 
     /**
-     * A class of requests.
+     * A request class.
      *
-     * @param trafficWeight its part of the requests, relative to the other classes
+     * @param trafficWeight its share of the requests, relative to the weights of the other classes
      * @param idempotency {@code safe}, {@code keyed} or {@code unsafe}
-     * @param idempotencyScope where a keyed request may be repeated: {@code all} or {@code zone}
+     * @param idempotencyScope upstreams to which a keyed request may be repeated: {@code all}, or
+     *     those of one {@code zone}
      * @param idempotencyWindowMs time in which a keyed request may be repeated
-     * @param lateValueFraction value of a response after the latency objective, relative to one in
-     *     time
-     * @param workMs range of the work of a request at speed 1
+     * @param lateValueFraction value of a response that misses the latency objective, as a fraction
+     *     of the value of one that meets it
+     * @param workMs range of the processing time of a request at speed 1
      */
     public record RequestClass(
             String name,
@@ -195,8 +198,8 @@
     /**
      * A tenant.
      *
-     * @param trafficWeight its part of the requests, relative to the other tenants
-     * @param quotaPerSecond requests per second within its quota
+     * @param trafficWeight its share of the requests, relative to the weights of the other tenants
+     * @param quotaPerSecond quota in requests per second
      */
     public record Tenant(
             String name,
@@ -210,12 +213,12 @@
     }
 
     /**
-     * The network. Delays are one way.
+     * The network. All delays are one-way.
      *
-     * @param zoneDelayMs between a balancer and an upstream of another zone
-     * @param peerDelayMs of a datagram between balancers
-     * @param peerLoss probability that such a datagram is lost
-     * @param discoveryDelayMs until an agent of discovery learns of a change
+     * @param zoneDelayMs delay between a balancer and an upstream of another zone
+     * @param peerDelayMs delay of a datagram between balancers
+     * @param peerLoss probability that a datagram between balancers is lost
+     * @param discoveryDelayMs delay until a discovery agent learns of a change
      */
     public record Network(
             Range zoneDelayMs,
@@ -231,9 +234,9 @@
     }
 
     /**
-     * One fault, from {@code atS} until {@code untilS}. {@link FaultKind} says what the other
-     * fields mean for each kind; {@code target} and {@code counterpart} have the form that {@link
-     * TargetSelector} reads.
+     * One fault, from {@code atS} until {@code untilS}. {@link FaultKind} describes what the other
+     * fields mean for each kind; {@link TargetSelector} describes the syntax of {@code target} and
+     * {@code counterpart}.
      */
     public record FaultSpec(
             String kind,
@@ -258,14 +261,15 @@
     }
 
     /**
-     * Properties of the whole run that are checked; null: not checked.
+     * Properties of the whole run that are checked, each unless it is null.
      *
-     * @param memberDetectionWithinS time in which all members learn of the end of one, if
-     *     membership is enabled; at the end of the run all must agree
+     * @param recoveryWithinS longest time until service recovers after a fault
+     * @param memberDetectionWithinS longest time until all members detect the end of one, if
+     *     membership is enabled; at the end of the run all views must agree
      * @param maxLeaseGapS longest time without an action of a lease's holders, whose epochs must
      *     not decrease
-     * @param zoneFailoverWithinS time in which balancers leave the zone of the first upstreams that
-     *     crash or vanish
+     * @param zoneFailoverWithinS longest time until the balancers fail over from the zone of the
+     *     first upstreams that crash or vanish
      * @param singleHolders resources that at most one balancer may hold at a time
      */
     public record Expectations(
@@ -282,8 +286,9 @@
     /**
      * A resource that at most one balancer may hold at a time.
      *
+     * @param resource name of the resource in violations
      * @param acquirePattern regular expression of the log line of an acquisition; its first group,
-     *     if any, is the resource's key
+     *     if it has one, matches the resource's key
      * @param releasePattern regular expression of the log line of a release
      */
     public record SingleHolder(
@@ -295,12 +300,12 @@
         return value == null ? defaultValue : value;
     }
 
-    /** The length of the run in µs. */
+    /** Returns the length of the run in µs. */
     public long lengthMicros() {
         return Math.round(lengthS * 1e6);
     }
 
-    /** The mean work of a request in µs at speed 1. */
+    /** Returns the mean processing time of a request at speed 1 in µs. */
     public double meanWorkMicros() {
         double totalWeight = classes.stream().mapToDouble(RequestClass::trafficWeight).sum();
         return classes.stream()
@@ -315,12 +320,15 @@
                 * 1e3;
     }
 
-    /** The zone of a balancer, by its position in {@code fleet.zones}. */
+    /** Returns the zone of a balancer, as its index in {@code fleet.zones}. */
     public int zoneOfBalancer(int balancer) {
         return balancer % fleet.zones().size();
     }
 
-    /** The zone of an upstream; a successor's is that of the upstream it replaces. */
+    /**
+     * Returns the zone of an upstream, as its index in {@code fleet.zones}. A successor is in the
+     * zone of the upstream that it replaces.
+     */
     public int zoneOfUpstream(int upstream) {
         return upstream % upstreams.count() % fleet.zones().size();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/ScenarioReader.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/ScenarioReader.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Reads and validates scenario files, in TOML. What it returns can be played. */
+/** Reads scenario files in TOML. The scenarios that it returns are valid. Not thread-safe. */
 public final class ScenarioReader {
     private final ObjectMapper mapper =
             new TomlMapper().setPropertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE);
@@ -27,7 +27,7 @@
     /**
      * Reads a scenario file.
      *
-     * @param simulated whether the scenario is for the simulation, which allows larger sizes
+     * @param simulated whether the scenario will be simulated, which allows larger sizes
      * @throws InvalidScenarioException if the file can't be read or is invalid
      */
     public static Scenario read(Path path, boolean simulated) {
@@ -44,7 +44,8 @@
     /**
      * Parses the text of a scenario.
      *
-     * @param file name for the messages of exceptions
+     * @param file the file's name in the messages of exceptions
+     * @param simulated whether the scenario will be simulated, which allows larger sizes
      * @throws InvalidScenarioException if the text is invalid
      */
     public static Scenario parse(String file, String text, boolean simulated) {
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/ScenarioValidator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/ScenarioValidator.java
@@ -3,21 +3,21 @@
 import java.util.Set;
 
 /**
- * Validates a scenario that has been read. Sizes are limited by what real processes on one machine,
- * or the simulation, can carry.
+ * Validates a scenario that has been read. The limits of sizes are what one machine can run, with
+ * real processes or in simulation. Stateless.
  */
 final class ScenarioValidator {
     private static final int MAX_BALANCERS = 40;
     private static final int MAX_UPSTREAMS = 200;
     private static final int MAX_SIMULATED_BALANCERS = 1_600;
     private static final int MAX_SIMULATED_UPSTREAMS = 14_000;
-    // Variables that a scenario may set for balancers
+    // A scenario may set only variables with this prefix.
     private static final String VARIABLE_PREFIX = "TANSYFERRY_";
 
     private final FieldChecks checks;
     private final boolean simulated;
 
-    /** Creates a validator; {@code simulated}: the larger sizes of the simulation are allowed. */
+    /** Creates a validator; {@code simulated} allows the larger sizes of simulations. */
     ScenarioValidator(FieldChecks checks, boolean simulated) {
         this.checks = checks;
         this.simulated = simulated;
@@ -59,12 +59,14 @@
             if (!variable.startsWith(VARIABLE_PREFIX)) {
                 throw checks.invalid(
                         "fleet.environment." + variable,
-                        "only variables that begin with " + VARIABLE_PREFIX + " may be set");
+                        "not allowed: a variable's name must begin with " + VARIABLE_PREFIX);
             }
         }
         if (fleet.zones().isEmpty()
                 || fleet.zones().stream().anyMatch(zone -> !FieldChecks.isPlainName(zone))) {
-            throw checks.invalid("fleet.zones", "no list of names: " + fleet.zones());
+            throw checks.invalid(
+                    "fleet.zones",
+                    "not a non-empty list of names of letters, digits, _ and -: " + fleet.zones());
         }
     }
 
@@ -98,7 +100,8 @@
                 && scenario.load().zoneWeights().size() != scenario.fleet().zones().size()) {
             throw checks.invalid(
                     "load.zone_shares",
-                    "as many as zones are wanted: " + scenario.fleet().zones().size());
+                    "number of values must be that of fleet.zones: "
+                            + scenario.fleet().zones().size());
         }
     }
 
@@ -111,7 +114,7 @@
 
     private void validateNames(Scenario scenario) {
         if (scenario.classes().isEmpty()) {
-            throw checks.invalid("class", "no class of requests");
+            throw checks.invalid("class", "missing: at least one request class");
         }
         checks.requireUniqueNames(
                 "class", scenario.classes().stream().map(Scenario.RequestClass::name).toList());
@@ -150,7 +153,8 @@
         if (scenario.expectations().zoneFailoverWithinS() != null
                 && scenario.faults().stream()
                         .noneMatch(fault -> Set.of("crash", "vanish").contains(fault.kind()))) {
-            throw checks.invalid("expect.zone_left_within_s", "no upstreams crash or vanish");
+            throw checks.invalid(
+                    "expect.zone_left_within_s", "requires a fault of kind crash or vanish");
         }
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/TargetSelector.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/TargetSelector.java
@@ -10,10 +10,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The balancers and upstreams that a fault affects. Written as terms joined by commas: {@code
- * balancers}, {@code upstreams} or {@code zone:NAME} (both of that zone). The first two may be
- * followed by a colon and numbers ({@code 0-6+9}), {@code zone=NAME}, or {@code any=N} for N of
- * them chosen by the seed.
+ * The balancers and upstreams that a fault affects. A selector is a comma-separated list of the
+ * terms {@code balancers}, {@code upstreams} and {@code zone:NAME}; the last selects the balancers
+ * and the upstreams of a zone. The first two may be followed by a colon and one filter: numbers
+ * ({@code 0-6+9}), {@code zone=NAME}, or {@code any=N} for a random sample of N.
  *
  * @param balancers numbers of the selected balancers
  * @param upstreams numbers of the selected upstreams
@@ -23,9 +23,10 @@
     private static final String SAMPLE_FILTER = "any=";
 
     /**
-     * Parses a selector; draws only for {@code any=N}.
+     * Parses a selector.
      *
-     * @throws InvalidSelectorException if the text is no selector for the scenario
+     * @param random used only for {@code any=N}
+     * @throws InvalidSelectorException if the text is no valid selector in the scenario
      */
     public static TargetSelector parse(
             String text, Scenario scenario, UniformRandomProvider random) {
@@ -68,7 +69,7 @@
                 }
                 default ->
                         throw new InvalidSelectorException(
-                                "not balancers, upstreams or zone: '" + term + "'");
+                                "not balancers, upstreams or zone:NAME: '" + term + "'");
             }
         }
         return selected;
@@ -99,7 +100,7 @@
     private static int zoneNumber(String name, Scenario scenario) {
         int zone = scenario.fleet().zones().indexOf(name);
         if (zone < 0) {
-            throw new InvalidSelectorException("no zone '" + name + "'");
+            throw new InvalidSelectorException("no zone is named '" + name + "'");
         }
         return zone;
     }
@@ -121,9 +122,9 @@
 
     private static void addRanges(String ranges, int total, NavigableSet<Integer> selected) {
         for (String range : ranges.split("\\+", -1)) {
-            String[] ends = range.split("-", 2);
-            int first = parseNumber(ends[0], total);
-            int last = ends.length > 1 ? parseNumber(ends[1], total) : first;
+            String[] bounds = range.split("-", 2);
+            int first = parseNumber(bounds[0], total);
+            int last = bounds.length > 1 ? parseNumber(bounds[1], total) : first;
             IntStream.rangeClosed(first, last).forEach(selected::add);
         }
     }
