--- a/testbed/src/main/java/loadbalancer/testbed/BalancerJarOption.java
+++ b/testbed/src/main/java/loadbalancer/testbed/BalancerJarOption.java
@@ -5,7 +5,7 @@
 import loadbalancer.testbed.process.LaunchCommand;
 import picocli.CommandLine.Option;
 
-/** The balancer that a command starts. */
+/** The option for the jar of the balancer that a command starts. */
 final class BalancerJarOption {
     @Option(
             names = "--build",
@@ -14,7 +14,8 @@
     private Path jar;
 
     /**
-     * The command that starts a balancer from the given jar, or from that of the project's build.
+     * Returns the command that starts a balancer from the given jar, or from the jar that the
+     * project's build writes if none is given.
      *
      * @throws IOException if the jar or the deploy file can't be read
      */
--- a/testbed/src/main/java/loadbalancer/testbed/CapacityCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/CapacityCommand.java
@@ -12,13 +12,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Measures what the control plane of a fleet costs, with balancers that have no data path. */
+/** Measures the cost of a fleet's control plane with hollow balancers, which have no data path. */
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
         description =
                 "Measures the control plane of a fleet by its size: datagrams, CPU, heap and how soon"
-                        + " updates are known. Its balancers are hollow: routing policy, membership"
+                        + " updates are known. The balancers are hollow: routing policy, membership"
                         + " and leases without a data path.",
         exitCodeListHeading = ExitCodes.HEADING,
         exitCodeList = {ExitCodes.OK_HELP, ExitCodes.USAGE_HELP, ExitCodes.UNTRUSTED_HELP})
@@ -29,7 +29,7 @@
     @Option(
             names = "--out",
             paramLabel = "FILE",
-            description = "A JSON file to which all measurements are written (default: none).")
+            description = "The JSON file to which all measurements are written (default: none).")
     private Path outputFile;
 
     @Override
--- a/testbed/src/main/java/loadbalancer/testbed/CompareCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/CompareCommand.java
@@ -20,12 +20,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Plays two builds alternately on the same seeds and says which metrics differ significantly. */
+/** Runs two builds alternately on the same seeds, and prints which metrics differ significantly. */
 @Command(
         name = "compare",
         mixinStandardHelpOptions = true,
         description =
-                "Plays two builds alternately on the same seeds, and prints for each metric the mean"
+                "Runs two builds alternately on the same seeds, and prints for each metric the mean"
                         + " of B minus A with a 95%% bootstrap interval.",
         exitCodeListHeading = ExitCodes.HEADING,
         exitCodeList = {
@@ -64,7 +64,8 @@
 
     @Option(
             names = "--again",
-            description = "Plays nothing, and compares the results that --out holds already.")
+            description =
+                    "Runs nothing, and compares the results that the directory of --out contains.")
     private boolean reuseResults;
 
     @Mixin private OutputDirectoryOption outputDirectory;
@@ -91,7 +92,7 @@
         Path directory = outputDirectory.create("compare");
         int exitCode = ExitCodes.OK;
         for (long seed = firstSeed; seed < firstSeed + seedCount; seed++) {
-            ResultPair pair = play(scenario, launches, seed, directory);
+            ResultPair pair = runBoth(scenario, launches, seed, directory);
             exitCode = Math.max(exitCode, pair.exitCode());
             printPair(seed, pair);
             if (pair.trusted()) {
@@ -103,11 +104,11 @@
         return exitCode;
     }
 
-    private ResultPair play(
+    private ResultPair runBoth(
             Scenario scenario, List<LaunchCommand> launches, long seed, Path directory)
             throws IOException, InterruptedException {
         RunResult[] results = new RunResult[BUILD_COUNT];
-        // Which build is played first changes with the seed: neither always finds the machine warm.
+        // The build that runs first alternates, so that neither always runs on a warm machine.
         int firstBuild = (int) Math.floorMod(seed, (long) BUILD_COUNT);
         for (int build : new int[] {firstBuild, 1 - firstBuild}) {
             Path runDirectory = directory.resolve(seed + DIRECTORY_SUFFIXES.get(build));
@@ -127,13 +128,13 @@
     private static void printPair(long seed, ResultPair pair) {
         System.out.printf(
                 Locale.ROOT,
-                "seed %d: service %.4f and %.4f, rules broken %d and %d%s%n",
+                "seed %d: service %.4f and %.4f, violations %d and %d%s%n",
                 seed,
                 pair.baseline.metrics().get("service"),
                 pair.candidate.metrics().get("service"),
                 pair.baseline.violationCount(),
                 pair.candidate.violationCount(),
-                pair.trusted() ? "" : "; the testbed was too busy, left out");
+                pair.trusted() ? "" : "; excluded, since the testbed was too busy");
     }
 
     private void addMetrics(ResultPair pair) {
@@ -149,17 +150,17 @@
                         });
     }
 
-    /** Prints the mean difference of each metric with its interval. */
+    /** Prints the mean difference of each metric with its bootstrap interval. */
     static void printDifferences(
             SortedMap<String, List<Double>> differences,
             SortedMap<String, List<Double>> baselines) {
         if (differences.isEmpty()) {
-            System.out.println("no pair of runs could be trusted");
+            System.out.println("no pair of runs is trusted");
             return;
         }
         if (differences.get(differences.firstKey()).size() < MIN_SEEDS) {
-            // Resampling can't leave the range of the samples, and so few rarely cover all of it.
-            System.out.println("fewer than " + MIN_SEEDS + " seeds: 'differs' says little here");
+            // Resampling stays within the range of the samples; few samples rarely cover the range.
+            System.out.println("fewer than " + MIN_SEEDS + " seeds: 'differs' is not reliable");
         }
         differences.forEach(
                 (metric, metricDifferences) -> {
@@ -167,7 +168,7 @@
                             BootstrapInterval.of(metricDifferences, differences.size());
                     System.out.printf(
                             Locale.ROOT,
-                            "%-24s %10.4f, B less A %+10.4f [%+.4f, %+.4f], %d seeds: %s%n",
+                            "%-24s %10.4f, B minus A %+10.4f [%+.4f, %+.4f], %d seeds: %s%n",
                             metric,
                             baselines.get(metric).stream()
                                     .mapToDouble(value -> value)
--- a/testbed/src/main/java/loadbalancer/testbed/DocFiguresCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/DocFiguresCommand.java
@@ -20,7 +20,7 @@
             ExitCodes.USAGE_HELP
         })
 final class DocFiguresCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "PAGE", description = "A page of Markdown, such as docs/CAPACITY.md.")
+    @Parameters(paramLabel = "PAGE", description = "A Markdown page, such as docs/CAPACITY.md.")
     private Path page;
 
     @Override
@@ -28,7 +28,7 @@
         FigurePageChecker.Result result = FigurePageChecker.check(page);
         result.errors().forEach(System.out::println);
         System.out.println(
-                result.figureCount() + " figures, " + result.errors().size() + " faults");
+                result.figureCount() + " figures, " + result.errors().size() + " errors");
         return result.errors().isEmpty() ? ExitCodes.OK : ExitCodes.VIOLATION;
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/ExitCodes.java
+++ b/testbed/src/main/java/loadbalancer/testbed/ExitCodes.java
@@ -2,9 +2,9 @@
 
 import loadbalancer.testbed.statistics.RunResult;
 
-/** The exit codes of all commands, and their descriptions in the commands' help. */
+/** The exit codes of all commands, and their descriptions in the commands' help. Stateless. */
 final class ExitCodes {
-    /** The command did what was asked, and every invariant held. */
+    /** The command succeeded, and every invariant held. */
     static final int OK = 0;
 
     /** An invariant was violated, or a checked page has an error. */
@@ -16,7 +16,7 @@
     /** The machine was too busy for the result to be trusted. */
     static final int UNTRUSTED = 3;
 
-    /** Heading of the list of exit codes in the help of a command. */
+    /** The heading of the list of exit codes in the help of a command. */
     static final String HEADING = "Exit codes:%n";
 
     static final String OK_HELP = "0:Successful.";
@@ -27,7 +27,7 @@
 
     private ExitCodes() {}
 
-    /** The exit code for the result of one run: a violation counts more than a busy machine. */
+    /** Returns the exit code for a result; a violation takes precedence over a busy machine. */
     static int of(RunResult result) {
         if (result.violationCount() > 0) {
             return VIOLATION;
--- a/testbed/src/main/java/loadbalancer/testbed/FootprintCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/FootprintCommand.java
@@ -18,13 +18,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Measures what one real balancer process costs at each of the given sizes. */
+/** Measures the resource usage of one real balancer process at each of the given sizes. */
 @Command(
         name = "cost",
         mixinStandardHelpOptions = true,
         description =
-                "Measures one real balancer: CPU when idle and per change of the list, memory, time"
-                        + " until ready. A size whose process does not last is measured as such.",
+                "Measures one real balancer: CPU when idle and per change of the endpoint list,"
+                        + " memory, time until ready. A size at which the process ends early is"
+                        + " recorded as such.",
         exitCodeListHeading = ExitCodes.HEADING,
         exitCodeList = {ExitCodes.OK_HELP, ExitCodes.USAGE_HELP})
 final class FootprintCommand implements Callable<Integer> {
@@ -42,14 +43,15 @@
             names = "--repeats",
             paramLabel = "N",
             defaultValue = "3",
-            description = "How often each size is measured (default: ${DEFAULT-VALUE}).")
+            description = "The number of measurements of each size (default: ${DEFAULT-VALUE}).")
     private int repeatCount;
 
     @Option(
             names = "--seconds",
             paramLabel = "S",
             defaultValue = "8",
-            description = "How long the idle process is measured (default: ${DEFAULT-VALUE}).")
+            description =
+                    "Seconds for which the idle process is measured (default: ${DEFAULT-VALUE}).")
     private int idleSeconds;
 
     @Option(
@@ -95,7 +97,7 @@
         }
     }
 
-    // A measurement without random draws names its repeats in place of seeds.
+    // The measurement uses no random numbers, so its file lists repeats in place of seeds.
     private static List<Long> repeatNumbers(int lastRepeat) {
         return LongStream.rangeClosed(1, lastRepeat).boxed().toList();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/LeaseCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/LeaseCommand.java
@@ -26,8 +26,9 @@
 final class LeaseCommand implements Callable<Integer> {
     private static final long WARM_UP_MICROS = 15_000_000;
     private static final int QUIET_SECONDS = 30;
-    // How long an ended member stays down, and how long the cluster settles after its restart
+    // Time for which an ended member stays down.
     private static final long DOWNTIME_MICROS = 6_000_000;
+    // Time for which the cluster settles after the restart of a member.
     private static final long SETTLE_MICROS = 9_000_000;
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -51,10 +52,13 @@
             paramLabel = "N",
             defaultValue = "20",
             description =
-                    "How many holders are killed, and how many leave (default: ${DEFAULT-VALUE}).")
+                    "The number of holders that are killed, and of those that leave"
+                            + " (default: ${DEFAULT-VALUE}).")
     private int terminationCount;
 
-    @Option(names = "--forgetful", description = "Promises are lost when a process ends.")
+    @Option(
+            names = "--forgetful",
+            description = "Members lose their promises when their process ends.")
     private boolean volatilePromises;
 
     @Mixin private SeedListOption seedOption;
@@ -74,7 +78,7 @@
         return doublyHeldSlots == 0 ? ExitCodes.OK : ExitCodes.VIOLATION;
     }
 
-    /** Simulates one cluster, and returns how many slots had two holders at once. */
+    /** Measures one simulated cluster, and returns how often a slot had two holders at once. */
     private int measure(int memberCount, long seed) {
         String keyPrefix = SeededMeasurements.keyPrefix(memberCount, lossRate);
         LeaseSimulation cluster =
@@ -93,7 +97,7 @@
         measureHandovers(cluster, true, keyPrefix);
         System.out.printf(
                 Locale.ROOT,
-                "slots held by two at once: %d%s%n",
+                "slots with two holders at once: %d%s%n",
                 cluster.doubleHolders().size(),
                 cluster.doubleHolders().isEmpty()
                         ? ""
@@ -102,7 +106,7 @@
         return cluster.doubleHolders().size();
     }
 
-    /** Measures what the leases cost while no member ends. */
+    /** Measures the traffic of the leases while no member ends. */
     private void measureQuiet(LeaseSimulation cluster, int memberCount, String keyPrefix) {
         long bytesBefore = cluster.bytesSent();
         long datagramsBefore = cluster.datagramsSent();
@@ -117,14 +121,14 @@
         measurements.add(keyPrefix + "bytes", byteRate);
         System.out.printf(
                 Locale.ROOT,
-                "while quiet, a second and member: %.1f datagrams, %.0f bytes; %d slots changed "
-                        + "hands in 30 s%n",
+                "while no member ends, per second and member: %.1f datagrams, %.0f bytes; %d "
+                        + "slots acquired in 30 s%n",
                 datagramRate,
                 byteRate,
                 cluster.acquisitions() - acquisitionsBefore);
     }
 
-    /** Measures how soon another member holds a slot after its holder was killed or has left. */
+    /** Measures how soon another member holds a slot after its holder is killed or leaves. */
     private void measureHandovers(LeaseSimulation cluster, boolean graceful, String keyPrefix) {
         cluster.transferTimes().reset();
         for (int i = 0; i < terminationCount; i++) {
@@ -140,9 +144,9 @@
         double maxSeconds = handoverTimes.getMaxValue() / MICROS_PER_SECOND;
         System.out.printf(
                 Locale.ROOT,
-                "%s: passed on after %.3f s (median), %.3f s (99 in 100), %.3f s (most), %d "
+                "%s: transferred after %.3f s (median), %.3f s (p99), %.3f s (maximum), %d "
                         + "slots%n",
-                graceful ? "in order" : "killed",
+                graceful ? "graceful" : "killed",
                 medianSeconds,
                 p99Seconds,
                 maxSeconds,
--- a/testbed/src/main/java/loadbalancer/testbed/MeasurementFileOption.java
+++ b/testbed/src/main/java/loadbalancer/testbed/MeasurementFileOption.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The file to which a command writes its measurements, if one is given. */
+/** The option for the file to which a command writes its measurements. */
 final class MeasurementFileOption {
     @Spec(Spec.Target.MIXEE)
     private CommandSpec command;
@@ -17,11 +17,11 @@
     @Option(
             names = "--json",
             paramLabel = "FILE",
-            description = "A file to which all measurements are written, too.")
+            description = "A JSON file to which all measurements are written, too (default: none).")
     private Path file;
 
     /**
-     * Writes the command line, the completed seeds and the measurements so far.
+     * Writes the command line, the completed seeds and the measurements so far, if a file is given.
      *
      * @throws IOException if the file can't be written
      */
--- a/testbed/src/main/java/loadbalancer/testbed/MembershipCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/MembershipCommand.java
@@ -26,13 +26,14 @@
         })
 final class MembershipCommand implements Callable<Integer> {
     private static final long WARM_UP_MICROS = 10_000_000;
-    // How long a killed member stays down, and how long the cluster settles after its restart
+    // Time for which a killed member stays down.
     private static final int DOWNTIME_SECONDS = 4;
+    // Time for which the cluster settles after the restart of a member.
     private static final int SETTLE_SECONDS = 3;
     private static final long PARTITION_MICROS = 8_000_000;
     private static final long MAX_HEALING_MICROS = 30_000_000;
     private static final long MICROS_PER_SECOND = 1_000_000;
-    // Members are killed in a fixed order that visits all of them.
+    // A prime number of members from one kill to the next, so that the kills visit all members.
     private static final long KILL_STRIDE = 7919;
     private static final int FIRST_KILL = 3;
 
@@ -65,12 +66,12 @@
             names = "--kills",
             paramLabel = "N",
             defaultValue = "20",
-            description = "How many members are killed (default: ${DEFAULT-VALUE}).")
+            description = "The number of members that are killed (default: ${DEFAULT-VALUE}).")
     private int killCount;
 
     @Option(
             names = "--uncut",
-            description = "Ends before the partition into halves, which is slow at a large size.")
+            description = "Skips the partition into halves, which takes long for large clusters.")
     private boolean skipPartition;
 
     @Mixin private SeedListOption seedOption;
@@ -80,19 +81,19 @@
 
     @Override
     public Integer call() throws IOException {
-        int falseDeaths = 0;
+        int falsePositiveCount = 0;
         for (int memberCount : memberCounts) {
             for (double lossRate : lossRates) {
                 for (long seed : seedOption.seeds) {
-                    falseDeaths += measure(memberCount, lossRate, seed);
+                    falsePositiveCount += measure(memberCount, lossRate, seed);
                     measurements.completeSeed(seed, measurementFile);
                 }
             }
         }
-        return falseDeaths == 0 ? ExitCodes.OK : ExitCodes.VIOLATION;
+        return falsePositiveCount == 0 ? ExitCodes.OK : ExitCodes.VIOLATION;
     }
 
-    /** Simulates one cluster, and returns how often a live member was considered dead. */
+    /** Measures one simulated cluster, and returns how often a live member was considered dead. */
     private int measure(int memberCount, double lossRate, long seed) {
         MembershipSimulation cluster = new MembershipSimulation(memberCount, lossRate, seed);
         String keyPrefix = SeededMeasurements.keyPrefix(memberCount, lossRate);
@@ -101,20 +102,22 @@
         measureDetection(cluster, memberCount, quietBytesPerSecond, keyPrefix);
         System.out.printf(
                 Locale.ROOT,
-                "live members held dead: %d%s%n",
+                "live members considered dead: %d%s%n",
                 cluster.falsePositives().size(),
                 cluster.falsePositives().isEmpty()
                         ? ""
                         : ", first " + cluster.falsePositives().get(0));
-        int falseDeaths = cluster.falsePositives().size();
-        measurements.add(keyPrefix + "wronged", falseDeaths);
+        int falsePositiveCount = cluster.falsePositives().size();
+        measurements.add(keyPrefix + "wronged", falsePositiveCount);
         if (!skipPartition) {
             measurePartition(cluster, memberCount, keyPrefix);
         }
-        return falseDeaths;
+        return falsePositiveCount;
     }
 
-    /** Measures what membership costs while no member ends; returns bytes a second and member. */
+    /**
+     * Measures the cost of membership while no member ends; returns bytes per second and member.
+     */
     private double measureQuiet(
             MembershipSimulation cluster, int memberCount, double lossRate, String keyPrefix) {
         double bytesBefore = cluster.meanBytesSent();
@@ -131,14 +134,14 @@
                 (cluster.datagramsSent() - datagramsBefore) / memberSeconds);
         System.out.printf(
                 Locale.ROOT,
-                "%d members, loss %.2f: %.0f bytes a second and member while quiet%n",
+                "%d members, loss %.2f: %.0f bytes per second and member while no member ends%n",
                 memberCount,
                 lossRate,
                 byteRate);
         return byteRate;
     }
 
-    /** Measures how soon a killed member is detected, and what that costs beyond the quiet rate. */
+    /** Measures how soon a killed member is detected, and the bytes beyond the quiet rate. */
     private void measureDetection(
             MembershipSimulation cluster,
             int memberCount,
@@ -174,15 +177,15 @@
         measurements.add(keyPrefix + "known_s.max", maxSeconds);
         System.out.printf(
                 Locale.ROOT,
-                "a killed member known after %.2f s (median), %.2f s (99 in 100), %.2f s (most),"
-                        + " %d notices%n",
+                "killed members detected after %.2f s (median), %.2f s (p99), %.2f s (maximum),"
+                        + " %d detections%n",
                 medianSeconds,
                 p99Seconds,
                 maxSeconds,
                 detectionTimes.getTotalCount());
     }
 
-    /** Measures how soon the views agree again after a partition into halves. */
+    /** Measures how soon the views agree after a partition into halves has healed. */
     private void measurePartition(MembershipSimulation cluster, int memberCount, String keyPrefix) {
         cluster.partition(member -> member < memberCount / 2);
         cluster.runFor(PARTITION_MICROS);
@@ -191,9 +194,7 @@
         long agreedAfterMicros = cluster.microsUntilConverged(MAX_HEALING_MICROS);
         double agreedAfterSeconds = toSeconds(agreedAfterMicros);
         System.out.printf(
-                Locale.ROOT,
-                "views agree %.2f s after halves were joined again%n",
-                agreedAfterSeconds);
+                Locale.ROOT, "views agree %.2f s after the partition healed%n", agreedAfterSeconds);
         measurements.add(keyPrefix + "healed_s", agreedAfterMicros < 0 ? -1 : agreedAfterSeconds);
         measurements.add(
                 keyPrefix + "heal_bytes_a_second",
@@ -206,7 +207,7 @@
         return micros / (double) MICROS_PER_SECOND;
     }
 
-    // Includes the simulation itself: an upper bound of what the state machine takes.
+    // This includes the simulation, so it is an upper bound of the state machine's CPU time.
     private static long threadCpuNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/OutputDirectoryOption.java
+++ b/testbed/src/main/java/loadbalancer/testbed/OutputDirectoryOption.java
@@ -8,7 +8,7 @@
 import java.time.format.DateTimeFormatter;
 import picocli.CommandLine.Option;
 
-/** The directory of a command's logs and results. */
+/** The option for the directory of a command's logs and results. */
 final class OutputDirectoryOption {
     private static final Path DEFAULT_PARENT = Path.of("logs");
     private static final DateTimeFormatter TIMESTAMP_FORMAT =
@@ -21,8 +21,8 @@
     private Path directory;
 
     /**
-     * Creates the requested directory, or one below {@code logs/} that is named after the prefix
-     * and the present time.
+     * Creates the directory that was given, or one below {@code logs/} that is named after the
+     * prefix and the current time, and returns its absolute path.
      *
      * @throws IOException if it can't be created
      */
@@ -35,7 +35,7 @@
         return DEFAULT_PARENT.resolve(prefix + "-" + TIMESTAMP_FORMAT.format(now));
     }
 
-    /** Creates a directory and those above it, and returns its absolute path. */
+    /** Creates a directory and its missing parents, and returns its absolute path. */
     static Path create(Path directory) throws IOException {
         return Files.createDirectories(directory).toAbsolutePath();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/PaperCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/PaperCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Reproduces the main result of the paper on JSQ-DAS. */
+/** Reproduces the main result of the JSQ-DAS paper: the mean response time by load. */
 @Command(
         name = "paper",
         mixinStandardHelpOptions = true,
--- a/testbed/src/main/java/loadbalancer/testbed/ReportCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/ReportCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Writes an HTML page about a completed run. */
+/** Writes an HTML report of a completed run. */
 @Command(
         name = "report",
         mixinStandardHelpOptions = true,
--- a/testbed/src/main/java/loadbalancer/testbed/ResultPrinter.java
+++ b/testbed/src/main/java/loadbalancer/testbed/ResultPrinter.java
@@ -4,13 +4,13 @@
 import java.util.Locale;
 import loadbalancer.testbed.statistics.RunResult;
 
-/** Prints the result of one run for people. Stateless. */
+/** Prints the result of one run as human-readable text. Stateless. */
 final class ResultPrinter {
     private static final int MAX_VIOLATIONS = 5;
 
     private ResultPrinter() {}
 
-    /** Prints latencies, faults, metrics and the first violations, and whether the run counts. */
+    /** Prints latencies, faults, metrics, the first violations, and why a result is not trusted. */
     static void print(RunResult result, PrintStream output) {
         printLatencies(result, output);
         printFaults(result, output);
@@ -19,10 +19,10 @@
         result.violations().stream().limit(MAX_VIOLATIONS).forEach(output::println);
         output.println(
                 result.violationCount() == 0
-                        ? "every rule was kept"
-                        : result.violationCount() + " rules broken");
+                        ? "no violations"
+                        : result.violationCount() + " violations");
         if (!result.trusted()) {
-            output.println("this run counts for nothing: " + result.untrustedReason());
+            output.println("this result is not trusted: " + result.untrustedReason());
         }
     }
 
@@ -33,7 +33,7 @@
                                 output.printf(
                                         Locale.ROOT,
                                         "%-20s %7d served, median %.1f ms, 99th "
-                                                + "percentile %.1f ms, most %.1f ms%n",
+                                                + "percentile %.1f ms, maximum %.1f ms%n",
                                         name,
                                         latency.count(),
                                         latency.p50Ms(),
@@ -47,7 +47,7 @@
                         fault ->
                                 output.printf(
                                         Locale.ROOT,
-                                        "%-40s at %.1f s: %s, %d unserved in 10 s%n",
+                                        "%-40s at %.1f s: %s, %d requests unserved in 10 s%n",
                                         fault.description(),
                                         fault.startSeconds(),
                                         recovery(fault.recoverySeconds()),
@@ -56,7 +56,7 @@
 
     private static String recovery(double recoverySeconds) {
         return recoverySeconds < 0
-                ? "not back"
-                : String.format(Locale.ROOT, "back after %.1f s", recoverySeconds);
+                ? "not recovered"
+                : String.format(Locale.ROOT, "recovered after %.1f s", recoverySeconds);
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/RunCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/RunCommand.java
@@ -10,11 +10,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Plays one scenario once, with real balancer processes. */
+/** Runs one scenario once with real balancer processes. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
-        description = "Plays a scenario with real balancer processes.",
+        description = "Runs a scenario with real balancer processes.",
         exitCodeListHeading = ExitCodes.HEADING,
         exitCodeList = {
             ExitCodes.OK_INVARIANTS_HELP,
--- a/testbed/src/main/java/loadbalancer/testbed/ScenarioOptions.java
+++ b/testbed/src/main/java/loadbalancer/testbed/ScenarioOptions.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The scenario and the seed of a command that plays one scenario. */
+/** The options for the scenario and the seed of a command that runs one scenario. */
 final class ScenarioOptions {
     @Parameters(index = "0", paramLabel = "SCENARIO", description = "A scenario file (TOML).")
     Path file;
--- a/testbed/src/main/java/loadbalancer/testbed/SeedListOption.java
+++ b/testbed/src/main/java/loadbalancer/testbed/SeedListOption.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import picocli.CommandLine.Option;
 
-/** The seeds of a command that repeats its measurement for each of them. */
+/** The option for the seeds of a command that repeats its measurement for each seed. */
 final class SeedListOption {
     @Option(
             names = "--seed",
--- a/testbed/src/main/java/loadbalancer/testbed/SeedOption.java
+++ b/testbed/src/main/java/loadbalancer/testbed/SeedOption.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.Option;
 
-/** The seed of a command that simulates once. */
+/** The option for the seed of a command that simulates once. */
 final class SeedOption {
     @Option(
             names = "--seed",
--- a/testbed/src/main/java/loadbalancer/testbed/SeededMeasurements.java
+++ b/testbed/src/main/java/loadbalancer/testbed/SeededMeasurements.java
@@ -8,25 +8,29 @@
 import loadbalancer.testbed.docfigures.RepeatedMeasurements;
 
 /**
- * The measurements of a simulated cluster, seed by seed. The file is written after each seed, so
- * that a long call that is interrupted leaves what it has. Not thread-safe.
+ * Collects the measurements of simulated clusters, seed by seed. The file is written after each
+ * seed, so that a long run that is interrupted keeps what it has measured. Not thread-safe.
  */
 final class SeededMeasurements {
     private final RepeatedMeasurements measurements = new RepeatedMeasurements();
     private final Set<Long> completedSeeds = new TreeSet<>();
 
-    /** The prefix of the keys of a cluster of that size at that loss rate of datagrams. */
+    /**
+     * Returns the prefix of the keys of a cluster.
+     *
+     * @param lossRate fraction of lost datagrams
+     */
     static String keyPrefix(int memberCount, double lossRate) {
         return String.format(Locale.ROOT, "n%d.loss%.0f.", memberCount, lossRate * 100);
     }
 
-    /** Adds one value, in the unit that its key names. */
+    /** Adds one value, in the unit that its key implies. */
     void add(String key, double value) {
         measurements.add(key, value);
     }
 
     /**
-     * Notes that a seed is done, and writes all that was measured so far.
+     * Records that a seed is completed, and writes all measurements so far.
      *
      * @throws IOException if the file can't be written
      */
--- a/testbed/src/main/java/loadbalancer/testbed/SimulationCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/SimulationCommand.java
@@ -17,11 +17,11 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Plays one scenario in simulated time with the routing policy, and with baselines beside it. */
+/** Simulates one scenario with the routing policy, and optionally with baseline policies. */
 @Command(
         name = "sim",
         mixinStandardHelpOptions = true,
-        description = "Plays a scenario in simulated time, with the routing policy alone.",
+        description = "Simulates a scenario with the routing policy alone.",
         exitCodeListHeading = ExitCodes.HEADING,
         exitCodeList = {
             ExitCodes.OK_INVARIANTS_HELP,
@@ -29,9 +29,9 @@
             ExitCodes.USAGE_HELP
         })
 final class SimulationCommand implements Callable<Integer> {
-    // The paper's p; scenarios do not set it.
+    // This is p in the JSQ-DAS paper; scenarios do not set it.
     private static final double FAST_SERVER_FRACTION = 0.5;
-    // The variable by which a scenario enables zone failover in its balancers
+    // The environment variable by which a scenario enables zone failover in its balancers.
     private static final String ZONE_FAILOVER_VARIABLE = "TANSYFERRY_ZONES";
     private static final String ENABLED = "on";
 
@@ -47,7 +47,8 @@
     @Option(
             names = "--zones",
             description =
-                    "Enables zone failover; otherwise the scenario's environment decides on it.")
+                    "Enables zone failover; otherwise the environment of the scenario's fleet"
+                            + " decides.")
     private boolean zoneFailover;
 
     @Option(names = "--remarks", description = "Prints the log lines of the routing policies.")
@@ -116,7 +117,7 @@
     private static void printRow(String name, RunResult result) {
         System.out.printf(
                 Locale.ROOT,
-                "%-12s service %.4f, served in time %.4f, unserved %.0f, rules broken %d%n",
+                "%-12s service %.4f, served in time %.4f, unserved %.0f, violations %d%n",
                 name,
                 result.metrics().get("service"),
                 result.metrics().get("served_share"),
--- a/testbed/src/main/java/loadbalancer/testbed/SlowStartCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/SlowStartCommand.java
@@ -16,11 +16,11 @@
         mixinStandardHelpOptions = true,
         description =
                 "Simulates the requests that servers in slow start get from many balancers together:"
-                        + " under steady traffic, and in a burst after a quiet time.",
+                        + " under steady traffic, and in a burst after a time without traffic.",
         exitCodeListHeading = ExitCodes.HEADING,
         exitCodeList = {
             "0:No server was overloaded.",
-            "1:A server got more than N + 2 root(N) + 2 requests in a window.",
+            "1:A server got more than N + 2 sqrt(N) + 2 requests in a window.",
             ExitCodes.USAGE_HELP
         })
 final class SlowStartCommand implements Callable<Integer> {
@@ -40,7 +40,8 @@
             split = ",",
             defaultValue = "4,12,100",
             description =
-                    "Requests a second that a server can do after slow start (default: ${DEFAULT-VALUE}).")
+                    "Requests per second that a server can serve after slow start"
+                            + " (default: ${DEFAULT-VALUE}).")
     private List<Double> warmRates;
 
     @Option(
@@ -48,7 +49,7 @@
             paramLabel = "S,..",
             split = ",",
             defaultValue = "5,14,18",
-            description = "Quiet seconds before the burst (default: ${DEFAULT-VALUE}).")
+            description = "Seconds without traffic before the burst (default: ${DEFAULT-VALUE}).")
     private List<Double> quietSeconds;
 
     @Option(
@@ -73,7 +74,7 @@
     public Integer call() {
         ResourceUsage processUsage = new ResourceUsage();
         System.out.println(
-                "balancers  a second  traffic             got      N   bound  got/bound  used of N");
+                "balancers     per s  traffic             got      N   bound  got/bound  used of N");
         boolean anyOverloaded = false;
         for (double warmRate : warmRates) {
             for (int balancerCount : balancerCounts) {
@@ -84,7 +85,7 @@
         return anyOverloaded ? ExitCodes.VIOLATION : ExitCodes.OK;
     }
 
-    /** Simulates all traffic at one size, and returns whether a server was overloaded. */
+    /** Simulates steady traffic and bursts, and returns whether a server was overloaded. */
     private boolean measure(int balancerCount, double warmRate) {
         SlowStartSimulation simulation =
                 new SlowStartSimulation(
--- a/testbed/src/main/java/loadbalancer/testbed/SweepCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/SweepCommand.java
@@ -20,11 +20,11 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Plays a scenario once for each value of one of its fields. */
+/** Runs a scenario once for each value of one of its fields. */
 @Command(
         name = "sweep",
         mixinStandardHelpOptions = true,
-        description = "Plays a scenario once for each value of one of its fields.",
+        description = "Runs a scenario once for each value of one of its fields.",
         exitCodeListHeading = ExitCodes.HEADING,
         exitCodeList = {
             ExitCodes.OK_INVARIANTS_HELP,
@@ -39,7 +39,7 @@
             names = "--field",
             required = true,
             paramLabel = "TABLE.NAME",
-            description = "A field that the file sets, such as load.rate.")
+            description = "A field that is set in the file, such as load.rate.")
     private String field;
 
     @Option(
@@ -50,7 +50,7 @@
             description = "The values that the field gets, one after another.")
     private List<String> values;
 
-    @Option(names = "--sim", description = "Simulates instead of starting processes.")
+    @Option(names = "--sim", description = "Simulates the scenario instead of starting processes.")
     private boolean simulated;
 
     @Mixin private BalancerJarOption balancerJar;
@@ -62,11 +62,16 @@
         Path directory = outputDirectory.create("sweep");
         int exitCode = ExitCodes.OK;
         for (String value : values) {
-            RunResult result = play(withFieldSet(scenarioText, value), value, directory);
+            RunResult result = runScenario(withFieldSet(scenarioText, value), value, directory);
             result.write(OutputDirectoryOption.create(directory.resolve(value)));
             exitCode = Math.max(exitCode, ExitCodes.of(result));
             System.out.printf(
-                    Locale.ROOT, "%s = %s: %s%s%n", field, value, result.metrics(), remark(result));
+                    Locale.ROOT,
+                    "%s = %s: %s%s%n",
+                    field,
+                    value,
+                    result.metrics(),
+                    statusSuffix(result));
         }
         System.out.println("results in " + directory);
         return exitCode;
@@ -81,7 +86,7 @@
         }
     }
 
-    private RunResult play(String scenarioText, String value, Path directory)
+    private RunResult runScenario(String scenarioText, String value, Path directory)
             throws IOException, InterruptedException {
         String origin = scenarioOptions.file + " with " + field + " = " + value;
         Scenario scenario = ScenarioReader.parse(origin, scenarioText, simulated);
@@ -97,15 +102,15 @@
                 .run();
     }
 
-    private static String remark(RunResult result) {
+    private static String statusSuffix(RunResult result) {
         if (result.violationCount() > 0) {
-            return ", " + result.violationCount() + " rules broken";
+            return ", " + result.violationCount() + " violations";
         }
-        return result.trusted() ? "" : ", not to be trusted";
+        return result.trusted() ? "" : ", not trusted";
     }
 
     /**
-     * The scenario's text with another value on the first line of the field in its table.
+     * Returns the scenario's text with another value in the first line that sets the field.
      *
      * @throws InvalidScenarioException if the file does not set the field
      */
@@ -125,7 +130,7 @@
         Matcher matcher = linePattern.matcher(scenarioText);
         if (!matcher.find()) {
             throw new InvalidScenarioException(
-                    scenarioOptions.file.toString(), field, "the file does not set it");
+                    scenarioOptions.file.toString(), field, "not set in the file");
         }
         return scenarioText.substring(0, matcher.end(1))
                 + value
--- a/testbed/src/main/java/loadbalancer/testbed/TestbedCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/TestbedCommand.java
@@ -8,17 +8,18 @@
 import picocli.CommandLine.ParseResult;
 
 /**
- * The command line of the testbed. An {@link IOException}, {@link InvalidInputException} or {@link
- * InvalidScenarioException} of a command is printed as one line and ends the program with {@link
- * ExitCodes#USAGE}; any other exception is a bug and printed with its stack trace.
+ * Parses the command line of the testbed and runs one command on the main thread. An {@link
+ * IOException}, {@link InvalidInputException} or {@link InvalidScenarioException} of a command is
+ * printed as one line, and the exit code is {@link ExitCodes#USAGE}. Any other exception is a bug,
+ * and is printed with its stack trace.
  */
 @Command(
         name = TestbedCommand.NAME,
         mixinStandardHelpOptions = true,
         version = "0.1.0",
         description =
-                "Plays fleets of real or simulated balancers against emulated clients and upstreams,"
-                        + " with faults between them.",
+                "Runs fleets of real or simulated balancers with emulated clients and upstreams,"
+                        + " and injects faults.",
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
             RunCommand.class,
@@ -49,7 +50,7 @@
         return commandLine().execute(arguments);
     }
 
-    /** The command line with all commands. */
+    /** Returns a command line with all commands. */
     static CommandLine commandLine() {
         return new CommandLine(new TestbedCommand())
                 .setExecutionExceptionHandler(TestbedCommand::handleException);
--- a/testbed/src/test/java/loadbalancer/AllowedPackages.java
+++ b/testbed/src/test/java/loadbalancer/AllowedPackages.java
@@ -8,30 +8,35 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 
-/** Which packages of the project, and which libraries, each of some packages may use. */
+/** The rules that say which packages of the project and which libraries a package may use. */
 final class AllowedPackages {
     private final String base;
     private final String[] libraries;
     private final Map<String, Set<String>> allowedByPackage = new TreeMap<>();
 
-    /** Creates it without packages; the names of all are relative to {@code base}. */
+    /**
+     * Creates rules without packages.
+     *
+     * @param base the package to which all other names are relative
+     * @param libraries package patterns that every package may use
+     */
     AllowedPackages(String base, String... libraries) {
         this.base = base;
         this.libraries = libraries;
     }
 
-    /** Adds a package and the other packages that it may use. */
+    /** Adds the rule of a package: the other packages that it may use. */
     AllowedPackages allow(String from, String... to) {
         allowedByPackage.put(from, Set.of(to));
         return this;
     }
 
-    /** The packages that were added. */
+    /** Returns the packages that have a rule. */
     Set<String> packages() {
         return allowedByPackage.keySet();
     }
 
-    /** Fails if a class of that package uses anything else. */
+    /** Fails if a class of a package uses a package that its rule does not allow. */
     void check(String from, JavaClasses analyzedClasses) {
         Stream<String> projectPackages =
                 Stream.concat(Stream.of(from), allowedByPackage.get(from).stream())
--- a/testbed/src/test/java/loadbalancer/PackageDependenciesTest.java
+++ b/testbed/src/test/java/loadbalancer/PackageDependenciesTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The arrows between the balancer's packages, as docs/ARCHITECTURE.md draws them: one way, and no
- * others. Stands in this module since ArchUnit brings a logging interface, which the balancer's own
- * tests must not have on their class path.
+ * Tests that the balancer's packages depend on each other only as docs/ARCHITECTURE.md shows, and
+ * without cycles. The test is in this module because ArchUnit depends on a logging interface, which
+ * must not be on the class path of the balancer's own tests.
  */
 class PackageDependenciesTest {
     private static final String BASE = "loadbalancer";
@@ -93,7 +93,7 @@
 
     @ParameterizedTest
     @MethodSource("packages")
-    void packageUsesOnlyWhatLiesBelow(String from) {
+    void packageUsesOnlyAllowedPackages(String from) {
         ALLOWED.check(from, PRODUCTION_CLASSES);
     }
 
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void everyPackageHasItsRule() {
+    void everyPackageHasARule() {
         Set<String> found = new TreeSet<>();
         for (JavaClass javaClass : PRODUCTION_CLASSES) {
             if (!javaClass.getPackageName().equals(BASE)) {
--- a/testbed/src/test/java/loadbalancer/TestbedDependenciesTest.java
+++ b/testbed/src/test/java/loadbalancer/TestbedDependenciesTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The arrows between the testbed's packages. What runs with real processes and simulations share
- * depends on neither.
+ * Tests that the testbed's packages depend only on allowed packages, and without cycles. Packages
+ * shared by runs with real processes and by simulations must depend on neither.
  */
 class TestbedDependenciesTest {
     private static final String BASE = "loadbalancer";
     private static final String TESTBED = BASE + ".testbed";
 
-    /** Of each package, those of the testbed and of the balancer that it may use. */
+    /** The packages of the testbed and of the balancer that each package may use. */
     private static final AllowedPackages ALLOWED =
             new AllowedPackages(
                             BASE,
@@ -90,7 +90,7 @@
 
     @ParameterizedTest
     @MethodSource("packages")
-    void packageUsesOnlyWhatLiesBelow(String from) {
+    void packageUsesOnlyAllowedPackages(String from) {
         ALLOWED.check(from, TESTBED_CLASSES);
     }
 
--- a/testbed/src/test/java/loadbalancer/testbed/DocFiguresCommandTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/DocFiguresCommandTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Commands write measurement files, and the command figures checks pages against them. */
+/** Tests that commands write measurement files, and that {@code figures} checks pages with them. */
 class DocFiguresCommandTest {
     @TempDir private Path directory;
 
--- a/testbed/src/test/java/loadbalancer/testbed/GoldenSettings.java
+++ b/testbed/src/test/java/loadbalancer/testbed/GoldenSettings.java
@@ -11,8 +11,8 @@
 
 /**
  * Compares the settings of a balancer's configuration with those recorded in {@code
- * golden/settings}. The recorded text has one top-level key a line, in the order in which it is
- * written; the keys of nested objects are sorted, since their order has no meaning.
+ * golden/settings}. The recorded text has one line for each top-level key, in the order in which
+ * the keys are written; the keys of nested objects are sorted, since their order has no meaning.
  */
 public final class GoldenSettings {
     private static final ObjectMapper SORTING_MAPPER =
@@ -20,7 +20,7 @@
 
     private GoldenSettings() {}
 
-    /** Asserts that {@code settings} are, to the byte, those of the golden file of that name. */
+    /** Asserts that the text of {@code settings} equals that of a golden file. */
     public static void assertMatches(String goldenFile, Map<String, Object> settings)
             throws IOException {
         StringBuilder text = new StringBuilder();
@@ -33,7 +33,7 @@
         assertEquals(read(goldenFile), text.toString());
     }
 
-    /** The text of a golden file. */
+    /** Returns the text of a golden file. */
     public static String read(String goldenFile) throws IOException {
         try (InputStream golden =
                 GoldenSettings.class.getResourceAsStream("/golden/settings/" + goldenFile)) {
--- a/testbed/src/test/java/loadbalancer/testbed/TestbedCommandTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/TestbedCommandTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
-/** Invalid input of a command is reported as one line, and the help lists the exit codes. */
+/** Tests that invalid input is reported as one line, and that the help lists the exit codes. */
 class TestbedCommandTest {
     @ParameterizedTest
     @ValueSource(
--- a/testbed/src/test/java/loadbalancer/testbed/process/ProcessLifetimeTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/process/ProcessLifetimeTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Balancers that end, exceed limits or never get ready are found; none outlives the testbed. */
+/**
+ * Tests that balancers that exit, exceed their limits or never become ready are detected, and that
+ * no balancer outlives the testbed.
+ */
 @Tag("process")
 class ProcessLifetimeTest {
     private static final String TWO_BALANCERS =
@@ -57,7 +60,7 @@
 
     @Test
     @Timeout(60)
-    void unexpectedExitIsFoundAndNothingRuns(@TempDir Path outputDirectory)
+    void unexpectedExitIsDetectedAndNoRequestIsSent(@TempDir Path outputDirectory)
             throws IOException, InterruptedException {
         RunResult result =
                 runScenario(
@@ -78,7 +81,7 @@
 
     @Test
     @Timeout(60)
-    void memoryLimitViolationIsFound(@TempDir Path outputDirectory)
+    void memoryLimitViolationIsDetected(@TempDir Path outputDirectory)
             throws IOException, InterruptedException {
         LaunchCommand launchCommand =
                 LaunchCommand.fromDeployFile(
@@ -93,8 +96,8 @@
     }
 
     /**
-     * SIGTERM has the effect of Ctrl-C, and SIGKILL that of a crash of the testbed. Ctrl-C's own
-     * signal is not used, since a process in the background of a shell ignores it.
+     * Ends the testbed by SIGTERM, which has the effect of Ctrl-C, and by SIGKILL, which has that
+     * of a crash. SIGINT is not used because background processes of a shell ignore it.
      */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "KILL"})
--- a/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/process/ScenarioRunnerTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A short run of a scenario with real processes. */
+/** Tests a short run of a scenario with real processes. */
 @Tag("process")
 class ScenarioRunnerTest {
-    // The balancer that returns at 11 s has the 7 s in which members are to notice a change to
-    // start and to be seen, also where three starts at once take 6 s.
+    // The balancer that restarts at 11 s must be detected within members_notice_within_s. Starting
+    // three balancers at once may take 6 s on a slow machine, so 7 s are allowed.
     private static final String SCENARIO =
             """
         length_s = 20
@@ -86,18 +86,18 @@
                 result.balancers().stream()
                         .flatMap(balancer -> balancer.lifetimes().stream())
                         .allMatch(lifetime -> lifetime.endSeconds() > lifetime.startSeconds()));
-        // A low bound, which holds on a slow machine.
+        // The bound is low, so that it also holds on a slow machine.
         assertTrue(result.metrics().get("served_share") > 0.2, result.metrics().toString());
         assertTrue(
                 result.balancers().stream()
                         .allMatch(
                                 balancer ->
                                         balancer.datagrams() > 0 && balancer.discoveryCalls() > 0));
-        // Both others detected its end, if they had to before its restart.
+        // The two other balancers detected the end of the killed one in time.
         assertTrue(result.metrics().get("members_noticed_p99_s") <= 7, result.metrics().toString());
-        // It held the lease of the audit log, which another balancer acquired.
+        // The killed balancer held the lease of the audit log, which another one then acquired.
         assertTrue(result.metrics().get("duties_passed_on") >= 1, result.metrics().toString());
-        // It restored its snapshot after the restart.
+        // The killed balancer restored its snapshot after the restart.
         String log = Files.readString(outputDirectory.resolve("n2.log"));
         assertTrue(log.contains("snapshot recovered: sequence="), log);
         assertEquals(result.scenario(), RunResult.read(outputDirectory).scenario());
