--- a/testbed/src/main/java/loadbalancer/testbed/process/ScenarioRunner.java
+++ b/testbed/src/main/java/loadbalancer/testbed/process/ScenarioRunner.java
@@ -41,7 +41,7 @@
     private static final long LEAD_TIME_MICROS = 300_000;
     // A run that takes this much longer than planned is aborted.
     private static final long MAX_OVERRUN_S = 90;
-    // Above this 99th percentile of the testbed's own lateness, a run is not trusted.
+    // A run is not trusted if the 99th percentile of the testbed's own lateness is above this.
     private static final double MAX_LATENESS_MICROS = 25e3;
     private static final int MAX_REPORTED_VIOLATIONS = 3;
 
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/FaultKind.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/FaultKind.java
@@ -29,7 +29,7 @@
     LOSS(TargetKind.ANY, true, true),
     /** Delays traffic by {@code delay_ms} and a random time of up to {@code spread_ms}. */
     DELAY(TargetKind.ANY, true, true),
-    /** Duplicates the fraction {@code amount} of datagrams; copies are {@code delay_ms} late. */
+    /** Duplicates the fraction {@code amount} of datagrams; copies are {@code delay_ms} later. */
     REPEAT(TargetKind.BALANCERS, true, true),
     /**
      * Delays the fraction {@code amount} of datagrams by {@code delay_ms}, so that later ones
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/FaultValidator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/FaultValidator.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Validates the faults of a scenario according to their kinds. Stateless. */
+/** Validates the faults of a scenario according to their kinds. Immutable. */
 final class FaultValidator {
     private static final Set<String> STATE_CHANGES =
             Set.of("kept", "emptied", "cut", "flipped", "older");
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/ScenarioReader.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/ScenarioReader.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Reads scenario files in TOML. The scenarios that it returns are valid. Not thread-safe. */
+/** Reads scenario files in TOML, and validates them. Thread-safe. */
 public final class ScenarioReader {
     private final ObjectMapper mapper =
             new TomlMapper().setPropertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE);
--- a/testbed/src/main/java/loadbalancer/testbed/scenario/ScenarioValidator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/scenario/ScenarioValidator.java
@@ -4,7 +4,7 @@
 
 /**
  * Validates a scenario that has been read. The limits of sizes are what one machine can run, with
- * real processes or in simulation. Stateless.
+ * real processes or in simulation. Immutable.
  */
 final class ScenarioValidator {
     private static final int MAX_BALANCERS = 40;
