--- a/testbed/src/main/java/loadbalancer/testbed/capacity/AbstractHollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/AbstractHollowFleet.java
@@ -5,12 +5,15 @@
 import loadbalancer.routing.api.Endpoint;
 import org.HdrHistogram.Histogram;
 
-/** What fleets of hollow balancers share, whatever their time and their network are. */
+/**
+ * Holds the state that all fleets of hollow balancers have, in simulated and in real time. The
+ * methods are called on the thread of the experiment.
+ */
 abstract class AbstractHollowFleet implements HollowFleet {
-    /** The shortest time until a balancer gets an update of the endpoint list, µs. */
+    /** The minimum time until a balancer receives an update of the endpoint list, µs. */
     static final long MIN_UPDATE_DELAY_MICROS = 200_000;
 
-    /** The longest time until a balancer gets an update of the endpoint list, µs. */
+    /** The maximum time until a balancer receives an update of the endpoint list, µs. */
     static final long MAX_UPDATE_DELAY_MICROS = 1_500_000;
 
     private final FleetSpec fleetSpec;
@@ -20,7 +23,8 @@
     /**
      * Creates a fleet without balancers.
      *
-     * @param listPropagationMicros records on the threads of the fleet
+     * @param listPropagationMicros the histogram into which the threads of the fleet record how
+     *     long updates of the endpoint list took, µs
      */
     AbstractHollowFleet(FleetSpec fleetSpec, Histogram listPropagationMicros) {
         this.fleetSpec = fleetSpec;
@@ -28,23 +32,23 @@
         this.listPropagationMicros = listPropagationMicros;
     }
 
-    /** The size and the settings of the fleet. */
+    /** Returns the size and the settings of the fleet. */
     final FleetSpec fleetSpec() {
         return fleetSpec;
     }
 
     @Override
-    public final void publishUpdate(Supplier<List<Endpoint>> changes) {
-        // Without a routing policy no balancer has an endpoint list.
+    public final void publishListUpdate(Supplier<List<Endpoint>> changes) {
+        // A balancer without a routing policy has no endpoint list.
         if (fleetSpec.components().contains(BalancerComponent.ROUTING)) {
-            scheduleUpdates(changes);
+            scheduleListUpdates(changes);
         }
     }
 
-    /** Delivers an update to each running balancer, after a delay of its own. */
-    abstract void scheduleUpdates(Supplier<List<Endpoint>> changes);
+    /** Schedules the delivery of an update to each running balancer, each with its own delay. */
+    abstract void scheduleListUpdates(Supplier<List<Endpoint>> changes);
 
-    /** The name of the random stream of a balancer's process; each process has another. */
+    /** Returns the name of the random stream of one process of a balancer. Each name is unique. */
     static String processStreamName(int balancer, long startNumber) {
         return "hollow " + balancer + " start " + startNumber;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/BalancerComponent.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/BalancerComponent.java
@@ -1,12 +1,12 @@
 package loadbalancer.testbed.capacity;
 
-/** A component of hollow balancers. */
+/** Names the components that a hollow balancer may have. */
 enum BalancerComponent {
     /** The routing policy. */
     ROUTING("module"),
-    /** Membership of the fleet. */
+    /** The membership protocol of the fleet. */
     MEMBERSHIP("membership"),
-    /** Leases by majority of the members. */
+    /** Leases that a majority of the members grants. */
     LEASES("duties");
 
     private final String key;
@@ -15,7 +15,7 @@
         this.key = key;
     }
 
-    /** The name in the option {@code --parts}. */
+    /** Returns the name in the option {@code --parts}. */
     String key() {
         return key;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/BalancerHost.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/BalancerHost.java
@@ -3,19 +3,21 @@
 import loadbalancer.membership.MemberUpdate;
 
 /**
- * What a hollow balancer runs on: a clock, timers and a network of datagrams, simulated or real.
- * Used on the balancer's thread.
+ * Provides a hollow balancer with a clock, timers and a datagram network, simulated or real. Used
+ * on the balancer's thread.
  */
 interface BalancerHost {
-    /** The monotonic time in µs. */
+    /** Returns the monotonic time, µs. */
     long now();
 
-    /** Calls {@code task} on the balancer's thread after so many µs, never within this call. */
-    void after(long delayMicros, Runnable task);
+    /** Runs {@code task} on the balancer's thread after a delay in µs, never within this call. */
+    void runAfter(long delayMicros, Runnable task);
 
-    /** Sends a datagram to the balancer {@code peer}, or to all others if that is negative. */
+    /**
+     * Sends a datagram to the balancer {@code peer}, or to all others if {@code peer} is negative.
+     */
     void send(int peer, byte[] data);
 
-    /** Called when the balancer's view of the membership has changed. */
+    /** Handles a change of the balancer's view of the membership. */
     void onMemberUpdate(MemberUpdate update);
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityBenchmark.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityBenchmark.java
@@ -15,9 +15,11 @@
 
 /**
  * Measures all cases of a plan, one after another. A case is a number of balancers, a number of
- * upstreams and a condition; its metrics are means over the seeds, and maxima of worst cases.
+ * upstreams and a condition. Its metrics are means over the seeds, except that metrics of worst
+ * cases are maxima. Not thread-safe.
  */
 final class CapacityBenchmark {
+    // Last parts of the names of metrics that are maxima over the seeds
     private static final List<String> WORST_CASE_METRICS =
             List.of("most", "worst", "last", "unknownPairs", "overtakenPairs");
     private static final String HEAP_METRIC = "heap.bytesPerBalancer";
@@ -35,12 +37,17 @@
         /**
          * Creates a fleet.
          *
-         * @throws IOException if it needs too many descriptors, or a process can't be started
+         * @throws IOException if the fleet needs too many descriptors, or a process can't be
+         *     started
          */
         HollowFleet create(FleetSpec fleetSpec, long seed) throws IOException;
     }
 
-    /** Creates a benchmark; {@code progress} is called with a line for each case. */
+    /**
+     * Creates a benchmark.
+     *
+     * @param progress is called with one line of text for each case
+     */
     CapacityBenchmark(CapacityPlan plan, FleetFactory fleetFactory, Consumer<String> progress) {
         this.plan = plan;
         this.fleetFactory = fleetFactory;
@@ -54,7 +61,7 @@
      * @throws IOException if a fleet can't be created, or a real balancer has ended
      */
     Map<String, Double> run() throws IOException {
-        loadClasses();
+        runClassLoadingFleet();
         Map<String, Double> metrics = new TreeMap<>();
         for (int balancerCount : plan.balancers()) {
             for (int upstreamCount : plan.upstreams()) {
@@ -99,9 +106,9 @@
         return "n" + balancerCount + ".u" + upstreamCount + "." + condition.key();
     }
 
-    // Otherwise the heap of the program itself would count as that of the first fleet. With three
-    // balancers, it would be a third.
-    private void loadClasses() throws IOException {
+    // Loads the classes with a small fleet before the first measurement. Otherwise their heap would
+    // count as heap of the first fleet; it would be a third of it with three balancers.
+    private void runClassLoadingFleet() throws IOException {
         FleetSpec fleetSpec = fleetSpec(CLASS_LOADING_BALANCERS, 1, 1);
         try (HollowFleet fleet = new SimulatedHollowFleet(fleetSpec, 1)) {
             CapacityExperiment experiment =
@@ -121,9 +128,9 @@
                     balancerCount
                             + " balancers with "
                             + upstreamCount
-                            + " upstreams want some "
+                            + " upstreams need about "
                             + (requiredBytes >> 20)
-                            + " MB of heap: give more with java -Xmx, or ask for fewer");
+                            + " MB of heap: raise the limit with java -Xmx, or choose fewer");
         }
     }
 
@@ -166,8 +173,8 @@
     }
 
     /**
-     * Adds, by condition, how much live heap one more upstream takes in a balancer, and one more
-     * balancer in each of the others.
+     * Adds the slopes of the live heap for each condition: the bytes that one more upstream takes
+     * in a balancer, and the bytes that one more balancer takes in each of the others.
      */
     private void addHeapSlopes(Map<String, Double> metrics) {
         for (FleetCondition condition : plan.conditions()) {
@@ -188,7 +195,7 @@
         }
     }
 
-    /** Adds the slope of the heap between the smallest and the largest size, if they differ. */
+    /** Adds the heap per unit of size, from the smallest to the largest size, if they differ. */
     private static void addSlope(
             Map<String, Double> metrics,
             String slopeName,
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
@@ -12,13 +12,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures one fleet under one condition: starts it, lets it settle, plays the condition and
- * computes the metrics. Not thread-safe.
+ * Measures one fleet under one condition: starts it, waits until it has settled, applies the
+ * condition and computes the metrics. Not thread-safe.
  */
 final class CapacityExperiment {
-    // Time between two samples of the rates that routing policies know
+    // Time between two samples of the request rates that the routing policies assume
     private static final long SAMPLE_INTERVAL_MICROS = 200_000;
-    // Balancers start at random times within this period, so that they are not in step.
+    // Balancers start at random times within this period, so that their timers are not in step.
     private static final long START_SPREAD_MICROS = 200_000;
 
     private final FleetSpec fleetSpec;
@@ -27,24 +27,28 @@
     private final List<Double> rateErrors = new ArrayList<>();
     private boolean measuring;
 
-    /** Creates an experiment; {@code lengthMicros} is how long the condition lasts, in µs. */
+    /**
+     * Creates an experiment.
+     *
+     * @param lengthMicros how long the condition lasts, µs
+     */
     CapacityExperiment(FleetSpec fleetSpec, HollowFleet fleet, long lengthMicros) {
         this.fleetSpec = fleetSpec;
         this.fleet = fleet;
         this.lengthMicros = lengthMicros;
     }
 
-    /** The size and the settings of the fleet. */
+    /** Returns the size and the settings of the fleet. */
     FleetSpec fleetSpec() {
         return fleetSpec;
     }
 
-    /** The fleet that is measured. */
+    /** Returns the fleet that is measured. */
     HollowFleet fleet() {
         return fleet;
     }
 
-    /** How long the condition lasts, µs. */
+    /** Returns how long the condition lasts, µs. */
     long lengthMicros() {
         return lengthMicros;
     }
@@ -71,7 +75,10 @@
         advance(Math.max(0, startMicros + warmUpMicros - fleet.now()));
     }
 
-    /** Lets so many µs pass; while the condition is measured, samples what policies know. */
+    /**
+     * Lets the fleet run for {@code durationMicros} µs. During the measurement, samples the request
+     * rates that the routing policies assume.
+     */
     void advance(long durationMicros) {
         long remainingMicros = durationMicros;
         while (remainingMicros > 0) {
@@ -102,7 +109,7 @@
     }
 
     /**
-     * Plays the condition and returns the metrics by name. Rates are per second of the fleet's
+     * Applies the condition and returns the metrics by name. Rates are per second of the fleet's
      * time, simulated or real.
      *
      * @throws IOException if a real balancer of the fleet has ended
@@ -133,7 +140,7 @@
         return metrics;
     }
 
-    // The balancers' code is timed by elapsed time, a fraction of which was CPU time of its thread.
+    // Counters hold elapsed time. The CPU time is a fraction of it, which the fleet measures.
     private void addCpu(List<CostCounters> counters, double seconds, Map<String, Double> metrics) {
         double cpuFraction = fleet.cpuFraction();
         double totalShare = 0;
@@ -199,7 +206,7 @@
                 "requests.unservedShare",
                 requests == 0
                         ? 0
-                        : counters.stream().mapToDouble(CostCounters::unservedRequestCount).sum()
+                        : counters.stream().mapToDouble(CostCounters::unservedRequests).sum()
                                 / requests);
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityOptions.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityOptions.java
@@ -3,8 +3,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * The options of the command line as text. {@link CapacityPlan} parses and checks them, so that
- * each error is reported as one line.
+ * Holds the options of the command line as text. {@link CapacityPlan} parses and checks them, so
+ * that each error is reported as one line.
  */
 public final class CapacityOptions {
     @Option(
@@ -81,7 +81,7 @@
             paramLabel = "NAME,..",
             defaultValue = "module,membership,duties",
             description = "The components of hollow balancers (default: ${DEFAULT-VALUE}).")
-    String parts;
+    String components;
 
     @Option(names = "--sockets", description = "Runs the fleet over UDP on loopback, in real time.")
     boolean useSockets;
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityPlan.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityPlan.java
@@ -9,19 +9,20 @@
 import java.util.function.Function;
 
 /**
- * The cases that a call of the command measures, and how. Immutable.
+ * Lists the cases that one call of the command measures, with their settings. Immutable.
  *
  * @param balancers the sizes of the fleet
  * @param upstreams the sizes of the endpoint list
  * @param conditions the conditions of each size
- * @param lengthMicros how long a condition lasts, µs
- * @param warmUpMicros how long a fleet runs before the condition, not measured, µs
+ * @param lengthMicros the duration of a condition, µs
+ * @param warmUpMicros how long a fleet runs before the condition, without being measured, µs
  * @param seeds the seeds of each case
  * @param zones the number of zones
  * @param classes the number of request classes
- * @param requestsPerSecond requests a second of a balancer, on average
- * @param components what the hollow balancers consist of
- * @param threads the number of threads of all hollow balancers on sockets; 0: one for each
+ * @param requestsPerSecond the mean number of requests per second of a balancer
+ * @param components the components of the hollow balancers
+ * @param threads the number of threads that all hollow balancers on sockets share; 0: one thread
+ *     for each
  * @param realBalancers the number of real balancers in a fleet on sockets
  */
 record CapacityPlan(
@@ -66,28 +67,28 @@
                         EnumSet.copyOf(
                                 parseConstants(
                                         "--parts",
-                                        options.parts,
+                                        options.components,
                                         BalancerComponent.class,
                                         BalancerComponent::key)),
                         parseInteger("--threads", options.threads, 0, 64),
                         parseInteger("--real", options.realBalancers, 0, 10));
         if (plan.components.contains(BalancerComponent.LEASES)
                 && !plan.components.contains(BalancerComponent.MEMBERSHIP)) {
-            throw new InvalidOptionException("--parts", "duties go by membership");
+            throw new InvalidOptionException("--parts", "duties require membership");
         }
         if (plan.realBalancers > 0 && !options.useSockets) {
-            throw new InvalidOptionException("--real", "real balancers need --sockets");
+            throw new InvalidOptionException("--real", "real balancers require --sockets");
         }
         if (plan.realBalancers > 0
                 && !EnumSet.of(FleetCondition.QUIET, FleetCondition.LOSS10)
                         .containsAll(plan.conditions)) {
-            throw new InvalidOptionException("--real", "only with quiet and loss10");
+            throw new InvalidOptionException(
+                    "--real", "allowed only with the conditions quiet and loss10");
         }
         if (plan.realBalancers > 0
                 && plan.balancers.stream()
                         .anyMatch(balancerCount -> balancerCount <= plan.realBalancers)) {
-            throw new InvalidOptionException(
-                    "--real", "there must be more balancers than real ones");
+            throw new InvalidOptionException("--real", "must be less than the number of balancers");
         }
         return plan;
     }
@@ -139,7 +140,8 @@
             E constant = constantByKey.get(key);
             if (constant == null) {
                 String allowed = String.join(", ", constantByKey.keySet());
-                throw new InvalidOptionException(option, "no " + key + ", only " + allowed);
+                throw new InvalidOptionException(
+                        option, "unknown name " + key + ", allowed are " + allowed);
             }
             constants.add(constant);
         }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityReport.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityReport.java
@@ -15,23 +15,23 @@
 import loadbalancer.testbed.error.InvalidFileException;
 
 /**
- * The measurements of one call of the command, as its file holds them. Immutable.
+ * Holds the measurements of one call of the command, and writes them to a file. Immutable.
  *
- * @param command the command line that reproduces them
+ * @param command the command line that reproduces the measurements
  * @param seeds the seeds of each case
  * @param metrics the metrics by name
  */
 public record CapacityReport(String command, List<Long> seeds, Map<String, Double> metrics) {
     private static final MathContext PRECISION = new MathContext(5);
 
-    /** Copies the arguments. */
+    /** Creates a report with copies of the collections. */
     public CapacityReport {
         seeds = List.copyOf(seeds);
         metrics = Collections.unmodifiableMap(new TreeMap<>(metrics));
     }
 
     /**
-     * Creates the directory of a file.
+     * Creates the parent directory of a file.
      *
      * @throws IOException if it can't be created
      */
@@ -41,12 +41,12 @@
             Files.createDirectories(directory);
         } catch (IOException e) {
             throw new InvalidFileException(
-                    "can't make the folder " + directory + " for " + file.getFileName(), e);
+                    "can't create the directory " + directory + " for " + file.getFileName(), e);
         }
     }
 
     /**
-     * Writes the report, with five significant digits of each metric.
+     * Writes the report as JSON, with five significant digits of each metric.
      *
      * @throws IOException if the file can't be written
      */
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityRun.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityRun.java
@@ -8,20 +8,21 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** One call of the command, from its options to its report. Stateless. */
+/** Executes one call of the command, from its options to its report. Stateless. */
 public final class CapacityRun {
-    // The limit of runs of real fleets
+    // The same limit as for runs with real processes
     private static final double MAX_TIMER_LATENESS_SECONDS = 0.025;
     private static final String JAR_PATH = "testbed/target/load-balancer-testbed.jar";
 
     private CapacityRun() {}
 
     /**
-     * Measures all cases that the options ask for.
+     * Measures all cases that the options define.
      *
      * @param arguments the arguments of the command line
-     * @param outputFile the file of the report, or null if none is wanted
-     * @param progress is called with a line for each case
+     * @param outputFile the file for the report, or null to write none
+     * @param progress is called with one line of text for each case, and with a line if the metrics
+     *     are not valid
      * @return false if the machine was too busy for real time, so that the metrics are not valid
      * @throws InvalidOptionException if an option is invalid
      * @throws IOException if a fleet can't be created or the report can't be written
@@ -34,7 +35,8 @@
             throws IOException {
         CapacityPlan plan = CapacityPlan.of(options);
         if (outputFile != null) {
-            // Before the measurement, so that an unusable path is reported early.
+            // The directory is created before the measurement, so that an unusable path is reported
+            // early.
             CapacityReport.createParentDirectory(outputFile);
         }
         CapacityBenchmark.FleetFactory fleetFactory =
@@ -66,7 +68,7 @@
         return latenessSeconds <= MAX_TIMER_LATENESS_SECONDS;
     }
 
-    // Includes the JVM options that change the metrics, but no paths of this machine.
+    // Includes the JVM options that affect the metrics, but no paths of this machine.
     private static String reproducingCommand(List<String> arguments) {
         List<String> commandLine = new ArrayList<>(List.of("java"));
         ManagementFactory.getRuntimeMXBean().getInputArguments().stream()
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CostCategory.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CostCategory.java
@@ -3,17 +3,22 @@
 import loadbalancer.lease.LeaseMessage;
 import loadbalancer.membership.MembershipMessage;
 
-/** A part of the control plane whose cost is measured. The first three are kinds of datagrams. */
+/**
+ * Divides the costs of the control plane by their cause. The first three categories have datagrams.
+ */
 enum CostCategory {
-    /** Load reports between routing policies; their CPU is that of receiving them. */
+    /**
+     * Load reports between routing policies. The CPU time covers only receiving them; writing them
+     * counts as {@link #ROUTING}.
+     */
     GOSSIP("word"),
     /** Messages and timers of membership. */
     MEMBERSHIP("membership"),
     /** Messages and timers of leases. */
     LEASES("duties"),
-    /** Endpoint lists and their updates. */
+    /** Processing of endpoint lists and their updates. */
     ENDPOINT_LIST("list"),
-    /** Timers of the routing policy, in which it writes load reports, and its requests. */
+    /** Timers of the routing policy, on which it writes load reports, and its requests. */
     ROUTING("module");
 
     private final String key;
@@ -22,14 +27,14 @@
         this.key = key;
     }
 
-    /** The category of a datagram. */
+    /** Returns the category of a datagram. */
     static CostCategory ofDatagram(byte[] datagram) {
         return MembershipMessage.matchesFormat(datagram)
                 ? MEMBERSHIP
                 : LeaseMessage.matchesFormat(datagram) ? LEASES : GOSSIP;
     }
 
-    /** The name in keys of metrics. */
+    /** Returns the name in keys of metrics. */
     String key() {
         return key;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CostCounters.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CostCounters.java
@@ -3,13 +3,13 @@
 import java.util.Arrays;
 
 /**
- * What one balancer sent, received and spent since the last reset, by category. Confined to the
- * thread that runs the balancer.
+ * Counts datagrams, bytes and elapsed time of one balancer since the last reset, by category.
+ * Confined to the thread that runs the balancer.
  */
 final class CostCounters {
-    private final long[] sent = new long[CostCategory.values().length];
+    private final long[] sentDatagrams = new long[CostCategory.values().length];
     private final long[] sentBytes = new long[CostCategory.values().length];
-    private final long[] received = new long[CostCategory.values().length];
+    private final long[] receivedDatagrams = new long[CostCategory.values().length];
     private final long[] receivedBytes = new long[CostCategory.values().length];
     private final long[] elapsedNanos = new long[CostCategory.values().length];
     private long listChanges;
@@ -17,7 +17,7 @@
     private long requests;
     private long unservedRequests;
 
-    /** A copy, for use by another thread. */
+    /** Returns a copy, for use by another thread. */
     CostCounters copy() {
         CostCounters copy = new CostCounters();
         copy.add(this);
@@ -25,10 +25,10 @@
     }
 
     private void add(CostCounters other) {
-        for (int category = 0; category < sent.length; category++) {
-            sent[category] += other.sent[category];
+        for (int category = 0; category < sentDatagrams.length; category++) {
+            sentDatagrams[category] += other.sentDatagrams[category];
             sentBytes[category] += other.sentBytes[category];
-            received[category] += other.received[category];
+            receivedDatagrams[category] += other.receivedDatagrams[category];
             receivedBytes[category] += other.receivedBytes[category];
             elapsedNanos[category] += other.elapsedNanos[category];
         }
@@ -41,7 +41,9 @@
     /** Sets all counters to 0. */
     void reset() {
         for (long[] counters :
-                new long[][] {sent, sentBytes, received, receivedBytes, elapsedNanos}) {
+                new long[][] {
+                    sentDatagrams, sentBytes, receivedDatagrams, receivedBytes, elapsedNanos
+                }) {
             Arrays.fill(counters, 0);
         }
         listChanges = 0;
@@ -50,19 +52,19 @@
         unservedRequests = 0;
     }
 
-    /** Counts a sent datagram once for each of the {@code copies}, since each has a receiver. */
-    void sent(CostCategory category, int bytes, int copies) {
-        sent[category.ordinal()] += copies;
+    /** Counts a sent datagram {@code copies} times: once for each of its receivers. */
+    void countSent(CostCategory category, int bytes, int copies) {
+        sentDatagrams[category.ordinal()] += copies;
         sentBytes[category.ordinal()] += (long) bytes * copies;
     }
 
     /** Counts a received datagram. */
-    void received(CostCategory category, int bytes) {
-        received[category.ordinal()]++;
+    void countReceived(CostCategory category, int bytes) {
+        receivedDatagrams[category.ordinal()]++;
         receivedBytes[category.ordinal()] += bytes;
     }
 
-    /** Adds elapsed time of the balancer's own code, ns. */
+    /** Adds elapsed time of the balancer's own code, ns. For the endpoint list, counts a change. */
     void addElapsed(CostCategory category, long nanos) {
         elapsedNanos[category.ordinal()] += nanos;
         if (category == CostCategory.ENDPOINT_LIST) {
@@ -71,7 +73,7 @@
         }
     }
 
-    /** Counts a request that has ended. */
+    /** Counts a request that has ended, with or without success. */
     void countRequest() {
         requests++;
     }
@@ -81,48 +83,48 @@
         unservedRequests++;
     }
 
-    /** Sent datagrams. */
-    long sent(CostCategory category) {
-        return sent[category.ordinal()];
+    /** Returns the number of sent datagrams. */
+    long sentDatagrams(CostCategory category) {
+        return sentDatagrams[category.ordinal()];
     }
 
-    /** Bytes of sent datagrams. */
+    /** Returns the bytes of sent datagrams. */
     long sentBytes(CostCategory category) {
         return sentBytes[category.ordinal()];
     }
 
-    /** Received datagrams. */
-    long received(CostCategory category) {
-        return received[category.ordinal()];
+    /** Returns the number of received datagrams. */
+    long receivedDatagrams(CostCategory category) {
+        return receivedDatagrams[category.ordinal()];
     }
 
-    /** Bytes of received datagrams. */
+    /** Returns the bytes of received datagrams. */
     long receivedBytes(CostCategory category) {
         return receivedBytes[category.ordinal()];
     }
 
-    /** Elapsed time of the balancer's own code, ns. */
+    /** Returns the elapsed time of the balancer's own code, ns. */
     long elapsedNanos(CostCategory category) {
         return elapsedNanos[category.ordinal()];
     }
 
-    /** Endpoint lists and updates that were processed. */
+    /** Returns the number of endpoint lists and updates that were processed. */
     long listChanges() {
         return listChanges;
     }
 
-    /** The longest time that one of these took, ns. */
+    /** Returns the maximum time that one endpoint list or update took, ns. */
     long maxListChangeNanos() {
         return maxListChangeNanos;
     }
 
-    /** Requests that have ended. */
+    /** Returns the number of requests that have ended. */
     long requests() {
         return requests;
     }
 
-    /** Requests that were rejected or have failed. */
-    long unservedRequestCount() {
+    /** Returns the number of requests that were rejected or have failed. */
+    long unservedRequests() {
         return unservedRequests;
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/DatagramRelay.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/DatagramRelay.java
@@ -23,10 +23,10 @@
 
 /**
  * Relays datagrams between balancers on loopback, with loss and partitions. Each balancer has one
- * relay socket, whose address all others take for the balancer's own: a datagram that arrives there
- * is forwarded to the balancer, from the relay socket of its sender. A datagram that arrives at
- * {@link #broadcastAddress} is forwarded to all others. State is confined to one event loop; the
- * methods may be called on any other thread.
+ * relay socket, and the other balancers use the address of that socket as the balancer's address. A
+ * datagram that arrives there is forwarded to the balancer from the relay socket of its sender. A
+ * datagram that arrives at {@link #broadcastAddress} is forwarded to all other balancers. State is
+ * confined to one event loop; the methods may be called on any other thread.
  */
 final class DatagramRelay implements AutoCloseable {
     private static final int ALL_OTHERS = -1;
@@ -34,7 +34,7 @@
     private static final int RECEIVE_BUFFER_BYTES = 4 << 20;
 
     private final NioEventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
-    // The addresses at which the balancers listen; null until they are registered
+    // The address at which each balancer listens; null until it is registered
     private final InetSocketAddress[] balancerAddresses;
     private final Map<InetSocketAddress, Integer> balancersByAddress = new HashMap<>();
     private final Channel[] relayChannels;
@@ -47,7 +47,7 @@
     /**
      * Opens the relay sockets.
      *
-     * @param seed the seed of lost datagrams
+     * @param seed determines which datagrams are lost
      */
     DatagramRelay(int balancerCount, long seed) {
         balancerAddresses = new InetSocketAddress[balancerCount];
@@ -55,13 +55,13 @@
         countersByBalancer = new CostCounters[balancerCount];
         random = new SplittableRandom(seed);
         for (int balancer = 0; balancer < balancerCount; balancer++) {
-            relayChannels[balancer] = bindRelay(balancer);
+            relayChannels[balancer] = openRelaySocket(balancer);
             countersByBalancer[balancer] = new CostCounters();
         }
-        broadcastChannel = bindRelay(ALL_OTHERS);
+        broadcastChannel = openRelaySocket(ALL_OTHERS);
     }
 
-    private Channel bindRelay(int destination) {
+    private Channel openRelaySocket(int destination) {
         return openSocket(
                 eventLoopGroup,
                 new SimpleChannelInboundHandler<DatagramPacket>() {
@@ -73,12 +73,12 @@
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                        // The system reports the port of an ended balancer as unreachable.
+                        // Ignored: the system reports the port of an ended balancer as unreachable.
                     }
                 });
     }
 
-    /** Opens a socket on a free port of the loopback address. */
+    /** Opens a UDP socket on a free port of the loopback address. */
     static Channel openSocket(
             NioEventLoopGroup group, SimpleChannelInboundHandler<DatagramPacket> handler) {
         return new Bootstrap()
@@ -94,7 +94,7 @@
                 .channel();
     }
 
-    /** Sets the address at which a balancer listens. */
+    /** Registers the address at which a balancer listens. */
     void register(int balancer, InetSocketAddress address) {
         runOnEventLoop(
                 () -> {
@@ -103,12 +103,12 @@
                 });
     }
 
-    /** The address to which others send datagrams for that balancer. */
+    /** Returns the address to which others send datagrams for that balancer. */
     InetSocketAddress relayAddress(int balancer) {
         return (InetSocketAddress) relayChannels[balancer].localAddress();
     }
 
-    /** The address to which a balancer sends datagrams for all others. */
+    /** Returns the address to which a balancer sends datagrams for all others. */
     InetSocketAddress broadcastAddress() {
         return (InetSocketAddress) broadcastChannel.localAddress();
     }
@@ -119,7 +119,7 @@
             return;
         }
         byte[] data = ByteBufUtil.getBytes(packet.content());
-        countersByBalancer[sender].sent(
+        countersByBalancer[sender].countSent(
                 CostCategory.ofDatagram(data),
                 data.length,
                 destination == ALL_OTHERS ? relayChannels.length - 1 : 1);
@@ -134,7 +134,7 @@
         if (balancerAddresses[receiver] != null
                 && partitionSide.test(sender) == partitionSide.test(receiver)
                 && (lossRate == 0 || random.nextDouble() >= lossRate)) {
-            countersByBalancer[receiver].received(CostCategory.ofDatagram(data), data.length);
+            countersByBalancer[receiver].countReceived(CostCategory.ofDatagram(data), data.length);
             relayChannels[sender].writeAndFlush(
                     new DatagramPacket(Unpooled.wrappedBuffer(data), balancerAddresses[receiver]));
         }
@@ -144,12 +144,12 @@
         eventLoopGroup.next().submit(task).syncUninterruptibly();
     }
 
-    /** Sets the fraction of datagrams that is lost from now on. */
-    void lossRate(double rate) {
+    /** Sets the fraction of datagrams that are lost from now on, from 0 to 1. */
+    void setLossRate(double rate) {
         runOnEventLoop(() -> lossRate = rate);
     }
 
-    /** From now on, forwards datagrams only between balancers on the same side. */
+    /** Restricts forwarding, from now on, to datagrams between balancers on the same side. */
     void partition(IntPredicate side) {
         runOnEventLoop(() -> partitionSide = side);
     }
@@ -159,7 +159,7 @@
         runOnEventLoop(() -> Arrays.stream(countersByBalancer).forEach(CostCounters::reset));
     }
 
-    /** The datagrams that a balancer has sent and received through this relay. */
+    /** Returns a copy of the counters of a balancer's datagrams through this relay. */
     CostCounters counters(int balancer) {
         return eventLoopGroup
                 .next()
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/DeadlineTimer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/DeadlineTimer.java
@@ -1,8 +1,8 @@
 package loadbalancer.testbed.capacity;
 
 /**
- * A timer that calls back at the earliest time for which it was scheduled since its last callback.
- * Confined to the thread of its host.
+ * Calls back at the earliest time for which it was scheduled since its last callback. Confined to
+ * the thread of its host.
  */
 final class DeadlineTimer {
     private final BalancerHost host;
@@ -18,17 +18,18 @@
     /**
      * Schedules a callback, unless an earlier one is scheduled.
      *
-     * @param whenMicros the time by the host's clock, µs; {@link Long#MAX_VALUE}: never
+     * @param whenMicros the time of the callback on the host's clock, µs; {@link Long#MAX_VALUE}:
+     *     never
      */
     void schedule(long whenMicros) {
         if (whenMicros >= deadlineMicros) {
             return;
         }
         deadlineMicros = whenMicros;
-        host.after(
+        host.runAfter(
                 Math.max(0, whenMicros - host.now()),
                 () -> {
-                    // Otherwise an earlier callback has replaced this one.
+                    // If the deadline differs, an earlier callback has replaced this one.
                     if (deadlineMicros == whenMicros) {
                         deadlineMicros = Long.MAX_VALUE;
                         callback.run();
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/DetectionTracker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/DetectionTracker.java
@@ -8,26 +8,26 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Records how soon each balancer detects the death or the return of each other one. Thread-safe,
- * since balancers on sockets run on several threads.
+ * Records how long each balancer takes to detect the death or the return of each other balancer.
+ * Thread-safe, since balancers on sockets run on several threads.
  */
 final class DetectionTracker {
     private final PendingDetection[] deaths;
     private final PendingDetection[] returns;
-    // Start of the present process of each balancer
+    // Start of the current process of each balancer
     private final long[] startedAtMicros;
     private long supersededDeaths;
     private final Histogram deathDetectionMicros = new Histogram(3);
     private final Histogram returnDetectionMicros = new Histogram(3);
 
-    /** The observers that have not yet detected the last event of one member. */
+    /** Holds the observers that have not yet detected the last event of one member. */
     private static final class PendingDetection {
         private BitSet pendingObservers = new BitSet();
         private long eventMicros;
         private long incarnation;
     }
 
-    /** Creates a tracker of balancers without processes. */
+    /** Creates a tracker for balancers that have no process yet. */
     DetectionTracker(int balancerCount) {
         deaths = new PendingDetection[balancerCount];
         returns = new PendingDetection[balancerCount];
@@ -36,7 +36,7 @@
         Arrays.setAll(returns, i -> new PendingDetection());
     }
 
-    /** Notes that a member has ended, or is unreachable, for the given observers. */
+    /** Records that a member has ended, or has become unreachable for the given observers. */
     synchronized void memberDied(int member, long nowMicros, IntPredicate observers) {
         returns[member].pendingObservers.clear();
         PendingDetection death = deaths[member];
@@ -46,12 +46,12 @@
         }
     }
 
-    /** Notes the start of an observer's process, which need not detect earlier events. */
+    /** Records the start of an observer's process, which need not detect earlier events. */
     synchronized void observerStarted(int observer, long nowMicros) {
         startedAtMicros[observer] = nowMicros;
     }
 
-    /** Notes the end of an observer's process, which detects nothing more. */
+    /** Records the end of an observer's process, which makes no further detections. */
     synchronized void observerStopped(int observer) {
         for (int member = 0; member < deaths.length; member++) {
             deaths[member].pendingObservers.clear(observer);
@@ -59,7 +59,10 @@
         }
     }
 
-    /** Notes that a member has returned, for those observers that had detected its death. */
+    /**
+     * Records that a member has returned, and expects those of the given observers that detected
+     * its death to detect the return.
+     */
     synchronized void memberReturned(
             int member, long nowMicros, long incarnation, IntPredicate observers) {
         PendingDetection memberReturn = returns[member];
@@ -77,7 +80,7 @@
         deaths[member].pendingObservers.clear();
     }
 
-    /** Notes an update of an observer's view, which may be the detection of an event. */
+    /** Handles an update of an observer's view, which may be the detection of an event. */
     synchronized void onMemberUpdate(int observer, MemberUpdate update, long nowMicros) {
         if (update.status() == MemberStatus.DEAD || update.status() == MemberStatus.LEFT) {
             recordDetection(deaths[update.member()], observer, nowMicros, deathDetectionMicros);
@@ -95,31 +98,39 @@
         }
     }
 
-    /** The number of pairs of a dead member and an observer that has not detected its death. */
+    /**
+     * Returns the number of pairs of a dead member and an observer that has not detected its death.
+     */
     synchronized long undetectedDeaths() {
         return Arrays.stream(deaths)
                 .mapToLong(pending -> pending.pendingObservers.cardinality())
                 .sum();
     }
 
-    /** The number of pairs whose member returned before the observer had detected its death. */
+    /**
+     * Returns the number of pairs of a member and an observer in which the member returned before
+     * the observer had detected its death.
+     */
     synchronized long supersededDeaths() {
         return supersededDeaths;
     }
 
-    /** The number of pairs of a returned member and an observer that considers it dead. */
+    /**
+     * Returns the number of pairs of a returned member and an observer that still considers it
+     * dead.
+     */
     synchronized long undetectedReturns() {
         return Arrays.stream(returns)
                 .mapToLong(pending -> pending.pendingObservers.cardinality())
                 .sum();
     }
 
-    /** The times from deaths until their detection by one observer, µs. */
+    /** Returns the times from deaths until their detection by one observer, µs. */
     synchronized Histogram deathDetectionMicros() {
         return deathDetectionMicros.copy();
     }
 
-    /** The times from returns until their detection by one observer, µs. */
+    /** Returns the times from returns until their detection by one observer, µs. */
     synchronized Histogram returnDetectionMicros() {
         return returnDetectionMicros.copy();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/FleetCondition.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/FleetCondition.java
@@ -6,16 +6,16 @@
 import loadbalancer.routing.api.Endpoint;
 import loadbalancer.routing.api.EndpointStatus;
 
-/** What happens to a fleet while it is measured. */
+/** Defines what happens to a fleet during the measurement. Runs on the experiment's thread. */
 enum FleetCondition {
-    /** Nothing happens, except that one upstream starts to drain at half of the time. */
+    /** Only one event happens: an upstream starts to drain at half of the time. */
     QUIET {
         @Override
         void run(CapacityExperiment experiment) {
             drainOneUpstream(experiment);
         }
     },
-    /** Like {@link #QUIET}, while a tenth of the datagrams is lost. */
+    /** Like {@link #QUIET}, but a tenth of the datagrams is lost. */
     LOSS10 {
         @Override
         void run(CapacityExperiment experiment) {
@@ -36,17 +36,17 @@
             IntStream.of(lostBalancers).forEach(experiment.fleet()::kill);
             experiment
                     .fleet()
-                    .publishUpdate(
+                    .publishListUpdate(
                             () ->
-                                    upstreamsOfFirstZone(
+                                    endpointsOfFirstZone(
                                             experiment.fleetSpec(), EndpointStatus.REMOVED, 0));
             experiment.advance(experiment.lengthMicros() / 2);
             long startMicros = experiment.fleet().now();
             experiment
                     .fleet()
-                    .publishUpdate(
+                    .publishListUpdate(
                             () ->
-                                    upstreamsOfFirstZone(
+                                    endpointsOfFirstZone(
                                             experiment.fleetSpec(),
                                             EndpointStatus.UP,
                                             startMicros));
@@ -55,8 +55,8 @@
         }
     },
     /**
-     * A rolling restart: a tenth of the balancers at a time leaves gracefully, and is started again
-     * at half of the time until the next tenth.
+     * A rolling restart: a tenth of the balancers at a time leaves gracefully. It is started again
+     * halfway to the time at which the next tenth leaves.
      */
     RESTARTS {
         @Override
@@ -109,10 +109,10 @@
 
     private static final int RESTART_WAVES = 10;
 
-    /** Plays the condition, which lasts exactly as long as the experiment. */
+    /** Applies the condition for exactly the length of the experiment. */
     abstract void run(CapacityExperiment experiment);
 
-    /** The name on the command line and in keys of metrics. */
+    /** Returns the name on the command line and in keys of metrics. */
     String key() {
         return name().toLowerCase(Locale.ROOT);
     }
@@ -121,20 +121,20 @@
         experiment.advance(experiment.lengthMicros() / 2);
         experiment
                 .fleet()
-                .publishUpdate(
+                .publishListUpdate(
                         () ->
                                 List.of(
                                         experiment
                                                 .fleetSpec()
-                                                .server(0, EndpointStatus.DRAINING, 0)));
+                                                .endpoint(0, EndpointStatus.DRAINING, 0)));
         experiment.advance(experiment.lengthMicros() - experiment.lengthMicros() / 2);
     }
 
-    private static List<Endpoint> upstreamsOfFirstZone(
+    private static List<Endpoint> endpointsOfFirstZone(
             FleetSpec fleetSpec, EndpointStatus status, long startMicros) {
         return IntStream.range(0, fleetSpec.upstreams())
                 .filter(upstream -> fleetSpec.zoneOfUpstream(upstream) == 0)
-                .mapToObj(upstream -> fleetSpec.server(upstream, status, startMicros))
+                .mapToObj(upstream -> fleetSpec.endpoint(upstream, status, startMicros))
                 .toList();
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/FleetSpec.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/FleetSpec.java
@@ -17,14 +17,14 @@
 import loadbalancer.routing.api.RoutingSettings;
 
 /**
- * The size of a fleet, its endpoint list and its balancers' settings. Immutable.
+ * Defines the size of a fleet, its endpoint list and the settings of its balancers. Immutable.
  *
  * @param balancers the number of balancers
  * @param upstreams the number of upstreams
  * @param zones the number of zones, over which balancers and upstreams are spread evenly
  * @param classes the number of request classes
- * @param requestsPerSecond requests a second of a balancer, on average; 0: none
- * @param components what the balancers consist of
+ * @param requestsPerSecond the mean number of requests per second of a balancer; 0: no requests
+ * @param components the components of the balancers
  */
 record FleetSpec(
         int balancers,
@@ -34,30 +34,34 @@
         double requestsPerSecond,
         Set<BalancerComponent> components) {
     private static final int UPSTREAMS_PER_CELL = 50;
-    // The number of different request rates of balancers
+    // Number of different request rates among the balancers
     private static final int DISTINCT_RATES = 5;
 
     FleetSpec {
         components = Set.copyOf(components);
     }
 
-    /** The zone of a balancer. */
+    /** Returns the zone of a balancer. */
     int zoneOfBalancer(int balancer) {
         return balancer % zones;
     }
 
-    /** The zone of an upstream. */
+    /** Returns the zone of an upstream. */
     int zoneOfUpstream(int upstream) {
         return upstream % zones;
     }
 
-    /** Requests a second of one balancer, from 0.5 to 1.5 times the mean. */
+    /** Returns the requests per second of one balancer, from 0.5 to 1.5 times the mean. */
     double requestsPerSecond(int balancer) {
         return requestsPerSecond * (0.5 + (balancer % DISTINCT_RATES) / (DISTINCT_RATES - 1.0));
     }
 
-    /** A new entry of the endpoint list. Each process has entries of its own. */
-    Endpoint server(int upstream, EndpointStatus status, long startedAtMicros) {
+    /**
+     * Returns a new entry of the endpoint list. Each process has entries of its own.
+     *
+     * @param startedAtMicros the start time of the upstream, µs
+     */
+    Endpoint endpoint(int upstream, EndpointStatus status, long startedAtMicros) {
         String id =
                 "10."
                         + (upstream >> 16)
@@ -76,14 +80,17 @@
                 zoneOfUpstream(upstream));
     }
 
-    /** The complete endpoint list. */
-    List<Endpoint> servers() {
+    /** Returns new entries for the complete endpoint list. */
+    List<Endpoint> endpoints() {
         return IntStream.range(0, upstreams)
-                .mapToObj(upstream -> server(upstream, EndpointStatus.UP, 0))
+                .mapToObj(upstream -> endpoint(upstream, EndpointStatus.UP, 0))
                 .toList();
     }
 
-    /** The settings of a routing policy, with the costs and limits of the testbed's fleets. */
+    /**
+     * Returns the settings of a balancer's routing policy, with costs and limits of the testbed's
+     * fleets.
+     */
     RoutingSettings settings(int balancer) {
         List<RequestClass> requestClasses =
                 IntStream.range(0, classes)
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/HeapUsage.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/HeapUsage.java
@@ -2,14 +2,14 @@
 
 import java.lang.management.ManagementFactory;
 
-/** The live part of this JVM's heap. Stateless. */
+/** Measures the live part of this JVM's heap. Stateless. */
 final class HeapUsage {
-    // What one collection frees may make further objects collectable.
+    // Several collections, since one may make further objects collectable.
     private static final int COLLECTION_COUNT = 3;
 
     private HeapUsage() {}
 
-    /** The live bytes, after full collections. */
+    /** Returns the live bytes of the heap, after full collections. */
     static long liveBytes() {
         for (int i = 0; i < COLLECTION_COUNT; i++) {
             System.gc();
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/HollowBalancer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/HollowBalancer.java
@@ -19,12 +19,12 @@
 import loadbalancer.routing.api.RoutingPolicy;
 
 /**
- * One process of a hollow balancer: the routing policy, membership and leases as real balancers run
- * them, without a data path. A restarted balancer is a new object. Confined to the thread of its
- * host.
+ * Runs one process of a hollow balancer: the same routing policy, membership and leases as in a
+ * real balancer, without a data path. Each restart creates a new object. Confined to the thread of
+ * its host.
  */
 final class HollowBalancer implements RoutingActions {
-    // Time until a requested endpoint list or health check is complete
+    // Simulated durations of fetching an endpoint list and of a health check
     private static final long LIST_FETCH_MICROS = 5_000;
     private static final long HEALTH_CHECK_MICROS = 2_000;
 
@@ -32,7 +32,7 @@
     private final FleetSpec fleetSpec;
     private final int rank;
     private final CostCounters counters;
-    // Each is null if the balancer does not have that component.
+    // The components and the request generator; each is null if the balancer does not have it.
     private final RoutingPolicy routingPolicy;
     private final RequestGenerator requestGenerator;
     private final Membership membership;
@@ -47,10 +47,10 @@
     /**
      * Creates a process that is not started.
      *
-     * @param rank the number of the balancer
-     * @param incarnation the wall clock at the start, ms
-     * @param seed the seed of the policy's random numbers
-     * @param counters count the costs of all processes of this balancer
+     * @param rank the number of the balancer, from 0
+     * @param incarnation the wall-clock time at the start, ms
+     * @param seed the seed of the random numbers of the policy and of the requests
+     * @param counters the counters for the costs of all processes of this balancer
      */
     HollowBalancer(
             BalancerHost host,
@@ -99,33 +99,33 @@
                 new DeadlineTimer(
                         host,
                         () ->
-                                runCharged(
+                                runMeasured(
                                         CostCategory.MEMBERSHIP,
                                         () -> applyMembershipActions(membership.tick(host.now()))));
         leaseTimer =
                 new DeadlineTimer(
                         host,
                         () ->
-                                runCharged(
+                                runMeasured(
                                         CostCategory.LEASES,
                                         () -> applyLeaseActions(leaseManager.tick(host.now()))));
     }
 
-    /** Starts with a cached endpoint list, and joins membership and leases. */
+    /** Starts the process with a cached endpoint list, and joins membership and leases. */
     void start() {
         if (routingPolicy != null) {
-            List<Endpoint> servers = fleetSpec.servers();
-            runCharged(
+            List<Endpoint> endpoints = fleetSpec.endpoints();
+            runMeasured(
                     CostCategory.ENDPOINT_LIST,
                     () ->
                             routingPolicy.onEndpointList(
-                                    host.now(), EndpointListKind.CACHED, servers, this));
+                                    host.now(), EndpointListKind.CACHED, endpoints, this));
         }
         if (membership != null) {
             membershipTimer.schedule(membership.nextTickMicros());
         }
         if (leaseManager != null) {
-            runCharged(
+            runMeasured(
                     CostCategory.LEASES,
                     () -> {
                         leaseManager.onReachable(host.now());
@@ -137,50 +137,53 @@
         }
     }
 
-    /** Ends without notice to the others. */
+    /** Ends the process without notifying the others. */
     void kill() {
         stopped = true;
     }
 
-    /** Tells the others that it leaves, and ends. */
+    /** Notifies the others that this balancer leaves, and ends the process. */
     void leave() {
         if (leaseManager != null) {
-            runCharged(
+            runMeasured(
                     CostCategory.LEASES, () -> applyLeaseActions(leaseManager.leave(host.now())));
         }
         if (membership != null) {
-            runCharged(
+            runMeasured(
                     CostCategory.MEMBERSHIP,
                     () -> applyMembershipActions(membership.leave(host.now())));
         }
         stopped = true;
     }
 
-    /** Whether the process has not ended. */
+    /** Returns whether the process has not ended. */
     boolean isRunning() {
         return !stopped;
     }
 
-    /** The costs of all processes of this balancer. */
+    /** Returns the counters for the costs of all processes of this balancer. */
     CostCounters counters() {
         return counters;
     }
 
-    /** Requests a second of the other balancers as the routing policy knows them, or NaN. */
+    /**
+     * Returns the total requests per second of the other balancers, as the routing policy estimates
+     * it; NaN if the process has ended or has no routing policy.
+     */
     double remoteRate() {
         return routingPolicy == null || stopped
                 ? Double.NaN
                 : routingPolicy.remoteRequestsPerSecond();
     }
 
-    /** Called when a datagram has arrived. */
+    /** Handles a received datagram. */
     void onDatagram(int sender, byte[] data) {
         if (stopped) {
             return;
         }
         CostCategory category = CostCategory.ofDatagram(data);
-        counters.received(category, data.length);
-        runCharged(
+        counters.countReceived(category, data.length);
+        runMeasured(
                 category,
                 () -> {
                     if (category == CostCategory.MEMBERSHIP && membership != null) {
@@ -201,10 +204,10 @@
                 });
     }
 
-    /** Called when an update of the endpoint list has arrived. */
+    /** Handles an update of the endpoint list. */
     void onListUpdate(List<Endpoint> changes) {
         if (routingPolicy != null) {
-            runCharged(
+            runMeasured(
                     CostCategory.ENDPOINT_LIST,
                     () ->
                             routingPolicy.onEndpointList(
@@ -213,10 +216,10 @@
     }
 
     /**
-     * Runs some work of this balancer, unless it has ended, then sends the datagrams that the work
-     * has produced. The elapsed time of the work is counted, that of sending is not.
+     * Runs work of this balancer unless the process has ended, and then sends the datagrams that
+     * the work has produced. The elapsed time of the work is counted; the time of sending is not.
      */
-    private void runCharged(CostCategory category, Runnable work) {
+    private void runMeasured(CostCategory category, Runnable work) {
         if (stopped) {
             return;
         }
@@ -226,7 +229,7 @@
         for (OutgoingDatagram datagram = outbox.poll();
                 datagram != null;
                 datagram = outbox.poll()) {
-            counters.sent(
+            counters.countSent(
                     CostCategory.ofDatagram(datagram.data),
                     datagram.data.length,
                     datagram.peer < 0 ? fleetSpec.balancers() - 1 : 1);
@@ -234,12 +237,14 @@
         }
     }
 
-    /** Runs work of the routing policy that its requests cause. */
-    void runRouting(Runnable work) {
-        runCharged(CostCategory.ROUTING, work);
+    /** Runs work of the routing policy for a request. */
+    void runRoutingWork(Runnable work) {
+        runMeasured(CostCategory.ROUTING, work);
     }
 
-    /** Counts a request that has ended. */
+    /**
+     * Counts a request that has ended; {@code served} is false if it was rejected or has failed.
+     */
     void countRequest(boolean served) {
         counters.countRequest();
         if (!served) {
@@ -253,13 +258,13 @@
                 outbox.add(new OutgoingDatagram(send.to(), send.message().encode()));
             } else if (action instanceof Membership.ViewChanged changed) {
                 host.onMemberUpdate(changed.update());
-                updatePresence(changed.view());
+                updateLeaseMembers(changed.view());
             }
         }
         membershipTimer.schedule(membership.nextTickMicros());
     }
 
-    private void updatePresence(MembershipView view) {
+    private void updateLeaseMembers(MembershipView view) {
         if (leaseManager != null) {
             applyLeaseActions(leaseManager.onMembershipChanged(host.now(), view::isPresent));
         }
@@ -284,34 +289,37 @@
 
     @Override
     public void scheduleTimer(long delayMicros) {
-        host.after(
+        host.runAfter(
                 Math.max(1, delayMicros),
                 () ->
-                        runCharged(
+                        runMeasured(
                                 CostCategory.ROUTING,
                                 () -> routingPolicy.onTimer(host.now(), this)));
     }
 
     @Override
     public void fetchEndpointList() {
-        host.after(
+        host.runAfter(
                 LIST_FETCH_MICROS,
                 () -> {
-                    List<Endpoint> servers = fleetSpec.servers();
-                    runCharged(
+                    List<Endpoint> endpoints = fleetSpec.endpoints();
+                    runMeasured(
                             CostCategory.ENDPOINT_LIST,
                             () ->
                                     routingPolicy.onEndpointList(
-                                            host.now(), EndpointListKind.COMPLETE, servers, this));
+                                            host.now(),
+                                            EndpointListKind.COMPLETE,
+                                            endpoints,
+                                            this));
                 });
     }
 
     @Override
     public void checkHealth(String endpointId) {
-        host.after(
+        host.runAfter(
                 HEALTH_CHECK_MICROS,
                 () ->
-                        runCharged(
+                        runMeasured(
                                 CostCategory.ROUTING,
                                 () ->
                                         routingPolicy.onHealthCheckResult(
@@ -345,7 +353,7 @@
 
     @Override
     public void watchEndpoints(boolean enabled) {
-        // Updates are always delivered.
+        // The fleet always delivers updates.
     }
 
     @Override
@@ -355,6 +363,6 @@
 
     @Override
     public void log(String line) {
-        // Metrics take the place of log lines.
+        // Log lines are discarded; the experiment reports metrics instead.
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/HollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/HollowFleet.java
@@ -10,78 +10,79 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A fleet of hollow balancers and the network between them, in simulated or in real time. Balancers
- * are numbered from 0. Used by one thread.
+ * Runs a fleet of hollow balancers and the network between them, in simulated or in real time.
+ * Balancers are numbered from 0. Used by one thread.
  */
 interface HollowFleet extends AutoCloseable {
-    /** The fleet's time in µs, which is monotonic. */
+    /** Returns the fleet's monotonic time, µs. */
     long now();
 
-    /** Starts a process of a balancer that is not running. */
+    /** Starts a new process of a balancer that is not running. */
     void start(int balancer);
 
-    /** Ends a balancer without notice to the others. */
+    /** Ends a balancer without notifying the others. */
     void kill(int balancer);
 
-    /** Ends a balancer gracefully: it tells the others that it leaves. */
+    /** Ends a balancer gracefully: it notifies the others that it leaves. */
     void leave(int balancer);
 
-    /** Whether a hollow balancer is running. */
+    /** Returns whether a hollow balancer is running; false for a real one. */
     boolean isRunning(int balancer);
 
-    /** Sets the fraction of datagrams that is lost from now on. */
+    /** Sets the fraction of datagrams that are lost from now on, from 0 to 1. */
     void setLossRate(double lossRate);
 
-    /** From now on, delivers datagrams only between balancers on the same side. */
+    /** Restricts delivery, from now on, to datagrams between balancers on the same side. */
     void partition(IntPredicate side);
 
     /**
-     * Delivers an update of the endpoint list to each running balancer, after a delay of its own.
+     * Delivers an update of the endpoint list to each running balancer, each with its own delay.
      *
      * @param changes creates a copy of the changed entries for each balancer
      */
-    void publishUpdate(Supplier<List<Endpoint>> changes);
+    void publishListUpdate(Supplier<List<Endpoint>> changes);
 
-    /** Lets so many µs pass. */
+    /** Lets the fleet run for {@code durationMicros} µs. */
     void advance(long durationMicros);
 
-    /** Sets all costs so far to 0. */
+    /** Sets the costs of all balancers to 0. */
     void resetCounters();
 
-    /** The costs of each hollow balancer since the last reset, over all its processes. */
+    /** Returns the costs of each hollow balancer since the last reset, over all its processes. */
     List<CostCounters> counters();
 
-    /** The CPU time of the threads that ran balancers since the last reset, ns. */
+    /** Returns the CPU time, since the last reset, of the threads that run balancers, ns. */
     long cpuNanos();
 
     /**
-     * The fraction of a balancer's elapsed time that was CPU time. It is less than 1 if its thread
-     * had to wait for a core.
+     * Returns the fraction of a balancer's elapsed time that was CPU time. It is less than 1 if the
+     * balancer's thread had to wait for a core.
      */
     double cpuFraction();
 
     /**
-     * {@link RoutingPolicy#remoteRequestsPerSecond} of each hollow balancer; NaN if it is not
-     * running or has no routing policy.
+     * Returns {@link RoutingPolicy#remoteRequestsPerSecond} of each hollow balancer; NaN if it is
+     * not running or has no routing policy.
      */
     double[] remoteRates();
 
-    /** The times from an update of the list until a balancer has processed it, µs. */
+    /** Returns the times from an update of the list until a balancer has processed it, µs. */
     Histogram listPropagationMicros();
 
-    /** The detections of deaths and returns by the balancers. */
+    /** Returns the tracker of detected deaths and returns. */
     DetectionTracker detections();
 
     /**
-     * Further metrics of a measurement that lasted so many seconds, among them those of real
-     * balancers.
+     * Returns additional metrics of a measurement, including those of real balancers.
      *
+     * @param seconds the duration of the measurement
      * @throws IOException if a real balancer has ended
      */
     default Map<String, Double> additionalMetrics(double seconds) throws IOException {
         return Map.of();
     }
 
+    /** Ends all balancers and releases the fleet's resources. */
     @Override
     void close();
 }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancerConfig.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancerConfig.java
@@ -11,8 +11,8 @@
 import loadbalancer.testbed.emulation.BalancerSettingsBuilder;
 
 /**
- * The configuration and the endpoint list of a real balancer in a fleet, with the platform's keys
- * and units. Stateless.
+ * Creates the configuration and the endpoint list of a real balancer in a fleet, with the
+ * platform's keys and units. Stateless.
  */
 final class RealBalancerConfig {
     private static final int MAX_SOCKETS = 1_024;
@@ -24,8 +24,8 @@
     private RealBalancerConfig() {}
 
     /**
-     * The endpoint list in discovery's form. Nothing listens at its addresses, and no requests are
-     * sent to them.
+     * Returns the endpoint list in discovery's format. Nothing listens at its addresses, and no
+     * requests are sent to them.
      */
     static Map<String, Object> endpointList(FleetSpec fleetSpec) {
         return Map.of(
@@ -34,33 +34,33 @@
                 "all",
                 true,
                 "targets",
-                fleetSpec.servers().stream()
+                fleetSpec.endpoints().stream()
                         .map(
-                                server ->
+                                endpoint ->
                                         Map.of(
                                                 "uid",
-                                                server.id(),
+                                                endpoint.id(),
                                                 "endpoint",
                                                 "127.0.0.1:9",
                                                 "az",
-                                                "z" + server.zone(),
+                                                "z" + endpoint.zone(),
                                                 "model",
-                                                "k" + server.machineType(),
+                                                "k" + endpoint.machineType(),
                                                 "pod_group",
-                                                server.cell(),
+                                                endpoint.cell(),
                                                 "state",
                                                 "in_service",
                                                 "capacity_hint",
-                                                server.weight()))
+                                                endpoint.weight()))
                         .toList());
     }
 
     /**
-     * The configuration of one balancer; addresses have the form {@code host:port}.
+     * Returns the configuration of one balancer. Addresses have the form {@code host:port}.
      *
      * @param peerListen the balancer's own address for datagrams
      * @param peers the addresses of all balancers by rank
-     * @param peersAll the address whose datagrams go to all other balancers
+     * @param peersAll the address that forwards datagrams to all other balancers
      */
     static Map<String, Object> configuration(
             FleetSpec fleetSpec,
@@ -80,7 +80,7 @@
                 .build(endpointList(fleetSpec), settings(fleetSpec, balancer));
     }
 
-    /** {@link FleetSpec#settings} with the platform's keys. */
+    /** Converts {@link FleetSpec#settings} to the platform's keys and units. */
     private static Map<String, Object> settings(FleetSpec fleetSpec, int balancer) {
         RoutingSettings policySettings = fleetSpec.settings(balancer);
         RoutingLimits limits = policySettings.limits();
@@ -110,7 +110,7 @@
         Map<String, Object> settings =
                 BalancerSettingsBuilder.requestClass(
                         CLASS_NAME,
-                        platformTerm(requestClass.idempotency()),
+                        platformName(requestClass.idempotency()),
                         requestClass.latencyObjectiveMicros(),
                         requestClass.deadlineMicros());
         BalancerSettingsBuilder.putPriority(
@@ -128,7 +128,7 @@
                 bounds.overloadWindowMicros());
     }
 
-    private static String platformTerm(Idempotency idempotency) {
+    private static String platformName(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> "safe";
             case IDEMPOTENCY_KEY -> "keyed";
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RealBalancers.java
@@ -25,12 +25,12 @@
 import loadbalancer.testbed.workload.RandomStreams;
 
 /**
- * The real balancers of a fleet on sockets: its last ones, as processes of the program. They get no
- * requests. Used by the thread of the fleet.
+ * Runs the real balancers of a fleet on sockets as processes of the program. They are the balancers
+ * with the highest numbers and receive no requests. Used by the thread of the experiment.
  */
 final class RealBalancers implements AutoCloseable {
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
-    // The name of the event loop's thread as the system truncates it
+    // The system truncates the names of threads, so only a prefix is compared.
     private static final String EVENT_LOOP_THREAD_PREFIX = "nioEventLoop";
 
     private final List<Process> processes = new ArrayList<>();
@@ -44,9 +44,9 @@
     private long[] loopCpuBaselineNanos = {};
 
     /**
-     * Starts {@code count} balancers.
+     * Starts the last {@code count} balancers of the fleet.
      *
-     * @throws IOException if one can't be started, or the jar is missing
+     * @throws IOException if a balancer can't be started, or the jar is missing
      */
     RealBalancers(FleetSpec fleetSpec, SocketHollowFleet fleet, int count, long seed)
             throws IOException {
@@ -116,16 +116,16 @@
         }
     }
 
-    /** Starts a measurement: metrics refer to the time since the last call. */
+    /** Starts a measurement; metrics cover the time since the last call of this method. */
     void resetCounters() {
         cpuBaselineNanos = processes.stream().mapToLong(RealBalancers::cpuNanos).toArray();
         loopCpuBaselineNanos = processes.stream().mapToLong(RealBalancers::loopCpuNanos).toArray();
     }
 
     /**
-     * The means over the real balancers of their CPU and of their datagrams since the last reset.
+     * Returns CPU and datagrams since the last reset, as means over the real balancers.
      *
-     * @param seconds how long the measurement lasted
+     * @param seconds the duration of the measurement
      * @throws ProcessFailedException if a balancer has ended
      */
     Map<String, Double> metrics(double seconds) throws IOException {
@@ -158,12 +158,12 @@
                 .orElse(0);
     }
 
-    // Has a resolution of 10 ms, and includes threads that have ended.
+    // The system reports this with a resolution of 10 ms, and includes threads that have ended.
     private static long cpuNanos(Process process) {
         return process.info().totalCpuDuration().map(Duration::toNanos).orElse(0L);
     }
 
-    // The CPU time of the event loop.
+    // Returns the CPU time of the event loop's thread.
     private static long loopCpuNanos(Process process) {
         long totalNanos = 0;
         try (Stream<Path> tasks =
@@ -176,7 +176,7 @@
                 }
             }
         } catch (IOException e) {
-            // The process has ended, which metrics() reports.
+            // The process has ended; metrics() reports that.
             return 0;
         }
         return totalNanos;
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/RequestGenerator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/RequestGenerator.java
@@ -10,8 +10,8 @@
 
 /**
  * Generates the requests of one hollow balancer. They arrive as a Poisson process, and each attempt
- * succeeds after a random time without queueing: requests are generated only for the rates that
- * policies report and for the CPU of their decisions. Confined to the thread of the host.
+ * succeeds after a random time without queueing. The requests serve only to measure the rates that
+ * routing policies report and the CPU time of their decisions. Confined to the thread of the host.
  */
 final class RequestGenerator {
     private static final long REQUEST_TIMEOUT_MICROS = 1_500_000;
@@ -24,12 +24,12 @@
     private final int classCount;
     private final double requestsPerSecond;
     private final SplittableRandom random;
-    // Requests without a final response, or with attempts that have not ended
+    // Requests by id, until they are closed and their attempts have ended
     private final Map<String, OpenRequest> openRequests = new HashMap<>();
     private long nextRequestNumber;
     private long nextArrivalMicros;
 
-    /** A request without a final response, or with running attempts. */
+    /** Holds a request that has no final response, or has running attempts. */
     private static final class OpenRequest {
         private final Set<Integer> runningAttempts = new TreeSet<>();
         private int attemptCount;
@@ -52,23 +52,24 @@
         this.random = random;
     }
 
-    /** Starts to generate requests, until the balancer ends. */
+    /** Generates requests from now on, until the balancer ends. */
     void start() {
         nextArrivalMicros = host.now();
         scheduleNextArrival();
     }
 
-    // Relative to the planned time of the last arrival, so that late timers do not lower the rate.
+    // The next arrival is relative to the planned time of the last one, so that late timers do not
+    // lower the rate.
     private void scheduleNextArrival() {
         nextArrivalMicros +=
                 1 + (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e6);
-        host.after(
+        host.runAfter(
                 Math.max(1, nextArrivalMicros - host.now()),
                 () -> {
                     if (balancer.isRunning()) {
                         String requestId = "r" + nextRequestNumber++;
                         openRequests.put(requestId, new OpenRequest());
-                        balancer.runRouting(
+                        balancer.runRoutingWork(
                                 () ->
                                         routingPolicy.onRequest(
                                                 host.now(),
@@ -85,7 +86,7 @@
                 });
     }
 
-    /** Starts an attempt, as the routing policy demands. */
+    /** Starts an attempt of a request. Called by the routing policy. */
     void startAttempt(String requestId) {
         OpenRequest openRequest = openRequests.get(requestId);
         if (openRequest == null) {
@@ -94,7 +95,7 @@
         int attempt = openRequest.attemptCount++;
         openRequest.runningAttempts.add(attempt);
         long serviceMicros = random.nextLong(MIN_SERVICE_MICROS, MAX_SERVICE_MICROS);
-        host.after(
+        host.runAfter(
                 serviceMicros,
                 () -> endAttempt(requestId, attempt, AttemptOutcome.OK, serviceMicros));
     }
@@ -110,8 +111,8 @@
             balancer.countRequest(true);
         }
         boolean closed = openRequest.closed;
-        removeIfDone(requestId, openRequest);
-        balancer.runRouting(
+        removeIfComplete(requestId, openRequest);
+        balancer.runRoutingWork(
                 () ->
                         routingPolicy.onAttemptEnded(
                                 host.now(),
@@ -124,22 +125,22 @@
                                 balancer));
     }
 
-    /** Cancels an attempt, as the routing policy demands. */
+    /** Cancels an attempt. Called by the routing policy. */
     void cancelAttempt(String requestId, int attempt) {
-        host.after(1, () -> endAttempt(requestId, attempt, AttemptOutcome.CANCELLED, 1));
+        host.runAfter(1, () -> endAttempt(requestId, attempt, AttemptOutcome.CANCELLED, 1));
     }
 
-    /** Ends a request without success, as the routing policy demands. */
+    /** Closes a request without success. Called by the routing policy. */
     void rejectRequest(String requestId) {
         OpenRequest openRequest = openRequests.get(requestId);
         if (openRequest != null && !openRequest.closed) {
             openRequest.closed = true;
             balancer.countRequest(false);
-            removeIfDone(requestId, openRequest);
+            removeIfComplete(requestId, openRequest);
         }
     }
 
-    private void removeIfDone(String requestId, OpenRequest openRequest) {
+    private void removeIfComplete(String requestId, OpenRequest openRequest) {
         if (openRequest.closed && openRequest.runningAttempts.isEmpty()) {
             openRequests.remove(requestId);
         }
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/SimulatedHollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/SimulatedHollowFleet.java
@@ -14,15 +14,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A fleet in simulated time on one thread. Events depend on the seed only; what they cost in CPU
- * and memory is measured. Not thread-safe.
+ * Runs a fleet in simulated time on the caller's thread. The events depend only on the seed; their
+ * CPU time and memory are measured in real time. Not thread-safe.
  */
 final class SimulatedHollowFleet extends AbstractHollowFleet {
-    // Delay of a datagram, one way
+    // One-way delay of a datagram
     private static final long MIN_DELAY_MICROS = 1_200;
     private static final long MAX_DELAY_MICROS = 10_000;
     private static final long MAX_TIMER_LATENESS_MICROS = 1_000;
-    // The balancers' monotonic clock and the wall clock when the simulation starts
+    // The monotonic clock and the wall clock of the balancers at the start of the simulation
     private static final long START_MICROS = 1_000_000_000;
     private static final long START_WALL_CLOCK_MS = 1_700_000_000_000L;
 
@@ -30,12 +30,12 @@
     private final UniformRandomProvider random;
     private final PriorityQueue<ScheduledEvent> eventQueue = new PriorityQueue<>(1 << 14);
     private final SimulatedProcess[] processes;
-    // Whether a balancer had a process before
-    private final boolean[] ranBefore;
+    // True for each balancer that has had a process
+    private final boolean[] hasRunBefore;
     private final CostCounters[] counters;
     private final ThreadMXBean threadBean = ManagementFactory.getThreadMXBean();
     private IntPredicate partitionSide = b -> true;
-    private double loss;
+    private double lossRate;
     private long now = START_MICROS;
     private long nextSequence;
     private long startCount;
@@ -52,7 +52,7 @@
         }
     }
 
-    /** One process of a balancer. */
+    /** Runs one process of a balancer, and connects it to the simulated clock and network. */
     private final class SimulatedProcess implements BalancerHost {
         private final int rank;
         private final HollowBalancer balancer;
@@ -75,7 +75,7 @@
         }
 
         @Override
-        public void after(long delayMicros, Runnable task) {
+        public void runAfter(long delayMicros, Runnable task) {
             schedule(
                     now + delayMicros + (long) (random.nextDouble() * MAX_TIMER_LATENESS_MICROS),
                     task);
@@ -100,13 +100,17 @@
         }
     }
 
-    /** Creates a fleet without processes; {@code seed} determines delays and losses. */
+    /**
+     * Creates a fleet without processes.
+     *
+     * @param seed determines the delays, the losses and the random numbers of the balancers
+     */
     SimulatedHollowFleet(FleetSpec fleetSpec, long seed) {
         super(fleetSpec, new Histogram(3));
         this.seed = seed;
         random = RandomStreams.stream(seed, "capacity");
         processes = new SimulatedProcess[fleetSpec.balancers()];
-        ranBefore = new boolean[fleetSpec.balancers()];
+        hasRunBefore = new boolean[fleetSpec.balancers()];
         counters = new CostCounters[fleetSpec.balancers()];
         Arrays.setAll(counters, balancer -> new CostCounters());
     }
@@ -116,7 +120,7 @@
     }
 
     private void transmit(int sender, int receiver, byte[] data) {
-        boolean lost = loss > 0 && random.nextDouble() < loss;
+        boolean lost = lossRate > 0 && random.nextDouble() < lossRate;
         if (lost || partitionSide.test(sender) != partitionSide.test(receiver)) {
             return;
         }
@@ -141,12 +145,12 @@
     public void start(int balancer) {
         processes[balancer] = new SimulatedProcess(balancer);
         detections().observerStarted(balancer, now);
-        if (ranBefore[balancer]) {
+        if (hasRunBefore[balancer]) {
             detections()
                     .memberReturned(
                             balancer, now, START_WALL_CLOCK_MS + now / 1000, this::isRunning);
         }
-        ranBefore[balancer] = true;
+        hasRunBefore[balancer] = true;
         processes[balancer].balancer.start();
     }
 
@@ -175,7 +179,7 @@
 
     @Override
     public void setLossRate(double lossRate) {
-        loss = lossRate;
+        this.lossRate = lossRate;
     }
 
     @Override
@@ -184,7 +188,7 @@
     }
 
     @Override
-    void scheduleUpdates(Supplier<List<Endpoint>> changes) {
+    void scheduleListUpdates(Supplier<List<Endpoint>> changes) {
         long publishedMicros = now;
         for (SimulatedProcess process : processes) {
             if (process != null) {
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/SocketHollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/SocketHollowFleet.java
@@ -31,16 +31,17 @@
 import org.HdrHistogram.SynchronizedHistogram;
 
 /**
- * A fleet in real time over loopback: each hollow balancer has a socket, all share some threads,
- * and one more thread relays datagrams. The last balancers of the fleet may be real processes. The
- * methods of the fleet are called on the thread of the experiment.
+ * Runs a fleet in real time over loopback. Each hollow balancer has a socket, all of them share a
+ * number of threads, and one more thread relays datagrams. The balancers with the highest numbers
+ * may be real processes. The methods of the fleet are called on the thread of the experiment.
  */
 final class SocketHollowFleet extends AbstractHollowFleet {
+    // Descriptors for everything other than the two sockets of each balancer
     private static final int SPARE_DESCRIPTORS = 200;
 
     /**
-     * The metric of the 99th percentile of how late timers were, in seconds. Late timers mean that
-     * the machine was too busy for the fleet.
+     * The name of the metric for the lateness of timers (99th percentile, in seconds). Late timers
+     * mean that the machine was too busy for the fleet.
      */
     static final String TIMER_LATENESS_METRIC = "timersLate.seconds.p99";
 
@@ -49,18 +50,18 @@
     private final Histogram timerLatenessMicros = new SynchronizedHistogram(3);
     private final DatagramRelay relay;
     private final List<SocketHost> hosts = new ArrayList<>();
-    // Complete before any balancer is started
+    // Filled before any balancer starts, and only read afterwards
     private final Map<InetSocketAddress, Integer> balancersByRelayAddress = new HashMap<>();
     private final List<Long> threadIds = new ArrayList<>();
     private final ThreadMXBean threadBean = ManagementFactory.getThreadMXBean();
     private final SplittableRandom random;
-    // Null if there are none
+    // Null without real balancers
     private final RealBalancers realBalancers;
     private long cpuBaselineNanos;
 
     /**
-     * One balancer over all its processes: its socket, its event loop and its costs. Confined to
-     * that event loop.
+     * Holds the socket, the event loop and the costs of one balancer, which remain the same for all
+     * its processes. Confined to that event loop.
      */
     private final class SocketHost extends SimpleChannelInboundHandler<DatagramPacket>
             implements BalancerHost {
@@ -68,7 +69,7 @@
         private final CostCounters counters = new CostCounters();
         private final Channel channel;
         private final EventLoop eventLoop;
-        // Null while no process runs
+        // Null while no process is running
         private HollowBalancer balancer;
         private int startCount;
 
@@ -97,7 +98,7 @@
         }
 
         @Override
-        public void after(long delayMicros, Runnable task) {
+        public void runAfter(long delayMicros, Runnable task) {
             long dueMicros = now() + delayMicros;
             eventLoop.schedule(
                     () -> {
@@ -160,13 +161,14 @@
         }
     }
 
-    // Whether the experiment has last started or ended a balancer
+    // True for each balancer that the experiment has started and not ended since
     private final boolean[] requestedRunning;
 
     /**
      * Opens all sockets and starts the real balancers.
      *
-     * @param threadCount threads for all hollow balancers; 0: one for each, as real ones have
+     * @param threadCount the number of threads that all hollow balancers share; 0: one thread for
+     *     each, like real balancers
      * @throws IOException if the system allows too few descriptors, or a process can't be started
      */
     SocketHollowFleet(FleetSpec fleetSpec, long seed, int threadCount, int realBalancerCount)
@@ -178,10 +180,10 @@
                 && system.getMaxFileDescriptorCount() < requiredDescriptors) {
             throw new InsufficientResourcesException(
                     fleetSpec.balancers()
-                            + " balancers want "
+                            + " balancers need "
                             + requiredDescriptors
-                            + " descriptors, allowed "
-                            + "are "
+                            + " file descriptors, but the "
+                            + "limit is "
                             + system.getMaxFileDescriptorCount());
         }
         eventLoopGroup =
@@ -211,7 +213,7 @@
                         : new RealBalancers(fleetSpec, this, realBalancerCount, seed);
     }
 
-    /** The network between the balancers. */
+    /** Returns the relay, which is the network between the balancers. */
     DatagramRelay relay() {
         return relay;
     }
@@ -251,7 +253,7 @@
 
     @Override
     public void setLossRate(double lossRate) {
-        relay.lossRate(lossRate);
+        relay.setLossRate(lossRate);
     }
 
     @Override
@@ -260,11 +262,11 @@
     }
 
     @Override
-    void scheduleUpdates(Supplier<List<Endpoint>> changes) {
+    void scheduleListUpdates(Supplier<List<Endpoint>> changes) {
         long publishedMicros = now();
         for (SocketHost host : hosts) {
             long delayMicros = random.nextLong(MIN_UPDATE_DELAY_MICROS, MAX_UPDATE_DELAY_MICROS);
-            host.after(
+            host.runAfter(
                     delayMicros,
                     () -> {
                         if (host.balancer != null) {
@@ -310,8 +312,8 @@
         return threadCpuNanos() - cpuBaselineNanos;
     }
 
-    // Threads that are idle most of the time rarely wait for a core; when they do, that counts as
-    // time of the balancers.
+    // The threads are idle most of the time and rarely wait for a core. The time that they do wait
+    // counts as CPU time of the balancers.
     @Override
     public double cpuFraction() {
         return 1;
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/StaticDiscoveryServer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/StaticDiscoveryServer.java
@@ -25,8 +25,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The discovery server of real balancers in a fleet: one endpoint list that never changes, and
- * watches with heartbeats only. Has an event loop of its own.
+ * Emulates discovery for the real balancers of a fleet: serves an endpoint list that never changes,
+ * and watches that send only heartbeats after it. Runs on an event loop of its own; the methods may
+ * be called on any other thread.
  */
 final class StaticDiscoveryServer implements AutoCloseable {
     private static final long HEARTBEAT_INTERVAL_MS = 2_000;
@@ -36,7 +37,11 @@
     private final String listJson;
     private final Channel listener;
 
-    /** Starts a server on a free port of the loopback address; {@code listJson} is its list. */
+    /**
+     * Starts a server on a free port of the loopback address.
+     *
+     * @param listJson the endpoint list in discovery's format
+     */
     StaticDiscoveryServer(String listJson) {
         this.listJson = listJson;
         listener =
@@ -59,12 +64,12 @@
                         .channel();
     }
 
-    /** The address at which the server listens. */
+    /** Returns the address at which the server listens. */
     InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Serves the list or a watch on one connection. */
+    /** Serves lists and watches on one connection. */
     private final class DiscoveryHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/TrafficMetrics.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/TrafficMetrics.java
@@ -6,13 +6,13 @@
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToLongBiFunction;
 
-/** Computes the metrics of the datagrams of several balancers, as rates per second. Stateless. */
+/** Computes the rates of datagrams and bytes over several balancers, per second. Stateless. */
 final class TrafficMetrics {
-    /** The categories of datagrams. */
+    /** The cost categories that have datagrams. */
     static final List<CostCategory> DATAGRAM_CATEGORIES =
             List.of(CostCategory.GOSSIP, CostCategory.MEMBERSHIP, CostCategory.LEASES);
 
-    /** What is counted of datagrams, with the name of its metric. */
+    /** Reads one counter of datagrams or bytes, and names its metric. */
     private record Counter(String metric, ToLongBiFunction<CostCounters, CostCategory> value) {
         private double of(CostCounters counters, CostCategory category) {
             return value.applyAsLong(counters, category);
@@ -27,18 +27,18 @@
 
     private static final List<Counter> COUNTERS =
             List.of(
-                    new Counter("sent.datagramsPerSecond", CostCounters::sent),
+                    new Counter("sent.datagramsPerSecond", CostCounters::sentDatagrams),
                     new Counter("sent.bytesPerSecond", CostCounters::sentBytes),
-                    new Counter("received.datagramsPerSecond", CostCounters::received),
+                    new Counter("received.datagramsPerSecond", CostCounters::receivedDatagrams),
                     new Counter("received.bytesPerSecond", CostCounters::receivedBytes));
 
     private TrafficMetrics() {}
 
     /**
-     * Adds the means over the balancers by category.
+     * Adds the means over the balancers for each category.
      *
      * @param keyPrefix the prefix of the metrics' names
-     * @param seconds how long the counters have counted
+     * @param seconds the time that the counters cover
      */
     static void addMeans(
             String keyPrefix,
@@ -57,7 +57,9 @@
         }
     }
 
-    /** Adds mean, 99th percentile and maximum over the balancers, of all categories together. */
+    /**
+     * Adds the mean, 99th percentile and maximum over the balancers, for all categories together.
+     */
     static void addDistributions(
             List<CostCounters> counters, double seconds, Map<String, Double> metrics) {
         for (Counter counter : COUNTERS) {
@@ -77,7 +79,7 @@
                 .toArray();
     }
 
-    /** The smallest value that at least this fraction of all values does not exceed. */
+    /** Returns the smallest value that at least {@code fraction} of all values do not exceed. */
     static double quantile(double[] sorted, double fraction) {
         return sorted[Math.max(0, (int) Math.ceil(fraction * sorted.length) - 1)];
     }
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/EmulatedBackend.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/EmulatedBackend.java
@@ -50,7 +50,7 @@
     private final InetSocketAddress discoveryAddress;
     private long revision = 1;
     // The number of single changes so far
-    private int nextChange;
+    private int publishedChanges;
 
     /**
      * Opens both servers on free ports of {@code address}.
@@ -146,7 +146,7 @@
                             for (int i = 0; i < count; i++) {
                                 // An entry drains, and returns with the next change: the size of
                                 // the list remains the same.
-                                int entry = nextChange++ / 2 % footprintCase.servers();
+                                int entry = publishedChanges++ / 2 % footprintCase.servers();
                                 draining[entry] = !draining[entry];
                                 changed.add(entry);
                             }
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintBenchmark.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintBenchmark.java
@@ -48,7 +48,7 @@
     private static final int DIRECT_LOAD_MS = 3_000;
     private static final int ZONE_COUNT = 30;
 
-    private final LaunchCommand launch;
+    private final LaunchCommand launchCommand;
     private final Path outputDirectory;
     private final int idleMs;
     private final Map<String, String> environment;
@@ -73,7 +73,7 @@
             RepeatedMeasurements measurements,
             Consumer<String> progress) {
         this.environment = Map.copyOf(environment);
-        this.launch = launchCommand;
+        this.launchCommand = launchCommand;
         this.outputDirectory = outputDirectory;
         this.idleMs = idleMs;
         this.measurements = measurements;
@@ -106,7 +106,7 @@
                 MeasuredProcess process =
                         new MeasuredProcess(
                                 spawner,
-                                launch,
+                                launchCommand,
                                 directory,
                                 footprintCase,
                                 backend,
@@ -117,15 +117,15 @@
             measurements.add(
                     footprintCase.keyPrefix() + "list_bytes",
                     Json.write(backend.endpointList()).length());
-            boolean lasted = false;
+            boolean completed = false;
             try {
-                lasted = measurePhases(footprintCase, backend, peers, process);
+                completed = measurePhases(footprintCase, backend, peers, process);
             } catch (IOException e) {
                 if (process.isRunning()) {
                     throw e;
                 }
             }
-            if (!lasted) {
+            if (!completed) {
                 measurements.add(footprintCase.keyPrefix() + "ended", 1);
                 progress.accept(
                         footprintCase.keyPrefix() + " did not last: " + process.lastLogLine());
@@ -264,12 +264,12 @@
     }
 
     /** What the process is measured under. */
-    private interface Work {
+    private interface MeasuredWork {
         void run() throws InterruptedException;
     }
 
     // CPU time in seconds, from the start of the work until settleMs after its end
-    private static double cpuSecondsOf(MeasuredProcess process, int settleMs, Work work)
+    private static double cpuSecondsOf(MeasuredProcess process, int settleMs, MeasuredWork work)
             throws IOException, InterruptedException {
         double cpuBefore = process.cpuSeconds();
         work.run();
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
@@ -53,7 +53,7 @@
      *
      * @param directory for its configuration, logs, temporary files and state
      * @param peers the addresses of its peers, or null if it has none
-     * @param ownEnvironment further variables of the process
+     * @param additionalEnvironment further variables of the process
      * @throws IOException if it can't be started
      */
     MeasuredProcess(
@@ -65,7 +65,7 @@
             LoopbackAddresses addresses,
             InetSocketAddress peerListenAddress,
             List<InetSocketAddress> peers,
-            Map<String, String> ownEnvironment)
+            Map<String, String> additionalEnvironment)
             throws IOException {
         listenAddress = addresses.findFreePort(addresses.clientAddress(0));
         adminAddress = addresses.findFreePort(addresses.clientAddress(0));
@@ -85,9 +85,9 @@
                         NAME,
                         configFile,
                         Files.createDirectories(directory.resolve("tmp")));
-        environment.putAll(ownEnvironment);
+        environment.putAll(additionalEnvironment);
         stateDirectory = directory.resolve("state");
-        if (ownEnvironment.containsKey(BalancerEnvironment.STATE_DIRECTORY_VARIABLE)) {
+        if (additionalEnvironment.containsKey(BalancerEnvironment.STATE_DIRECTORY_VARIABLE)) {
             environment.put(
                     BalancerEnvironment.STATE_DIRECTORY_VARIABLE,
                     Files.createDirectories(stateDirectory).toString());
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityPlanTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityPlanTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void invalidOptionIsNamedInOneLine() {
+    void invalidOptionIsReportedInOneLine() {
         assertRejected("--balancers", "100,", "--balancers");
         assertRejected("--balancers", "1", "--balancers");
         assertRejected("--balancers", "4001", "--balancers");
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void reportIsFlatNumbersByName(@TempDir Path directory) throws IOException {
+    void reportHoldsMetricsByName(@TempDir Path directory) throws IOException {
         Path file = directory.resolve("new/words.json");
         new CapacityReport(
                         "java -jar lab.jar capacity",
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityRunTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityRunTest.java
@@ -40,7 +40,7 @@
                         .endsWith(".jar capacity " + String.join(" ", arguments)),
                 json.get("command").asText());
         JsonNode metrics = json.get("figures");
-        metrics.forEach(figure -> assertTrue(figure.isNumber(), figure::toString));
+        metrics.forEach(metric -> assertTrue(metric.isNumber(), metric::toString));
         for (String prefix : new String[] {"n2.u1", "n2.u200", "n4.u1", "n4.u200"}) {
             assertTrue(
                     metrics.get(prefix + ".quiet.sent.bytesPerSecond.mean").asDouble() > 0, prefix);
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/DatagramRelayTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/DatagramRelayTest.java
@@ -67,7 +67,7 @@
         send(0, relay.relayAddress(2), 3, 7);
         expectDatagram(2, 0, 3, 7);
         expectNothing(1);
-        assertEquals(1, relay.counters(0).sent(CostCategory.GOSSIP));
+        assertEquals(1, relay.counters(0).sentDatagrams(CostCategory.GOSSIP));
         assertEquals(2, relay.counters(2).receivedBytes(CostCategory.GOSSIP));
     }
 
@@ -77,7 +77,7 @@
         expectDatagram(0, 1, 3, 8, 9);
         expectDatagram(2, 1, 3, 8, 9);
         expectNothing(1);
-        assertEquals(2, relay.counters(1).sent(CostCategory.GOSSIP));
+        assertEquals(2, relay.counters(1).sentDatagrams(CostCategory.GOSSIP));
         assertEquals(6, relay.counters(1).sentBytes(CostCategory.GOSSIP));
     }
 
@@ -88,10 +88,10 @@
         expectDatagram(1, 0, 3);
         expectNothing(2);
         relay.partition(balancer -> true);
-        relay.lossRate(1);
+        relay.setLossRate(1);
         send(0, relay.broadcastAddress(), 4);
         expectNothing(1);
-        relay.lossRate(0);
+        relay.setLossRate(0);
         send(0, relay.relayAddress(2), 5);
         expectDatagram(2, 0, 5);
     }
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/GossipScalingTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/GossipScalingTest.java
@@ -26,7 +26,7 @@
     private static final double MAX_BYTES_PER_ADDED_BALANCER = 0.7;
     private static final Map<Integer, Map<String, Double>> RESULTS = new TreeMap<>();
 
-    private static double measured(int balancerCount, String figure) throws IOException {
+    private static double metricFor(int balancerCount, String metric) throws IOException {
         if (!RESULTS.containsKey(balancerCount)) {
             RESULTS.put(
                     balancerCount,
@@ -39,31 +39,31 @@
                             3,
                             3));
         }
-        return RESULTS.get(balancerCount).get(figure);
+        return RESULTS.get(balancerCount).get(metric);
     }
 
-    private static void assertBounded(String figure, double limit) throws IOException {
-        double smallFleet = measured(200, figure);
-        double largeFleet = measured(400, figure);
+    private static void assertBounded(String metric, double limit) throws IOException {
+        double smallFleet = metricFor(200, metric);
+        double largeFleet = metricFor(400, metric);
         assertTrue(
                 smallFleet <= limit && largeFleet <= limit,
-                figure + ": 200 balancers " + smallFleet + ", 400 " + largeFleet);
+                metric + ": 200 balancers " + smallFleet + ", 400 " + largeFleet);
         assertTrue(
                 largeFleet <= MAX_GROWTH_FACTOR * smallFleet,
-                figure + " rises: 200 balancers " + smallFleet + ", 400 " + largeFleet);
+                metric + " rises: 200 balancers " + smallFleet + ", 400 " + largeFleet);
     }
 
-    private static void assertBytesBounded(String figure) throws IOException {
-        double smallFleet = measured(200, figure);
-        double largeFleet = measured(400, figure);
+    private static void assertBytesBounded(String metric) throws IOException {
+        double smallFleet = metricFor(200, metric);
+        double largeFleet = metricFor(400, metric);
         double bytesPerBalancer = (largeFleet - smallFleet) / 200;
         assertTrue(
                 bytesPerBalancer <= MAX_BYTES_PER_ADDED_BALANCER,
-                figure + " rises: 200 balancers " + smallFleet + ", 400 " + largeFleet);
+                metric + " rises: 200 balancers " + smallFleet + ", 400 " + largeFleet);
         double atMaxFleet = largeFleet + bytesPerBalancer * (BlockPartition.MAX_BALANCERS - 400);
         assertTrue(
                 atMaxFleet <= MAX_BYTES_PER_SECOND / 2,
-                figure + " would be " + atMaxFleet + " at the most balancers");
+                metric + " would be " + atMaxFleet + " at the most balancers");
     }
 
     @Test
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/HollowFleetTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/HollowFleetTest.java
@@ -18,16 +18,16 @@
     @Test
     void sameSeedGivesSameCounts() throws IOException {
         assertEquals(
-                withoutClockFigures(
+                withoutRealTimeMetrics(
                         CapacityExperiments.run(
                                 20, 50, 10, ALL_COMPONENTS, FleetCondition.ZONE, 4, 4)),
-                withoutClockFigures(
+                withoutRealTimeMetrics(
                         CapacityExperiments.run(
                                 20, 50, 10, ALL_COMPONENTS, FleetCondition.ZONE, 4, 4)));
     }
 
     // Metrics by the machine's clock differ from run to run.
-    private static Map<String, Double> withoutClockFigures(Map<String, Double> metrics) {
+    private static Map<String, Double> withoutRealTimeMetrics(Map<String, Double> metrics) {
         Map<String, Double> remaining = new TreeMap<>(metrics);
         remaining
                 .keySet()
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/MembershipScalingTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/MembershipScalingTest.java
@@ -18,7 +18,7 @@
 
     @Test
     void costIsIndependentOfFleetSize() throws IOException {
-        for (String figure :
+        for (String metric :
                 new String[] {
                     "sent.datagramsPerSecond",
                     "sent.bytesPerSecond",
@@ -27,13 +27,13 @@
                 }) {
             Map<Integer, Double> meanByFleetSize = new TreeMap<>();
             for (int members : FLEET_SIZES) {
-                meanByFleetSize.put(members, figuresFor(members).get(figure + ".mean"));
+                meanByFleetSize.put(members, metricsFor(members).get(metric + ".mean"));
             }
             double smallestFleetMean = meanByFleetSize.get(FLEET_SIZES[0]);
             for (Map.Entry<Integer, Double> entry : meanByFleetSize.entrySet()) {
                 assertTrue(
                         entry.getValue() <= MAX_GROWTH_FACTOR * smallestFleetMean,
-                        figure + " by members: " + meanByFleetSize);
+                        metric + " by members: " + meanByFleetSize);
             }
         }
     }
@@ -49,14 +49,14 @@
         }
     }
 
-    private static void assertAtMost(int members, String figure, double limit) throws IOException {
-        double measured = figuresFor(members).get(figure);
-        assertTrue(measured <= limit, members + " members: " + figure + " " + measured);
+    private static void assertAtMost(int members, String metric, double limit) throws IOException {
+        double measured = metricsFor(members).get(metric);
+        assertTrue(measured <= limit, members + " members: " + metric + " " + measured);
     }
 
     private static final Map<Integer, Map<String, Double>> RESULTS = new TreeMap<>();
 
-    private static Map<String, Double> figuresFor(int members) throws IOException {
+    private static Map<String, Double> metricsFor(int members) throws IOException {
         if (!RESULTS.containsKey(members)) {
             RESULTS.put(
                     members,
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/SocketHollowFleetTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/SocketHollowFleetTest.java
@@ -27,13 +27,15 @@
                                     fleet.counters().stream()
                                             .allMatch(
                                                     counters ->
-                                                            counters.received(CostCategory.GOSSIP)
+                                                            counters.receivedDatagrams(
+                                                                                    CostCategory
+                                                                                            .GOSSIP)
                                                                             >= BALANCER_COUNT - 1
-                                                                    && counters.received(
+                                                                    && counters.receivedDatagrams(
                                                                                     CostCategory
                                                                                             .MEMBERSHIP)
                                                                             > 2
-                                                                    && counters.received(
+                                                                    && counters.receivedDatagrams(
                                                                                     CostCategory
                                                                                             .LEASES)
                                                                             > 0));
