--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityBenchmark.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityBenchmark.java
@@ -195,7 +195,7 @@
         }
     }
 
-    /** Adds the heap per unit of size, from the smallest to the largest size, if they differ. */
+    /** Adds the slope of the heap between the smallest and the largest size, if they differ. */
     private static void addSlope(
             Map<String, Double> metrics,
             String slopeName,
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityExperiment.java
@@ -16,7 +16,7 @@
  * condition and computes the metrics. Not thread-safe.
  */
 final class CapacityExperiment {
-    // Time between two samples of the request rates that the routing policies assume
+    // Time between two samples of the request rates that the routing policies estimate
     private static final long SAMPLE_INTERVAL_MICROS = 200_000;
     // Balancers start at random times within this period, so that their timers are not in step.
     private static final long START_SPREAD_MICROS = 200_000;
@@ -77,7 +77,7 @@
 
     /**
      * Lets the fleet run for {@code durationMicros} µs. During the measurement, samples the request
-     * rates that the routing policies assume.
+     * rates that the routing policies estimate.
      */
     void advance(long durationMicros) {
         long remainingMicros = durationMicros;
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityRun.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/CapacityRun.java
@@ -35,8 +35,7 @@
             throws IOException {
         CapacityPlan plan = CapacityPlan.of(options);
         if (outputFile != null) {
-            // The directory is created before the measurement, so that an unusable path is reported
-            // early.
+            // Created before the measurement, so that an unusable path is reported early
             CapacityReport.createParentDirectory(outputFile);
         }
         CapacityBenchmark.FleetFactory fleetFactory =
--- a/testbed/src/main/java/loadbalancer/testbed/capacity/SocketHollowFleet.java
+++ b/testbed/src/main/java/loadbalancer/testbed/capacity/SocketHollowFleet.java
@@ -89,7 +89,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            throw new IllegalStateException("n" + rank, cause);
+            throw new IllegalStateException("socket error of n" + rank, cause);
         }
 
         @Override
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/EmulatedBackend.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/EmulatedBackend.java
@@ -34,9 +34,9 @@
 import loadbalancer.testbed.emulation.LoopbackAddresses;
 
 /**
- * The emulated backend of a measured process: discovery with an endpoint list of any length, and
- * the one upstream to which all its entries lead, which responds at once. Both run on an event loop
- * of their own; the methods may be called on any thread.
+ * Emulates discovery and the upstreams of a measured process. The endpoint list has any length, and
+ * all its entries have the address of the same upstream, which responds immediately. Both servers
+ * run on one event loop of their own; the methods may be called on any other thread.
  */
 final class EmulatedBackend implements AutoCloseable {
     private static final long HEARTBEAT_SECONDS = 2;
@@ -49,7 +49,7 @@
     private final InetSocketAddress upstreamAddress;
     private final InetSocketAddress discoveryAddress;
     private long revision = 1;
-    // The number of single changes so far
+    // Number of entries that publishChanges has changed so far
     private int publishedChanges;
 
     /**
@@ -102,17 +102,17 @@
         }
     }
 
-    /** The address of the upstream. */
+    /** Returns the address of the upstream. */
     InetSocketAddress upstreamAddress() {
         return upstreamAddress;
     }
 
-    /** The address of discovery. */
+    /** Returns the address of discovery. */
     InetSocketAddress discoveryAddress() {
         return discoveryAddress;
     }
 
-    /** The complete endpoint list in discovery's form. */
+    /** Returns the complete endpoint list in discovery's format. */
     Map<String, Object> endpointList() {
         return listMessage(true, IntStream.range(0, footprintCase.servers()).boxed().toList());
     }
@@ -136,7 +136,10 @@
                         .toList());
     }
 
-    /** Publishes so many changed entries in one message: they drain or return by turns. */
+    /**
+     * Publishes {@code count} changed entries in one message. Changes alternate between an entry
+     * that drains and its return.
+     */
     void publishChanges(int count) {
         eventLoopGroup
                 .next()
@@ -144,8 +147,8 @@
                         () -> {
                             List<Integer> changed = new ArrayList<>();
                             for (int i = 0; i < count; i++) {
-                                // An entry drains, and returns with the next change: the size of
-                                // the list remains the same.
+                                // Each entry that drains returns with the next change, so that
+                                // the size of the list stays the same.
                                 int entry = publishedChanges++ / 2 % footprintCase.servers();
                                 draining[entry] = !draining[entry];
                                 changed.add(entry);
@@ -155,7 +158,7 @@
                         });
     }
 
-    /** Publishes that the first {@code count} entries drain, or return, in one message. */
+    /** Publishes in one message that the first {@code count} entries drain, or return. */
     void setDraining(int count, boolean drain) {
         eventLoopGroup
                 .next()
@@ -191,7 +194,7 @@
                 new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
     }
 
-    /** Serves the complete list or a watch on one connection. */
+    /** Serves complete lists and watches on one connection. */
     private final class DiscoveryHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
@@ -219,7 +222,7 @@
         }
     }
 
-    /** Responds to requests at once. */
+    /** Responds to each request immediately. */
     private static final class UpstreamHandler
             extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/EmulatedPeers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/EmulatedPeers.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The peers of one balancer: each has an address of its own, sends a load report once a second, and
- * counts the datagrams that it receives. Two threads of its own send and receive; the methods may
- * be called on any thread.
+ * Emulates the peers of one balancer. Each peer has its own address; the reporting ones send a load
+ * report once per second, and the datagrams that all peers receive are counted. One thread sends
+ * and another receives; the methods may be called on any other thread.
  */
 final class EmulatedPeers implements AutoCloseable {
-    // Format 3 of load reports: zone 0, 62 requests a second, three queues with one request each
+    // Format 3 of load reports: zone 0, 62 requests per second, three queues of one request each
     private static final byte[] LOAD_REPORT = {3, 0, 0, 62, 3, 0, 0x10, 1, 0x20, 1, 0x30, 1};
-    // Addresses that are used of one /24 network
+    // Number of addresses that are used in each /24 network
     private static final int HOSTS_PER_SUBNET = 250;
     private static final int MAX_MESSAGE_BYTES = 1024;
 
@@ -36,9 +36,10 @@
     private volatile boolean closed;
 
     /**
-     * Opens the sockets of {@code count} peers and starts to send reports.
+     * Opens the sockets of {@code count} peers, and starts the threads.
      *
-     * @param reportingPeers peers that send reports: half of them the first, half the last ones
+     * @param reportingPeers the number of peers that send reports: half of them are the first
+     *     peers, half the last ones
      * @param target the address of the balancer; the peers' addresses are in its network
      * @throws IOException if a socket can't be opened
      */
@@ -67,7 +68,7 @@
                 });
     }
 
-    /** The addresses of the peers, in order. */
+    /** Returns the addresses of the peers, in order. */
     List<InetSocketAddress> addresses() throws IOException {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (DatagramChannel peer : peers) {
@@ -76,12 +77,12 @@
         return addresses;
     }
 
-    /** Datagrams that all peers have received so far. */
+    /** Returns the number of datagrams that all peers have received so far. */
     long receivedDatagrams() {
         return receivedDatagrams.get();
     }
 
-    /** Bytes of these datagrams, without headers. */
+    /** Returns the bytes that all peers have received so far, without headers. */
     long receivedBytes() {
         return receivedBytes.get();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintBenchmark.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintBenchmark.java
@@ -18,23 +18,25 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures one real process at a size: its start, its idle time, single changes of the endpoint
- * list, the changes of a zone in one message, the complete list sent again, and its memory. Not
- * thread-safe. The keys of the measurements, after the size's prefix, are:
+ * Measures one real process at a size, in phases: its start, an idle phase, single changes of the
+ * endpoint list, the changes of a zone in one message, the complete list sent again, and its
+ * memory. Not thread-safe. The keys of the measurements, after the size's prefix, are:
  *
  * <ul>
- *   <li>{@code ready_s}, {@code start_cpu_s}: time and CPU time until the process was ready
+ *   <li>{@code ready_s}, {@code start_cpu_s}: time and CPU time until the process was ready, s
  *   <li>{@code rest_cpu}: fraction of a core when idle
- *   <li>{@code change_cpu_ms}: CPU time per changed entry; {@code zone_cpu_ms}, {@code
- *       whole_cpu_ms}: per message with a zone or the complete list
+ *   <li>{@code change_cpu_ms}: CPU time per changed entry, beyond that of the idle process
+ *   <li>{@code zone_cpu_ms}, {@code whole_cpu_ms}: CPU time per message with the changes of a zone
+ *       or with the complete list, beyond that of the idle process
  *   <li>{@code resident_mb}, {@code live_mb}: resident memory and live heap
- *   <li>{@code collections.*}: garbage collections, their pauses in ms
- *   <li>{@code told.*}: datagrams and bytes to the peers, per second
- *   <li>{@code list_bytes}, {@code kept_bytes}: size of the endpoint list and of the newest
+ *   <li>{@code collections.*}: garbage collections and their pauses, ms
+ *   <li>{@code told.*}: datagrams and bytes sent to the peers, per second
+ *   <li>{@code list_bytes}, {@code kept_bytes}: size of the endpoint list and of the largest
  *       snapshot
  *   <li>{@code direct_ms.*}, {@code rest_ms.*}, {@code change_ms.*}, {@code zone_ms.*}, {@code
- *       whole_ms.*}: latencies without the balancer and in each phase, from the time at which a
- *       request was due; only with requests
+ *       whole_ms.*}: latencies without the balancer and in each phase, measured from the time at
+ *       which a request was due; only with requests
+ *   <li>{@code failed}: number of requests that failed; only with requests
  *   <li>{@code ended}: 1 if the process has ended before the end of the measurement
  * </ul>
  */
@@ -43,7 +45,7 @@
     private static final int CHANGE_COUNT = 100;
     private static final int CHANGE_INTERVAL_MS = 50;
     private static final int WARM_UP_CHANGE_COUNT = 20;
-    // Time after a change in which the process works on it
+    // Time after a change during which the process handles it
     private static final int CHANGE_SETTLE_MS = 2_000;
     private static final int DIRECT_LOAD_MS = 3_000;
     private static final int ZONE_COUNT = 30;
@@ -58,12 +60,13 @@
     /**
      * Creates a benchmark.
      *
-     * @param outputDirectory for configurations and logs
-     * @param idleMs how long the idle process is measured, ms
-     * @param environment further variables of the process; if the variable of the state directory
-     *     is among them, the process gets one below {@code outputDirectory}
-     * @param measurements collects all that is measured
-     * @param progress is called with a line for each measured size
+     * @param outputDirectory the directory for configurations and logs
+     * @param idleMs the duration of the idle phase, ms
+     * @param environment additional environment variables of the process; if the variable of the
+     *     state directory is among them, its value is replaced by a directory below {@code
+     *     outputDirectory}
+     * @param measurements collects the measurements
+     * @param progress is called with one line of text for each measured size
      */
     public FootprintBenchmark(
             LaunchCommand launchCommand,
@@ -81,9 +84,10 @@
     }
 
     /**
-     * Measures one size once. A process that ends early is not an error, but measured as such.
+     * Measures one size once. A process that ends early is not an error: that is recorded as {@code
+     * ended}.
      *
-     * @param repeat the number of the repeat, for the names of directories
+     * @param repeat the number of the repetition, for the names of directories
      * @throws IOException if the process can't be started, or a file or socket can't be used
      */
     public void measure(FootprintCase footprintCase, int repeat)
@@ -175,7 +179,7 @@
         return true;
     }
 
-    /** The latencies of the emulated upstreams themselves, without the balancer. */
+    /** Measures the latencies of the emulated upstream itself, without the balancer. */
     private void measureDirectLoad(FootprintCase footprintCase, EmulatedBackend backend)
             throws IOException, InterruptedException {
         try (PacedLoadGenerator directLoad = startLoad(footprintCase, backend.upstreamAddress())) {
@@ -185,7 +189,8 @@
     }
 
     /**
-     * CPU, datagrams and collections while the list stays the same; returns the share of a core.
+     * Measures CPU, datagrams and collections while the list does not change, and returns the CPU
+     * time as a fraction of a core.
      */
     private double measureIdle(
             String keyPrefix, EmulatedPeers peers, MeasuredProcess process, PacedLoadGenerator load)
@@ -210,7 +215,7 @@
         return idleCpuShare;
     }
 
-    /** CPU for one changed entry of the list, beyond that of the idle process. */
+    /** Measures the CPU time for one changed entry of the list, beyond that of the idle process. */
     private void measureSingleChanges(
             String keyPrefix,
             EmulatedBackend backend,
@@ -230,7 +235,9 @@
         addLatencies(keyPrefix + "change_ms.", takeLatencies(load));
     }
 
-    /** CPU for a zone that is drained and comes back, and for the complete list sent once more. */
+    /**
+     * Measures the CPU time for the return of a drained zone, and for the complete list sent again.
+     */
     private void measureListChanges(
             FootprintCase footprintCase,
             EmulatedBackend backend,
@@ -263,12 +270,12 @@
         }
     }
 
-    /** What the process is measured under. */
+    /** Runs while the CPU time of the process is measured. */
     private interface MeasuredWork {
         void run() throws InterruptedException;
     }
 
-    // CPU time in seconds, from the start of the work until settleMs after its end
+    // Returns the CPU seconds of the process from the start of the work to settleMs after its end.
     private static double cpuSecondsOf(MeasuredProcess process, int settleMs, MeasuredWork work)
             throws IOException, InterruptedException {
         double cpuBefore = process.cpuSeconds();
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintCase.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintCase.java
@@ -8,14 +8,14 @@
 import loadbalancer.testbed.emulation.BalancerSettingsBuilder;
 
 /**
- * A size at which a process is measured. Immutable.
+ * Defines a size at which a process is measured. Immutable.
  *
- * @param servers upstreams in its endpoint list
- * @param tenants tenants in its settings
- * @param balancers balancers of its tier; 1: it has no peers
- * @param requestsPerSecond requests a second that it gets
- * @param reportingPeers peers that send it load reports: half of them next above it by number, half
- *     next below
+ * @param servers the number of upstreams in its endpoint list
+ * @param tenants the number of tenants in its settings
+ * @param balancers the number of balancers of its tier; 1: it has no peers
+ * @param requestsPerSecond the requests per second that it receives
+ * @param reportingPeers the number of peers that send it load reports: half of them have the next
+ *     higher numbers, half the next lower ones
  */
 public record FootprintCase(
         int servers, int tenants, int balancers, int requestsPerSecond, int reportingPeers) {
@@ -31,9 +31,9 @@
     private static final long OVERLOAD_WINDOW_MICROS = 3_000_000;
 
     /**
-     * Checks the values.
+     * Creates a size.
      *
-     * @throws InvalidSizeException if one is out of its range
+     * @throws InvalidSizeException if a value is out of range
      */
     public FootprintCase {
         if (servers < 1
@@ -43,7 +43,7 @@
                 || reportingPeers < 0
                 || reportingPeers >= balancers) {
             throw new InvalidSizeException(
-                    "no such size: "
+                    "size out of range: "
                             + servers
                             + " servers, "
                             + tenants
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Parses a size, such as {@code servers=40,tenants=1000}. Defaults are 40 servers, 1 balancer,
-     * all peers as speakers, and 0 for the other values.
+     * Parses a size, such as {@code servers=40,tenants=1000}. The defaults are 40 servers, 1
+     * balancer, load reports from all peers ({@code speakers}), and 0 for the other values.
      *
-     * @throws InvalidSizeException if the text is not a size
+     * @throws InvalidSizeException if the text is not a size, or a value is out of range
      */
     public static FootprintCase parse(String text) {
         Map<String, Integer> sizes =
@@ -82,7 +82,8 @@
             if (keyAndValue.length < 2
                     || !keyAndValue[1].matches("\\d{1,9}")
                     || sizes.replace(keyAndValue[0], Integer.valueOf(keyAndValue[1])) == null) {
-                throw new InvalidSizeException("not a size, as servers=40: '" + field + "'");
+                throw new InvalidSizeException(
+                        "not a size (for example servers=40): '" + field + "'");
             }
         }
         int peers = sizes.get("balancers") - 1;
@@ -95,7 +96,7 @@
                 reportingPeers);
     }
 
-    /** The prefix of the keys of its measurements. */
+    /** Returns the prefix of the keys of the measurements at this size. */
     String keyPrefix() {
         return String.format(
                         Locale.ROOT,
@@ -107,7 +108,12 @@
                 + (reportingPeers == balancers - 1 ? "" : "k" + reportingPeers + ".");
     }
 
-    /** An entry of the endpoint list in discovery's form. */
+    /**
+     * Returns an entry of the endpoint list in discovery's format.
+     *
+     * @param number the number of the entry, from 0
+     * @param bootMs the start time of the upstream, ms
+     */
     Map<String, Object> discoveryEntry(int number, String state, String endpoint, long bootMs) {
         Map<String, Object> entry = new LinkedHashMap<>();
         entry.put(
@@ -124,8 +130,8 @@
     }
 
     /**
-     * The settings of the measured balancer, nested as in its configuration; limits and costs are
-     * the first site's.
+     * Returns the settings of the measured balancer, nested as in its configuration. The limits and
+     * costs are those of the first site.
      */
     Map<String, Object> settings() {
         return new BalancerSettingsBuilder()
@@ -156,7 +162,7 @@
                 .toList();
     }
 
-    /** The name of a tenant. */
+    /** Returns the name of a tenant. */
     String tenantName(int number) {
         return String.format(Locale.ROOT, "tenant-%05d", number);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/InvalidSizeException.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/InvalidSizeException.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.testbed.error.InvalidInputException;
 
-/** A size at which a process is to be measured is invalid. */
+/** Thrown if a size at which a process is to be measured is invalid. */
 public final class InvalidSizeException extends InvalidInputException {
     private static final long serialVersionUID = 1L;
 
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/MeasuredProcess.java
@@ -23,8 +23,8 @@
 import loadbalancer.testbed.process.ProcessSpawner;
 
 /**
- * One real balancer process, started like a deployed one, and its measurements by the system. Not
- * thread-safe.
+ * Runs one real balancer process, started like a deployed one, and measures it with data of the
+ * operating system and the JVM. Not thread-safe.
  */
 final class MeasuredProcess implements AutoCloseable {
     private static final String NAME = "n0";
@@ -45,16 +45,16 @@
     private final Path logFile;
     private final Path gcLogFile;
     private final Path stateDirectory;
-    // CPU time by thread id, also of threads that have ended
+    // CPU time by thread id, including threads that have ended
     private final Map<String, Long> cpuNanosByThread = new HashMap<>();
 
     /**
      * Starts the process.
      *
-     * @param directory for its configuration, logs, temporary files and state
+     * @param directory the directory for its configuration, logs, temporary files and state
      * @param peers the addresses of its peers, or null if it has none
-     * @param additionalEnvironment further variables of the process
-     * @throws IOException if it can't be started
+     * @param additionalEnvironment additional environment variables of the process
+     * @throws IOException if the process can't be started, or a file can't be written
      */
     MeasuredProcess(
             ProcessSpawner spawner,
@@ -120,17 +120,20 @@
         return configuration.build(backend.endpointList(), footprintCase.settings());
     }
 
-    /** The address at which the process listens for clients. */
+    /** Returns the address at which the process listens for clients. */
     InetSocketAddress listenAddress() {
         return listenAddress;
     }
 
-    /** Whether the process has not ended. */
+    /** Returns whether the process has not ended. */
     boolean isRunning() {
         return process.isAlive();
     }
 
-    /** Waits until the process is ready; returns the seconds since its start, or -1 if it isn't. */
+    /**
+     * Waits until the process is ready, and returns the seconds since its start. Returns -1 if the
+     * process has ended or is not ready in time.
+     */
     double awaitReadySeconds() throws InterruptedException {
         while (process.isAlive()
                 && System.nanoTime() - startNanos
@@ -149,12 +152,17 @@
             socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         } catch (IOException e) {
-            // The process does not listen yet, or is busy.
+            // The process is not listening yet, or is busy.
             return "";
         }
     }
 
-    /** The CPU seconds of all threads so far; of ended threads, as of the last call. */
+    /**
+     * Returns the CPU seconds of all threads so far. For threads that have ended, includes their
+     * CPU time at the last call before their end.
+     *
+     * @throws IOException if the process has ended
+     */
     double cpuSeconds() throws IOException {
         try (var tasks = Files.list(Path.of("/proc", Long.toString(process.pid()), "task"))) {
             for (Path task : tasks.toList()) {
@@ -171,12 +179,12 @@
         return cpuNanosByThread.values().stream().mapToLong(nanos -> nanos).sum() / 1e9;
     }
 
-    /** The resident memory, MB of 1,024 kB. */
+    /** Returns the resident memory, MB of 1,024 kB. */
     double residentMb() {
         return ProcessMetrics.read(process.pid()).residentKb() / 1024.0;
     }
 
-    /** The heap after a full collection, MB, or -1 if jcmd does not work. */
+    /** Returns the heap after a full collection, MB of 1,024 kB, or -1 if jcmd does not work. */
     double liveHeapMb() throws IOException, InterruptedException {
         String pid = Long.toString(process.pid());
         if (!Files.isExecutable(JCMD) || runJcmd(pid, "GC.run").isEmpty()) {
@@ -199,9 +207,9 @@
     }
 
     /**
-     * The pauses of the garbage collector so far, ms, in order.
+     * Returns the pauses of the garbage collector so far, in order, ms.
      *
-     * @param fullCollections whether those of full collections are wanted, or of young ones
+     * @param fullCollections true for the pauses of full collections, false for those of young ones
      */
     List<Double> gcPausesMs(boolean fullCollections) throws IOException {
         Pattern pausePattern =
@@ -214,7 +222,9 @@
                 .toList();
     }
 
-    /** The bytes of the largest snapshot; 0 if there is none, -1 without a state directory. */
+    /**
+     * Returns the bytes of the largest snapshot; 0 if there is none, -1 without a state directory.
+     */
     long snapshotBytes() throws IOException {
         if (!Files.exists(stateDirectory)) {
             return -1;
@@ -227,7 +237,7 @@
         }
     }
 
-    /** The last line of the log, or an empty string. */
+    /** Returns the last line of the log, or an empty string. */
     String lastLogLine() throws IOException {
         List<String> lines = Files.readAllLines(logFile);
         return lines.isEmpty() ? "" : lines.get(lines.size() - 1);
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/PacedLoadGenerator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/PacedLoadGenerator.java
@@ -12,9 +12,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A client that sends requests at a constant rate over one connection. Latencies are measured from
+ * Sends requests at a constant rate over one connection, one at a time. Latencies are measured from
  * the time at which a request was due, so that a stall counts for all requests that it delays.
- * Requests are sent on a thread of its own; the methods may be called on any thread.
+ * Requests are sent on a thread of its own; the methods may be called on any other thread.
  */
 final class PacedLoadGenerator implements AutoCloseable {
     private static final int READ_TIMEOUT_MS = 10_000;
@@ -30,10 +30,10 @@
     private volatile boolean closed;
 
     /**
-     * Connects and starts to send.
+     * Connects and starts to send requests.
      *
-     * @param tenantOfRequest gives the tenant of each request by its number, or is null
-     * @throws IOException if it can't connect
+     * @param tenantOfRequest returns the tenant of a request by its number; null: no tenants
+     * @throws IOException if the connection fails
      */
     PacedLoadGenerator(
             InetSocketAddress target, int requestsPerSecond, IntFunction<String> tenantOfRequest)
@@ -53,14 +53,14 @@
         input = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** The latencies since the last call of this method, µs. */
+    /** Returns the latencies since the last call of this method, µs, and starts a new histogram. */
     synchronized Histogram takeLatencies() {
         Histogram latencies = latenciesMicros;
         latenciesMicros = new Histogram(3);
         return latencies;
     }
 
-    /** Requests with a status other than 200 or without a response. */
+    /** Returns the number of requests without a response or with a status other than 200. */
     synchronized long failedRequests() {
         return failedRequests;
     }
@@ -84,7 +84,8 @@
         }
     }
 
-    // The balancer may close the connection after a response; the next request opens a new one.
+    // Returns whether the response was 200. If the connection fails, opens a new one for the next
+    // request: the balancer may close a connection after a response.
     private boolean sendRequest(int number) throws IOException {
         String request =
                 "GET /api HTTP/1.1\r\nHost: backend.local\r\nReq-Id: "
@@ -122,7 +123,7 @@
         StringBuilder line = new StringBuilder();
         for (int character = input.read(); character != '\n'; character = input.read()) {
             if (character < 0) {
-                throw new EOFException("the connection ended");
+                throw new EOFException("the connection was closed before the end of the response");
             }
             if (character != '\r') {
                 line.append((char) character);
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/Pacer.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/Pacer.java
@@ -4,8 +4,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The schedule of a constant rate: event {@code n} is due {@code n} periods after the creation,
- * however late earlier events were. Used by one thread.
+ * Schedules events at a constant rate: event {@code n} is due {@code n} periods after the creation,
+ * even if earlier events were late. Used by one thread.
  */
 final class Pacer {
     private static final long NANOS_PER_SECOND = 1_000_000_000;
@@ -13,16 +13,16 @@
     private final int eventsPerSecond;
     private final long startNanos = System.nanoTime();
 
-    /** Creates a schedule that starts now. */
+    /** Creates a schedule whose first event is due now. */
     Pacer(int eventsPerSecond) {
         this.eventsPerSecond = eventsPerSecond;
     }
 
     /**
-     * Waits until an event is due, or until {@code stopped} is true when the thread wakes up.
+     * Waits until an event is due. Ends early if {@code stopped} is true when the thread wakes up.
      *
      * @param number the number of the event, from 0
-     * @return when the event is due, by {@link System#nanoTime}
+     * @return the time at which the event is due, on the clock of {@link System#nanoTime}
      */
     long awaitDue(long number, BooleanSupplier stopped) {
         long dueNanos = startNanos + number * NANOS_PER_SECOND / eventsPerSecond;
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/package-info.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Measures what one real balancer process costs at a given size: CPU when idle and per change of
- * the endpoint list, memory, time until ready. The process runs beside emulated discovery, peers
- * and upstreams.
+ * Measures the costs of one real balancer process at a given size: CPU time when idle and per
+ * change of the endpoint list, memory, and the time until it is ready. Discovery, peers and
+ * upstreams are emulated.
  */
 package loadbalancer.testbed.footprint;
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityExperiments.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityExperiments.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Runs short experiments in simulated time. */
+/** Runs short capacity experiments in simulated time, for tests. */
 final class CapacityExperiments {
     private static final int ZONE_COUNT = 10;
     private static final int CLASS_COUNT = 2;
 
     private CapacityExperiments() {}
 
-    /** Returns the metrics of one experiment; seconds are simulated. */
+    /** Runs one experiment and returns its metrics. Seconds are simulated. */
     static Map<String, Double> run(
             int balancerCount,
             int upstreamCount,
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityPlanTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityPlanTest.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The options of the command line are parsed and checked, and the report is written. */
+/** Tests that options of the command line are parsed and checked, and that reports are written. */
 class CapacityPlanTest {
     @Command
     private static final class TestCommand {
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityRunTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityRunTest.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** A call of the command measures each case, and its report names the command line. */
+/** Tests that a call of the command measures each case and reports its command line. */
 class CapacityRunTest {
     @Command
     private static final class TestCommand {
@@ -45,7 +45,8 @@
             assertTrue(
                     metrics.get(prefix + ".quiet.sent.bytesPerSecond.mean").asDouble() > 0, prefix);
         }
-        // At least the state of two upstreams; the heap of so small a fleet is not more exact.
+        // The bound is the state of at least two upstreams. The heap of such a small fleet is not
+        // measured more exactly.
         assertTrue(
                 metrics.get("n4.quiet.heap.bytesPerUpstream").asDouble() > 200, metrics::toString);
         assertTrue(metrics.has("u1.quiet.heap.bytesPerPeer"));
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/DatagramRelayTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/DatagramRelayTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams on loopback: unicast, broadcast, sender addresses, loss and partitions. */
+/** Tests unicast, broadcast, sender addresses, loss and partitions on loopback. */
 class DatagramRelayTest {
     private static final int ARRIVAL_TIMEOUT_MS = 10_000;
     private static final int SILENCE_MS = 200;
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/DetectionTrackerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/DetectionTrackerTest.java
@@ -6,7 +6,7 @@
 import loadbalancer.membership.MemberUpdate;
 import org.junit.jupiter.api.Test;
 
-/** Each observer's detection counts once, if it had to detect the event. */
+/** Tests that a detection counts once for each observer that had to detect the event. */
 class DetectionTrackerTest {
     private final DetectionTracker tracker = new DetectionTracker(4);
 
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/GossipScalingTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/GossipScalingTest.java
@@ -10,19 +10,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The cost of load reports between routing policies: datagrams are bounded for any number of
- * balancers, and bytes grow slowly with their number, up to half of the budget at the largest fleet
- * whose reports are summed. A broadcast counts once for each receiver.
+ * Tests the cost of load reports between routing policies. The number of datagrams is bounded for
+ * any number of balancers. Bytes grow slowly with the number of balancers, up to half of the budget
+ * in the largest fleet whose reports are summed. A broadcast counts once for each receiver.
  */
 class GossipScalingTest {
-    // Datagrams of one balancer
+    // Limit of datagrams for one balancer
     private static final double MAX_DATAGRAMS_PER_SECOND = 64;
-    // Budget of one balancer for all control traffic
+    // Budget of one balancer for all its control traffic
     private static final double MAX_BYTES_PER_SECOND = 3_000;
-    // Datagrams with 400 balancers, relative to 200
+    // Limit of the ratio of datagrams with 400 balancers to those with 200
     private static final double MAX_GROWTH_FACTOR = 1.2;
     // Each block of 16 balancers adds a record of 5 bytes, which is sent in two directions. Reports
-    // from each balancer to each other one would add 5.9 bytes.
+    // from each balancer to each other balancer would add 5.9 bytes.
     private static final double MAX_BYTES_PER_ADDED_BALANCER = 0.7;
     private static final Map<Integer, Map<String, Double>> RESULTS = new TreeMap<>();
 
@@ -63,7 +63,7 @@
         double atMaxFleet = largeFleet + bytesPerBalancer * (BlockPartition.MAX_BALANCERS - 400);
         assertTrue(
                 atMaxFleet <= MAX_BYTES_PER_SECOND / 2,
-                metric + " would be " + atMaxFleet + " at the most balancers");
+                metric + " would be " + atMaxFleet + " in the largest fleet");
     }
 
     @Test
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/HollowFleetTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/HollowFleetTest.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Hollow balancers behave like real ones, and their metrics agree with what happened. */
+/** Tests that hollow balancers behave like real ones, and that metrics match the events. */
 class HollowFleetTest {
     private static final Set<BalancerComponent> ALL_COMPONENTS =
             EnumSet.allOf(BalancerComponent.class);
@@ -26,7 +26,7 @@
                                 20, 50, 10, ALL_COMPONENTS, FleetCondition.ZONE, 4, 4)));
     }
 
-    // Metrics by the machine's clock differ from run to run.
+    // Excludes metrics that are measured in real time, which differ from run to run.
     private static Map<String, Double> withoutRealTimeMetrics(Map<String, Double> metrics) {
         Map<String, Double> remaining = new TreeMap<>(metrics);
         remaining
@@ -69,7 +69,7 @@
     void zoneLossAndReturnAreDetectedByAll() throws IOException {
         Map<String, Double> metrics =
                 CapacityExperiments.run(40, 50, 0, ALL_COMPONENTS, FleetCondition.ZONE, 6, 12);
-        // 4 of 40 end; each of the 36 others detects each death, then each return.
+        // 4 of 40 balancers end. Each of the 36 others detects each death, then each return.
         assertEquals(4 * 36, metrics.get("death.knownPairs"));
         assertEquals(4 * 36, metrics.get("return.knownPairs"));
         assertEquals(0, metrics.get("death.unknownPairs") + metrics.get("return.unknownPairs"));
@@ -83,7 +83,8 @@
     void rollingRestartIsDetected() throws IOException {
         Map<String, Double> metrics =
                 CapacityExperiments.run(20, 50, 0, ALL_COMPONENTS, FleetCondition.RESTARTS, 6, 12);
-        // Each of 20 leaves and returns; the other one of its tenth does not observe it.
+        // Each of 20 balancers leaves and returns. The other balancer of its tenth is not running
+        // then, so 18 observe it.
         assertEquals(
                 20 * 18, metrics.get("death.knownPairs") + metrics.get("death.overtakenPairs"));
         assertEquals(metrics.get("death.knownPairs"), metrics.get("return.knownPairs"));
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/MembershipScalingTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/MembershipScalingTest.java
@@ -8,12 +8,12 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The cost of membership in a quiet fleet does not depend on the number of members. */
+/** Tests that the cost of membership in a quiet fleet does not depend on its size. */
 class MembershipScalingTest {
     private static final int[] FLEET_SIZES = {50, 100, 200, 400};
-    // Ratio of any fleet to the smallest one; measured: 1.00
+    // Limit of the ratio between any fleet and the smallest one, which is about 1.00
     private static final double MAX_GROWTH_FACTOR = 1.05;
-    // Of one member; measured: 394
+    // Limit for one member, which sends about 394 bytes per second
     private static final double MAX_BYTES_PER_SECOND = 420;
 
     @Test
@@ -43,8 +43,8 @@
         for (int members : FLEET_SIZES) {
             assertAtMost(members, "sent.bytesPerSecond.mean", MAX_BYTES_PER_SECOND);
             assertAtMost(members, "sent.bytesPerSecond.most", 1.1 * MAX_BYTES_PER_SECOND);
-            // Pages of 254 bytes are sent to random members, some of which get more than others
-            // (measured: 572).
+            // Pages of 254 bytes are sent to random members, so that some receive more than others,
+            // up to about 572 bytes per second.
             assertAtMost(members, "received.bytesPerSecond.most", 1.5 * MAX_BYTES_PER_SECOND);
         }
     }
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/RealBalancerConfigTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/RealBalancerConfigTest.java
@@ -7,7 +7,7 @@
 import loadbalancer.testbed.GoldenSettings;
 import org.junit.jupiter.api.Test;
 
-/** The configuration of a real balancer in a fleet stays that of the recorded measurements. */
+/** Tests that real balancers in a fleet have the configuration of the recorded measurements. */
 class RealBalancerConfigTest {
     @Test
     void balancerOfSeveralZonesGetsRecordedConfiguration() throws IOException {
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/SocketHollowFleetTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/SocketHollowFleetTest.java
@@ -8,7 +8,7 @@
 import java.util.EnumSet;
 import org.junit.jupiter.api.Test;
 
-/** Hollow balancers run on sockets in real time. */
+/** Tests that hollow balancers on sockets detect the death and the return of another one. */
 class SocketHollowFleetTest {
     private static final int BALANCER_COUNT = 5;
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
--- a/testbed/src/test/java/loadbalancer/testbed/footprint/FootprintBenchmarkTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/footprint/FootprintBenchmarkTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The emulated backend, peers and clients of a measured process behave as specified, and a process
- * that ends early is measured as such.
+ * Tests the emulated backend, peers and clients of a measured process, and that the early end of a
+ * process is recorded.
  */
 @Timeout(30)
 class FootprintBenchmarkTest {
--- a/testbed/src/test/java/loadbalancer/testbed/footprint/FootprintSettingsTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/footprint/FootprintSettingsTest.java
@@ -4,7 +4,7 @@
 import loadbalancer.testbed.GoldenSettings;
 import org.junit.jupiter.api.Test;
 
-/** The settings of a measured process stay those of the recorded measurements. */
+/** Tests that a measured process has the settings of the recorded measurements. */
 class FootprintSettingsTest {
     @Test
     void singleBalancerGetsRecordedSettings() throws IOException {
