--- a/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityPlanTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/CapacityPlanTest.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The options of the command line are parsed and checked, and the report is written. */
+/** Tests that options of the command line are parsed and checked, and that reports are written. */
 class CapacityPlanTest {
     @Command
     private static final class TestCommand {
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void invalidOptionIsNamedInOneLine() {
+    void invalidOptionIsReportedInOneLine() {
         assertRejected("--balancers", "100,", "--balancers");
         assertRejected("--balancers", "1", "--balancers");
         assertRejected("--balancers", "4001", "--balancers");
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void reportIsFlatNumbersByName(@TempDir Path directory) throws IOException {
+    void reportHoldsMetricsByName(@TempDir Path directory) throws IOException {
         Path file = directory.resolve("new/words.json");
         new CapacityReport(
                         "java -jar lab.jar capacity",
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/GossipScalingTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/GossipScalingTest.java
@@ -10,23 +10,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The cost of load reports between routing policies: datagrams are bounded for any number of
- * balancers, and bytes grow slowly with their number, up to half of the budget at the largest fleet
- * whose reports are summed. A broadcast counts once for each receiver.
+ * Tests the cost of load reports between routing policies. The number of datagrams is bounded for
+ * any number of balancers. Bytes grow slowly with the number of balancers, up to half of the budget
+ * in the largest fleet whose reports are summed. A broadcast counts once for each receiver.
  */
 class GossipScalingTest {
-    // Datagrams of one balancer
+    // Limit of datagrams for one balancer
     private static final double MAX_DATAGRAMS_PER_SECOND = 64;
-    // Budget of one balancer for all control traffic
+    // Budget of one balancer for all its control traffic
     private static final double MAX_BYTES_PER_SECOND = 3_000;
-    // Datagrams with 400 balancers, relative to 200
+    // Limit of the ratio of datagrams with 400 balancers to those with 200
     private static final double MAX_GROWTH_FACTOR = 1.2;
     // Each block of 16 balancers adds a record of 5 bytes, which is sent in two directions. Reports
-    // from each balancer to each other one would add 5.9 bytes.
+    // from each balancer to each other balancer would add 5.9 bytes.
     private static final double MAX_BYTES_PER_ADDED_BALANCER = 0.7;
     private static final Map<Integer, Map<String, Double>> RESULTS = new TreeMap<>();
 
-    private static double measured(int balancerCount, String figure) throws IOException {
+    private static double metricFor(int balancerCount, String metric) throws IOException {
         if (!RESULTS.containsKey(balancerCount)) {
             RESULTS.put(
                     balancerCount,
@@ -39,31 +39,31 @@
                             3,
                             3));
         }
-        return RESULTS.get(balancerCount).get(figure);
+        return RESULTS.get(balancerCount).get(metric);
     }
 
-    private static void assertBounded(String figure, double limit) throws IOException {
-        double smallFleet = measured(200, figure);
-        double largeFleet = measured(400, figure);
+    private static void assertBounded(String metric, double limit) throws IOException {
+        double smallFleet = metricFor(200, metric);
+        double largeFleet = metricFor(400, metric);
         assertTrue(
                 smallFleet <= limit && largeFleet <= limit,
-                figure + ": 200 balancers " + smallFleet + ", 400 " + largeFleet);
+                metric + ": 200 balancers " + smallFleet + ", 400 " + largeFleet);
         assertTrue(
                 largeFleet <= MAX_GROWTH_FACTOR * smallFleet,
-                figure + " rises: 200 balancers " + smallFleet + ", 400 " + largeFleet);
+                metric + " rises: 200 balancers " + smallFleet + ", 400 " + largeFleet);
     }
 
-    private static void assertBytesBounded(String figure) throws IOException {
-        double smallFleet = measured(200, figure);
-        double largeFleet = measured(400, figure);
+    private static void assertBytesBounded(String metric) throws IOException {
+        double smallFleet = metricFor(200, metric);
+        double largeFleet = metricFor(400, metric);
         double bytesPerBalancer = (largeFleet - smallFleet) / 200;
         assertTrue(
                 bytesPerBalancer <= MAX_BYTES_PER_ADDED_BALANCER,
-                figure + " rises: 200 balancers " + smallFleet + ", 400 " + largeFleet);
+                metric + " rises: 200 balancers " + smallFleet + ", 400 " + largeFleet);
         double atMaxFleet = largeFleet + bytesPerBalancer * (BlockPartition.MAX_BALANCERS - 400);
         assertTrue(
                 atMaxFleet <= MAX_BYTES_PER_SECOND / 2,
-                figure + " would be " + atMaxFleet + " at the most balancers");
+                metric + " would be " + atMaxFleet + " in the largest fleet");
     }
 
     @Test
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/MembershipScalingTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/MembershipScalingTest.java
@@ -8,17 +8,17 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The cost of membership in a quiet fleet does not depend on the number of members. */
+/** Tests that the cost of membership in a quiet fleet does not depend on its size. */
 class MembershipScalingTest {
     private static final int[] FLEET_SIZES = {50, 100, 200, 400};
-    // Ratio of any fleet to the smallest one; measured: 1.00
+    // Limit of the ratio between any fleet and the smallest one, which is about 1.00
     private static final double MAX_GROWTH_FACTOR = 1.05;
-    // Of one member; measured: 394
+    // Limit for one member, which sends about 394 bytes per second
     private static final double MAX_BYTES_PER_SECOND = 420;
 
     @Test
     void costIsIndependentOfFleetSize() throws IOException {
-        for (String figure :
+        for (String metric :
                 new String[] {
                     "sent.datagramsPerSecond",
                     "sent.bytesPerSecond",
@@ -27,13 +27,13 @@
                 }) {
             Map<Integer, Double> meanByFleetSize = new TreeMap<>();
             for (int members : FLEET_SIZES) {
-                meanByFleetSize.put(members, figuresFor(members).get(figure + ".mean"));
+                meanByFleetSize.put(members, metricsFor(members).get(metric + ".mean"));
             }
             double smallestFleetMean = meanByFleetSize.get(FLEET_SIZES[0]);
             for (Map.Entry<Integer, Double> entry : meanByFleetSize.entrySet()) {
                 assertTrue(
                         entry.getValue() <= MAX_GROWTH_FACTOR * smallestFleetMean,
-                        figure + " by members: " + meanByFleetSize);
+                        metric + " by members: " + meanByFleetSize);
             }
         }
     }
@@ -43,20 +43,20 @@
         for (int members : FLEET_SIZES) {
             assertAtMost(members, "sent.bytesPerSecond.mean", MAX_BYTES_PER_SECOND);
             assertAtMost(members, "sent.bytesPerSecond.most", 1.1 * MAX_BYTES_PER_SECOND);
-            // Pages of 254 bytes are sent to random members, some of which get more than others
-            // (measured: 572).
+            // Pages of 254 bytes are sent to random members, so that some receive more than others,
+            // up to about 572 bytes per second.
             assertAtMost(members, "received.bytesPerSecond.most", 1.5 * MAX_BYTES_PER_SECOND);
         }
     }
 
-    private static void assertAtMost(int members, String figure, double limit) throws IOException {
-        double measured = figuresFor(members).get(figure);
-        assertTrue(measured <= limit, members + " members: " + figure + " " + measured);
+    private static void assertAtMost(int members, String metric, double limit) throws IOException {
+        double measured = metricsFor(members).get(metric);
+        assertTrue(measured <= limit, members + " members: " + metric + " " + measured);
     }
 
     private static final Map<Integer, Map<String, Double>> RESULTS = new TreeMap<>();
 
-    private static Map<String, Double> figuresFor(int members) throws IOException {
+    private static Map<String, Double> metricsFor(int members) throws IOException {
         if (!RESULTS.containsKey(members)) {
             RESULTS.put(
                     members,
--- a/testbed/src/test/java/loadbalancer/testbed/capacity/SocketHollowFleetTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/capacity/SocketHollowFleetTest.java
@@ -8,7 +8,7 @@
 import java.util.EnumSet;
 import org.junit.jupiter.api.Test;
 
-/** Hollow balancers run on sockets in real time. */
+/** Tests that hollow balancers on sockets detect the death and the return of another one. */
 class SocketHollowFleetTest {
     private static final int BALANCER_COUNT = 5;
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
@@ -27,13 +27,15 @@
                                     fleet.counters().stream()
                                             .allMatch(
                                                     counters ->
-                                                            counters.received(CostCategory.GOSSIP)
+                                                            counters.receivedDatagrams(
+                                                                                    CostCategory
+                                                                                            .GOSSIP)
                                                                             >= BALANCER_COUNT - 1
-                                                                    && counters.received(
+                                                                    && counters.receivedDatagrams(
                                                                                     CostCategory
                                                                                             .MEMBERSHIP)
                                                                             > 2
-                                                                    && counters.received(
+                                                                    && counters.receivedDatagrams(
                                                                                     CostCategory
                                                                                             .LEASES)
                                                                             > 0));
