--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/FigureExpression.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/FigureExpression.java
@@ -6,22 +6,23 @@
 import java.util.regex.Pattern;
 
 /**
- * An arithmetic expression over metrics: numbers, keys, {@code + - * /} and parentheses. A key is
- * dotted and begins with a letter; a key of another file is preceded by that file's name and a
- * colon, as in {@code serve-before:s40.cpu}. Operators need spaces around them, since file names
- * contain hyphens. Parsed and evaluated in one pass by recursive descent.
+ * Evaluates an arithmetic expression over metrics: numbers, keys, {@code + - * /} and parentheses.
+ * A key consists of parts separated by dots and begins with a letter. The key of a metric in
+ * another file is preceded by that file's name and a colon, as in {@code serve-before:s40.cpu}.
+ * Operators must have spaces around them because file names contain hyphens. The text is parsed and
+ * evaluated in one pass by recursive descent. Not thread-safe.
  */
 final class FigureExpression {
     private static final Pattern TOKEN =
             Pattern.compile(
                     "\\s*(?:(\\d[\\d.]*(?:[eE]-?\\d+)?)|((?:[a-z][a-z0-9-]*:)?[A-Za-z][\\w.]*)|([-+*/()]))");
 
-    /** Gives the values of keys. */
+    /** Returns the values of metrics by key. */
     interface MetricLookup {
         /**
-         * The value of a key.
+         * Returns the value of a key.
          *
-         * @throws InvalidFigureException if there is none
+         * @throws InvalidFigureException if the key has no value
          */
         double lookUp(String key);
     }
@@ -38,12 +39,12 @@
             tokenMatcher.region(tokenMatcher.end(), tokenMatcher.regionEnd());
         }
         if (tokenMatcher.regionStart() < tokenMatcher.regionEnd() || tokens.isEmpty()) {
-            throw new InvalidFigureException("no expression: '" + text + "'");
+            throw new InvalidFigureException("not an expression: '" + text + "'");
         }
     }
 
     /**
-     * The value of an expression.
+     * Returns the value of an expression.
      *
      * @throws InvalidFigureException if the text is not an expression, or a key has no value
      */
@@ -51,7 +52,7 @@
         FigureExpression expression = new FigureExpression(text, metrics);
         double value = expression.parseSum();
         if (expression.position < expression.tokens.size()) {
-            throw new InvalidFigureException("no expression: '" + text + "'");
+            throw new InvalidFigureException("not an expression: '" + text + "'");
         }
         return value;
     }
@@ -102,7 +103,7 @@
         if (acceptToken("(")) {
             double value = parseSum();
             if (!acceptToken(")")) {
-                throw new InvalidFigureException("a parenthesis is not closed");
+                throw new InvalidFigureException("missing closing parenthesis");
             }
             return value;
         }
@@ -113,6 +114,6 @@
         if (token.matches("[A-Za-z].*")) {
             return metrics.lookUp(token);
         }
-        throw new InvalidFigureException("a figure was expected, not '" + token + "'");
+        throw new InvalidFigureException("expected a number or a key, found '" + token + "'");
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/FigurePageChecker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/FigurePageChecker.java
@@ -15,12 +15,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Checks the figures of a Markdown page against measurement files. A figure is a link, {@code [394
- * m][quiet]}; its label, {@code [quiet]: capacity/members.json "n1600.bytes * 8"}, names a file
- * relative to the page and a {@link FigureExpression} over the file's keys. The figure agrees if
- * the value of the expression, rounded to the decimals of the first number in the link's text,
- * equals that number. A number that is marked as measured, with {@code m}, and is not such a link
- * is an error, and so is a label to which nothing refers. Not thread-safe.
+ * Checks the figures of a Markdown page against measurement files. A figure is a reference link
+ * such as {@code [394 m][quiet]}. Its label is defined by a line such as {@code [quiet]:
+ * capacity/members.json "n1600.bytes * 8"}, which names a file relative to the page and a {@link
+ * FigureExpression} over the file's keys. The figure agrees if the value of the expression, rounded
+ * to the decimals of the first number in the link's text, equals that number. A number that is
+ * marked as measured with {@code m} but is not such a link is an error, and so is a label that no
+ * figure uses. Not thread-safe.
  */
 public final class FigurePageChecker {
     private static final Pattern REFERENCE_PATTERN =
@@ -32,7 +33,7 @@
             Pattern.compile("\\d[^|]{0,30}? m(?![\\w-])");
     private static final Pattern CODE_SPAN_PATTERN = Pattern.compile("`[^`]*`");
 
-    /** The label of figures, and what it refers to. */
+    /** The definition of a label: the file and the expression that it refers to. */
     private record FigureReference(String name, String file, String expression, int line) {}
 
     private final Path page;
@@ -48,13 +49,13 @@
     /**
      * The result of a check.
      *
-     * @param figureCount the number of figures on the page
-     * @param errors one line for each error, with the page and the line number
+     * @param figureCount number of figures on the page
+     * @param errors one message for each error, with the page and the line number
      */
     public record Result(int figureCount, List<String> errors) {}
 
     /**
-     * Checks a page. Measurement files that can't be read are errors of the page.
+     * Checks a page. Measurement files that can't be read are reported as errors of the page.
      *
      * @throws IOException if the page itself can't be read
      */
@@ -76,7 +77,7 @@
         }
         references.values().stream()
                 .filter(unused -> !usedReferences.contains(unused.name))
-                .forEach(unused -> addError(unused.line, "nothing refers to " + unused.name));
+                .forEach(unused -> addError(unused.line, "no figure uses label " + unused.name));
     }
 
     private void readReference(int line, String text) {
@@ -87,7 +88,7 @@
         FigureReference reference =
                 new FigureReference(matcher.group(1), matcher.group(2), matcher.group(3), line);
         if (references.put(reference.name, reference) != null) {
-            addError(line, "two labels " + reference.name);
+            addError(line, "duplicate label " + reference.name);
         }
     }
 
@@ -101,7 +102,7 @@
         String withoutFigures = FIGURE_PATTERN.matcher(withoutCode).replaceAll("|");
         Matcher unreferenced = UNREFERENCED_PATTERN.matcher(withoutFigures);
         while (unreferenced.find()) {
-            addError(line, "said to be measured, but refers to no file: " + unreferenced.group());
+            addError(line, "marked as measured, but not linked to a file: " + unreferenced.group());
         }
     }
 
@@ -135,8 +136,8 @@
         }
     }
 
-    // Allows slightly more than half of the last digit, since a value in the middle may be rounded
-    // either way. False if a value is not a number.
+    // The tolerance is slightly more than half a unit of the last digit, because a value halfway
+    // between two may be rounded either way. Returns false if a value is NaN.
     private static boolean agrees(double actual, double stated, int decimals) {
         double tolerance = 0.5 * Math.pow(10, -decimals) * (1 + 1e-6);
         return Math.abs(actual - stated) <= tolerance;
@@ -146,14 +147,14 @@
             String shown, double actual, int decimals, FigureReference reference) {
         return String.format(
                 Locale.ROOT,
-                "%s is %." + (decimals + 2) + "f by %s \"%s\"",
+                "%s does not agree with %." + (decimals + 2) + "f from %s \"%s\"",
                 shown,
                 actual,
                 reference.file,
                 reference.expression);
     }
 
-    // The key belongs to the label's file, or to another file in the same directory.
+    // Returns the value of a key of the label's file or of another file in the same directory.
     private double metric(String file, String key) {
         int colon = key.indexOf(':');
         Path measurementPath = page.resolveSibling(file);
@@ -165,7 +166,7 @@
             try {
                 measurementFiles.put(path, MeasurementFile.read(path));
             } catch (IOException e) {
-                throw new InvalidFigureException("no file " + path);
+                throw new InvalidFigureException("cannot read measurement file " + path);
             }
         }
         Double value = measurementFiles.get(path).metrics().get(key.substring(colon + 1));
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/InvalidFigureException.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/InvalidFigureException.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.testbed.error.InvalidInputException;
 
-/** A figure of a page has no value: its expression is invalid, or refers to what does not exist. */
+/** A figure has no value: its expression is invalid, or it refers to a missing file or key. */
 final class InvalidFigureException extends InvalidInputException {
     private static final long serialVersionUID = 1L;
 
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/MeasurementFile.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/MeasurementFile.java
@@ -16,18 +16,18 @@
 import loadbalancer.testbed.error.InvalidFileException;
 
 /**
- * The measurements of one call of a command, as stored in a JSON file to which pages refer.
+ * The measurements of one execution of a command, as stored in a JSON file to which pages refer.
  * Immutable.
  *
- * @param command the command line
- * @param seeds the seeds or numbers of repeats
- * @param metrics the values by dotted key, each in the unit that its key or the page names
+ * @param command command line
+ * @param seeds seeds or repeat numbers
+ * @param metrics values by dotted key, each in the unit that its key or the page states
  */
 public record MeasurementFile(String command, List<Long> seeds, SortedMap<String, Double> metrics) {
     private static final ObjectMapper MAPPER =
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
-    /** Copies the arguments. */
+    /** Creates measurements with copies of the collections. */
     public MeasurementFile {
         seeds = List.copyOf(seeds);
         metrics = Collections.unmodifiableSortedMap(new TreeMap<>(metrics));
@@ -41,7 +41,7 @@
     public static MeasurementFile read(Path file) throws IOException {
         JsonNode json = MAPPER.readTree(Files.readString(file));
         if (json == null || !json.path("figures").isObject()) {
-            throw new InvalidFileException(file + " holds no figures");
+            throw new InvalidFileException(file + " contains no figures");
         }
         List<Long> seeds = new ArrayList<>();
         json.path("seeds").forEach(seed -> seeds.add(seed.asLong()));
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Writes the measurements to a file, and creates its directory if it does not exist.
+     * Writes the measurements to a file and creates its directory if it does not exist.
      *
      * @throws IOException if the file can't be written
      */
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/RepeatedMeasurements.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/RepeatedMeasurements.java
@@ -10,21 +10,21 @@
 import java.util.TreeMap;
 
 /**
- * Collects the values of a repeated measurement and summarizes them: the median of a key has the
- * key itself; the minimum and the maximum have the suffixes {@code .least} and {@code .most}, if
- * there is more than one value. Not thread-safe.
+ * Collects the values of a repeated measurement and summarizes them. The median is stored under the
+ * key itself. If there is more than one value, the minimum and the maximum are stored under the key
+ * with the suffixes {@code .least} and {@code .most}. Not thread-safe.
  */
 public final class RepeatedMeasurements {
     private static final MathContext PRECISION = new MathContext(4);
 
     private final Map<String, List<Double>> valuesByKey = new LinkedHashMap<>();
 
-    /** Adds the value of one repeat. */
+    /** Adds the value of one repetition. */
     public void add(String key, double value) {
         valuesByKey.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
     }
 
-    /** The summary of all values so far, rounded to four significant digits. */
+    /** Returns the summary of all values so far, rounded to four significant digits. */
     public SortedMap<String, Double> summary() {
         SortedMap<String, Double> summary = new TreeMap<>();
         valuesByKey.forEach(
--- a/testbed/src/main/java/loadbalancer/testbed/docfigures/package-info.java
+++ b/testbed/src/main/java/loadbalancer/testbed/docfigures/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Measurement files, and the check that the figures of Markdown pages agree with the measurement
- * files that they refer to.
+ * files to which they refer.
  */
 package loadbalancer.testbed.docfigures;
--- a/testbed/src/main/java/loadbalancer/testbed/endpointmodel/EndpointModel.java
+++ b/testbed/src/main/java/loadbalancer/testbed/endpointmodel/EndpointModel.java
@@ -7,10 +7,10 @@
 import loadbalancer.testbed.scenario.Scenario;
 
 /**
- * The service model of an upstream: cores that work on one request each, a bounded queue in order
- * of arrival, and slow start after a start. A request is served at the speed that the upstream has
- * when its service begins. Used behind real sockets and by the simulation. Times are µs of the
- * caller's clock, which must not go back. Not thread-safe.
+ * Models how an upstream serves requests: each core serves one request at a time, others wait in a
+ * bounded FIFO queue, and a restart is followed by slow start. The speed of the upstream when
+ * service of a request begins determines the service time. Used behind real sockets and by the
+ * simulation. Times are µs of the caller's clock, which must not go backwards. Not thread-safe.
  */
 public final class EndpointModel {
     private static final Comparator<Job> BY_COMPLETION =
@@ -30,9 +30,11 @@
     /**
      * Creates a model that is not in slow start.
      *
-     * @param queueCapacity upper bound of queued requests
-     * @param slowStartInitialFraction part of its capacity right after a start
-     * @param slowStartWindowMicros time after a start until it has all of its capacity
+     * @param cores number of requests that are served at the same time
+     * @param queueCapacity maximum number of queued requests
+     * @param speed work per core in seconds per second, after slow start
+     * @param slowStartInitialFraction fraction of the capacity right after a restart
+     * @param slowStartWindowMicros time in µs from a restart until full capacity
      */
     public EndpointModel(
             int cores,
@@ -47,7 +49,7 @@
         this.slowStartWindowMicros = slowStartWindowMicros;
     }
 
-    /** Creates a warm model with the scenario's settings and a speed beside 1. */
+    /** Creates a model that is not in slow start, with the scenario's settings and a speed. */
     public static EndpointModel of(Scenario.Upstreams settings, double speed) {
         return new EndpointModel(
                 settings.cores(),
@@ -57,24 +59,24 @@
                 Math.round(settings.slowStartWindowS() * 1e6));
     }
 
-    /** Starts it again, in slow start and without requests. */
+    /** Restarts the upstream: drops all requests and begins slow start. */
     public void restart(long nowMicros) {
         running.clear();
         queue.clear();
         startedAtMicros = nowMicros;
     }
 
-    /** Multiplies the time that requests take which start from now on; 1: normal. */
-    public void slowdownFactor(double factor) {
+    /** Sets the factor of the service time of requests that start from now on; 1 is normal. */
+    public void setSlowdownFactor(double factor) {
         slowdownFactor = factor;
     }
 
-    /** Whether it accepts requests without completing any. */
-    public void hanging(boolean newHanging) {
+    /** Sets whether the upstream accepts requests without completing any. */
+    public void setHanging(boolean newHanging) {
         hanging = newHanging;
     }
 
-    /** The part of its capacity that it has; 1 after slow start. */
+    /** Returns the fraction of the full capacity; 1 after slow start. */
     public double slowStartFraction(long nowMicros) {
         if (startedAtMicros == Long.MIN_VALUE
                 || nowMicros - startedAtMicros >= slowStartWindowMicros) {
@@ -87,13 +89,14 @@
     }
 
     /**
-     * Its present capacity in seconds of work at speed 1 per second, with slow start and slowdown.
+     * Returns the current capacity in seconds of work at speed 1 per second, reduced by slow start
+     * and slowdown.
      */
     public double capacity(long nowMicros) {
         return cores * speed * slowStartFraction(nowMicros) / slowdownFactor;
     }
 
-    /** Accepts a request, or returns false if all cores and the queue are full. */
+    /** Accepts a request, or returns false if all cores are busy and the queue is full. */
     public boolean tryAccept(long nowMicros, Job job) {
         if (running.size() < cores) {
             start(nowMicros, job);
@@ -112,7 +115,7 @@
         running.add(job);
     }
 
-    /** Removes a request that is no longer waited for. */
+    /** Removes a request that its client no longer waits for. */
     public void cancel(long nowMicros, Job job) {
         if (running.remove(job)) {
             startQueued(nowMicros);
@@ -121,12 +124,12 @@
         }
     }
 
-    /** When the next request completes; {@link Long#MAX_VALUE}: none does. */
+    /** Returns when the next request completes, or {@link Long#MAX_VALUE} if none does. */
     public long nextCompletionMicros() {
         return hanging || running.isEmpty() ? Long.MAX_VALUE : running.peek().endsAtMicros();
     }
 
-    /** Removes a request that has completed by now and returns it, or null if there is none. */
+    /** Removes and returns a request that has completed, or returns null if there is none. */
     public Job pollCompleted(long nowMicros) {
         if (nextCompletionMicros() > nowMicros) {
             return null;
@@ -145,7 +148,7 @@
         }
     }
 
-    /** Requests that are running or queued. */
+    /** Returns the number of requests that are running or queued. */
     public int inFlight() {
         return running.size() + queue.size();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/endpointmodel/FaultableService.java
+++ b/testbed/src/main/java/loadbalancer/testbed/endpointmodel/FaultableService.java
@@ -3,9 +3,9 @@
 import loadbalancer.testbed.scenario.Scenario;
 
 /**
- * The faults that change how an upstream serves requests: it drains, hangs, is slow, or fails
- * requests. They act on its {@link EndpointModel}, whatever brings the requests to it. Confined to
- * the thread of the run.
+ * Applies the faults that change how an upstream serves requests: draining, hanging, slowdown and
+ * failing requests. They act on its {@link EndpointModel}, independent of the transport of the
+ * requests. Confined to the thread of the run.
  */
 public final class FaultableService {
     private final EndpointModel model;
@@ -14,10 +14,10 @@
     private boolean draining;
 
     /**
-     * Creates it without faults.
+     * Creates a service without faults.
      *
-     * @param onCompletionChanged runs when {@link EndpointModel#nextCompletionMicros} may have
-     *     changed by a fault
+     * @param onCompletionChanged runs when a fault may have changed {@link
+     *     EndpointModel#nextCompletionMicros}
      */
     public FaultableService(EndpointModel model, Scenario scenario, Runnable onCompletionChanged) {
         this.model = model;
@@ -25,37 +25,42 @@
         this.onCompletionChanged = onCompletionChanged;
     }
 
-    /** From now on it rejects new requests and finishes those it has, until it starts again. */
+    /** Rejects new requests and finishes accepted ones until the process starts again. */
     public void startDraining() {
         draining = true;
     }
 
-    /** Its process starts; it does not drain any more. */
+    /** Handles the start of the upstream's process, which ends draining. */
     public void onProcessStarted() {
         draining = false;
     }
 
+    /** Returns whether the upstream is draining. */
     public boolean isDraining() {
         return draining;
     }
 
-    /** Multiplies the time that requests take which start from now on; 1: normal. */
+    /** Sets the factor of the service time of requests that start from now on; 1 is normal. */
     public void setSlowdownFactor(double factor) {
-        model.slowdownFactor(factor);
+        model.setSlowdownFactor(factor);
     }
 
-    /** It accepts requests without completing any, or completes them again. */
+    /** Sets whether the upstream accepts requests without completing any. */
     public void setHanging(boolean hanging) {
-        model.hanging(hanging);
+        model.setHanging(hanging);
         onCompletionChanged.run();
     }
 
-    /** It fails requests of a class, or of all classes if {@code requestClass} is null. */
+    /**
+     * Starts or ends the failure of requests of a class.
+     *
+     * @param requestClass name of the class; null for all classes
+     */
     public void setFailing(String requestClass, boolean active) {
         failures.setFailing(requestClass, active);
     }
 
-    /** Whether requests of that class, by its position in the scenario, fail. */
+    /** Returns whether requests of a class, given by its position in the scenario, fail. */
     public boolean failsClass(int requestClass) {
         return failures.affects(requestClass);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/endpointmodel/InjectedFailures.java
+++ b/testbed/src/main/java/loadbalancer/testbed/endpointmodel/InjectedFailures.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import loadbalancer.testbed.scenario.Scenario;
 
-/** Which request classes an upstream fails at present. Confined to the thread of the run. */
+/** Holds which request classes an upstream currently fails. Confined to the thread of the run. */
 public final class InjectedFailures {
     private static final int NO_CLASS = -1;
 
@@ -11,12 +11,17 @@
     private boolean allClasses;
     private int failingClass = NO_CLASS;
 
-    /** Creates it for a scenario's classes, none of which fails. */
+    /** Creates an instance for a scenario's classes, none of which fails. */
     public InjectedFailures(List<Scenario.RequestClass> classes) {
         this.classes = classes;
     }
 
-    /** A class, or all if {@code requestClass} is null, fails from now on; else none does. */
+    /**
+     * Replaces the set of failing classes.
+     *
+     * @param requestClass name of the class that fails; null for all classes
+     * @param active false if no class fails
+     */
     public void setFailing(String requestClass, boolean active) {
         allClasses = active && requestClass == null;
         failingClass = NO_CLASS;
@@ -27,7 +32,7 @@
         }
     }
 
-    /** Whether requests of that class, by its position in the scenario, fail. */
+    /** Returns whether requests of a class, given by its position in the scenario, fail. */
     public boolean affects(int requestClass) {
         return allClasses || failingClass == requestClass;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/endpointmodel/Job.java
+++ b/testbed/src/main/java/loadbalancer/testbed/endpointmodel/Job.java
@@ -1,6 +1,6 @@
 package loadbalancer.testbed.endpointmodel;
 
-/** One request at an upstream, compared by identity. Not thread-safe. */
+/** A request at an upstream. Jobs are compared by identity. Not thread-safe. */
 public final class Job {
     private final int requestClass;
     private final long workMicros;
@@ -12,7 +12,7 @@
      *
      * @param requestClass position in the scenario's classes
      * @param workMicros service time in µs at speed 1
-     * @param sequence orders jobs that complete at the same time
+     * @param sequence number that orders jobs with the same completion time
      */
     public Job(int requestClass, long workMicros, long sequence) {
         this.requestClass = requestClass;
@@ -20,12 +20,12 @@
         this.sequence = sequence;
     }
 
-    /** Position in the scenario's classes. */
+    /** Returns the position of the request's class in the scenario's classes. */
     public int requestClass() {
         return requestClass;
     }
 
-    /** Service time in µs at speed 1. */
+    /** Returns the service time in µs at speed 1. */
     public long workMicros() {
         return workMicros;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/endpointmodel/SlowStartBudget.java
+++ b/testbed/src/main/java/loadbalancer/testbed/endpointmodel/SlowStartBudget.java
@@ -5,21 +5,21 @@
 import loadbalancer.testbed.scenario.Scenario;
 
 /**
- * The platform's rule on the load of an upstream in slow start. The budget of a window is a
- * multiple of the upstream's present capacity over it. Let N be the budget in requests of mean
- * work: the rule is broken once the work that all balancers sent within the window exceeds N + 3 √N
- * + 3 such requests, if two thirds of it came from balancers that had been notified of the start.
- * Times are µs. Not thread-safe.
+ * Checks the platform's limit on the load of an upstream in slow start. The budget of a sliding
+ * window is a multiple of the work that the upstream can do in it at its current capacity. Let N be
+ * the budget in requests of mean work. The limit is violated when the work that all balancers sent
+ * within the window exceeds N + 3 √N + 3 such requests and at least two thirds of it came from
+ * balancers that had been notified of the start. Times are µs. Not thread-safe.
  */
 public final class SlowStartBudget {
-    // Square roots of N, and requests beyond those
+    // Factor of √N in the limit, and also its constant term in requests
     private static final int SLACK_FACTOR = 3;
     private static final double MIN_NOTIFIED_FRACTION = 2.0 / 3;
 
     private final double overloadFactor;
     private final long windowMicros;
     private final double meanWorkMicros;
-    // Within the window; bounded by the budget, as nothing is added once it is exceeded
+    // Work sent within the window. Nothing is added after a violation, which bounds the size.
     private final Deque<SentWork> sent = new ArrayDeque<>();
     private double totalWorkMicros;
     private double notifiedWorkMicros;
@@ -31,9 +31,9 @@
     /**
      * Creates a budget.
      *
-     * @param overloadFactor budget of a window as a multiple of the capacity over it
-     * @param windowMicros length of the window
-     * @param meanWorkMicros mean work of a request
+     * @param overloadFactor budget of a window as a multiple of the work the upstream can do in it
+     * @param windowMicros length of the window in µs
+     * @param meanWorkMicros mean work of a request in µs at speed 1
      */
     public SlowStartBudget(double overloadFactor, long windowMicros, double meanWorkMicros) {
         this.overloadFactor = overloadFactor;
@@ -41,7 +41,7 @@
         this.meanWorkMicros = meanWorkMicros;
     }
 
-    /** Creates the budget of one start with the scenario's settings. */
+    /** Creates the budget for one start of an upstream, with the scenario's settings. */
     public static SlowStartBudget of(Scenario scenario) {
         return new SlowStartBudget(
                 scenario.upstreams().overloadFactor(),
@@ -50,11 +50,13 @@
     }
 
     /**
-     * Records work that was sent to the upstream in slow start.
+     * Records work that a balancer sent to the upstream in slow start.
      *
-     * @param capacity its present capacity in seconds of work per second
-     * @param notifiedOfStart whether the sender had been notified of its start
-     * @return whether this breaks the rule; true once
+     * @param nowMicros time of sending in µs
+     * @param workMicros work in µs at speed 1
+     * @param capacity current capacity of the upstream in seconds of work per second
+     * @param notifiedOfStart whether the balancer had been notified of the upstream's start
+     * @return true if this work violates the limit, reported for the first violation only
      */
     public boolean sent(long nowMicros, long workMicros, double capacity, boolean notifiedOfStart) {
         if (exceeded) {
@@ -79,7 +81,7 @@
         return exceeded;
     }
 
-    /** The largest part of the budget that was used; 1: all of it. */
+    /** Returns the largest fraction of the budget that was used in a window. */
     public double peakUtilization() {
         return peakUtilization;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/report/HtmlReport.java
+++ b/testbed/src/main/java/loadbalancer/testbed/report/HtmlReport.java
@@ -8,8 +8,8 @@
 import loadbalancer.testbed.statistics.RunResult;
 
 /**
- * The report on a run as one self-contained HTML page: the {@link TimelinePlot}, then tables of
- * faults, latencies, balancers and figures. Not thread-safe.
+ * Renders the result of a run as one self-contained HTML page: the {@link TimelinePlot}, followed
+ * by tables of faults, latencies, balancers and metrics. Not thread-safe.
  */
 public final class HtmlReport {
     private static final String STYLE =
@@ -22,7 +22,7 @@
     private final RunResult result;
     private final StringBuilder html = new StringBuilder();
 
-    /** Creates the report on a run. */
+    /** Creates the report of a run. */
     public HtmlReport(RunResult result) {
         this.result = result;
     }
@@ -68,7 +68,7 @@
                 .append(result.workloadDigest())
                 .append("</p>");
         if (!result.trusted()) {
-            html.append("<p class='bad'>This run counts for nothing: ")
+            html.append("<p class='bad'>This result is not trusted: ")
                     .append(escape(result.untrustedReason()))
                     .append("</p>");
         }
@@ -76,11 +76,11 @@
 
     private void appendViolations() {
         if (result.violationCount() == 0) {
-            html.append("<p>Every rule was kept.</p>");
+            html.append("<p>No violations.</p>");
         } else {
             html.append("<p class='bad'>")
                     .append(result.violationCount())
-                    .append(" rules broken</p><ul class='bad'>");
+                    .append(" violations</p><ul class='bad'>");
         }
         for (String violation : result.violations()) {
             html.append("<li>").append(escape(violation)).append("</li>");
@@ -97,15 +97,15 @@
 
     private void appendFaults() {
         html.append(
-                "<table><tr><th>fault<th>from (s)<th>until (s)<th>back after (s)<th>unserved in 10 "
-                        + "s</tr>");
+                "<table><tr><th>fault<th>from (s)<th>until (s)<th>recovered after (s)<th>unserved in "
+                        + "10 s</tr>");
         for (RunResult.FaultImpact fault : result.faults()) {
             appendRow(
                     "<tr><td>%s<td>%.1f<td>%s<td>%s<td>%d</tr>",
                     escape(fault.description()),
                     fault.startSeconds(),
                     formatSeconds(fault.endSeconds(), "-"),
-                    formatSeconds(fault.recoverySeconds(), "not back"),
+                    formatSeconds(fault.recoverySeconds(), "not recovered"),
                     fault.unservedCount());
         }
         html.append("</table>");
@@ -130,9 +130,9 @@
 
     private void appendBalancers() {
         html.append(
-                "<table><tr><th>balancer<th>zone<th>lives<th>CPU (s)<th>memory "
+                "<table><tr><th>balancer<th>zone<th>processes<th>CPU (s)<th>memory "
                         + "(MB)<th>descriptors"
-                        + "<th>datagrams<th>their bytes<th>list calls</tr>");
+                        + "<th>datagrams<th>datagram bytes<th>discovery calls</tr>");
         for (RunResult.BalancerUsage balancer : result.balancers()) {
             appendRow(
                     "<tr><td>n%d<td>%s<td>%d<td>%.1f<td>%.0f<td>%d<td>%d<td>%d<td>%d</tr>",
@@ -161,7 +161,7 @@
         html.append(String.format(Locale.ROOT, format, values));
     }
 
-    // Stored times are negative where something did not happen.
+    // Stored times are negative if the event did not occur.
     private static String formatSeconds(double seconds, String ifNegative) {
         return seconds < 0 ? ifNegative : String.format(Locale.ROOT, "%.1f", seconds);
     }
--- a/testbed/src/main/java/loadbalancer/testbed/report/TimelinePlot.java
+++ b/testbed/src/main/java/loadbalancer/testbed/report/TimelinePlot.java
@@ -20,8 +20,8 @@
 import org.jfree.data.xy.XYSeriesCollection;
 
 /**
- * The plot of a run over time: how requests ended, and below it the processes of each balancer and
- * each fault as bars. Not thread-safe.
+ * Plots a run over time: the outcomes of requests as lines, and below them the processes of each
+ * balancer and each fault as bars. Not thread-safe.
  */
 final class TimelinePlot {
     private static final int WIDTH_PIXELS = 1100;
@@ -32,9 +32,9 @@
     private static final int GAP_PIXELS = 6;
     private static final float LINE_STROKE_PIXELS = 1.6f;
     private static final float BAR_STROKE_PIXELS = 8f;
-    // Length of the bar of a fault without an end
-    private static final double MOMENT_SECONDS = 0.2;
-    // Slices whose mean is one point
+    // Length of the bar of a fault that has no end time
+    private static final double OPEN_ENDED_FAULT_BAR_SECONDS = 0.2;
+    // Number of slices that are averaged for one point
     private static final int SMOOTHING_SLICES = 5;
     private static final Color GREEN = new Color(0x2a7f3f);
     private static final Color YELLOW = new Color(0xd18f00);
@@ -79,7 +79,7 @@
         dataset.addSeries(smoothedSeries("late", RunResult.TimeSlice::late));
         dataset.addSeries(smoothedSeries("refused", RunResult.TimeSlice::rejected));
         dataset.addSeries(smoothedSeries("failed", RunResult.TimeSlice::failed));
-        NumberAxis fractionAxis = new NumberAxis("part of first tries");
+        NumberAxis fractionAxis = new NumberAxis("fraction of requests");
         fractionAxis.setRange(0, 1.02);
         XYPlot plot = new XYPlot(dataset, null, fractionAxis, new StandardXYItemRenderer());
         List<Color> colors = List.of(GREEN, YELLOW, BLUE, RED);
@@ -125,15 +125,15 @@
         for (RunResult.FaultImpact fault : result.faults()) {
             double endSeconds =
                     fault.endSeconds() < 0
-                            ? fault.startSeconds() + MOMENT_SECONDS
+                            ? fault.startSeconds() + OPEN_ENDED_FAULT_BAR_SECONDS
                             : fault.endSeconds();
             addBar(dataset, renderer, rowNames.size(), fault.startSeconds(), endSeconds, RED);
             rowNames.add(fault.description());
         }
-        return namedRows(dataset, renderer, rowNames);
+        return plotWithRowNames(dataset, renderer, rowNames);
     }
 
-    private static XYPlot namedRows(
+    private static XYPlot plotWithRowNames(
             XYSeriesCollection dataset, XYLineAndShapeRenderer renderer, List<String> rowNames) {
         SymbolAxis axis = new SymbolAxis(null, rowNames.toArray(String[]::new));
         axis.setInverted(true);
@@ -143,7 +143,7 @@
         return plot;
     }
 
-    // A negative end lasts to the end of the run.
+    // A bar with a negative end extends to the end of the run.
     private void addBar(
             XYSeriesCollection dataset,
             XYLineAndShapeRenderer renderer,
--- a/testbed/src/main/java/loadbalancer/testbed/slowstart/SlowStartSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/slowstart/SlowStartSimulation.java
@@ -13,25 +13,25 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 
 /**
- * Upstreams in slow start under the traffic of many balancers, each of which has little of it: of a
- * few upstreams some are restarted, and what these receive is counted. No upstream crashes of
- * overload. Single-threaded; deterministic by the seed.
+ * Simulates the restart of two of six upstreams while many balancers, each with little traffic,
+ * send requests, and counts the requests that the restarted upstreams receive in slow start.
+ * Upstreams do not crash from overload. Single-threaded; the seed determines the result.
  */
 public final class SlowStartSimulation {
     private static final int SERVER_COUNT = 6;
     private static final int RESTARTED_SERVER_COUNT = 2;
     private static final long RESTART_MICROS = 6_000_000;
-    // After a restart, until all balancers are notified of it
+    // Time within which all balancers are notified of a restart
     private static final long NOTIFICATION_MICROS = 2_000_000;
     private static final long WINDOW_MICROS = 3_000_000;
     private static final double BUDGET_FACTOR = 3;
-    // Requests of a burst, as a multiple of the budgets of all restarted upstreams
+    // Size of a burst as a multiple of the total budget of the restarted upstreams
     private static final double BURST_FACTOR = 4;
     private static final long BURST_MICROS = 1_000_000;
     private static final double MIN_BURST_PER_BALANCER = 2;
-    // One in this many balancers joins right before the burst
+    // One of this many balancers joins right before the burst
     private static final int JOINER_DIVISOR = 4;
-    // Work of a request as a multiple of the mean
+    // The work of a request is a multiple of the mean, uniformly distributed over this range.
     private static final double MIN_WORK_FACTOR = 0.7;
     private static final double MAX_WORK_FACTOR = 1.3;
     private static final double WORK_FACTOR_RANGE = 0.6;
@@ -43,25 +43,26 @@
     private final long seed;
 
     /**
-     * The size of the fleet and its traffic.
+     * The size of the fleet, its traffic and its packet loss.
      *
      * @param balancers number of balancers
      * @param warmRate requests per second that one upstream can serve after slow start
-     * @param loadFactor steady traffic as a fraction of what all upstreams can serve then
+     * @param loadFactor steady traffic as a fraction of the capacity of all upstreams after slow
+     *     start
      * @param lossRate probability that a datagram between balancers is lost
      */
     public record Parameters(int balancers, double warmRate, double loadFactor, double lossRate) {}
 
     /**
-     * The result of one simulation: the restarted upstream whose fullest window was closest to its
-     * bound, or furthest beyond it.
+     * The result of one simulation: the window of a restarted upstream that had the most requests
+     * relative to its bound.
      *
-     * @param traffic kind of traffic in words
-     * @param requests requests in that window
-     * @param budget requests that are planned for it
-     * @param bound requests that it bears at most
-     * @param usedBudgetFraction smallest fraction of its budget that a restarted upstream received;
-     *     NaN unless the traffic is steady
+     * @param traffic description of the traffic pattern
+     * @param requests number of requests in the window
+     * @param budget planned number of requests for the window
+     * @param bound maximum number of requests without overload
+     * @param usedBudgetFraction smallest fraction of its budget that any restarted upstream
+     *     received; NaN unless the traffic is steady
      */
     public record Result(
             int balancers,
@@ -71,13 +72,13 @@
             double budget,
             double bound,
             double usedBudgetFraction) {
-        /** Whether a restarted upstream received more than it bears. */
+        /** Returns whether a restarted upstream received more requests than the bound. */
         public boolean isOverloaded() {
             return requests > bound;
         }
     }
 
-    /** Creates a simulation whose balancers all have policies of the same factory. */
+    /** Creates a simulation in which all balancers use policies of the same factory. */
     public SlowStartSimulation(
             Parameters parameters, FleetSimulation.PolicyFactory policies, long seed) {
         this.parameters = parameters;
@@ -85,7 +86,11 @@
         this.seed = seed;
     }
 
-    /** Plays steady traffic until that many seconds after all balancers know of the restarts. */
+    /**
+     * Simulates steady traffic.
+     *
+     * @param seconds time in s from when all balancers know of the restarts until the end
+     */
     public Result runSteady(double seconds) {
         long endMicros =
                 RESTART_MICROS + NOTIFICATION_MICROS + Math.round(seconds * MICROS_PER_SECOND);
@@ -103,26 +108,26 @@
     }
 
     /**
-     * Plays a burst of one second at all balancers after a time without traffic.
+     * Simulates a burst of one second at all balancers after a period without traffic.
      *
-     * @param quietSeconds from when all balancers know of the restarts until the burst
-     * @param joiners whether a quarter of the balancers starts right before the burst
+     * @param idleSeconds time in s from when all balancers know of the restarts until the burst
+     * @param withJoiners whether a quarter of the balancers start right before the burst
      */
-    public Result runBurst(double quietSeconds, boolean joiners) {
+    public Result runBurst(double idleSeconds, boolean withJoiners) {
         long burstMicros =
-                RESTART_MICROS + NOTIFICATION_MICROS + Math.round(quietSeconds * MICROS_PER_SECOND);
+                RESTART_MICROS + NOTIFICATION_MICROS + Math.round(idleSeconds * MICROS_PER_SECOND);
         List<Long> arrivalMicros = steadyArrivals(0, RESTART_MICROS);
         arrivalMicros.addAll(
                 randomArrivals(burstMicros, burstMicros + BURST_MICROS, burstRequests()));
-        String faults = joiners ? joinerFault(burstMicros) : "";
+        String faults = withJoiners ? joinerFault(burstMicros) : "";
         Map<Integer, WarmingServerLoad> loadByServer =
                 simulate(burstMicros + WINDOW_MICROS, arrivalMicros, faults);
         String traffic =
                 String.format(
                         Locale.ROOT,
                         "%.0f s quiet, %s",
-                        quietSeconds,
-                        joiners ? "joiners" : "burst");
+                        idleSeconds,
+                        withJoiners ? "joiners" : "burst");
         return worstResult(traffic, loadByServer, Double.NaN);
     }
 
@@ -139,7 +144,7 @@
         return (int) (requestsPerBalancer * parameters.balancers);
     }
 
-    // Joiners are down until a second before the burst, which is how long they take to start.
+    // The joining balancers are down until 1 s before the burst because they take 1 s to start.
     private String joinerFault(long burstMicros) {
         int joinerCount = Math.max(1, parameters.balancers / JOINER_DIVISOR);
         return String.format(
@@ -188,7 +193,7 @@
         return new ArrayList<>(random.longs(count, fromMicros, toMicros).sorted().boxed().toList());
     }
 
-    /** Plays the arrivals and returns what each upstream got in slow start, by its number. */
+    /** Runs the simulation and returns the load in slow start by upstream number. */
     private Map<Integer, WarmingServerLoad> simulate(
             long endMicros, List<Long> arrivalMicros, String faults) {
         Scenario scenario = scenario(endMicros, faults);
@@ -216,7 +221,7 @@
         return new WorkloadPlan.Arrival(timeMicros, 0, 0, 0, drawWorkMicros(timeMicros), false);
     }
 
-    // By arrival time, so that a request has the same work in every traffic
+    // Depends on the arrival time only, so a request has the same work in every traffic pattern.
     private long drawWorkMicros(long timeMicros) {
         double uniform = new SplittableRandom(seed ^ timeMicros).nextDouble();
         double factor = MIN_WORK_FACTOR + WORK_FACTOR_RANGE * uniform;
--- a/testbed/src/main/java/loadbalancer/testbed/slowstart/WarmingServerLoad.java
+++ b/testbed/src/main/java/loadbalancer/testbed/slowstart/WarmingServerLoad.java
@@ -6,12 +6,13 @@
 import java.util.List;
 
 /**
- * The requests that one upstream in slow start receives, compared with its budget. The budget of a
- * sliding window is N requests, a multiple of what the upstream can serve in a window with its
- * present capacity; its bound is N + 2 √N + 2. Times are µs. Not thread-safe.
+ * Records the requests that one upstream in slow start receives and compares them with its budget.
+ * The budget of a sliding window is N requests, a multiple of what the upstream can serve in a
+ * window at its current capacity. The bound of a window is N + 2 √N + 2 requests. Times are µs. Not
+ * thread-safe.
  */
 final class WarmingServerLoad {
-    // Square roots of N, and requests beyond those
+    // Factor of √N in the bound, and also its constant term in requests
     private static final int BOUND_SLACK = 2;
     private static final double MICROS_PER_SECOND = 1e6;
     private static final PeakWindow NO_REQUESTS = new PeakWindow(0, 0, 0, 1);
@@ -19,21 +20,21 @@
     private final double budgetFactor;
     private final long windowMicros;
     private final List<ReceivedRequest> received = new ArrayList<>();
-    // Arrival times of the requests in the present window
+    // Arrival times of the requests in the current window
     private final Deque<Long> recentMicros = new ArrayDeque<>();
     private PeakWindow peak = NO_REQUESTS;
 
     private record ReceivedRequest(long timeMicros, double capacityPerSecond) {}
 
     /**
-     * The window with the most requests in proportion to its bound.
+     * The window with the most requests relative to its bound.
      *
-     * @param timeMicros when its last request arrived
-     * @param budget requests that are planned for it, N
-     * @param bound requests that it bears at most
+     * @param timeMicros arrival time of its last request in µs
+     * @param budget planned number of requests, N
+     * @param bound maximum number of requests without overload
      */
     record PeakWindow(int requests, long timeMicros, double budget, double bound) {
-        /** The peak of an upstream that got no requests. */
+        /** Returns the peak of an upstream that has received no requests. */
         static PeakWindow none() {
             return NO_REQUESTS;
         }
@@ -48,17 +49,23 @@
     }
 
     /**
-     * Creates the load of an upstream that has got no requests.
+     * Creates the load of an upstream that has received no requests.
      *
      * @param budgetFactor budget of a window as a multiple of the requests that the upstream can
      *     serve in it
+     * @param windowMicros length of the sliding window in µs
      */
     WarmingServerLoad(double budgetFactor, long windowMicros) {
         this.budgetFactor = budgetFactor;
         this.windowMicros = windowMicros;
     }
 
-    /** A request arrives at the upstream, which can serve {@code capacityPerSecond} now. */
+    /**
+     * Records the arrival of a request.
+     *
+     * @param nowMicros arrival time in µs
+     * @param capacityPerSecond requests per second that the upstream can currently serve
+     */
     void requestReceived(long nowMicros, double capacityPerSecond) {
         received.add(new ReceivedRequest(nowMicros, capacityPerSecond));
         recentMicros.add(nowMicros);
@@ -75,14 +82,14 @@
         peak = current.boundFraction() > peak.boundFraction() ? current : peak;
     }
 
-    /** The fullest window so far. */
+    /** Returns the window with the most requests relative to its bound so far. */
     PeakWindow peak() {
         return peak;
     }
 
     /**
-     * The fraction of its budget that it received between two times, by its mean capacity then; 0
-     * without requests.
+     * Returns the received fraction of the budget between two times in µs, or 0 if no request
+     * arrived. The budget is computed from the mean capacity at the arrivals.
      */
     double usedBudgetFraction(long fromMicros, long toMicros) {
         List<ReceivedRequest> inRange =
--- a/testbed/src/main/java/loadbalancer/testbed/statistics/BootstrapInterval.java
+++ b/testbed/src/main/java/loadbalancer/testbed/statistics/BootstrapInterval.java
@@ -7,20 +7,21 @@
 
 /**
  * The mean of paired differences with its confidence interval by bootstrap resampling. The interval
- * has 95% confidence for all figures of a comparison together (Bonferroni correction): with an
- * interval of 95% for each, nine figures that don't differ would show a difference in one of three
- * comparisons.
+ * has 95% confidence for all metrics of a comparison together (Bonferroni correction). If each
+ * interval had 95% confidence, nine metrics that do not differ would show a difference in about one
+ * of three comparisons.
  */
 public record BootstrapInterval(double mean, double lowerBound, double upperBound) {
     private static final int RESAMPLES = 10_000;
     private static final double TAIL_PROBABILITY = 0.025;
-    // The same differences give the same interval
+    // A fixed seed makes the interval reproducible.
     private static final long SEED = 1;
 
     /**
-     * Computes the interval of at least one difference.
+     * Computes the interval.
      *
-     * @param comparisons number of figures that are compared together
+     * @param differences at least one difference
+     * @param comparisons number of metrics that are compared together
      */
     public static BootstrapInterval of(List<Double> differences, int comparisons) {
         double[] means = resampledMeans(differences);
@@ -45,7 +46,7 @@
         return means;
     }
 
-    /** Whether zero lies outside of the interval. */
+    /** Returns whether zero lies outside the interval. */
     public boolean isSignificant() {
         return lowerBound > 0 || upperBound < 0;
     }
--- a/testbed/src/main/java/loadbalancer/testbed/statistics/RunResult.java
+++ b/testbed/src/main/java/loadbalancer/testbed/statistics/RunResult.java
@@ -17,13 +17,13 @@
  * The result of a run as stored in {@code result.json}. The JSON names and the meaning of -1 are
  * part of the stored format. Times are seconds of the run. Immutable apart from its collections.
  *
- * @param workloadDigest identifies the plan: arrivals, upstreams and faults
- * @param trusted false if the testbed itself was too busy for the run to count
- * @param untrustedReason why the run does not count; empty if it does
+ * @param workloadDigest digest of the plan: arrivals, upstreams and faults
+ * @param trusted false if the testbed itself was too busy for the result to be meaningful
+ * @param untrustedReason why the result is not trusted; empty if it is
  * @param lengthSeconds planned length of the run
- * @param violationCount number of broken invariants; {@code violations} describes the first of them
- * @param metrics figures by name, by which builds are compared
- * @param latencies by "class/zone"
+ * @param violationCount number of invariant violations; {@code violations} describes the first ones
+ * @param metrics metrics by name, by which builds are compared
+ * @param latencies latencies by "class/zone"
  * @param slices consecutive windows of {@link ServiceWindows#WINDOW_MICROS}
  */
 public record RunResult(
@@ -53,7 +53,7 @@
             @JsonProperty("p99") double p99Ms,
             @JsonProperty("most") double maxMs) {}
 
-    /** The requests that arrived in one window, by how they ended. */
+    /** Counts of the requests that arrived in one window, by outcome. */
     public record TimeSlice(
             @JsonProperty("at") double startSeconds,
             @JsonProperty("asked") int requested,
@@ -65,9 +65,9 @@
     /**
      * A fault and its effect on the service.
      *
-     * @param endSeconds -1 if the fault does not end
-     * @param recoverySeconds time from its start until the service had recovered; -1 if it had not
-     *     within the run
+     * @param endSeconds end of the fault; -1 if it does not end
+     * @param recoverySeconds time from its start until the service recovered; -1 if the service did
+     *     not recover within the run
      * @param unservedCount requests that were rejected or failed in the 10 s after its start
      */
     public record FaultImpact(
@@ -80,6 +80,7 @@
     /**
      * The processes of one balancer and the resources that they used.
      *
+     * @param lifetimes lifetimes of its processes, one for each start
      * @param memoryMb peak resident memory in MiB
      * @param descriptors peak number of open file descriptors
      * @param datagrams number of datagrams sent to other balancers
@@ -97,9 +98,9 @@
             @JsonProperty("listCalls") long discoveryCalls) {}
 
     /**
-     * From the start of a process to its end, stored as an array of the two.
+     * The lifetime of a process, stored as an array of its start and end.
      *
-     * @param endSeconds -1 if the process outlived the run
+     * @param endSeconds end of the process; -1 if it outlived the run
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     @JsonPropertyOrder({"from", "to"})
--- a/testbed/src/main/java/loadbalancer/testbed/statistics/RunResultBuilder.java
+++ b/testbed/src/main/java/loadbalancer/testbed/statistics/RunResultBuilder.java
@@ -9,11 +9,11 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 import org.HdrHistogram.Histogram;
 
-/** Builds the result of a run, real or simulated, from its counters and invariants. */
+/** Builds the result of a real or simulated run from its counters and invariants. Stateless. */
 public final class RunResultBuilder {
-    // Time after the start of a fault in which unserved requests are counted
+    // Period after the start of a fault in which unserved requests are counted
     private static final long FAULT_IMPACT_MICROS = 10_000_000;
-    // In stored results, of a fault that does not end or a service that does not recover
+    // Stored as the end of a fault that does not end and as a recovery that does not happen
     private static final double NEVER_SECONDS = -1;
     private static final double MICROS_PER_SECOND = 1e6;
     private static final double MICROS_PER_MILLISECOND = 1e3;
@@ -24,8 +24,8 @@
      * Builds the result. A recovery that takes longer than the scenario expects is recorded as a
      * violation.
      *
-     * @param metrics figures that only the caller can measure; those of the service are added
-     * @param untrustedReason why the run does not count; empty if it does
+     * @param metrics metrics that only the caller can measure; those of the service are added
+     * @param untrustedReason why the result is not trusted; empty if it is
      */
     public static RunResult build(
             WorkloadPlan workload,
@@ -59,7 +59,7 @@
                 balancers);
     }
 
-    /** The effect of each fault on the service; its figures are added to the metrics. */
+    /** Returns the effect of each fault on the service and adds it to the metrics. */
     private static List<RunResult.FaultImpact> faultImpacts(
             WorkloadPlan workload,
             ServiceWindows serviceWindows,
@@ -110,7 +110,7 @@
                 requestInvariants.recordViolation(
                         "back in time",
                         Math.round(impact.startSeconds() * MICROS_PER_SECOND),
-                        "service was not back within "
+                        "service had not recovered within "
                                 + maxRecoverySeconds
                                 + " s of "
                                 + impact.description());
--- a/testbed/src/main/java/loadbalancer/testbed/statistics/ServiceWindows.java
+++ b/testbed/src/main/java/loadbalancer/testbed/statistics/ServiceWindows.java
@@ -9,19 +9,19 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Counts how requests of clients ended, in windows of 100 ms by their time of arrival, and records
- * their latencies by class and zone. A request counts as served if its response came within the
- * latency objective of its class, and as late if it came after that. Not thread-safe.
+ * Counts the outcomes of client requests in windows of 100 ms by arrival time, and records their
+ * latencies by class and zone. A request counts as served if its response arrived within the
+ * latency objective of its class, and as late if it arrived after that. Not thread-safe.
  */
 public final class ServiceWindows {
     /** Length of a window in µs. */
     public static final long WINDOW_MICROS = 100_000;
 
-    // The service has recovered if it is good for this many windows in a row
+    // Number of consecutive windows over which the served fraction must be restored
     private static final int RECOVERY_WINDOWS = 10;
-    // Good: this fraction of what it was before the fault
+    // Minimum ratio of the served fraction to that before the fault for service to be recovered
     private static final double RECOVERY_FRACTION = 0.95;
-    // Time before a fault that it is compared with, and after it in which a drop is looked for
+    // Length of the baseline period before a fault and of the search for a drop after it
     private static final long BASELINE_MICROS = 5_000_000;
 
     // Significant digits of recorded latencies
@@ -41,27 +41,27 @@
         private int rejected;
         private int failed;
 
-        /** All requests. */
+        /** Returns the number of all requests. */
         public int requested() {
             return requested;
         }
 
-        /** Requests answered with 200 within their latency objective. */
+        /** Returns the number of requests answered with 200 within their latency objective. */
         public int served() {
             return served;
         }
 
-        /** Requests answered with 200 after their latency objective. */
+        /** Returns the number of requests answered with 200 after their latency objective. */
         public int late() {
             return late;
         }
 
-        /** Requests that were rejected at last. */
+        /** Returns the number of requests whose final outcome is a rejection. */
         public int rejected() {
             return rejected;
         }
 
-        /** Requests that failed at last. */
+        /** Returns the number of requests whose final outcome is a failure. */
         public int failed() {
             return failed;
         }
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Records a request that has ended. */
+    /** Records the outcome and latency of a completed request. */
     public void record(ClientRequest clientRequest) {
         Scenario.RequestClass requestClass =
                 scenario.classes().get(clientRequest.arrival().requestClass());
@@ -108,25 +108,25 @@
                 .recordValue(Math.max(0, clientRequest.latencyMicros()));
     }
 
-    /** The windows of the run, oldest first. */
+    /** Returns the windows of the run, oldest first. */
     public List<Window> windows() {
         return windows;
     }
 
-    /** Latencies in µs of requests that were answered with 200, by "class/zone". */
+    /** Returns latencies in µs of requests that were answered with 200, by "class/zone". */
     public SortedMap<String, Histogram> latencies() {
         return latencies;
     }
 
     /**
-     * The fraction of the priority weight of all requests that was earned: all of a request's
-     * weight if it was served, a part if it was late; 0 without requests.
+     * Returns the earned fraction of the priority weight of all requests, or 0 without requests. A
+     * served request earns its full weight and a late one a part of it.
      */
     public double weightedService() {
         return requestedWeight == 0 ? 0 : earnedWeight / requestedWeight;
     }
 
-    /** The fraction of requests between two times in µs that was served; NaN without requests. */
+    /** Returns the served fraction of requests between two times in µs; NaN without requests. */
     public double servedFraction(long fromMicros, long toMicros) {
         int total = 0;
         int served = 0;
@@ -137,7 +137,7 @@
         return total == 0 ? Double.NaN : (double) served / total;
     }
 
-    /** The number of requests between two times in µs that were rejected or failed. */
+    /** Returns the number of requests between two times in µs that were rejected or failed. */
     public int unservedCount(long fromMicros, long toMicros) {
         int sum = 0;
         for (int i = windowIndex(fromMicros); i < windowIndex(toMicros); i++) {
@@ -151,9 +151,10 @@
     }
 
     /**
-     * Time in µs from a fault until the service recovers: until the fraction of requests that is
-     * served is, for one second, at least 95% of that in the five seconds before the fault. 0 if it
-     * does not drop in the five seconds after the fault, -1 if it does not recover within the run.
+     * Returns the time in µs from a fault until the service recovers. It has recovered when the
+     * served fraction of requests over one second is at least 95% of that in the five seconds
+     * before the fault. Returns 0 if the fraction does not drop in the five seconds after the
+     * fault, and -1 if the service does not recover within the run.
      */
     public long recoveryMicrosAfter(long faultMicros) {
         double baseline = servedFraction(faultMicros - BASELINE_MICROS, faultMicros);
@@ -164,7 +165,7 @@
                 i++) {
             double servedFraction =
                     servedFraction(i * WINDOW_MICROS, (i + RECOVERY_WINDOWS) * WINDOW_MICROS);
-            // Not ">=": without requests the fraction is NaN, and nothing is missing
+            // "!(<)" instead of ">=": without requests the fraction is NaN, which is no drop.
             boolean recovered = !(servedFraction < RECOVERY_FRACTION * baseline);
             if (degraded && recovered) {
                 return Math.max(0, i * WINDOW_MICROS - faultMicros);
--- a/testbed/src/main/java/loadbalancer/testbed/statistics/package-info.java
+++ b/testbed/src/main/java/loadbalancer/testbed/statistics/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What a run is judged by: windows of service, the result as it is stored in {@code result.json},
- * and bootstrap intervals for comparisons. Keys of stored results stay readable by later versions.
+ * The evaluation of runs: request outcomes by time window, the result as stored in {@code
+ * result.json}, and bootstrap intervals for comparisons. Later versions must be able to read stored
+ * results, so their keys must not change.
  */
 package loadbalancer.testbed.statistics;
--- a/testbed/src/main/java/loadbalancer/testbed/workload/RandomStreams.java
+++ b/testbed/src/main/java/loadbalancer/testbed/workload/RandomStreams.java
@@ -5,29 +5,29 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Random number streams that depend on a seed and a purpose only, not on what other purposes draw.
- * A stream belongs to one thread.
+ * Creates random number streams that depend only on a seed and a purpose, not on how many numbers
+ * are drawn for other purposes. A stream must be used by one thread only.
  */
 public final class RandomStreams {
-    // Multiplier of the LXM generators
+    // Multiplier of the LXM family of generators
     private static final long PURPOSE_MULTIPLIER = 0xD1342543DE82EF95L;
 
     private RandomStreams() {}
 
-    /** Creates the stream of a purpose, from its beginning. */
+    /** Creates the stream of a purpose; equal arguments give equal streams. */
     public static UniformRandomProvider stream(long seed, String purpose) {
-        // The library derives the state from a single long by SplitMix. An array would be the state
+        // A Long seed is expanded to the state by SplitMix. An array would be used as the state
         // itself, and streams of neighbouring seeds would begin with similar numbers.
         return RandomSource.XO_RO_SHI_RO_128_PP.create(
                 Long.valueOf(seed ^ PURPOSE_MULTIPLIER * purpose.hashCode()));
     }
 
-    /** Draws one number evenly from a range. */
+    /** Draws one number from a uniform distribution over a range. */
     public static double drawUniform(UniformRandomProvider random, Range range) {
         return range.lower() + random.nextDouble() * (range.upper() - range.lower());
     }
 
-    /** The first number of a purpose's stream, as the seed of another generator. */
+    /** Returns the first number of a purpose's stream, to be used as the seed of a generator. */
     public static long seedFor(long seed, String purpose) {
         return stream(seed, purpose).nextLong();
     }
--- a/testbed/src/main/java/loadbalancer/testbed/workload/RunClock.java
+++ b/testbed/src/main/java/loadbalancer/testbed/workload/RunClock.java
@@ -1,15 +1,15 @@
 package loadbalancer.testbed.workload;
 
 /**
- * The time of a run and its timers. Implemented by the emulation on its event loop and by the
- * simulation in virtual time, so that logic which both share is written once. All methods are
- * called on the thread that plays the run, and tasks run on it.
+ * The clock and timers of a run. The emulation implements it on its event loop and the simulation
+ * in virtual time, so that both share the code that depends on time. All methods are called on the
+ * thread of the run, and tasks run on that thread.
  */
 public interface RunClock {
-    /** Time of the run in µs; its first request arrives after 0. */
+    /** Returns the time of the run in µs; the first request arrives after time 0. */
     long nowMicros();
 
-    /** Runs a task at a time of the run in µs, or as soon as possible where that has passed. */
+    /** Runs a task at a time of the run in µs, or as soon as possible if that time has passed. */
     void schedule(long timeMicros, Runnable task);
 
     /** Runs a task {@code delayMicros} µs from now. */
--- a/testbed/src/main/java/loadbalancer/testbed/workload/WorkloadPlan.java
+++ b/testbed/src/main/java/loadbalancer/testbed/workload/WorkloadPlan.java
@@ -20,14 +20,14 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * Everything that a run draws ahead, from the scenario and the seed alone: the arrivals of
- * requests, the upstreams, and the targets of each fault. Two plans of one scenario and seed are
- * equal, and so are their digests. Not modified once generated.
+ * The random decisions that are made before a run: the arrivals of requests, the upstreams, and the
+ * targets of each fault. They depend only on the scenario and the seed, so two plans of the same
+ * scenario and seed are equal and have equal digests. A plan is not modified after its creation.
  */
 public final class WorkloadPlan {
     private static final int DIGEST_LENGTH = 16;
     private static final int ARRIVAL_BYTES = 32;
-    // Of the rate, when it begins to ramp up
+    // Fraction of the request rate at the beginning of the ramp-up
     private static final double INITIAL_RATE_FRACTION = 0.1;
 
     private final Scenario scenario;
@@ -38,13 +38,13 @@
     private final Set<String> uids = new HashSet<>();
 
     /**
-     * A request's first attempt.
+     * The arrival of a request's first attempt.
      *
      * @param atMicros time of the run in µs
      * @param requestClass position in the scenario's classes
      * @param tenant position in the scenario's tenants; 0 if it has none
-     * @param workMicros work in µs at speed 1
-     * @param impatient whether the client gives up at half of its deadline
+     * @param workMicros service time in µs at speed 1
+     * @param impatient whether the client gives up after half of its deadline
      */
     public record Arrival(
             long atMicros,
@@ -55,14 +55,13 @@
             boolean impatient) {}
 
     /**
-     * An upstream.
+     * The properties of an upstream.
      *
-     * @param replaces number of the upstream whose successor it is; negative: it is there from the
-     *     start
+     * @param replaces number of the upstream that it replaces; negative if it exists from the start
      */
     public record UpstreamSpec(
             int number, String uid, int zone, int machineKind, double speed, int replaces) {
-        /** Its position in the network: a successor has that of the upstream it replaces. */
+        /** Returns its position in the network; a successor has that of the replaced upstream. */
         public int position() {
             return replaces < 0 ? number : replaces;
         }
@@ -71,12 +70,12 @@
     /**
      * A fault with its targets.
      *
-     * @param startMicros time of the run in µs
-     * @param endMicros time of the run in µs; -1: it does not end
-     * @param balancers selected by {@code on}
-     * @param upstreams selected by {@code on}
-     * @param toBalancers selected by {@code to}
-     * @param toUpstreams selected by {@code to}
+     * @param startMicros start in µs of the run
+     * @param endMicros end in µs of the run; -1 if it does not end
+     * @param balancers balancers selected by {@code on}
+     * @param upstreams upstreams selected by {@code on}
+     * @param toBalancers balancers selected by {@code to}
+     * @param toUpstreams upstreams selected by {@code to}
      */
     public record Fault(
             FaultKind kind,
@@ -91,7 +90,7 @@
             return !spec.oneWay();
         }
 
-        /** Whether it affects datagrams from one balancer to the other. */
+        /** Returns whether it affects datagrams from one balancer to another. */
         public boolean affectsPeers(int from, int to) {
             boolean forward = balancers.contains(from) && toBalancers.contains(to);
             boolean reverse = balancers.contains(to) && toBalancers.contains(from);
@@ -104,13 +103,13 @@
                     : upstreams.contains(position) && toBalancers.contains(balancer);
         }
 
-        /** Whether it affects what a balancer sends to the upstreams of that position. */
+        /** Returns whether it affects data from a balancer to the upstreams at a position. */
         public boolean affectsForwardPath(int balancer, int position) {
             return matchesDirection(balancer, position, true)
                     || (isBidirectional() && matchesDirection(balancer, position, false));
         }
 
-        /** Whether it affects what the upstreams of that position send to a balancer. */
+        /** Returns whether it affects data from the upstreams at a position to a balancer. */
         public boolean affectsReversePath(int balancer, int position) {
             return matchesDirection(balancer, position, false)
                     || (isBidirectional() && matchesDirection(balancer, position, true));
@@ -122,7 +121,7 @@
         this.seed = seed;
     }
 
-    /** Draws the plan of a scenario and seed. */
+    /** Generates the plan of a scenario and seed. */
     public static WorkloadPlan generate(Scenario scenario, long seed) {
         WorkloadPlan plan = new WorkloadPlan(scenario, seed);
         plan.drawUpstreams();
@@ -131,7 +130,11 @@
         return plan;
     }
 
-    /** Returns a plan with the same upstreams and faults and other arrivals, in order of time. */
+    /**
+     * Returns a plan with the same upstreams and faults but other arrivals.
+     *
+     * @param replacements the arrivals in order of time
+     */
     public WorkloadPlan withArrivals(List<Arrival> replacements) {
         WorkloadPlan plan = new WorkloadPlan(scenario, seed);
         plan.upstreams.addAll(upstreams);
@@ -158,7 +161,8 @@
         }
     }
 
-    // Drawn again if taken: about one of 75 plans with 14,000 upstreams would have a duplicate.
+    // Repeats until the uid is unique. Otherwise about one of 75 plans with 14,000 upstreams would
+    // contain a duplicate.
     private String drawUid(UniformRandomProvider random) {
         String uid;
         do {
@@ -245,7 +249,7 @@
         return INITIAL_RATE_FRACTION + (1 - INITIAL_RATE_FRACTION) * atMicros / rampUpMicros;
     }
 
-    // The weights of the items; as many equal ones as asked for if there are no items.
+    // Returns the weights of the items, or defaultCount equal weights if there are no items.
     private static <T> double[] weightsOrEqual(
             List<T> items, ToDoubleFunction<T> weightOf, int defaultCount) {
         if (items.isEmpty()) {
@@ -268,32 +272,32 @@
         return weights.length - 1;
     }
 
-    /** The scenario that the plan was drawn from. */
+    /** Returns the scenario from which the plan was generated. */
     public Scenario scenario() {
         return scenario;
     }
 
-    /** The seed that the plan was drawn from. */
+    /** Returns the seed from which the plan was generated. */
     public long seed() {
         return seed;
     }
 
-    /** The first attempts of all requests, in order of time. */
+    /** Returns the first attempts of all requests, in order of time. */
     public List<Arrival> arrivals() {
         return arrivals;
     }
 
-    /** The upstreams by number; successors come last. */
+    /** Returns the upstreams by number; successors come last. */
     public List<UpstreamSpec> upstreams() {
         return upstreams;
     }
 
-    /** The faults, in the order of the scenario. */
+    /** Returns the faults, in the order of the scenario. */
     public List<Fault> faults() {
         return faults;
     }
 
-    /** The successor of an upstream that a fault of kind REPLACE replaces. */
+    /** Returns the successor of an upstream that a fault of kind REPLACE replaces. */
     public UpstreamSpec successor(int replaced) {
         return upstreams.stream()
                 .filter(spec -> spec.replaces() == replaced)
@@ -301,7 +305,7 @@
                 .orElseThrow();
     }
 
-    /** A digest of the arrivals, upstreams and faults, by which two plans are compared. */
+    /** Returns a digest of the arrivals, upstreams and faults, for comparison of plans. */
     public String digest() {
         try {
             MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
--- a/testbed/src/test/java/loadbalancer/testbed/docfigures/FigurePageCheckerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/docfigures/FigurePageCheckerTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A page that agrees with its files passes, and each kind of disagreement is found. */
+/** A page that agrees with its measurement files passes, and each kind of error is reported. */
 class FigurePageCheckerTest {
     private static final String PAGE =
             """
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void matchingPageHasNoFaults() throws IOException {
+    void matchingPageHasNoErrors() throws IOException {
         assertEquals(List.of(), checkPage(PAGE));
         assertEquals(4, FigurePageChecker.check(directory.resolve("page.md")).figureCount());
     }
@@ -59,46 +59,49 @@
     @CsvSource(
             delimiter = ';',
             value = {
-                "[394 m]; [395 m]; 395 m is 394.20 by capacity/members.json",
-                "[0.631 m]; [0.632 m]; 0.632 m is 0.63072 by",
+                "[394 m]; [395 m]; 395 m does not agree with 394.20 from capacity/members.json",
+                "[0.631 m]; [0.632 m]; 0.632 m does not agree with 0.63072 from",
                 "[0.631 m]; [0.6 m]; ''",
-                "[0.631 m]; [0.7 m]; 0.7 m is 0.631 by",
-                "[1,394 c]; [1,395 c]; 1,395 c is 1394.20 by",
-                "[-0.5 m]; [0.5 m]; 0.5 m is -0.500 by",
+                "[0.631 m]; [0.7 m]; 0.7 m does not agree with 0.631 from",
+                "[1,394 c]; [1,395 c]; 1,395 c does not agree with 1394.20 from",
+                "[-0.5 m]; [0.5 m]; 0.5 m does not agree with -0.500 from",
                 "\"n1600.bytes\"; \"n1600.byte\"; no figure n1600.byte in",
-                "\"n1600.bytes\"; \"n1600.bytes *\"; a figure was expected",
-                "\"n1600.bytes\"; \"(n1600.bytes\"; a parenthesis is not closed",
-                "\"n1600.bytes\"; \"n1600.bytes ? 2\"; no expression",
+                "\"n1600.bytes\"; \"n1600.bytes *\"; expected a number or a key",
+                "\"n1600.bytes\"; \"(n1600.bytes\"; missing closing parenthesis",
+                "\"n1600.bytes\"; \"n1600.bytes ? 2\"; not an expression",
                 "\"n1600.bytes\"; \"n1600.bytes * 1.2.3\"; multiple points",
-                "capacity/members.json \"n1600.bytes\"; capacity/member.json \"n1600.bytes\"; no file",
-                "serve-now:s40; serve-then:s40; no file",
+                "capacity/members.json \"n1600.bytes\"; capacity/member.json \"n1600.bytes\"; "
+                        + "cannot read measurement file",
+                "serve-now:s40; serve-then:s40; cannot read measurement file",
                 "[394 m]; [some m]; no number in [some m][quiet]",
                 "[394 m][quiet]; [394 m][loud] [394 m][quiet]; no label loud for 394 m",
-                "[394 m][quiet]; 394; nothing refers to quiet",
-                "[394 m][quiet]; [394 m][quiet] and 12 ms m; 'said to be measured, but "
-                        + "refers to no file: 12 ms m'",
-                "[quiet]: capacity; [all]: capacity; two labels all",
+                "[394 m][quiet]; 394; no figure uses label quiet",
+                "[394 m][quiet]; [394 m][quiet] and 12 ms m; 'marked as measured, but "
+                        + "not linked to a file: 12 ms m'",
+                "[quiet]: capacity; [all]: capacity; duplicate label all",
             })
-    void driftIsDetected(String original, String replacement, String expectedFault)
+    void errorIsReported(String original, String replacement, String expectedError)
             throws IOException {
         assertTrue(PAGE.contains(original), original);
-        List<String> faults = checkPage(PAGE.replace(original, replacement));
+        List<String> errors = checkPage(PAGE.replace(original, replacement));
         assertTrue(
-                expectedFault.isEmpty()
-                        ? faults.isEmpty()
-                        : faults.stream().anyMatch(message -> message.contains(expectedFault)),
-                faults.toString());
+                expectedError.isEmpty()
+                        ? errors.isEmpty()
+                        : errors.stream().anyMatch(message -> message.contains(expectedError)),
+                errors.toString());
     }
 
     @Test
-    void faultNamesItsLine() throws IOException {
+    void errorNamesItsLine() throws IOException {
         assertTrue(checkPage(PAGE.replace("[1,394 c]", "[1 c]")).get(0).contains("page.md:3: "));
     }
 
     @Test
-    void malformedMeasurementFileIsAFault() throws IOException {
+    void malformedMeasurementFileIsAnError() throws IOException {
         Files.writeString(directory.resolve("capacity/serve-now.json"), "{\"figures\": 3}");
-        assertTrue(checkPage(PAGE).stream().anyMatch(message -> message.contains("no file")));
+        assertTrue(
+                checkPage(PAGE).stream()
+                        .anyMatch(message -> message.contains("cannot read measurement file")));
         assertThrows(
                 IOException.class, () -> FigurePageChecker.check(directory.resolve("nowhere.md")));
     }
@@ -138,13 +141,13 @@
                 repeats.summary());
     }
 
-    /** The figures of docs/CAPACITY.md agree with its measurement files. */
+    /** Checks the figures of docs/CAPACITY.md against its measurement files. */
     @Test
     void capacityPageMatchesItsFiles() throws IOException {
         FigurePageChecker.Result check = FigurePageChecker.check(Path.of("../docs/CAPACITY.md"));
         assertEquals(List.of(), check.errors());
         assertTrue(
                 check.figureCount() > 20,
-                "only " + check.figureCount() + " figures stand on files");
+                "only " + check.figureCount() + " figures refer to measurement files");
     }
 }
--- a/testbed/src/test/java/loadbalancer/testbed/endpointmodel/EndpointModelTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/endpointmodel/EndpointModelTest.java
@@ -22,7 +22,7 @@
         assertTrue(endpoint.tryAccept(0, first));
         assertTrue(endpoint.tryAccept(0, second));
         assertFalse(endpoint.tryAccept(0, job(10_000, 3)));
-        // Twice as fast as a core of speed 1
+        // At speed 2, work of 10 ms takes 5 ms.
         assertEquals(5_000, endpoint.nextCompletionMicros());
         assertNull(endpoint.pollCompleted(4_999));
         assertSame(first, endpoint.pollCompleted(5_000));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void bootingEndpointWarmsUp() {
+    void capacityRampsUpAfterRestart() {
         endpoint.restart(1_000_000);
         assertEquals(0.5, endpoint.capacity(1_000_000), 1e-9);
         assertEquals(1.25, endpoint.capacity(1_500_000), 1e-9);
@@ -53,10 +53,10 @@
 
     @Test
     void hangingEndpointCompletesNothing() {
-        endpoint.hanging(true);
+        endpoint.setHanging(true);
         assertTrue(endpoint.tryAccept(0, job(10_000, 1)));
         assertNull(endpoint.pollCompleted(1_000_000));
-        endpoint.hanging(false);
+        endpoint.setHanging(false);
         assertEquals(1, endpoint.pollCompleted(1_000_000).sequence());
     }
 }
--- a/testbed/src/test/java/loadbalancer/testbed/endpointmodel/SlowStartBudgetTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/endpointmodel/SlowStartBudgetTest.java
@@ -8,21 +8,21 @@
 
 class SlowStartBudgetTest {
     @Test
-    void slowStartBudgetIsBrokenOnceByInformed() {
-        SlowStartBudget informed = new SlowStartBudget(3, 1_000_000, 40_000);
-        SlowStartBudget uninformed = new SlowStartBudget(3, 1_000_000, 40_000);
+    void violationIsReportedOnceAndOnlyIfSendersWereNotified() {
+        SlowStartBudget notified = new SlowStartBudget(3, 1_000_000, 40_000);
+        SlowStartBudget partlyNotified = new SlowStartBudget(3, 1_000_000, 40_000);
         int violations = 0;
-        // 4 s of work in half a second, 0.9 and slack allowed
+        // 4 s of work within 0.5 s exceeds the budget of 0.9 s and its slack.
         for (int i = 0; i < 100; i++) {
-            violations += informed.sent(i * 5_000L, 40_000, 0.3, true) ? 1 : 0;
-            violations += uninformed.sent(i * 5_000L, 40_000, 0.3, i % 2 == 0) ? 100 : 0;
+            violations += notified.sent(i * 5_000L, 40_000, 0.3, true) ? 1 : 0;
+            violations += partlyNotified.sent(i * 5_000L, 40_000, 0.3, i % 2 == 0) ? 100 : 0;
         }
         assertEquals(1, violations);
-        assertTrue(uninformed.peakUtilization() > 4);
+        assertTrue(partlyNotified.peakUtilization() > 4);
     }
 
     @Test
-    void workSpreadOverWindowsKeepsBudget() {
+    void workSpreadOverWindowsStaysWithinBudget() {
         SlowStartBudget budget = new SlowStartBudget(3, 1_000_000, 40_000);
         for (int i = 0; i < 100; i++) {
             assertFalse(budget.sent(i * 100_000L, 80_000, 0.3, true));
@@ -30,10 +30,10 @@
         assertEquals(0.88 / 0.9, budget.peakUtilization(), 0.01);
     }
 
-    /** N + 3 √N + 3 requests are allowed, and one more is not. */
+    /** N + 3 √N + 3 requests are within the limit, and one more violates it. */
     @Test
     void budgetAllowsForRandomVariation() {
-        // 1 s of work, of 40 ms each
+        // The budget of 1 s of work corresponds to 25 requests of 40 ms.
         int allowedRequests = 25;
         SlowStartBudget budget = new SlowStartBudget(2, 1_000_000, 40_000);
         for (int i = 0; i < allowedRequests + 3 * 5 + 3; i++) {
--- a/testbed/src/test/java/loadbalancer/testbed/report/HtmlReportTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/report/HtmlReportTest.java
@@ -20,10 +20,12 @@
         String page = Files.readString(new HtmlReport(RunResult.read(directory)).write(directory));
         assertTrue(
                 page.contains("a &lt;scenario&gt;")
-                        && page.contains("counts for nothing: too busy"));
-        assertTrue(page.contains("one answer broken") && page.contains("not back"));
-        assertTrue(page.contains("data:image/png;base64,iVBOR"), "the plot is in the page");
-        assertFalse(page.contains("http"), "nothing comes from a network");
+                        && page.contains("This result is not trusted: too busy"));
+        assertTrue(page.contains("one answer broken") && page.contains("not recovered"));
+        assertTrue(
+                page.contains("data:image/png;base64,iVBOR"),
+                "the plot must be embedded in the page");
+        assertFalse(page.contains("http"), "the page must not refer to network resources");
     }
 
     private static RunResult resultOfBusyRun() {
--- a/testbed/src/test/java/loadbalancer/testbed/slowstart/SlowStartSimulationTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/slowstart/SlowStartSimulationTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What upstreams in slow start get, by the number of balancers and the loss between them. */
+/** The load of upstreams in slow start, by number of balancers and loss between them. */
 class SlowStartSimulationTest {
-    // Of N: a third of what the server can do
+    // Fraction of the budget N that corresponds to a third of the upstream's capacity
     private static final double MIN_BUDGET_USAGE = 1.0 / 9;
 
     private static SlowStartSimulation simulation(
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void unrestrainedFleetIsDetected() {
+    void overloadByRandomRoutingIsDetected() {
         SlowStartSimulation.Result burst =
                 new SlowStartSimulation(
                                 new SlowStartSimulation.Parameters(20, 12, 0.9, 0),
@@ -39,7 +39,8 @@
 
     @ParameterizedTest
     @CsvSource({"30, 0, false", "100, 0, false", "100, 0, true", "100, 1, false"})
-    void burstAfterIdleKeepsTheBudget(int balancerCount, double lossFraction, boolean withJoiners) {
+    void burstAfterIdleStaysWithinTheBound(
+            int balancerCount, double lossFraction, boolean withJoiners) {
         SlowStartSimulation.Result burst =
                 simulation(balancerCount, 0.9, lossFraction).runBurst(18, withJoiners);
         assertTrue(burst.requests() > 0 && !burst.isOverloaded(), burst.toString());
--- a/testbed/src/test/java/loadbalancer/testbed/slowstart/WarmingServerLoadTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/slowstart/WarmingServerLoadTest.java
@@ -6,12 +6,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Windows slide, and their budget is that of the present capacity. */
+/** Counts in sliding windows, compared with the budget at the current capacity. */
 class WarmingServerLoadTest {
     @Test
     void peakWindowIsFoundAnywhere() {
         WarmingServerLoad load = new WarmingServerLoad(3, 3_000_000);
-        // 4 a second: N = 36, and it bears 36 + 12 + 2.
+        // At 4 requests per second N is 36 and the bound is 36 + 12 + 2 = 50.
         for (int i = 0; i < 50; i++) {
             load.requestReceived(2_500_000 + i * 20_000, 4);
         }
@@ -19,7 +19,7 @@
         assertEquals(36, load.peak().budget(), 1e-9);
         assertEquals(50, load.peak().bound(), 1e-9);
         assertFalse(load.peak().isOverBound());
-        // The first was 3 s ago, less 1 µs
+        // The first request arrived 1 µs less than 3 s ago.
         load.requestReceived(5_499_999, 4);
         assertTrue(load.peak().isOverBound());
     }
@@ -37,11 +37,11 @@
     void peakIsTheWindowNearestItsBound() {
         WarmingServerLoad load = new WarmingServerLoad(3, 3_000_000);
         for (int i = 0; i < 8; i++) {
-            // N = 4.5: it bears 10.7
+            // N is 4.5 and the bound is 10.7.
             load.requestReceived(i, 0.5);
         }
         for (int i = 0; i < 30; i++) {
-            // N = 90: it bears 111
+            // N is 90 and the bound is 111.
             load.requestReceived(10_000_000 + i, 10);
         }
         assertEquals(8, load.peak().requests());
@@ -52,7 +52,7 @@
     void usageIsRelativeToTheBudget() {
         WarmingServerLoad load = new WarmingServerLoad(3, 3_000_000);
         for (int i = 0; i < 60; i++) {
-            // 10 of 15 a second
+            // 10 requests per second of a budget of 15
             load.requestReceived(i * 100_000L, 5);
         }
         assertEquals(2.0 / 3, load.usedBudgetFraction(0, 6_000_000), 1e-9);
--- a/testbed/src/test/java/loadbalancer/testbed/statistics/RunResultKeysTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/statistics/RunResultKeysTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Stored results are read by later versions, which pass over unknown keys: the keys stay. */
+/**
+ * Guards the JSON keys of stored results. Later versions read them and ignore unknown keys, so a
+ * renamed key would be lost without an error.
+ */
 class RunResultKeysTest {
     private static final RunResult RESULT =
             new RunResult(
@@ -75,7 +78,7 @@
     }
 
     @Test
-    void keysOfItsPartsStayTheSame() throws IOException {
+    void keysOfNestedRecordsStayTheSame() throws IOException {
         JsonNode json = storedJson();
         assertEquals(List.of("count", "p50", "p99", "most"), keys(json.at("/latencies/class")));
         assertEquals(
@@ -119,7 +122,7 @@
         ResultNotFoundException exception =
                 assertThrows(ResultNotFoundException.class, () -> RunResult.read(emptyDirectory));
         assertTrue(
-                exception.getMessage().startsWith(emptyDirectory + " holds no result.json"),
+                exception.getMessage().startsWith(emptyDirectory + " contains no result.json"),
                 exception.getMessage());
     }
 
--- a/testbed/src/test/java/loadbalancer/testbed/statistics/ServiceWindowsTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/statistics/ServiceWindowsTest.java
@@ -8,7 +8,7 @@
 import loadbalancer.testbed.workload.WorkloadPlan;
 import org.junit.jupiter.api.Test;
 
-/** Counts by window, their sums between two times, and the time until service recovers. */
+/** Tests counts by window, their sums between two times, and the time until service recovers. */
 class ServiceWindowsTest {
     private final ServiceWindows serviceWindows =
             new ServiceWindows(
@@ -61,7 +61,7 @@
     void serviceRecoversAfterOneGoodSecond() {
         recordRequests(0, 8_000_000, ClientRequest.Outcome.SERVED);
         recordRequests(8_000_000, 10_000_000, ClientRequest.Outcome.FAILED);
-        // Half a second is not enough
+        // Half a second of good service does not count as recovery.
         recordRequests(10_000_000, 10_500_000, ClientRequest.Outcome.SERVED);
         recordRequests(10_500_000, 11_000_000, ClientRequest.Outcome.FAILED);
         recordRequests(11_000_000, 20_000_000, ClientRequest.Outcome.SERVED);
--- a/testbed/src/test/java/loadbalancer/testbed/workload/WorkloadPlanTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/workload/WorkloadPlanTest.java
@@ -38,7 +38,7 @@
                     false);
 
     @Test
-    void seedAloneDecidesArrivalsAndFaults() {
+    void seedDeterminesArrivalsAndFaults() {
         assertEquals(
                 WorkloadPlan.generate(SCENARIO, 7).digest(),
                 WorkloadPlan.generate(SCENARIO, 7).digest());
@@ -52,7 +52,7 @@
 
     @Test
     void neighbouringSeedsChooseDifferentTargets() {
-        // 120 choices of seven from ten: of 40 neighbouring seeds some 34 differ.
+        // There are 120 ways to choose 7 of 10 balancers, so 40 seeds give about 34 distinct ones.
         long choices =
                 LongStream.range(0, 40)
                         .mapToObj(
@@ -63,13 +63,13 @@
                                                 .balancers())
                         .distinct()
                         .count();
-        assertTrue(choices > 24, choices + " choices by 40 seeds");
+        assertTrue(choices > 24, choices + " distinct choices for 40 seeds");
     }
 
     @Test
     void arrivalsFollowTheLoad() {
         WorkloadPlan plan = WorkloadPlan.generate(SCENARIO, 7);
-        // Four standard deviations
+        // The tolerance is four standard deviations.
         assertEquals(4_000, plan.arrivals().size(), 250);
         long firstZoneCount =
                 plan.arrivals().stream().filter(arrival -> arrival.zone() == 0).count();
@@ -106,7 +106,7 @@
             name = "x"
             """,
                         true);
-        // Seed 9 draws one name twice.
+        // Seed 9 draws one uid twice.
         assertEquals(
                 14_000,
                 WorkloadPlan.generate(largeScenario, 9).upstreams().stream()
