--- a/testbed/src/main/java/loadbalancer/testbed/report/HtmlReport.java
+++ b/testbed/src/main/java/loadbalancer/testbed/report/HtmlReport.java
@@ -114,7 +114,7 @@
     private void appendLatencies() {
         html.append(
                 "<table><tr><th>class/zone<th>served<th>median (ms)<th>99th "
-                        + "percentile<th>most</tr>");
+                        + "percentile<th>maximum</tr>");
         result.latencies()
                 .forEach(
                         (name, latency) ->
