--- a/testbed/src/main/java/loadbalancer/testbed/report/HtmlReport.java
+++ b/testbed/src/main/java/loadbalancer/testbed/report/HtmlReport.java
@@ -97,8 +97,8 @@
 
     private void appendFaults() {
         html.append(
-                "<table><tr><th>fault<th>from (s)<th>until (s)<th>recovered after (s)<th>unserved in "
-                        + "10 s</tr>");
+                "<table><tr><th>fault<th>from (s)<th>until (s)<th>recovered after (s)"
+                        + "<th>unserved in 10 s</tr>");
         for (RunResult.FaultImpact fault : result.faults()) {
             appendRow(
                     "<tr><td>%s<td>%.1f<td>%s<td>%s<td>%d</tr>",
