--- a/balancer/src/test/java/loadbalancer/server/AttemptRaceTest.java
+++ b/balancer/src/test/java/loadbalancer/server/AttemptRaceTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Attempts and connections that end in the event loop's iteration in which they are used. */
+/** Tests attempts and connections that end in the event-loop iteration in which they are used. */
 class AttemptRaceTest extends BalancerServerTestSupport {
     private static final long ATTEMPT_TIMEOUT_MICROS = 300_000;
 
-    /** While its attempt waits for a connection the policy forbids to start it. */
+    /** The policy disallows starting an attempt while the attempt waits for its connection. */
     @Test
     void disallowedAttemptIsNotWritten() throws Exception {
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
@@ -32,8 +32,8 @@
     }
 
     /**
-     * An idle connection is chosen while its close, its reset or unsolicited data is arriving: the
-     * request gets a connection of its own.
+     * An idle connection is chosen for a request while its close, its reset or unsolicited data is
+     * still unread. The request must get a new connection instead.
      */
     @ParameterizedTest(name = "{0}")
     @ValueSource(
@@ -71,8 +71,8 @@
     }
 
     /**
-     * The response and the attempt's timeout are due in one iteration, in both orders: the loop
-     * reads the response first, or the attempt has ended before it reads.
+     * The response and the attempt's timeout are due in the same iteration. The loop either reads
+     * the response first, or ends the attempt before it reads.
      */
     @ParameterizedTest(name = "responseFirst={0}")
     @ValueSource(booleans = {false, true})
@@ -90,7 +90,7 @@
                                 }
                             });
             receivedRequest.respond(200, "", "r1");
-            // Until the timeout is due as well.
+            // The timeout is due as well after this pause.
             TimeUnit.MICROSECONDS.sleep(ATTEMPT_TIMEOUT_MICROS);
             stall.release();
             assertEquals(responseFirst ? 200 : 502, client.readStatus());
--- a/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
@@ -23,16 +23,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Streamed request and response bodies: over 64 KiB, up to 32 MB. */
+/** Tests streaming of request and response bodies larger than 64 KiB, up to 32 MB. */
 class BodyStreamingTest extends UpstreamBackedTestSupport {
     private static final String POST_HEAD = BalancerServerFixtures.NON_IDEMPOTENT_HEAD;
     private static final int MEGABYTE = 1_000_000;
     private static final int LARGEST_BODY_MEGABYTES = 32;
     private static final int CHUNK_BYTES = 1_000;
-    // In which a wrong event would come.
-    private static final long QUIET_MS = 100;
-    // In which the writer of a large body fills all buffers on the way to the client.
-    private static final long BUFFERS_FILL_MS = 500;
+    // Time in which an unexpected event would have arrived.
+    private static final long NO_EVENT_WAIT_MS = 100;
+    // Time in which the writer of a large body fills all buffers on the way to the client.
+    private static final long BUFFER_FILL_WAIT_MS = 500;
     private static final int SLOW_UPLOAD_PIECES = 30;
     private static final long SLOW_UPLOAD_INTERVAL_MS = 100;
 
@@ -41,13 +41,16 @@
         startReady(DEFAULT_MAX_SOCKETS);
     }
 
-    /** How the end of a body is told. */
+    /** Defines how the end of a body is indicated. */
     private enum Framing {
         CONTENT_LENGTH,
         CHUNKED,
         CONNECTION_CLOSE;
 
-        /** The header of a message with a body of this length; empty where none is needed. */
+        /**
+         * Returns the header line that frames a body of {@code length} bytes; empty if none is
+         * needed.
+         */
         String header(int length) {
             return switch (this) {
                 case CONTENT_LENGTH -> "Content-Length: " + length + "\r\n";
@@ -56,7 +59,7 @@
             };
         }
 
-        /** A body as it is on the wire. */
+        /** Returns the body as it is sent on the wire. */
         byte[] encode(byte[] body) throws IOException {
             return this == CHUNKED ? encodeChunked(body, CHUNK_BYTES) : body;
         }
@@ -84,7 +87,11 @@
         return output.toByteArray();
     }
 
-    /** The body of the next response, framed in either way; fails if it is incomplete. */
+    /**
+     * Reads the next response, chunked or with a content length, and returns its body.
+     *
+     * @throws IOException if the body is incomplete
+     */
     private static byte[] readBody(HttpTestClient client) throws IOException {
         String head = FakeHttpServer.readHead(client.input);
         assertTrue(head.startsWith(OK_STATUS_LINE), head);
@@ -104,7 +111,7 @@
         return body;
     }
 
-    /** A body of each framing, below and above the size that is streamed, on a kept connection. */
+    /** Lengths are below and above the limit for streaming; the client reuses its connection. */
     @ParameterizedTest(name = "{0} bytes, {1}")
     @CsvSource({
         "65536, CONTENT_LENGTH",
@@ -129,7 +136,7 @@
         }
     }
 
-    /** A body of each framing, on a kept connection of the client's. */
+    /** The client reuses its connection, also if the upstream closes its own to end the body. */
     @ParameterizedTest(name = "{0} bytes, {1}")
     @CsvSource({
         "65537, CONTENT_LENGTH",
@@ -157,21 +164,21 @@
         }
     }
 
-    /** The first bytes are forwarded before the others have arrived. */
+    /** The balancer forwards the first bytes of a body before the rest has arrived. */
     @ParameterizedTest
     @EnumSource(names = {"CONTENT_LENGTH", "CHUNKED"})
     void responseIsStreamedBeforeItsEnd(Framing framing) throws Exception {
         byte[] payload = randomBytes(100_000);
-        boolean useChunks = framing == Framing.CHUNKED;
+        boolean chunked = framing == Framing.CHUNKED;
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             receivedRequest.sendRaw(OK_STATUS_LINE + framing.header(payload.length) + "\r\n");
             ByteArrayOutputStream firstChunk = new ByteArrayOutputStream();
             writeChunk(firstChunk, payload, 0, 100);
-            receivedRequest.sendRaw(useChunks ? firstChunk.toByteArray() : new byte[] {payload[0]});
+            receivedRequest.sendRaw(chunked ? firstChunk.toByteArray() : new byte[] {payload[0]});
             assertTrue(FakeHttpServer.readHead(client.input).startsWith(OK_STATUS_LINE));
-            if (useChunks) {
+            if (chunked) {
                 assertEquals(
                         "64", new String(client.input.readNBytes(2), StandardCharsets.US_ASCII));
             } else {
@@ -182,21 +189,24 @@
         assertTrue(upstream.isEmpty(), "the upstream received a further request");
     }
 
-    /** The upstream breaks off its response before anything of the body could be forwarded. */
+    /** The upstream resets its connection before any of the body could be forwarded. */
     @Test
     void responseAbortedBeforeItsBodyFailsTheAttempt() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             receivedRequest.sendRaw(CHUNKED_HEAD);
-            // The first digits of a chunk's size.
+            // These are the first digits of a chunk size.
             receivedRequest.sendRaw("80026");
             receivedRequest.reset();
             assertEquals("RESET", policy.nextEvent());
         }
     }
 
-    /** The upstream breaks off a response of which the client has the beginning. */
+    /**
+     * The upstream aborts a response after part of it was forwarded. The client must see that the
+     * body is incomplete, and the policy must be told of the aborted response.
+     */
     @ParameterizedTest(name = "{0}, reset={1}")
     @CsvSource({"CONTENT_LENGTH, false", "CONTENT_LENGTH, true", "CONNECTION_CLOSE, true"})
     void abortedResponseIsVisibleAndReported(Framing framing, boolean reset) throws Exception {
@@ -216,7 +226,7 @@
         }
     }
 
-    /** A client that disconnects amid a response is no fault of the upstream's. */
+    /** The policy must not be told of an aborted response if the client disconnects during it. */
     @Test
     void disconnectDuringResponseIsNotBlamed() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
@@ -228,7 +238,7 @@
             client.socket.close();
             assertTrue(receivedRequest.isClosedByPeer(), "the balancer closes the connection");
         }
-        assertNull(policy.events.poll(QUIET_MS, TimeUnit.MILLISECONDS), "no further event");
+        assertNull(policy.events.poll(NO_EVENT_WAIT_MS, TimeUnit.MILLISECONDS), "no further event");
     }
 
     /** The upstream closes its connection while the client is still sending. */
@@ -243,14 +253,14 @@
             upstream.closeAllConnections();
             assertEquals("CONNECT_FAILED", policy.nextEvent());
             assertEquals(502, client.readStatus());
-            // The client goes on sending, and its connection still ends without a reset.
+            // The client continues to send, and its connection still ends without a reset.
             client.socket.getOutputStream().write(randomBytes(100_000));
             assertNull(client.readResponse());
         }
         assertEquals(1, upstream.connectionCount());
     }
 
-    /** Upstream and client stay connected; the policy rejects while the client is still sending. */
+    /** The policy rejects a request while its client is still sending the body. */
     @Test
     void earlyRejectionOfUploadIsSent() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
@@ -279,8 +289,8 @@
     }
 
     /**
-     * An upload that takes longer than the timeout for a request's head and than its deadline
-     * succeeds while it proceeds; one that stalls ends.
+     * An upload may take longer than the timeout for a request's head and than the request's
+     * deadline as long as it makes progress. A stalled upload is ended.
      */
     @Test
     void slowUploadSucceedsAndStalledOneEnds() throws Exception {
@@ -304,7 +314,10 @@
         }
     }
 
-    /** The balancer does not buffer 32 MB: what the client does not read stays at the upstream. */
+    /**
+     * The balancer must not buffer a body of 32 MB: it stops reading from the upstream while the
+     * client does not read.
+     */
     @Test
     void slowReaderAppliesBackpressure() throws Exception {
         byte[] block = randomBytes(MEGABYTE);
@@ -329,7 +342,7 @@
                             });
             writer.start();
             assertEquals("OK closed", policy.nextEvent());
-            writer.join(BUFFERS_FILL_MS);
+            writer.join(BUFFER_FILL_WAIT_MS);
             assertTrue(
                     writer.isAlive(),
                     "the upstream wrote all of the body to a client that reads nothing");
--- a/balancer/src/test/java/loadbalancer/server/ClientDisconnectTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ClientDisconnectTest.java
@@ -22,19 +22,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that disconnect, at each stage of their requests. */
+/** Tests clients that disconnect at each stage of a request. */
 class ClientDisconnectTest extends BalancerServerTestSupport {
-    // Longer than an attempt may start after its client's disconnect.
+    // Exceeds the time in which an attempt may still start after its client has disconnected.
     private static final long DISCONNECT_PAUSE_MS = 150;
-    // In which a client that sends a long body fills the socket buffers on the way.
-    private static final long BUFFERS_FILL_MS = 2_000;
+    // Time in which a client that sends a long body fills the socket buffers on the way.
+    private static final long BUFFER_FILL_WAIT_MS = 2_000;
     private static final int LONG_BODY_BYTES = 1_500_000;
-    // Where an incomplete body is read no further, its client is closed at the request's deadline.
+    // The connection of a client whose incomplete body is no longer read is closed at the request's
+    // deadline, after 20 s.
     private static final Duration FLOOD_RELEASE_TIMEOUT = Duration.ofSeconds(20 + 10);
     private static final int FLOODING_CLIENTS = 12;
     private static final int FLOOD_BYTES = 1 << 20;
 
-    /** The clients send and disconnect while the event loop is stalled. */
+    /** The clients send requests and disconnect while the event loop is stalled. */
     @ParameterizedTest
     @CsvSource(
             useHeadersInDisplayName = true,
@@ -81,7 +82,7 @@
         }
     }
 
-    /** The policy sends a request after its client has disconnected. */
+    /** The policy starts an attempt after the request's client has disconnected. */
     @Test
     void pendingRequestOfDisconnectedClientIsDropped() throws Exception {
         start();
@@ -101,8 +102,8 @@
     }
 
     /**
-     * The clients disconnect while the event loop is stalled; it starts their attempts before it
-     * reads that they have disconnected.
+     * The clients disconnect while the event loop is stalled. The loop is asked to start their
+     * attempts before it has read the disconnects.
      */
     @ParameterizedTest
     @CsvSource(
@@ -118,7 +119,7 @@
     void attemptAfterUnreadDisconnectIsNotSent(int clientCount, boolean reset) throws Exception {
         start();
         try (HttpTestClient firstClient = new HttpTestClient(address).send(requestWithId("r0"))) {
-            // Leaves an idle connection, so that attempts need not connect.
+            // This request leaves an idle upstream connection, so that attempts need not connect.
             serveNext(firstClient, "r0");
             awaitRequest();
             assertEquals("OK closed", policy.nextEvent());
@@ -158,8 +159,8 @@
     }
 
     /**
-     * The attempt is rejected, then the client disconnects; the loop reads the rejection first, and
-     * the policy retries.
+     * The upstream rejects the attempt, then the client disconnects. The loop reads the rejection
+     * first, and the policy retries; the retry must not be sent.
      */
     @Test
     void noRetryAfterDisconnectBetweenAttempts() throws Exception {
@@ -182,7 +183,10 @@
         assertNextRequestIsServed();
     }
 
-    /** Starts an attempt whose connect completes only once {@code backlogListener} accepts. */
+    /**
+     * Sends a request whose attempt connects to {@code backlogListener}, and returns its client.
+     * The connect completes only once the listener accepts.
+     */
     private HttpTestClient startConnectingAttempt(
             FullBacklogListener backlogListener, boolean cancelsOnDisconnect) throws Exception {
         start(backlogListener.address());
@@ -192,14 +196,17 @@
         return client;
     }
 
-    /** While the loop is stalled the connection is established, then the client disconnects. */
+    /**
+     * While the loop is stalled, the upstream connection is established and then the client
+     * disconnects.
+     */
     @ParameterizedTest(name = "cancelsOnDisconnect={0}")
     @ValueSource(booleans = {false, true})
     void disconnectDuringConnectEventSendsNothing(boolean cancelsOnDisconnect) throws Exception {
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
             HttpTestClient disconnectedClient =
                     startConnectingAttempt(backlogListener, cancelsOnDisconnect);
-            // After these iterations of the loop the connect has begun.
+            // The connect has begun after these iterations of the loop.
             for (int i = 0; i < 3; i++) {
                 balancer.loop().submit(() -> {}).get();
             }
@@ -216,8 +223,8 @@
     }
 
     /**
-     * The connection is established after the disconnect. The attempt is not sent on it even where
-     * the policy cancels nothing.
+     * The upstream connection is established after the disconnect. The attempt must not be sent on
+     * it even if the policy does not cancel the attempt.
      */
     @ParameterizedTest(name = "cancelsOnDisconnect={0}")
     @ValueSource(booleans = {false, true})
@@ -234,8 +241,8 @@
     }
 
     /**
-     * The response is written while a reset is there that the loop has not read yet: the write
-     * closes the connection.
+     * A response is written to a client whose reset the loop has not read yet. The failed write
+     * must close the client's connection.
      */
     @Test
     void disconnectDuringResponseFreesConnection() throws Exception {
@@ -269,8 +276,8 @@
     }
 
     /**
-     * The body waits for a connection to the upstream and is longer than what is read meanwhile:
-     * the end of the client's stream is behind bytes that are not read yet.
+     * The body is longer than what the balancer reads while the attempt connects, so the end of the
+     * client's stream is behind unread bytes. The disconnect must still be detected.
      */
     @Test
     void disconnectIsSeenWhileReadingIsPaused() throws Exception {
@@ -289,9 +296,9 @@
     }
 
     /**
-     * The client sends all of its body and disconnects; the end of its stream is behind more than
-     * is read while the attempt connects. The attempt starts, but the upstream never gets the last
-     * byte and so never executes the request.
+     * The client sends its complete body and disconnects. The body is longer than what is read
+     * while the attempt connects, so the attempt starts before the disconnect is read. The upstream
+     * must not get the last byte, so that it never executes the request.
      */
     @ParameterizedTest(name = "chunked={0}")
     @ValueSource(booleans = {false, true})
@@ -301,7 +308,7 @@
             policy.cancelsOnDisconnect = false;
             Thread sender = sendLongBodyAndDisconnect(new HttpTestClient(address), chunked);
             assertEquals("uploading", policy.nextEvent());
-            sender.join(BUFFERS_FILL_MS);
+            sender.join(BUFFER_FILL_WAIT_MS);
             pauseAfterDisconnect();
             pauseAfterDisconnect();
             Socket accepted = backlogListener.acceptNext();
@@ -342,7 +349,10 @@
         }
     }
 
-    /** Reads until the body's last byte has come, or the connection has ended before. */
+    /**
+     * Reads until the last byte of the body. Returns false if the connection ends before, with or
+     * without a reset.
+     */
     private static boolean isBodyComplete(InputStream body, boolean chunked) throws IOException {
         try {
             if (!chunked) {
@@ -351,7 +361,7 @@
             FakeHttpServer.readChunked(body);
             return true;
         } catch (SocketException | NumberFormatException e) {
-            // The connection was reset, or ended amid a chunk.
+            // The connection was reset, or ended within the size of a chunk.
             return false;
         } catch (IOException e) {
             assertTrue(e.getMessage().contains("ended amid"), e.toString());
@@ -360,12 +370,13 @@
     }
 
     /**
-     * Clients send a lot and disconnect: a line without end, pipelined requests, an incomplete
-     * body. The balancer serves others meanwhile and keeps nothing of theirs.
+     * Clients send an endless request line, many pipelined requests or an incomplete body, and
+     * disconnect. The balancer must still serve others, and must release all state of these
+     * clients.
      */
     @ParameterizedTest(name = "{0}")
     @ValueSource(strings = {"line", "requests", "body"})
-    void abandonedFloodsLeaveNothingBehind(String floodKind) throws Exception {
+    void floodingClientsLeaveNoStateAfterDisconnect(String floodKind) throws Exception {
         start();
         String flood =
                 switch (floodKind) {
@@ -376,13 +387,13 @@
                                     + "Content-Length: 30000000\r\n\r\n"
                                     + "x".repeat(FLOOD_BYTES);
                 };
-        // What has been read of them is buffered.
+        // Without an endpoint the requests stay pending, and what has been read is buffered.
         policy.endpointId = null;
         for (int i = 0; i < FLOODING_CLIENTS; i++) {
             try (HttpTestClient disconnectedClient = new HttpTestClient(address)) {
                 disconnectedClient.send(flood);
             } catch (IOException e) {
-                // Rejected before all of it was sent.
+                // The balancer rejected the request before all of it was sent.
                 assertEquals("line", floodKind, e.toString());
             }
         }
--- a/balancer/src/test/java/loadbalancer/server/EndpointConnectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/server/EndpointConnectionsTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Connections to upstreams, and what a change of the endpoint list does to them. */
+/** Tests connections to upstreams, and the effect of endpoint list changes on them. */
 class EndpointConnectionsTest extends DiscoveryBackedTestSupport {
     private static final String EMPTY_LIST = "{\"rev\":50,\"all\":true,\"targets\":[]}";
 
@@ -31,13 +31,16 @@
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
             receivedRequest.respond(200, "", "ok");
             assertEquals(200, client.readStatus());
-            assertTrue(isClosedSoon(receivedRequest));
+            assertTrue(awaitClosedByBalancer(receivedRequest));
         }
     }
 
-    // The upstream's own reader consumes the end of the stream; writes fail once the peer has
-    // closed.
-    private static boolean isClosedSoon(FakeHttpServer.ReceivedRequest receivedRequest)
+    /**
+     * Writes until the balancer has closed the connection and a write fails; returns false if none
+     * fails within 20 s. A read cannot detect the close, because the upstream's reader thread
+     * consumes the end of the stream.
+     */
+    private static boolean awaitClosedByBalancer(FakeHttpServer.ReceivedRequest receivedRequest)
             throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (System.nanoTime() < deadlineNanos) {
@@ -52,17 +55,18 @@
     }
 
     @Test
-    void endpointListIsWatchedAndSplitLinesRead() throws IOException, InterruptedException {
+    void endpointListIsWatchedAndFetched() throws IOException, InterruptedException {
         start();
         runOnLoop(() -> policy.capturedActions.watchEndpoints(true));
         FakeHttpServer.ReceivedRequest watch = discoveryServer.nextRequest();
         assertEquals("GET /api/targets?watch=1&from=41 HTTP/1.1", watch.requestLine());
+        // This list arrives in two chunks.
         String firstList = listJson(43, true, "in_service");
         watch.sendRaw(CHUNKED_HEAD);
         watch.sendRaw(chunk(firstList.substring(0, 30)));
         watch.sendRaw(chunk(firstList.substring(30)));
         assertEquals("COMPLETE [s1=UP]", policy.nextEvent());
-        // An empty line: nothing has changed.
+        // An empty line reports that nothing has changed.
         watch.sendRaw(chunk("\n"));
         watch.sendRaw(chunk(listJson(44, false, "terminating")));
         assertEquals("DELTA [s1=DRAINING]", policy.nextEvent());
@@ -82,7 +86,7 @@
         assertEquals("FAILED []", policy.nextEvent());
     }
 
-    // The discovery server answers the next poll with an empty list.
+    /** Answers the next poll of discovery with an empty list. */
     private void removeAllEndpoints() throws IOException, InterruptedException {
         runOnLoop(() -> policy.capturedActions.fetchEndpointList());
         discoveryServer.nextRequest().respond(200, "", EMPTY_LIST);
@@ -90,11 +94,11 @@
     }
 
     /**
-     * The policy goes on sending to an endpoint that is removed from the list: its attempts are
-     * sent until the grace period for drains is over, and none after.
+     * The policy continues to use an endpoint that was removed from the list. Its attempts are sent
+     * until the drain grace period ends, and none afterwards.
      */
     @Test
-    void removedEndpointGetsNoRequests() throws IOException, InterruptedException {
+    void removedEndpointGetsNoRequestsAfterDrainGrace() throws IOException, InterruptedException {
         start();
         removeAllEndpoints();
         try (HttpTestClient client = new HttpTestClient(address)) {
@@ -107,6 +111,7 @@
         }
     }
 
+    /** Sends a request and returns the event that the policy records at the end of its attempt. */
     private String sendAndAwaitOutcome(HttpTestClient client) throws Exception {
         client.send(IDEMPOTENT_REQUEST);
         String event =
@@ -124,8 +129,8 @@
     }
 
     /**
-     * Attempts to a removed endpoint wait for connections, which are established only once the test
-     * accepts: after the grace period for drains.
+     * Attempts to a removed endpoint wait for connections that are established only when the test
+     * accepts them, after the drain grace period.
      */
     @Test
     void connectingAttemptIsNotSentAfterDrainGrace() throws IOException, InterruptedException {
@@ -147,12 +152,16 @@
                                         },
                                         Objects::nonNull);
                 assertEquals("NOT_SENT", event);
-                assertConnectionsStayEmpty(listener, clients.clients().size() - 1);
+                assertAttemptsNotSent(listener, clients.clients().size() - 1);
             }
         }
     }
 
-    private void assertConnectionsStayEmpty(FullBacklogListener listener, int connectingAttempts)
+    /**
+     * Accepts all connections. Asserts that {@code connectingAttempts} attempts are not sent and
+     * that the balancer writes nothing to its first connection.
+     */
+    private void assertAttemptsNotSent(FullBacklogListener listener, int connectingAttempts)
             throws IOException, InterruptedException {
         int backlogSize = listener.backlogSize();
         BlockingQueue<Socket> accepted = listener.acceptInBackground();
@@ -178,7 +187,7 @@
         assertEquals("health check OK 3.0", policy.nextEvent());
     }
 
-    /** An idle connection to the upstream has the descriptor that a second client needs. */
+    /** An idle connection to the upstream holds the descriptor that a second client needs. */
     @Test
     void idleConnectionsAreClosedToFreeDescriptors() throws IOException, InterruptedException {
         // Two of the four descriptors are reserved.
@@ -189,7 +198,7 @@
             receivedRequest.respond(200, "", "ok");
             assertEquals(200, client.readStatus());
             try (HttpTestClient secondClient = new HttpTestClient(address)) {
-                assertTrue(isClosedSoon(receivedRequest));
+                assertTrue(awaitClosedByBalancer(receivedRequest));
                 assertEquals(200, secondClient.send(READY_REQUEST).readStatus());
             }
         }
--- a/balancer/src/test/java/loadbalancer/server/EventLoopStall.java
+++ b/balancer/src/test/java/loadbalancer/server/EventLoopStall.java
@@ -8,8 +8,8 @@
 import loadbalancer.TestAwait;
 
 /**
- * Blocks an event loop until it is released, so that the loop handles all that happens meanwhile in
- * one iteration.
+ * Blocks an event loop until the test's thread releases it, so that the loop handles everything
+ * that happened in between in one iteration.
  */
 final class EventLoopStall {
     private static final long MAX_STALL_SECONDS = 30;
@@ -20,15 +20,15 @@
     private final CountDownLatch resumed = new CountDownLatch(1);
 
     /**
-     * Returns once the loop is blocked; {@code onResume} runs on it when it is released, before it
-     * reads again.
+     * Blocks {@code eventLoop}, and returns once it is blocked. {@code onResume} runs on the loop
+     * when it is released, before it reads from any connection.
      */
     EventLoopStall(EventLoop eventLoop, Runnable onResume) throws InterruptedException {
         eventLoop.execute(
                 () -> {
                     stalled.countDown();
                     try {
-                        // A bound, so that a test that fails meanwhile ends.
+                        // The wait is bounded so that the loop resumes even if the test fails.
                         released.await(MAX_STALL_SECONDS, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
@@ -45,7 +45,7 @@
         this(eventLoop, () -> {});
     }
 
-    /** Releases the loop; returns when {@code onResume} has run. */
+    /** Releases the loop, and returns once {@code onResume} has run. */
     void release() throws InterruptedException {
         released.countDown();
         assertTrue(
--- a/balancer/src/test/java/loadbalancer/server/FakeHttpServer.java
+++ b/balancer/src/test/java/loadbalancer/server/FakeHttpServer.java
@@ -22,7 +22,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import loadbalancer.TestAwait;
 
-/** An HTTP server that hands each request to the test, and responds with what the test gives it. */
+/**
+ * Receives HTTP requests, queues them for the test, and sends the responses that the test provides.
+ * One daemon thread accepts connections and one per connection reads requests; responses are
+ * written on the test's thread.
+ */
 public final class FakeHttpServer implements Closeable {
     /** The status line of a response that the balancer counts as a success. */
     public static final String OK_STATUS_LINE = "HTTP/1.1 200 OK\r\n";
@@ -32,18 +36,24 @@
 
     private static final int TIMEOUT_MS = (int) TestAwait.TIMEOUT.toMillis();
 
-    /** A request as it was received, and the connection to respond on. */
+    /**
+     * Holds a request as it was received, and the connection to respond on. Connections are
+     * numbered from 1 in the order in which they were accepted.
+     */
     public record ReceivedRequest(String head, byte[] body, Socket socket, int connectionNumber) {
         public String requestLine() {
             return head.substring(0, head.indexOf("\r\n"));
         }
 
-        /** The body as text. */
+        /** Returns the body as text. */
         String bodyText() {
             return new String(body, StandardCharsets.UTF_8);
         }
 
-        /** The first header of that name, in any case; null without one. */
+        /**
+         * Returns the value of the first header with this name, whose case is ignored, or null if
+         * there is none.
+         */
         public String header(String name) {
             for (String line : head.split("\r\n")) {
                 if (line.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
@@ -81,13 +91,16 @@
             respond(status, headers, body.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** Ends the connection with a reset. */
+        /** Closes the connection with a TCP reset. */
         public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
 
-        /** Waits for the other side to end the connection. */
+        /**
+         * Waits until the peer closes or resets the connection. Returns false if it sends data
+         * instead or does neither within the timeout.
+         */
         public boolean isClosedByPeer() {
             try {
                 socket.setSoTimeout(TIMEOUT_MS);
@@ -102,7 +115,8 @@
     private final BlockingQueue<ReceivedRequest> receivedRequests = new LinkedBlockingQueue<>();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final AtomicInteger connectionCount = new AtomicInteger();
-    private final List<Thread> readerThreads = new CopyOnWriteArrayList<>();
+    // The acceptor is at index 0, the reader of connection n at index n.
+    private final List<Thread> threads = new CopyOnWriteArrayList<>();
 
     public FakeHttpServer() throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -128,12 +142,12 @@
                             try {
                                 task.run();
                             } catch (IOException e) {
-                                // The socket has ended, and so does its reader
+                                // The socket was closed, so its thread ends.
                                 Thread.currentThread().interrupt();
                             }
                         });
         thread.setDaemon(true);
-        readerThreads.add(thread);
+        threads.add(thread);
         thread.start();
     }
 
@@ -152,25 +166,29 @@
                             ? readChunked(input)
                             : input.readNBytes(length == null ? 0 : Integer.parseInt(length));
             if (length != null && body.length < Integer.parseInt(length)) {
-                // An incomplete request.
+                // The connection ended before the request was complete.
                 return;
             }
             receivedRequests.add(new ReceivedRequest(head, body, socket, connectionNumber));
             if (head.contains("watch=1")) {
-                // The test reads what follows, if anything.
+                // The test itself reads any further input from a watch's connection.
                 return;
             }
         }
     }
 
-    /** Reads a chunked body; an end of the stream before its last chunk is an error. */
+    /**
+     * Reads a chunked body.
+     *
+     * @throws IOException if the stream ends before the last chunk
+     */
     static byte[] readChunked(InputStream input) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         while (true) {
             int chunkSize = Integer.parseInt(readLine(input), 16);
             body.write(input.readNBytes(chunkSize));
             if (!readLine(input).isEmpty()) {
-                throw new IOException("a chunk does not end with a line end");
+                throw new IOException("the data of a chunk is not followed by a line end");
             }
             if (chunkSize == 0) {
                 return body.toByteArray();
@@ -189,7 +207,10 @@
         return line.toString().strip();
     }
 
-    /** Reads up to the empty line; null at the end of the stream. */
+    /**
+     * Reads up to and including the empty line that ends a head. Returns null if the stream ends
+     * before it.
+     */
     public static String readHead(InputStream input) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -206,7 +227,7 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Closes all connections, whatever is on them. */
+    /** Closes all connections, even those with a request in progress. */
     void closeAllConnections() throws IOException {
         for (Socket socket : sockets) {
             socket.close();
@@ -214,11 +235,12 @@
     }
 
     /**
-     * Waits until a connection that the test has closed is closed for the system too: while its
-     * reader still sits in a read, neither an end nor a reset has left.
+     * Waits until the operating system has closed a connection that the test closed. The system
+     * sends neither a FIN nor a reset while the connection's reader thread is still blocked in a
+     * read.
      */
     void awaitClosed(ReceivedRequest receivedRequest) throws InterruptedException {
-        Thread reader = readerThreads.get(receivedRequest.connectionNumber());
+        Thread reader = threads.get(receivedRequest.connectionNumber());
         reader.join(TIMEOUT_MS);
         assertFalse(reader.isAlive(), "the connection that the test closed is still being read");
     }
@@ -227,7 +249,7 @@
         return connectionCount.get();
     }
 
-    /** The next request; fails if none is received in time. */
+    /** Returns the next request; fails the test if none is received in time. */
     public ReceivedRequest nextRequest() throws InterruptedException {
         ReceivedRequest receivedRequest = receivedRequests.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (receivedRequest == null) {
@@ -236,6 +258,7 @@
         return receivedRequest;
     }
 
+    /** Returns whether the test has taken all requests received so far. */
     public boolean isEmpty() {
         return receivedRequests.isEmpty();
     }
@@ -244,9 +267,8 @@
     public void close() throws IOException {
         listener.close();
         try {
-            // Until the acceptor has ended, the system may accept a connection rather than refuse
-            // it.
-            readerThreads.get(0).join(TIMEOUT_MS);
+            // The system may accept connections, instead of refusing them, until the acceptor ends.
+            threads.get(0).join(TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/balancer/src/test/java/loadbalancer/server/FullBacklogListener.java
+++ b/balancer/src/test/java/loadbalancer/server/FullBacklogListener.java
@@ -13,11 +13,12 @@
 import loadbalancer.TestAwait;
 
 /**
- * A listener whose backlog is full: a connection to it is established only once the test accepts.
+ * Listens with a full backlog, so that further connections to it are established only once the test
+ * accepts. Used by the test's thread; {@link #acceptInBackground} starts an acceptor thread.
  */
 public final class FullBacklogListener implements Closeable {
     private static final int MAX_BACKLOG = 50;
-    // Without room in the backlog the system drops the connect, which then times out.
+    // The system drops a connect to a full backlog, so that the connect times out.
     private static final int CONNECT_TIMEOUT_MS = 300;
     private static final int TIMEOUT_MS = (int) TestAwait.TIMEOUT.toMillis();
 
@@ -25,7 +26,7 @@
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
     public FullBacklogListener() throws IOException {
-        while (fillBacklog()) {
+        while (addToBacklog()) {
             if (sockets.size() > MAX_BACKLOG) {
                 throw new IOException(
                         "the backlog is not full after " + sockets.size() + " connections");
@@ -33,7 +34,8 @@
         }
     }
 
-    private boolean fillBacklog() throws IOException {
+    /** Connects once more; returns false if the backlog is full. */
+    private boolean addToBacklog() throws IOException {
         Socket socket = new Socket();
         try {
             socket.connect(listener.getLocalSocketAddress(), CONNECT_TIMEOUT_MS);
@@ -49,7 +51,10 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Accepts all that wait, and returns the first connection that is not its own. */
+    /**
+     * Accepts the connections that fill the backlog, then the first connection of another client,
+     * and returns the latter.
+     */
     public Socket acceptNext() throws IOException {
         for (int i = sockets.size(); i > 0; i--) {
             sockets.add(listener.accept());
@@ -61,12 +66,15 @@
         return socket;
     }
 
-    /** The number of connections that fill the backlog: the first that are accepted. */
+    /** Returns the number of connections that fill the backlog; they are accepted first. */
     int backlogSize() {
         return sockets.size();
     }
 
-    /** Accepts all connections from now on; they are in the queue in the order of their accept. */
+    /**
+     * Starts a thread that accepts all connections from now on. Returns the queue to which it adds
+     * them in the order in which they are accepted.
+     */
     BlockingQueue<Socket> acceptInBackground() {
         BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
         Thread acceptor =
@@ -80,7 +88,7 @@
                                     accepted.add(socket);
                                 }
                             } catch (IOException e) {
-                                // The listener is closed.
+                                // The listener was closed.
                                 Thread.currentThread().interrupt();
                             }
                         });
--- a/balancer/src/test/java/loadbalancer/server/HttpTestClient.java
+++ b/balancer/src/test/java/loadbalancer/server/HttpTestClient.java
@@ -10,10 +10,14 @@
 import java.util.Locale;
 import loadbalancer.TestAwait;
 
-/** A client's connection to a balancer, with blocking reads of responses. */
+/**
+ * Represents one client connection to a balancer, used by one test thread at a time. Reads of
+ * responses block that thread, and fail after {@link TestAwait#TIMEOUT} without input.
+ */
 final class HttpTestClient implements Closeable {
     final Socket socket;
     final InputStream input;
+    // The body of the last response.
     byte[] body;
 
     HttpTestClient(InetSocketAddress serverAddress) throws IOException {
@@ -32,18 +36,21 @@
         return this;
     }
 
-    /** Closes the connection with a reset in place of an orderly end. */
+    /** Closes the connection with a TCP reset instead of an orderly close. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
-    /** The body of the last response as text. */
+    /** Returns the body of the last response as text. */
     String bodyText() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
-    /** The head of the next response, with its body in {@link #body}; null at a close. */
+    /**
+     * Reads the next response: returns its head and stores its body in {@link #body}. Returns null
+     * if the balancer has closed the connection.
+     */
     String readResponse() throws IOException {
         String head = FakeHttpServer.readHead(input);
         if (head != null) {
@@ -54,7 +61,7 @@
         return head;
     }
 
-    /** As {@link #readResponse}, after a 100 Continue if one comes first. */
+    /** Reads the next response like {@link #readResponse}, skipping a preceding 100 Continue. */
     String readResponseAfterContinue() throws IOException {
         input.mark(64);
         byte[] start = input.readNBytes(12);
@@ -65,6 +72,7 @@
         return readResponse();
     }
 
+    /** Reads the next response and returns its status code. */
     int readStatus() throws IOException {
         return Integer.parseInt(readResponse().split(" ")[1]);
     }
--- a/balancer/src/test/java/loadbalancer/server/HttpTestClientGroup.java
+++ b/balancer/src/test/java/loadbalancer/server/HttpTestClientGroup.java
@@ -7,7 +7,7 @@
 import java.util.Collections;
 import java.util.List;
 
-/** Clients that stay connected until the group is closed. */
+/** Holds client connections that stay open until the group is closed. Used by the test's thread. */
 final class HttpTestClientGroup implements Closeable {
     private final InetSocketAddress serverAddress;
     private final List<HttpTestClient> clients = new ArrayList<>();
@@ -16,21 +16,21 @@
         this.serverAddress = serverAddress;
     }
 
-    /** Connects one more client. */
+    /** Connects one more client and returns it. */
     HttpTestClient connect() throws IOException {
         HttpTestClient client = new HttpTestClient(serverAddress);
         clients.add(client);
         return client;
     }
 
-    /** Connects the given number of clients, which send nothing yet. */
+    /** Connects {@code count} clients, which send nothing yet. */
     void connect(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             connect();
         }
     }
 
-    /** All clients, in the order of their connections. */
+    /** Returns all clients in the order in which they connected. */
     List<HttpTestClient> clients() {
         return Collections.unmodifiableList(clients);
     }
--- a/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a client and an upstream see of one request, and the outcome that the policy gets. */
+/** Tests what client and upstream see of one request, and which outcome the policy gets. */
 class RequestForwardingTest extends DiscoveryBackedTestSupport {
     @Test
     void requestAndResponseAreForwardedUnchanged() throws IOException, InterruptedException {
@@ -87,7 +87,7 @@
                 500             | Srv-Declined: 1 | ERROR     | 502
                 429             | ''              | ERROR     | 502
                 """)
-    void onlyDeclinedResponseProvesNonExecution(
+    void onlyDeclinedResponseIsReportedAsRejected(
             int status, String header, String expectedOutcome, int expectedStatus)
             throws IOException, InterruptedException {
         start();
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Before the response, and amid it. */
+    /** The upstream ends the connection before its response, and then during a response. */
     @Test
     void brokenConnectionIsReportedAsReset() throws IOException, InterruptedException {
         start();
@@ -109,9 +109,9 @@
             assertEquals("RESET", policy.nextEvent());
             assertEquals(502, client.readStatus());
             client.send(IDEMPOTENT_REQUEST);
-            FakeHttpServer.ReceivedRequest partiallyAnswered = upstream.nextRequest();
-            partiallyAnswered.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-            partiallyAnswered.socket().close();
+            FakeHttpServer.ReceivedRequest partlyAnsweredRequest = upstream.nextRequest();
+            partlyAnsweredRequest.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+            partlyAnsweredRequest.socket().close();
             assertEquals("RESET", policy.nextEvent());
             assertEquals(502, client.readStatus());
         }
@@ -152,9 +152,9 @@
         assertTrue(receivedRequest.isClosedByPeer(), "the balancer closes the connection");
     }
 
-    /** The policy asks for nothing: the balancer itself answers at the request's deadline. */
+    /** The policy takes no action, so the balancer itself answers at the request's deadline. */
     @Test
-    void silentPolicyIsCoveredByLastResort() throws IOException, InterruptedException {
+    void requestIgnoredByPolicyGetsFallbackResponse() throws IOException, InterruptedException {
         start();
         policy.endpointId = null;
         try (HttpTestClient client = new HttpTestClient(address)) {
@@ -165,7 +165,7 @@
         assertTrue(logLines.contains("fallback responses: count=1"), logLines.toString());
     }
 
-    /** The policy throws: the balancer logs it, answers by itself and serves the next request. */
+    /** The policy throws. The balancer logs this, answers itself and serves the next request. */
     @Test
     void policyExceptionDoesNotStopTheServer() throws IOException, InterruptedException {
         start();
--- a/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Where a request ends: nothing within another request, or after a malformed one, is handled as a
- * request.
+ * Tests the detection of a request's end. Bytes within a request, or after a malformed one, must
+ * not be handled as another request.
  */
 class RequestFramingTest extends UpstreamBackedTestSupport {
     private static final String INNER_REQUEST = BalancerServerFixtures.requestWithId("inner");
@@ -25,9 +25,10 @@
     }
 
     /**
-     * A request follows the malformed one, or is within what a lenient parser would take for its
-     * body. In the rows HEAD stands for the head of a request, HEAD10 for the same in HTTP/1.0 and
-     * ALL for the length of that request and the five bytes before it.
+     * An inner request follows the malformed outer one, or lies within what a lenient parser would
+     * treat as the outer body. In the rows HEAD stands for the start of the outer head, HEAD10 for
+     * the same in HTTP/1.0, and ALL for the length of the inner request plus the five bytes before
+     * it.
      */
     @ParameterizedTest
     @ValueSource(
@@ -59,7 +60,7 @@
                 "POST /api/k1 RTSP/1.0\r\nReq-Id: outer\r\nReq-Kind: book\r\nReq-Deadline-Ms: 20000\r\n\r\n",
                 "NONSENSE\r\n\r\n",
             })
-    void malformedRequestAndItsTailAreRejected(String request) throws Exception {
+    void malformedRequestAndFollowingBytesAreRejected(String request) throws Exception {
         String outer =
                 request.replace("HEAD10 ", OUTER_HEAD.replace("1.1", "1.0"))
                         .replace("HEAD ", OUTER_HEAD)
@@ -74,7 +75,10 @@
         assertEquals(0, upstream.connectionCount(), "connections to the upstream");
     }
 
-    // Input that the balancer left unread may cause a reset, which counts as a close.
+    /**
+     * Asserts that the balancer has closed the connection. A reset counts as a close, because input
+     * that the balancer left unread may cause one.
+     */
     private static void assertClosed(HttpTestClient client) {
         String response;
         try {
@@ -82,10 +86,10 @@
         } catch (IOException e) {
             response = null;
         }
-        assertNull(response, "a response where the connection should end");
+        assertNull(response, "unexpected response instead of a close of the connection");
     }
 
-    /** Much of the body has been forwarded by the time it turns out to be too long. */
+    /** The balancer has forwarded much of the body before it detects that the body is too long. */
     @Test
     void oversizedChunkedBodyIsRejected() throws Exception {
         String chunk = BalancerServerFixtures.chunk("x".repeat(0x100000));
@@ -116,7 +120,7 @@
     }
 
     @Test
-    void pipelinedRequestIsAnsweredBeforeMalformed() throws Exception {
+    void requestBeforeMalformedOneIsAnswered() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(
                     INNER_REQUEST
@@ -131,7 +135,7 @@
         assertTrue(policy.acceptedRequests.isEmpty());
     }
 
-    /** Pipelined requests within the limit are answered, then the connection is closed. */
+    /** Requests within the pipelining limit are answered, then the connection is closed. */
     @Test
     void pipeliningIsServedUpToTheLimit() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
@@ -153,8 +157,8 @@
                         + "3;x=y\r\nabc\r\n00002\r\nde\r\n0\r\nX: y\r\n\r\n";
         try (HttpTestClient client = new HttpTestClient(address)) {
             for (int i = 0; i < 2; i++) {
-                for (int at = 0; at < request.length(); at++) {
-                    client.send(request.substring(at, at + 1));
+                for (int offset = 0; offset < request.length(); offset++) {
+                    client.send(request.substring(offset, offset + 1));
                 }
                 FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
                 assertEquals("abcde", receivedRequest.bodyText());
@@ -180,7 +184,7 @@
             assertEquals(length, receivedRequest.body().length);
             receivedRequest.respond(200, "", "ok");
             assertEquals(200, client.readStatus());
-            // What follows the body is a request of its own.
+            // The bytes after the body are a separate request.
             upstream.nextRequest().respond(200, "", "inner");
             assertEquals(200, client.readStatus());
         }
--- a/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Only a complete, well-formed response to the same request is forwarded. */
+/** Tests that only a complete, well-formed response to the same request is forwarded. */
 class ResponseFramingTest extends UpstreamBackedTestSupport {
     @BeforeEach
     void start() throws IOException, InterruptedException {
@@ -93,7 +93,7 @@
         }
     }
 
-    /** The upstream sends two responses to one request, in one piece. */
+    /** The upstream sends two responses to one request in one write. */
     @Test
     void firstOfTwoResponsesIsForwarded() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
@@ -126,16 +126,16 @@
             })
     void validResponsesAreForwardedInAnySplit(String response) throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
-            // In one piece.
+            // The first response arrives in one write.
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             upstream.nextRequest().sendRaw(response);
             assertEquals(200, client.readStatus());
             assertEquals("hello", client.bodyText());
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
-            // Byte by byte.
+            // The second response arrives byte by byte.
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
-            for (int at = 0; at < response.length(); at++) {
-                receivedRequest.sendRaw(response.substring(at, at + 1));
+            for (int offset = 0; offset < response.length(); offset++) {
+                receivedRequest.sendRaw(response.substring(offset, offset + 1));
             }
             assertEquals(200, client.readStatus());
             assertEquals("hello", client.bodyText());
--- a/balancer/src/test/java/loadbalancer/server/SlowClientTest.java
+++ b/balancer/src/test/java/loadbalancer/server/SlowClientTest.java
@@ -14,17 +14,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that connect and send nothing, or never complete a request, are disconnected soon. */
+/**
+ * Tests that clients which send nothing, or never complete a request, are disconnected and do not
+ * block other clients.
+ */
 class SlowClientTest extends UpstreamBackedTestSupport {
     private static final String POST_HEAD = BalancerServerFixtures.NON_IDEMPOTENT_HEAD;
     private static final int FEW_SOCKETS = 40;
     private static final Duration TRICKLE_INTERVAL = Duration.ofMillis(50);
-    // Longer than a new connection may be silent where there are few sockets.
+    // Exceeds the time after which a silent new connection may be evicted at the socket limit.
     private static final long SILENT_MS = 80;
     private static final int SLOW_REQUEST_PIECES = 20;
     private static final long SLOW_REQUEST_INTERVAL_MS = 40;
 
-    /** A connection that sent nothing is closed soon; one that was served a request is kept. */
+    /** A connection that sent nothing is closed; one that was served a request is kept. */
     @Test
     void silentConnectionIsClosedAndIdleClientKept() throws Exception {
         startReady(DEFAULT_MAX_SOCKETS);
@@ -55,7 +58,7 @@
         try (HttpTestClient firstClient = new HttpTestClient(address);
                 HttpTestClient secondClient = new HttpTestClient(address)) {
             firstClient.send(partialRequest);
-            // The second sends it in one piece with a complete request.
+            // The second client sends the same in one write after a complete request.
             assertEquals(200, secondClient.send(READY_REQUEST + partialRequest).readStatus());
             for (HttpTestClient client : List.of(firstClient, secondClient)) {
                 String head = client.readResponseAfterContinue();
@@ -66,9 +69,9 @@
         assertTrue(policy.acceptedRequests.isEmpty());
     }
 
-    /** A client sends its request byte by byte, without end. */
+    /** A client sends an endless request byte by byte. */
     @Test
-    void tricklingRequestTimesOut() throws Exception {
+    void endlessRequestTimesOut() throws Exception {
         startReady(DEFAULT_MAX_SOCKETS);
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send("GET /-/ready HTTP/1.1\r\nX: ");
@@ -97,8 +100,8 @@
     }
 
     /**
-     * Idle clients hold most sockets when others need connections to the upstream: clients that
-     * only checked readiness are evicted, and so are idle ones that were served requests.
+     * Idle clients hold most sockets when other clients' requests need upstream connections. Idle
+     * clients must be evicted, whether they only checked readiness or were served requests.
      */
     @ParameterizedTest(name = "realRequests={0}")
     @ValueSource(booleans = {false, true})
@@ -114,7 +117,7 @@
                 }
                 assertEquals(200, idleClient.readStatus());
             }
-            // All at once, each with a connection to the upstream.
+            // These requests are in flight at once, and each needs its own upstream connection.
             for (int i = 0; i < 8; i++) {
                 activeClients.connect().send(IDEMPOTENT_REQUEST);
             }
@@ -127,7 +130,7 @@
         }
     }
 
-    /** There are more silent connections than sockets; a client is served all the same. */
+    /** A client is served even though there are more silent connections than sockets. */
     @Test
     void silentConnectionsDoNotBlockClients() throws Exception {
         startReady(FEW_SOCKETS);
@@ -142,9 +145,9 @@
     }
 
     /**
-     * While the loop is stalled, requests arrive on accepted connections, and so do more
-     * connections than there is room for. The loop accepts before it reads, and yet evicts none of
-     * those that have sent their requests.
+     * While the loop is stalled, requests arrive on accepted connections, and more new connections
+     * arrive than the socket limit allows. The loop accepts before it reads, but must not evict the
+     * connections that have sent requests.
      */
     @Test
     void unreadNewConnectionsAreKept() throws Exception {
@@ -167,11 +170,11 @@
     }
 
     /**
-     * A client that sends its request slowly is not evicted for others that make less progress:
-     * silent ones, and those that begin a request and stop.
+     * A client that sends its request slowly must not be evicted in favor of clients that make less
+     * progress because they are silent or stop within a request.
      */
     @Test
-    void slowClientOutlastsStalledOnes() throws Exception {
+    void slowClientIsNotEvictedBeforeStalledOnes() throws Exception {
         startReady(FEW_SOCKETS);
         try (HttpTestClient slowClient = new HttpTestClient(address);
                 HttpTestClientGroup stalledClients = new HttpTestClientGroup(address)) {
