--- a/testbed/src/main/java/loadbalancer/testbed/invariant/LeaseEpochOrderInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/LeaseEpochOrderInvariant.java
@@ -15,8 +15,8 @@
  * and counts as a violation. Confined to the thread that executes the run.
  */
 public final class LeaseEpochOrderInvariant implements RunInvariant {
-    // Also matches "duties: acts for KEY, epoch N, at N", which earlier versions log in a mixed
-    // fleet.
+    // Also matches "duties: acts for KEY, epoch N, at N", which earlier versions in a
+    // mixed fleet log.
     private static final Pattern ACTION_PATTERN =
             Pattern.compile(
                     "(?:lease used: key=|duties: acts for )([^\\s,]+),?"
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/MembershipAgreementInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/MembershipAgreementInvariant.java
@@ -15,8 +15,8 @@
  * that executes the run.
  */
 public final class MembershipAgreementInvariant implements RunInvariant {
-    // Also matches "members: balancer N is STATUS, incarnation N", which earlier versions log in a
-    // mixed fleet.
+    // Also matches "members: balancer N is STATUS, incarnation N", which earlier versions in a
+    // mixed fleet log.
     private static final Pattern STATUS_PATTERN =
             Pattern.compile(
                     "(?:member status changed: member=|members: balancer )(\\d+)(?: status=| is )"
@@ -173,8 +173,7 @@
         long undetected = recordUndetected(timeMicros, requestInvariants);
         checkFinalViews(timeMicros, requestInvariants);
         metrics.put("members_unnoticed", (double) undetected);
-        // With path faults, statuses may also change because of a fault after the last process
-        // event.
+        // Path faults may change statuses long after the last process event.
         if (pathsFaultFree) {
             metrics.put(
                     "members_settled_s",
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/RequestInvariants.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/RequestInvariants.java
@@ -378,7 +378,7 @@
     }
 
     /** Returns the number of attempts that balancers accepted. */
-    public long accepted() {
+    public long acceptedCount() {
         return acceptedCount;
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/ZoneFailoverInvariant.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/ZoneFailoverInvariant.java
@@ -11,8 +11,8 @@
  * thread that executes the run.
  */
 public final class ZoneFailoverInvariant implements RunInvariant {
-    // Also matches "zone N is FAILED_OVER" and "zone N is LEFT", which earlier versions log in a
-    // mixed fleet.
+    // Also matches "zone N is FAILED_OVER" and "zone N is LEFT", which earlier versions
+    // in a mixed fleet log.
     private static final Pattern FAILOVER_PATTERN =
             Pattern.compile(
                     "zone (?:status changed: zone=)?(\\d+)(?: status=| is )"
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/AggregationClusterBuilder.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/AggregationClusterBuilder.java
@@ -6,9 +6,9 @@
 import loadbalancer.testbed.modelcheck.AggregationClusterState.InFlightDatagram;
 import loadbalancer.testbed.modelcheck.AggregationClusterState.RateSince;
 
-/** A state in the making. Begins as a copy of a state, which it leaves unchanged. */
+/** Builds a successor of a state, which remains unchanged. Used by one thread. */
 final class AggregationClusterBuilder extends ClusterBuilder<AggregationClusterState> {
-    // Shared with the base until changed, as a search keeps many states
+    // Shared with the base until changed, because a search keeps many states in memory.
     private FleetLoadAggregator[] members;
     private boolean[] down;
     private List<InFlightDatagram> inFlight;
@@ -33,7 +33,7 @@
         inFlight = newInFlight;
     }
 
-    /** Replaces a balancer by a copy that may be changed. */
+    /** Replaces a balancer by a copy that may be changed, and returns the copy. */
     FleetLoadAggregator copyMember(int member) {
         replaceMember(member, new FleetLoadAggregator(members[member]));
         return members[member];
@@ -47,14 +47,14 @@
     }
 
     void setDown(int member, boolean newDown) {
-        down = with(down, member, newDown);
+        down = copyWith(down, member, newDown);
     }
 
     boolean[] down() {
         return down;
     }
 
-    /** A block has another total from now on. */
+    /** Records the total that a block has from now on. */
     void addRate(int block, int rateBits) {
         List<RateSince> blockHistory = new ArrayList<>(rateHistory.get(block));
         blockHistory.add(new RateSince(nowMicros(), rateBits));
@@ -66,7 +66,7 @@
         partitioned = !partitioned;
     }
 
-    /** The state, which follows the base; {@code step} is what led to it. */
+    /** Returns the new state, whose predecessor is the base; {@code step} describes the event. */
     AggregationClusterState build(String step) {
         return new AggregationClusterState(
                 members,
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/AggregationClusterState.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/AggregationClusterState.java
@@ -7,15 +7,15 @@
  * A state of all balancers and of the datagrams between them. The arrays are shared between states
  * and never modified; {@link AggregationClusterBuilder} copies what it changes.
  *
- * @param members by balancer
- * @param down by balancer: its process has crashed
- * @param partitioned whether nothing passes between the halves of the fleet
- * @param inFlight oldest first
- * @param nowMicros time of the model
- * @param remainingFaults faults that may still happen after this state
- * @param rateHistory by block: the totals of its live balancers, newest last
- * @param previous the state before; null at the start
- * @param step what led here
+ * @param members the state machine of each balancer
+ * @param down for each balancer, whether its process has crashed
+ * @param partitioned whether the two halves of the fleet cannot reach each other
+ * @param inFlight the datagrams in flight, oldest first
+ * @param nowMicros the model's time in µs
+ * @param remainingFaults number of faults that may still happen after this state
+ * @param rateHistory for each block, the totals of its live balancers, newest last
+ * @param previous the preceding state; null for the initial state
+ * @param step describes the event that led to this state
  */
 record AggregationClusterState(
         FleetLoadAggregator[] members,
@@ -29,14 +29,16 @@
         String step)
         implements StateSpaceSearch.State<AggregationClusterState> {
 
-    /** A block's total, one bit per live balancer, and since when it holds. */
+    /**
+     * The total of a block, one bit per live balancer, and the time in µs from which it applies.
+     */
     record RateSince(long sinceMicros, int rateBits) {}
 
     /** A datagram on its way from one balancer to another. */
     record InFlightDatagram(long sentAtMicros, int from, int to, byte[] payload) {
         @Override
         public String toString() {
-            return "the datagram of n" + from + " to n" + to;
+            return "datagram from n" + from + " to n" + to;
         }
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/AggregationModelChecker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/AggregationModelChecker.java
@@ -10,29 +10,30 @@
 import loadbalancer.testbed.modelcheck.AggregationClusterState.RateSince;
 
 /**
- * Checks a few balancers of {@link FleetLoadAggregator} under datagrams late by up to a step of
- * time, in any order, lost and duplicated, balancers that crash and start again, and a partition
- * into halves. In each state every record reports a total that its block had at the record's time
- * or later, apart from the time in transit, which a record's age leaves out; from a part of the
- * states, once faults end, all live balancers must come to know the total of the live ones.
+ * Checks {@link FleetLoadAggregator} with a few balancers. Datagrams are delayed by up to one time
+ * step, reordered, lost and duplicated, balancers crash and restart, and the fleet is partitioned
+ * into two halves. In each state every record must report a total that its block had at the
+ * record's time or later; the time in transit, which a record's age does not include, is allowed
+ * for. From some of the states, once faults end, all live balancers must learn the totals of the
+ * live balancers. Used by one thread.
  */
 public final class AggregationModelChecker
         implements StateSpaceSearch.Model<AggregationClusterState> {
     private static final long STEP_MICROS = AggregationTransitions.STEP_MICROS;
-    // How long after the last fault totals must be right
+    // Time after the last fault within which totals must become right.
     private static final long CONVERGENCE_MICROS = 2 * FleetLoadAggregator.EXPIRY_MICROS;
 
     private final BlockPartition blocks;
     private final AggregationTransitions transitions;
 
-    /** A bug built into the model, to show that the check finds it. */
+    /** A bug that a test injects to show that the check detects it. */
     public enum InjectedBug {
         NONE,
         /** A record's age decreases in transit. */
         REDUCE_AGE_IN_TRANSIT,
         /** Only the first balancer of a block reports. */
         ONLY_FIRST_REPORTS,
-        /** No datagrams go to blocks of which no current record is known. */
+        /** A balancer sends no datagrams to blocks of which it has no current record. */
         NEVER_PROBE_UNKNOWN_BLOCKS
     }
 
@@ -43,12 +44,12 @@
     }
 
     /**
-     * Explores by long random walks until that many distinct states were visited.
+     * Explores by long random walks until {@code maxStates} distinct states have been visited.
      *
-     * @param maxFaults upper bound of crashes, starts, partitions, losses and duplicates on one
-     *     path
-     * @param convergenceCheckInterval from one state in that many it is checked whether totals come
-     *     to be right
+     * @param maxFaults maximum number of crashes, restarts, partition changes, losses and
+     *     duplicates on one path
+     * @param stepsPerWalk number of steps of one walk
+     * @param convergenceCheckInterval convergence is checked from one in this many states
      */
     public CheckResult randomWalk(
             long maxStates,
@@ -60,7 +61,10 @@
                 .randomWalk(maxStates, maxFaults, stepsPerWalk, convergenceCheckInterval, seed);
     }
 
-    /** Explores from the newest state and from a random one in turn; see {@link #randomWalk}. */
+    /**
+     * Explores as often from the newest state as from a random one. The parameters are those of
+     * {@link #randomWalk}.
+     */
     public CheckResult explore(
             long maxStates, int maxFaults, int convergenceCheckInterval, long seed) {
         return new StateSpaceSearch<>(transitions, this)
@@ -76,7 +80,7 @@
         for (int member = 0; member < state.members().length; member++) {
             hash = hash * 1_000_003 + processHash(state, member);
         }
-        return Fingerprints.of(
+        return Fingerprints.combine(
                 hash,
                 state.inFlight(),
                 datagram ->
@@ -90,19 +94,17 @@
         return state.down()[member] ? 1 : state.members()[member].fingerprint(state.nowMicros());
     }
 
-    // ------------------------------------------------------------ checks
-
     @Override
     public String findViolation(AggregationClusterState before, AggregationClusterState state) {
         for (int member = 0; member < state.members().length; member++) {
             for (int block = 0; !state.down()[member] && block < blocks.blockCount(); block++) {
-                // Null where the member knows no total of the block
+                // Null if the member knows no total of the block.
                 FleetLoadAggregator.LoadTotal knownTotal =
                         state.members()[member].blockTotal(state.nowMicros(), block);
                 if (knownTotal != null && !isPossible(state, block, knownTotal)) {
                     return String.format(
                             Locale.ROOT,
-                            "n%d takes block %d to have had %s %d ms ago, and it had not since",
+                            "n%d knows for block %d the total %s of %d ms ago, which it has not had since",
                             member,
                             block,
                             Long.toBinaryString((long) knownTotal.requestsPerSecond()),
@@ -113,16 +115,16 @@
         return "";
     }
 
-    // A record is passed on a step after it arrived at the soonest, so that at most half of the
-    // time since it was made is transit, which its age leaves out.
+    // A record is forwarded one step after its arrival at the earliest, so that at most half of the
+    // time since it was made was spent in transit, which its age does not include.
     private static boolean isPossible(
             AggregationClusterState state, int block, FleetLoadAggregator.LoadTotal total) {
         long sinceMicros = state.nowMicros() - 2 * total.ageMicros() - STEP_MICROS;
         return hadRateSince(state, block, sinceMicros, (int) total.requestsPerSecond());
     }
 
-    // Whether a block had that total at that time or later. What a balancer reports of its own
-    // block may be as old as its latest tick.
+    // Returns whether a block had that total at that time or later. The total that a balancer
+    // reports of its own block may be as old as its latest tick.
     private static boolean hadRateSince(
             AggregationClusterState state, int block, long sinceMicros, int expectedBits) {
         List<RateSince> blockHistory = state.rateHistory().get(block);
@@ -138,7 +140,7 @@
         return false;
     }
 
-    // The halves are joined; balancers that are down stay down.
+    // The partition ends; balancers that are down stay down.
     @Override
     public String findConvergenceViolation(AggregationClusterState state) {
         FleetLoadAggregator[] members =
@@ -187,7 +189,7 @@
         }
         return String.format(
                 Locale.ROOT,
-                "n%d knows %s of block %d and %s live, %d ms after the last fault",
+                "n%d knows the total %s of block %d with live balancers %s, %d ms after the last fault",
                 member,
                 Integer.toBinaryString(knownBits),
                 block,
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/AggregationTransitions.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/AggregationTransitions.java
@@ -9,18 +9,19 @@
 import loadbalancer.testbed.modelcheck.AggregationModelChecker.InjectedBug;
 
 /**
- * The events of the model: datagrams arrive or are lost, time passes, balancers crash and start,
- * and the halves of the fleet are separated and joined. The order of successors is fixed, as it
- * decides what a seed visits. Immutable.
+ * The events of the aggregation model: datagrams arrive or are lost, time passes, balancers crash
+ * and restart, and a partition of the fleet begins or ends. The order of successors is fixed
+ * because it determines which states a seed visits. Immutable.
  */
 final class AggregationTransitions implements ClusterTransitions<AggregationClusterState> {
-    /** By how much time advances in one step, in µs. */
+    /** Duration of one time step in µs. */
     static final long STEP_MICROS = 250_000;
 
     private static final long START_MICROS = 1_000_000_000L;
-    // Beyond it the oldest datagrams are lost.
+    // The oldest datagrams are lost beyond this limit.
     private static final int MAX_IN_FLIGHT = 5;
-    // In a datagram, whose header is 4 bytes: a record is its block, its age and three more bytes
+    // A datagram has a header of 4 bytes. A record consists of a byte for its block, a byte for its
+    // age and three more bytes.
     private static final int FIRST_AGE_OFFSET = 5;
     private static final int RECORD_BYTES = 5;
     private static final int AGE_REDUCTION = 10;
@@ -54,12 +55,12 @@
                 maxFaults,
                 rateHistory,
                 null,
-                "all start");
+                "all processes start");
     }
 
     /**
-     * The total of a block's live balancers. Each balancer's rate is a bit of its own, so that a
-     * total shows whose rates it contains.
+     * Returns the total of a block's live balancers. The rate of each balancer is a distinct bit,
+     * so that a total shows which balancers it includes.
      */
     int rateBits(int block, boolean[] down) {
         int bits = 0;
@@ -87,14 +88,12 @@
         return successors;
     }
 
-    private static AggregationClusterBuilder changeByFault(AggregationClusterState state) {
+    private static AggregationClusterBuilder builderWithFault(AggregationClusterState state) {
         AggregationClusterBuilder builder = new AggregationClusterBuilder(state);
         builder.consumeFault();
         return builder;
     }
 
-    // ------------------------------------------------------------ datagrams
-
     @Override
     public boolean canArrive(AggregationClusterState state, int index) {
         return true;
@@ -111,15 +110,15 @@
             builder.removeDatagram(index);
         }
         if (state.down()[datagram.to()] || isSeparated(state, datagram.from(), datagram.to())) {
-            return builder.build(datagram + " finds nobody");
+            return builder.build(datagram + " is not received: recipient down or partitioned");
         }
         receive(builder.copyMember(datagram.to()), state.nowMicros(), datagram);
-        return builder.build(datagram + ClusterTransitions.arrival(duplicated));
+        return builder.build(datagram + ClusterTransitions.describeArrival(duplicated));
     }
 
     @Override
     public AggregationClusterState lose(AggregationClusterState state, int index) {
-        AggregationClusterBuilder builder = changeByFault(state);
+        AggregationClusterBuilder builder = builderWithFault(state);
         builder.removeDatagram(index);
         return builder.build(state.inFlight().get(index) + " is lost");
     }
@@ -129,7 +128,7 @@
         return state.partitioned() && (first < half) != (second < half);
     }
 
-    /** A balancer receives a datagram; an injected bug changes the ages in it. */
+    /** Delivers a datagram to a balancer; an injected bug may change the ages in it. */
     void receive(FleetLoadAggregator recipient, long nowMicros, InFlightDatagram datagram) {
         byte[] payload = datagram.payload();
         if (injectedBug == InjectedBug.REDUCE_AGE_IN_TRANSIT) {
@@ -141,12 +140,10 @@
         recipient.onDatagram(nowMicros, datagram.from(), payload);
     }
 
-    // ------------------------------------------------------------ time and faults
-
     private AggregationClusterState advanceTime(AggregationClusterState state) {
         AggregationClusterBuilder builder = new AggregationClusterBuilder(state);
         builder.advanceTime(STEP_MICROS);
-        // A datagram is late by a step at most.
+        // A datagram is delayed by one step at most.
         List<InFlightDatagram> inFlight =
                 new ArrayList<>(
                         state.inFlight().stream()
@@ -165,7 +162,7 @@
         return builder.build("time passes");
     }
 
-    /** A balancer sends its reports, which are added to those in flight. */
+    /** Runs a balancer's tick and adds the datagrams that it sends to those in flight. */
     void tick(
             FleetLoadAggregator aggregator,
             boolean[] down,
@@ -185,7 +182,7 @@
                 });
     }
 
-    // By an injected bug
+    // Returns whether an injected bug prevents a datagram from being sent.
     private boolean isSuppressed(
             FleetLoadAggregator sender, int member, int recipient, long nowMicros) {
         return switch (injectedBug) {
@@ -198,7 +195,7 @@
     }
 
     private AggregationClusterState toggleMember(AggregationClusterState state, int member) {
-        AggregationClusterBuilder builder = changeByFault(state);
+        AggregationClusterBuilder builder = builderWithFault(state);
         boolean down = !state.down()[member];
         builder.setDown(member, down);
         if (!down) {
@@ -210,9 +207,8 @@
     }
 
     private static AggregationClusterState togglePartition(AggregationClusterState state) {
-        AggregationClusterBuilder builder = changeByFault(state);
+        AggregationClusterBuilder builder = builderWithFault(state);
         builder.togglePartition();
-        return builder.build(
-                state.partitioned() ? "the halves are joined" : "the halves are cut apart");
+        return builder.build(state.partitioned() ? "the partition ends" : "a partition begins");
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/CheckResult.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/CheckResult.java
@@ -5,9 +5,9 @@
 /**
  * The result of a model check.
  *
- * @param statesExplored number of distinct states visited
+ * @param statesExplored number of distinct states that were visited
  * @param convergenceChecks number of states from which convergence was checked
- * @param violation the first violation found; empty if there is none
+ * @param violation describes the first violation found; empty if there is none
  * @param trace the steps that led to the violation, oldest first; empty if there is none
  */
 public record CheckResult(
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/ClusterBuilder.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/ClusterBuilder.java
@@ -1,24 +1,24 @@
 package loadbalancer.testbed.modelcheck;
 
 /**
- * A state in the making: what the builders of all models have in common. Begins as a copy of a
- * state, which it leaves unchanged.
+ * Builds a successor of a state, which remains unchanged. This class holds what the builders of all
+ * models have in common. Used by one thread.
  *
- * @param <W> a state of the model
+ * @param <S> type of the model's states
  */
-abstract class ClusterBuilder<W extends StateSpaceSearch.State<W>> {
-    private final W base;
+abstract class ClusterBuilder<S extends StateSpaceSearch.State<S>> {
+    private final S base;
     private long nowMicros;
     private int remainingFaults;
 
-    ClusterBuilder(W base) {
+    ClusterBuilder(S base) {
         this.base = base;
         nowMicros = base.nowMicros();
         remainingFaults = base.remainingFaults();
     }
 
-    /** The state that it began as, which precedes the one in the making. */
-    final W base() {
+    /** Returns the state that precedes the one being built. */
+    final S base() {
         return base;
     }
 
@@ -34,13 +34,13 @@
         return remainingFaults;
     }
 
-    /** One fault less may follow. */
+    /** Reduces the number of faults that may still happen by one. */
     final void consumeFault() {
         remainingFaults--;
     }
 
-    /** Returns a copy of flags in which one is changed. */
-    static boolean[] with(boolean[] flags, int index, boolean value) {
+    /** Returns a copy of the flags with one of them set to the value. */
+    static boolean[] copyWith(boolean[] flags, int index, boolean value) {
         boolean[] changed = flags.clone();
         changed[index] = value;
         return changed;
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/ClusterTransitions.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/ClusterTransitions.java
@@ -3,30 +3,41 @@
 import java.util.List;
 
 /**
- * The transitions of a model: its initial state, and from a state each state that one event leads
- * to. All models have the events of messages in common: each in flight may arrive, be lost, or
- * arrive and remain in flight as a duplicate. Loss and duplication are faults.
+ * The transitions of a model: its initial state, and the successors of each state, one for each
+ * possible event. Message events are common to all models: a message in flight may arrive, be lost,
+ * or arrive and remain in flight as a duplicate. Loss and duplication are faults.
  *
- * @param <W> a state of the model
+ * @param <S> type of the model's states
  */
-interface ClusterTransitions<W extends StateSpaceSearch.State<W>> {
-    /** The state in which all processes have just started, after which faults may happen. */
-    W initialState(int maxFaults);
-
-    /** The states that one event leads to; their order decides what a seed visits. */
-    List<W> successors(W state);
-
-    /** Whether the message at an index in flight can arrive now; its recipient may have crashed. */
-    boolean canArrive(W state, int index);
-
-    /** The message arrives; {@code duplicated}: by a fault it remains in flight as well. */
-    W deliver(W state, int index, boolean duplicated);
-
-    /** The message is lost by a fault. */
-    W lose(W state, int index);
-
-    /** Adds the successors by events of messages. */
-    default void addMessageEvents(W state, int messageCount, List<W> successors) {
+interface ClusterTransitions<S extends StateSpaceSearch.State<S>> {
+    /**
+     * Returns the state in which all processes have just started.
+     *
+     * @param maxFaults maximum number of faults on a path from this state
+     */
+    S initialState(int maxFaults);
+
+    /** Returns the successors, whose order determines which states a seed visits. */
+    List<S> successors(S state);
+
+    /**
+     * Returns whether the message at the index in flight can arrive now. The recipient may have
+     * crashed.
+     */
+    boolean canArrive(S state, int index);
+
+    /**
+     * Returns the state after the message arrives.
+     *
+     * @param duplicated whether the message also remains in flight, which is a fault
+     */
+    S deliver(S state, int index, boolean duplicated);
+
+    /** Returns the state after the message is lost, which is a fault. */
+    S lose(S state, int index);
+
+    /** Adds the successors that result from message events. */
+    default void addMessageEvents(S state, int messageCount, List<S> successors) {
         for (int index = 0; index < messageCount; index++) {
             boolean canArrive = canArrive(state, index);
             if (canArrive) {
@@ -41,8 +52,8 @@
         }
     }
 
-    /** Describes how a message arrives, for the trace. */
-    static String arrival(boolean duplicated) {
-        return duplicated ? " arrives, and will once more" : " arrives";
+    /** Returns the description of a message's arrival for the trace. */
+    static String describeArrival(boolean duplicated) {
+        return duplicated ? " arrives, with a duplicate left in flight" : " arrives";
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseClusterBuilder.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseClusterBuilder.java
@@ -9,12 +9,12 @@
 import loadbalancer.testbed.modelcheck.LeaseModelChecker.InjectedBug;
 
 /**
- * A state in the making. Begins as a copy of a state, which it leaves unchanged, and records the
- * first invariant that the lease managers' actions break. After {@link #build} it may be changed
- * and built again.
+ * Builds a successor of a state, which remains unchanged. Performs the actions of the lease
+ * managers and records the latest violation of an invariant by them. The builder may be changed and
+ * built again after {@link #build}. Used by one thread.
  */
 final class LeaseClusterBuilder extends ClusterBuilder<LeaseClusterState> {
-    // Beyond it the oldest protocol messages are lost.
+    // The oldest protocol messages are lost beyond this limit.
     private static final int MAX_IN_FLIGHT = 9;
 
     private final LeaseMembers members;
@@ -25,7 +25,7 @@
     private final LeaseManager.Persist[] pendingWrites;
     private final long[] highestObservedEpochs;
     private final boolean[] believesHolder;
-    // Shared with the base until changed
+    // Shared with the base until changed.
     private boolean[] down;
     private boolean[] paused;
     private boolean[] standby;
@@ -52,20 +52,20 @@
         highestEpochHolder = base.highestEpochHolder();
     }
 
-    // ------------------------------------------------------------ faults
-
-    /** The process of a member ends; the write in progress is lost. */
+    /** Crashes a member's process, which loses the write in progress. */
     void crash(int member) {
-        down = with(down, member, true);
+        down = copyWith(down, member, true);
         pendingWrites[member] = null;
         believesHolder[member] = false;
     }
 
-    /** The process of a member starts with that content of its disk; null: empty. */
+    /**
+     * Restarts a member's process; {@code promises} are those on its disk, null for an empty one.
+     */
     void restart(int member, List<VoterPromise> promises) {
-        down = with(down, member, false);
-        paused = with(paused, member, false);
-        standby = with(standby, member, false);
+        down = copyWith(down, member, false);
+        paused = copyWith(paused, member, false);
+        standby = copyWith(standby, member, false);
         views = views.clone();
         views[member] = members.completeView();
         managers[member] = members.start(member, promises, nowMicros());
@@ -74,21 +74,22 @@
         highestObservedEpochs[member] = 0;
     }
 
+    /** Pauses or resumes a member's process. */
     void togglePaused(int member) {
-        paused = with(paused, member, !paused[member]);
+        paused = copyWith(paused, member, !paused[member]);
     }
 
-    /** A member is asked to take no lease, or to take leases again. */
+    /** Puts a member on standby, in which it acquires no lease, or ends its standby. */
     void toggleStandby(int member) {
-        standby = with(standby, member, !standby[member]);
+        standby = copyWith(standby, member, !standby[member]);
         long clockMicros = clockMicros(member);
         perform(member, copyManager(member).setDraining(clockMicros, standby[member]));
     }
 
-    /** A member changes its mind about whether another is present. */
+    /** Changes whether a member considers another one present. */
     void toggleView(int member, int other) {
         views = views.clone();
-        views[member] = with(views[member], other, !views[member][other]);
+        views[member] = copyWith(views[member], other, !views[member][other]);
         boolean[] view = views[member];
         long clockMicros = clockMicros(member);
         perform(
@@ -97,7 +98,8 @@
     }
 
     /**
-     * Ends all faults: whoever is down starts, nobody is paused, on standby or taken to be absent.
+     * Ends all faults: restarts members that are down, and ends all pauses, standbys and wrong
+     * views.
      */
     void endAllFaults() {
         boolean[] wasDown = down;
@@ -118,13 +120,11 @@
         }
     }
 
-    // ------------------------------------------------------------ members
-
     private long clockMicros(int member) {
         return members.clockMicros(member, nowMicros());
     }
 
-    // The manager is copied unless it belongs to this builder already.
+    // Copies the manager unless this builder has done so already.
     private LeaseManager copyManager(int member) {
         if (managers[member] == base().managers()[member]) {
             managers[member] = new LeaseManager(managers[member]);
@@ -139,19 +139,19 @@
         }
     }
 
-    /** Takes a message out of flight. */
+    /** Removes a message from those in flight. */
     void remove(LeaseInFlight message) {
         inFlight.remove(message);
     }
 
-    /** Takes all messages out of flight and returns them, oldest first. */
+    /** Removes all messages in flight and returns them, oldest first. */
     List<LeaseInFlight> removeAll() {
         List<LeaseInFlight> removed = new ArrayList<>(inFlight);
         inFlight.clear();
         return removed;
     }
 
-    /** The recipient handles a message of the protocol. */
+    /** Delivers a message of the lease protocol to its recipient. */
     void deliver(LeaseInFlight.ProtocolMessage message) {
         int to = message.to();
         perform(
@@ -159,7 +159,10 @@
                 copyManager(to).onPeerMessage(clockMicros(to), message.from(), message.payload()));
     }
 
-    /** The recipient accepts a holder's action unless its fencing guard has seen a newer epoch. */
+    /**
+     * Delivers a holder's action, which the recipient accepts unless its fencing guard has seen a
+     * newer epoch.
+     */
     void deliver(LeaseInFlight.FencedAction action) {
         int to = action.to();
         boolean accepted = copyManager(to).fencingGuard().accept(LeaseMembers.SLOT, action.epoch());
@@ -170,7 +173,7 @@
             violation =
                     String.format(
                             Locale.ROOT,
-                            "n%d takes a word under epoch %d after one under %d",
+                            "n%d accepts an action under epoch %d after one under epoch %d",
                             to,
                             action.epoch(),
                             highestObservedEpochs[to]);
@@ -178,8 +181,8 @@
         highestObservedEpochs[to] = action.epoch();
     }
 
-    /** A member acts under an epoch towards all others. */
-    void act(int member, long epoch) {
+    /** Sends an action of a member under an epoch to all other members. */
+    void sendActions(int member, long epoch) {
         for (int recipient = 0; recipient < members.count(); recipient++) {
             if (recipient != member) {
                 add(new LeaseInFlight.FencedAction(member, recipient, epoch));
@@ -187,7 +190,7 @@
         }
     }
 
-    /** The write in progress ends, and its process is notified. */
+    /** Completes the write in progress and notifies the lease manager. */
     void completeWrite(int member, boolean succeeded) {
         LeaseManager.Persist write = pendingWrites[member];
         pendingWrites[member] = null;
@@ -204,7 +207,9 @@
         }
     }
 
-    /** The write in progress, if any, succeeds; the copy before it is not kept. */
+    /**
+     * Completes the write in progress, if any, with success. The previous disk content is not kept.
+     */
     void completeWriteIfPending(int member) {
         LeaseManager.Persist write = pendingWrites[member];
         pendingWrites[member] = null;
@@ -216,8 +221,6 @@
         }
     }
 
-    // ------------------------------------------------------------ actions of the lease managers
-
     private void perform(int member, List<LeaseManager.Action> actions) {
         for (LeaseManager.Action action : actions) {
             if (action instanceof LeaseManager.Send send) {
@@ -243,7 +246,7 @@
             violation =
                     String.format(
                             Locale.ROOT,
-                            "n%d holds it under epoch %d, and n%d held it under %d",
+                            "n%d acquired the lease under epoch %d after n%d acquired it under epoch %d",
                             member,
                             epoch,
                             highestEpochHolder,
@@ -259,7 +262,7 @@
         if (members.hasBug(InjectedBug.MAJORITY_OF_PRESENT)
                 && message.kind() == LeaseMessage.Kind.REQUEST
                 && !views[member][send.to()]) {
-            grantInPlaceOf(send.to(), member, message);
+            simulateGrant(send.to(), member, message);
             return;
         }
         if (message.kind() == LeaseMessage.Kind.GRANTED) {
@@ -268,8 +271,8 @@
         add(new LeaseInFlight.ProtocolMessage(member, send.to(), message));
     }
 
-    // MAJORITY_OF_PRESENT: an absent member counts as if it had granted the request.
-    private void grantInPlaceOf(int absentMember, int member, LeaseMessage request) {
+    // Implements MAJORITY_OF_PRESENT: an absent member counts as if it had granted the request.
+    private void simulateGrant(int absentMember, int member, LeaseMessage request) {
         LeaseMessage grant =
                 new LeaseMessage(
                         LeaseMessage.Kind.GRANTED,
@@ -288,7 +291,7 @@
                 violation =
                         String.format(
                                 Locale.ROOT,
-                                "n%d tells that it granted epoch %d, and a crash now would undo it",
+                                "n%d sends a grant of epoch %d, which is not on its disk",
                                 member,
                                 entry.epoch());
             }
@@ -299,7 +302,7 @@
         inFlight.add(message);
         int index = 0;
         while (inFlight.size() > MAX_IN_FLIGHT && index < inFlight.size()) {
-            // Late actions stay: the fencing guard is for them.
+            // Late actions remain in flight because they test the fencing guard.
             if (inFlight.get(index) instanceof LeaseInFlight.FencedAction) {
                 index++;
             } else {
@@ -308,11 +311,12 @@
         }
     }
 
-    /** The highest epoch under which the lease was acquired. */
+    /** Returns the highest epoch under which the lease was acquired. */
     long highestEpoch() {
         return highestEpoch;
     }
 
+    /** Returns the new state, whose predecessor is the base; {@code step} describes the event. */
     LeaseClusterState build(String step) {
         return new LeaseClusterState(
                 managers,
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseInFlight.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseInFlight.java
@@ -3,34 +3,33 @@
 import java.util.Arrays;
 import loadbalancer.lease.LeaseMessage;
 
-/** Something on its way from one member to another. */
+/** A protocol message or an action in flight from one member to another. */
 sealed interface LeaseInFlight {
-    /** The sender. */
+    /** Returns the sender. */
     int from();
 
-    /** The recipient. */
+    /** Returns the recipient. */
     int to();
 
-    /** What distinguishes it from others between the same two members. */
+    /** Returns a hash that distinguishes messages between the same two members. */
     long contentHash();
 
     /** A message of the lease protocol. */
     record ProtocolMessage(int from, int to, LeaseMessage payload) implements LeaseInFlight {
         @Override
         public long contentHash() {
-            // Of the bytes: an enum's own hash differs from one JVM to the next, and with it would
-            // the
-            // states that a seed visits.
+            // Hashes the encoded bytes because the hash of an enum value differs between JVMs, and
+            // with it the set of states that a seed visits would differ.
             return Arrays.hashCode(payload.encode());
         }
 
         @Override
         public String toString() {
-            return payload.kind() + " of n" + from + " to n" + to;
+            return payload.kind() + " from n" + from + " to n" + to;
         }
     }
 
-    /** An action of a lease holder, which recipients accept or reject by its epoch. */
+    /** An action of a lease holder, which the recipient accepts or rejects by its epoch. */
     record FencedAction(int from, int to, long epoch) implements LeaseInFlight {
         @Override
         public long contentHash() {
@@ -39,7 +38,7 @@
 
         @Override
         public String toString() {
-            return "act under " + epoch + " of n" + from + " to n" + to;
+            return "action under epoch " + epoch + " from n" + from + " to n" + to;
         }
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseMembers.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseMembers.java
@@ -9,17 +9,17 @@
 import loadbalancer.testbed.modelcheck.LeaseModelChecker.InjectedBug;
 
 /**
- * The members of the model: their clocks, which run at different rates and offsets, how a process
- * starts, and when a member may act. Immutable.
+ * Properties of the members of the lease model: their clocks, which have different rates and
+ * offsets, the start of their processes, and the epochs under which they act. Immutable.
  */
 final class LeaseMembers {
-    // Of the model's only slot
+    // The only slot of the model.
     static final int SLOT = 0;
 
     private static final long WALL_CLOCK_EPOCH_MS = 1_000_000;
     private static final long CLOCK_OFFSET_MICROS = 7_200_000_000L;
     private static final int[] CLOCK_RATES_PERCENT = {105, 95, 100, 97, 103};
-    // MARGIN_TOO_SMALL: clocks deviate by more than the timing's margin allows
+    // With MARGIN_TOO_SMALL, clocks deviate by more than the timing's margin allows.
     private static final int EXCESSIVE_CLOCK_DEVIATION_FACTOR = 3;
 
     private final int count;
@@ -44,7 +44,7 @@
         return injectedBug == bug;
     }
 
-    /** A member's monotonic clock in µs at a time of the model. */
+    /** Returns a member's monotonic clock in µs at a time of the model in µs. */
     long clockMicros(int member, long nowMicros) {
         int deviationFactor =
                 hasBug(InjectedBug.MARGIN_TOO_SMALL) ? EXCESSIVE_CLOCK_DEVIATION_FACTOR : 1;
@@ -74,14 +74,14 @@
         return manager;
     }
 
-    /** A view in which all members are present. */
+    /** Returns a view in which all members are present. */
     boolean[] completeView() {
         boolean[] view = new boolean[count];
         Arrays.fill(view, true);
         return view;
     }
 
-    /** The epoch under which a member would act now; 0: it would not. */
+    /** Returns the epoch under which a member may act now, or 0 if it may not act. */
     long actingEpoch(LeaseClusterState state, int member) {
         if (hasBug(InjectedBug.SKIP_EXPIRY_CHECK)) {
             return state.believesHolder()[member] ? state.highestEpoch() : 0;
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseModelChecker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseModelChecker.java
@@ -7,25 +7,26 @@
 import loadbalancer.lease.VoterPromise;
 
 /**
- * Checks a few members of {@link LeaseManager} and one slot under messages in any order, lost and
- * duplicated; disks that are slow, fail, or come back empty or older; crashes and pauses; clocks up
- * to 5% fast or slow and hours apart; views of who is present that are wrong.
+ * Checks {@link LeaseManager} with a few members and one slot. Messages are reordered, lost and
+ * duplicated; disk writes are slow or fail, and disks are empty or have older content after a
+ * restart; processes crash and pause; clocks are up to 5% fast or slow and hours apart; membership
+ * views are wrong.
  *
- * <p>In each state at most one member may act, epochs have not decreased, and no member has
- * accepted an action under an older epoch after one under a newer. Some time after the last fault
- * there is a stable holder again.
+ * <p>In each state at most one member may act, epochs must not have decreased, and no member may
+ * have accepted an action under an older epoch after one under a newer epoch. Some time after the
+ * last fault there must be a stable holder again. Used by one thread.
  */
 public final class LeaseModelChecker implements StateSpaceSearch.Model<LeaseClusterState> {
     private static final long STEP_MICROS = LeaseTransitions.STEP_MICROS;
-    // How long after the last fault a holder must exist, in lease durations
+    // Time after the last fault within which a holder must exist, in lease durations.
     private static final int CONVERGENCE_LEASES = 12;
-    // The last part of that, in which the lease must not be transferred
+    // Final part of the convergence time, in lease durations, in which the epoch must not change.
     private static final int STABLE_LEASES = 4;
 
     private final LeaseMembers members;
     private final LeaseTransitions transitions;
 
-    /** A bug built into the model, to show that the check finds it. */
+    /** A bug that a test injects to show that the check detects it. */
     public enum InjectedBug {
         NONE,
         SKIP_WAIT_AFTER_START,
@@ -39,7 +40,7 @@
     /**
      * Creates a checker.
      *
-     * @param timing with one slot; short times make more happen within few steps
+     * @param timing timing with one slot; short times cause more events within few steps
      */
     public LeaseModelChecker(int memberCount, LeaseTiming timing, InjectedBug injectedBug) {
         members = new LeaseMembers(memberCount, timing, injectedBug);
@@ -47,12 +48,12 @@
     }
 
     /**
-     * Explores until that many distinct states were visited.
+     * Explores by random walks until {@code maxStates} distinct states have been visited.
      *
-     * @param stepsPerWalk length of one random walk from the start
-     * @param maxFaults upper bound of crashes, losses, pauses, wrong views and the like on one path
-     * @param convergenceCheckInterval from one state in that many it is checked whether there is a
-     *     holder in the end
+     * @param stepsPerWalk number of steps of one random walk from the initial state
+     * @param maxFaults maximum number of faults (crashes, losses, pauses, wrong views and others)
+     *     on one path
+     * @param convergenceCheckInterval convergence is checked from one in this many states
      */
     public CheckResult explore(
             long maxStates,
@@ -80,7 +81,7 @@
             List<VoterPromise> promises = state.persisted().get(member);
             hash = hash * 31 + (promises == null ? 0 : promises.hashCode());
         }
-        return Fingerprints.of(
+        return Fingerprints.combine(
                 hash,
                 state.inFlight(),
                 message ->
@@ -105,7 +106,7 @@
         for (int member = 0; member < members.count(); member++) {
             if (!state.down()[member] && members.actingEpoch(state, member) > 0) {
                 if (holder >= 0) {
-                    return "n" + holder + " and n" + member + " may both act";
+                    return "n" + holder + " and n" + member + " may both act as holder";
                 }
                 holder = member;
             }
@@ -132,9 +133,9 @@
             builder.advanceTime(STEP_MICROS);
         }
         if (builder.highestEpoch() != stableEpoch) {
-            return "epoch "
+            return "the epoch changed from "
                     + stableEpoch
-                    + " became "
+                    + " to "
                     + builder.highestEpoch()
                     + " long after the last fault";
         }
@@ -144,10 +145,12 @@
                 return "";
             }
         }
-        return "nobody holds it " + CONVERGENCE_LEASES + " leases after the last fault";
+        return "no member holds the lease "
+                + CONVERGENCE_LEASES
+                + " lease durations after the last fault";
     }
 
-    // Messages arrive and writes succeed within one step; nobody acts as a holder.
+    // Messages arrive and writes succeed within one step; no holder's actions are delivered.
     private void runFaultFreeStep(LeaseClusterBuilder builder) {
         for (LeaseInFlight message : builder.removeAll()) {
             if (message instanceof LeaseInFlight.ProtocolMessage protocolMessage) {
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseTransitions.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/LeaseTransitions.java
@@ -6,11 +6,13 @@
 import loadbalancer.lease.VoterPromise;
 
 /**
- * The transitions of the lease model: from a state to each state that one event leads to. The order
- * of successors is part of the search's result for a seed.
+ * The events of the lease model: messages and actions arrive or are lost, time passes, writes
+ * complete, holders act, and processes crash, restart, pause, enter or leave standby and change
+ * their membership views. The order of successors is fixed because it determines which states a
+ * seed visits. Immutable.
  */
 final class LeaseTransitions implements ClusterTransitions<LeaseClusterState> {
-    /** By how much time advances in one step, in µs. */
+    /** Duration of one time step in µs. */
     static final long STEP_MICROS = 10_000;
 
     private final LeaseMembers members;
@@ -48,7 +50,7 @@
                 0,
                 maxFaults,
                 null,
-                "all start");
+                "all processes start");
     }
 
     @Override
@@ -66,18 +68,16 @@
         return successors;
     }
 
-    private LeaseClusterBuilder change(LeaseClusterState state) {
+    private LeaseClusterBuilder newBuilder(LeaseClusterState state) {
         return new LeaseClusterBuilder(members, state);
     }
 
-    private LeaseClusterBuilder changeByFault(LeaseClusterState state) {
-        LeaseClusterBuilder builder = change(state);
+    private LeaseClusterBuilder builderWithFault(LeaseClusterState state) {
+        LeaseClusterBuilder builder = newBuilder(state);
         builder.consumeFault();
         return builder;
     }
 
-    // ------------------------------------------------------------ messages
-
     @Override
     public boolean canArrive(LeaseClusterState state, int index) {
         return !state.paused()[state.inFlight().get(index).to()];
@@ -86,35 +86,33 @@
     @Override
     public LeaseClusterState deliver(LeaseClusterState state, int index, boolean duplicated) {
         LeaseInFlight message = state.inFlight().get(index);
-        LeaseClusterBuilder builder = change(state);
+        LeaseClusterBuilder builder = newBuilder(state);
         if (duplicated) {
             builder.consumeFault();
         } else {
             builder.remove(message);
         }
         if (state.down()[message.to()]) {
-            return builder.build(message + " finds nobody");
+            return builder.build(message + " is not received: recipient down");
         }
         if (message instanceof LeaseInFlight.ProtocolMessage protocolMessage) {
             builder.deliver(protocolMessage);
         } else if (message instanceof LeaseInFlight.FencedAction action) {
             builder.deliver(action);
         }
-        return builder.build(message + ClusterTransitions.arrival(duplicated));
+        return builder.build(message + ClusterTransitions.describeArrival(duplicated));
     }
 
     @Override
     public LeaseClusterState lose(LeaseClusterState state, int index) {
         LeaseInFlight message = state.inFlight().get(index);
-        LeaseClusterBuilder builder = changeByFault(state);
+        LeaseClusterBuilder builder = builderWithFault(state);
         builder.remove(message);
         return builder.build(message + " is lost");
     }
 
-    // ------------------------------------------------------------ time and processes
-
     private LeaseClusterState advanceTime(LeaseClusterState state) {
-        LeaseClusterBuilder builder = change(state);
+        LeaseClusterBuilder builder = newBuilder(state);
         builder.advanceTime(STEP_MICROS);
         for (int member = 0; member < members.count(); member++) {
             if (!state.down()[member] && !state.paused()[member]) {
@@ -132,14 +130,13 @@
         List<VoterPromise> promises = state.persisted().get(member);
         List<VoterPromise> olderPromises = state.previouslyPersisted().get(member);
         successors.add(restart(state, member, promises, "starts again"));
-        successors.add(restart(state, member, null, "starts with its disk emptied"));
-        successors.add(
-                restart(state, member, olderPromises, "starts with an older copy of its disk"));
+        successors.add(restart(state, member, null, "starts with an empty disk"));
+        successors.add(restart(state, member, olderPromises, "starts with older disk content"));
     }
 
     private LeaseClusterState restart(
             LeaseClusterState state, int member, List<VoterPromise> promises, String description) {
-        LeaseClusterBuilder builder = changeByFault(state);
+        LeaseClusterBuilder builder = builderWithFault(state);
         builder.restart(member, promises);
         return builder.build("n" + member + " " + description);
     }
@@ -154,7 +151,7 @@
             }
         }
         if (!state.paused()[member] && members.actingEpoch(state, member) > 0) {
-            addAction(state, member, successors);
+            addActionEvent(state, member, successors);
         }
         if (faultsRemain) {
             addProcessFaults(state, member, successors);
@@ -163,53 +160,54 @@
 
     private LeaseClusterState completeWrite(
             LeaseClusterState state, int member, boolean succeeded) {
-        LeaseClusterBuilder builder = succeeded ? change(state) : changeByFault(state);
+        LeaseClusterBuilder builder = succeeded ? newBuilder(state) : builderWithFault(state);
         builder.completeWrite(member, succeeded);
-        String outcome = succeeded ? " has kept its promises" : " could not keep its promises";
+        String outcome =
+                succeeded ? " has persisted its promises" : " failed to persist its promises";
         return builder.build("n" + member + outcome);
     }
 
-    // Few actions at a time: more would displace the messages by which leases are granted.
-    private void addAction(
+    // Limits the actions in flight; more would displace the messages by which leases are granted.
+    private void addActionEvent(
             LeaseClusterState state, int member, List<LeaseClusterState> successors) {
         long actionsInFlight =
                 state.inFlight().stream()
                         .filter(LeaseInFlight.FencedAction.class::isInstance)
                         .count();
         if (actionsInFlight < members.count()) {
-            LeaseClusterBuilder builder = change(state);
-            builder.act(member, members.actingEpoch(state, member));
-            successors.add(builder.build("n" + member + " acts"));
+            LeaseClusterBuilder builder = newBuilder(state);
+            builder.sendActions(member, members.actingEpoch(state, member));
+            successors.add(builder.build("n" + member + " acts as holder"));
         }
     }
 
     private void addProcessFaults(
             LeaseClusterState state, int member, List<LeaseClusterState> successors) {
         boolean paused = state.paused()[member];
-        LeaseClusterBuilder crash = changeByFault(state);
+        LeaseClusterBuilder crash = builderWithFault(state);
         crash.crash(member);
         successors.add(crash.build("n" + member + " crashes"));
-        LeaseClusterBuilder pause = changeByFault(state);
+        LeaseClusterBuilder pause = builderWithFault(state);
         pause.togglePaused(member);
-        successors.add(pause.build("n" + member + (paused ? " goes on" : " stands still")));
+        successors.add(pause.build("n" + member + (paused ? " is resumed" : " is paused")));
         if (paused) {
             return;
         }
-        LeaseClusterBuilder standby = changeByFault(state);
+        LeaseClusterBuilder standby = builderWithFault(state);
         standby.toggleStandby(member);
         successors.add(
                 standby.build(
                         "n"
                                 + member
                                 + (state.standby()[member]
-                                        ? " wants leases again"
-                                        : " is on standby")));
+                                        ? " leaves standby"
+                                        : " enters standby")));
         for (int other = 0; other < members.count(); other++) {
             if (other != member) {
-                LeaseClusterBuilder view = changeByFault(state);
+                LeaseClusterBuilder view = builderWithFault(state);
                 view.toggleView(member, other);
-                String change = state.views()[member][other] ? " absent" : " present";
-                successors.add(view.build("n" + member + " takes n" + other + " to be" + change));
+                String presence = state.views()[member][other] ? " absent" : " present";
+                successors.add(view.build("n" + member + " considers n" + other + presence));
             }
         }
     }
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/MembershipClusterBuilder.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/MembershipClusterBuilder.java
@@ -5,12 +5,12 @@
 import loadbalancer.membership.Membership;
 import loadbalancer.testbed.modelcheck.MembershipClusterState.InFlightMessage;
 
-/** A state in the making. Begins as a copy of a state, which it leaves unchanged. */
+/** Builds a successor of a state, which remains unchanged. Used by one thread. */
 final class MembershipClusterBuilder extends ClusterBuilder<MembershipClusterState> {
-    // Beyond it the oldest messages are lost.
+    // The oldest messages are lost beyond this limit.
     private static final int MAX_IN_FLIGHT = 6;
 
-    // Shared with the base until changed, as a search keeps a million states
+    // Shared with the base until changed, because a search keeps a million states in memory.
     private Membership[] members;
     private List<InFlightMessage> inFlight;
     private boolean[] down;
@@ -25,22 +25,22 @@
     }
 
     void removeMessage(int index) {
-        ownInFlight().remove(index);
+        mutableInFlight().remove(index);
     }
 
-    private List<InFlightMessage> ownInFlight() {
+    private List<InFlightMessage> mutableInFlight() {
         if (inFlight == base().inFlight()) {
             inFlight = new ArrayList<>(inFlight);
         }
         return inFlight;
     }
 
-    /** A member as it is before its next change. */
+    /** Returns a member's state machine, which must not be changed. */
     Membership member(int member) {
         return members[member];
     }
 
-    /** Replaces a member by a copy that may be changed. */
+    /** Replaces a member by a copy that may be changed, and returns the copy. */
     Membership copyMember(int member) {
         replaceMember(member, new Membership(members[member]));
         return members[member];
@@ -54,19 +54,19 @@
     }
 
     void setDown(int member, boolean newDown) {
-        down = with(down, member, newDown);
+        down = copyWith(down, member, newDown);
     }
 
     void setPaused(int member, boolean newPaused) {
-        paused = with(paused, member, newPaused);
+        paused = copyWith(paused, member, newPaused);
     }
 
-    /** Puts the messages of a member's actions in flight. */
+    /** Adds the messages that a member's actions send to those in flight. */
     void perform(int member, List<Membership.Action> actions) {
-        addMessages(ownInFlight(), member, actions);
+        addMessages(mutableInFlight(), member, actions);
     }
 
-    /** Adds the messages of a member's actions; the oldest are lost beyond a limit. */
+    /** Adds the messages that actions send; the oldest in flight are lost beyond a limit. */
     static void addMessages(
             List<InFlightMessage> inFlight, int from, List<Membership.Action> actions) {
         for (Membership.Action action : actions) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** The state, which follows the base; {@code step} is what led to it. */
+    /** Returns the new state, whose predecessor is the base; {@code step} describes the event. */
     MembershipClusterState build(String step) {
         return new MembershipClusterState(
                 members, down, paused, inFlight, nowMicros(), remainingFaults(), base(), step);
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/MembershipClusterState.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/MembershipClusterState.java
@@ -8,14 +8,14 @@
  * A state of all members and of the messages between them. The arrays are shared between states and
  * never modified; {@link MembershipClusterBuilder} copies what it changes.
  *
- * @param members by member
- * @param down by member: its process has crashed
- * @param paused by member: its process stands still
- * @param inFlight oldest first
- * @param nowMicros µs since the start
- * @param remainingFaults faults that may still happen after this state
- * @param previous the state before; null at the start
- * @param step what led here
+ * @param members the state machine of each member
+ * @param down for each member, whether its process has crashed
+ * @param paused for each member, whether its process is paused
+ * @param inFlight the messages in flight, oldest first
+ * @param nowMicros time in µs since the start
+ * @param remainingFaults number of faults that may still happen after this state
+ * @param previous the preceding state; null for the initial state
+ * @param step describes the event that led to this state
  */
 record MembershipClusterState(
         Membership[] members,
@@ -28,11 +28,11 @@
         String step)
         implements StateSpaceSearch.State<MembershipClusterState> {
 
-    /** A message on its way from one member to another. */
+    /** A message in flight from one member to another. */
     record InFlightMessage(int from, int to, MembershipMessage payload) {
         @Override
         public String toString() {
-            return payload.kind() + " of n" + from + " to n" + to;
+            return payload.kind() + " from n" + from + " to n" + to;
         }
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/MembershipModelChecker.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/MembershipModelChecker.java
@@ -11,32 +11,32 @@
 import loadbalancer.testbed.modelcheck.MembershipClusterState.InFlightMessage;
 
 /**
- * Checks a few members of {@link Membership} under messages delivered in any order, lost and
- * duplicated, and members that pause, crash and start again. In each state no incarnation that a
- * member knows has decreased; from a part of the states, once faults end, all live members must
- * come to agree that each other is present and that the rest is not.
+ * Checks {@link Membership} with a few members. Messages are reordered, lost and duplicated, and
+ * members pause, crash and restart. In each state no incarnation that a member knows may have
+ * decreased. From some of the states, once faults end, all live members must come to consider each
+ * other present and all others absent. Used by one thread.
  */
 public final class MembershipModelChecker
         implements StateSpaceSearch.Model<MembershipClusterState> {
     private static final long STEP_MICROS = MembershipTransitions.STEP_MICROS;
-    // How long after the last fault views must agree
+    // Time after the last fault within which views must agree.
     private static final long CONVERGENCE_MICROS = 6_000_000;
 
     private final int memberCount;
     private final MembershipTransitions transitions;
 
-    /** A bug built into the model, to show that the check finds it. */
+    /** A bug that a test injects to show that the check detects it. */
     public enum InjectedBug {
         NONE,
-        /** A member forgets all that it knows after a pause. */
+        /** A member loses its state after a pause. */
         LOSE_STATE,
-        /** A member ignores that others suspect it. */
+        /** A member ignores updates about itself, such as suspicions. */
         NEVER_REFUTE,
-        /** A member ignores those that it has declared dead. */
+        /** A member ignores messages from, and updates about, members that it considers dead. */
         NEVER_REVIVE
     }
 
-    /** Creates a checker; short times in {@code timing} make more happen within few steps. */
+    /** Creates a checker; short times in {@code timing} cause more events within few steps. */
     public MembershipModelChecker(
             int memberCount, MembershipTiming timing, InjectedBug injectedBug) {
         this.memberCount = memberCount;
@@ -44,11 +44,11 @@
     }
 
     /**
-     * Explores until that many distinct states were visited.
+     * Explores until {@code maxStates} distinct states have been visited.
      *
-     * @param maxFaults upper bound of crashes, pauses, losses and duplicates on one path
-     * @param convergenceCheckInterval from one state in that many it is checked whether views come
-     *     to agree
+     * @param maxFaults maximum number of faults (crashes, restarts, pauses, losses and duplicates)
+     *     on one path
+     * @param convergenceCheckInterval convergence is checked from one in this many states
      */
     public CheckResult explore(
             long maxStates, int maxFaults, int convergenceCheckInterval, long seed) {
@@ -62,7 +62,7 @@
         for (int member = 0; member < memberCount; member++) {
             hash = hash * 1_000_003 + processHash(state, member);
         }
-        return Fingerprints.of(
+        return Fingerprints.combine(
                 hash,
                 state.inFlight(),
                 message ->
@@ -80,8 +80,6 @@
                 + state.members()[member].fingerprint(state.nowMicros());
     }
 
-    // ------------------------------------------------------------ checks
-
     @Override
     public String findViolation(MembershipClusterState before, MembershipClusterState after) {
         for (int member = 0; member < memberCount; member++) {
@@ -107,7 +105,7 @@
             if (currentIncarnation < previousIncarnation) {
                 return String.format(
                         Locale.ROOT,
-                        "n%d holds incarnation %d of n%d, and held %d",
+                        "n%d knows incarnation %d of n%d, but knew %d before",
                         member,
                         currentIncarnation,
                         other,
@@ -117,7 +115,7 @@
         return "";
     }
 
-    // Members that are down stay down, pauses end, and messages take one step.
+    // Members that are down stay down, pauses end, and messages arrive within one step.
     @Override
     public String findConvergenceViolation(MembershipClusterState state) {
         Membership[] members =
@@ -161,10 +159,10 @@
     private static String describeDisagreement(int member, int other, boolean otherIsDown) {
         return String.format(
                 Locale.ROOT,
-                "n%d holds n%d%s after %d ms without a fault",
+                "n%d considers n%d%s after %d ms without a fault",
                 member,
                 other,
-                otherIsDown ? ", which is down, present" : " away, though it lives",
+                otherIsDown ? " present, though it is down" : " absent, though it is live",
                 CONVERGENCE_MICROS / 1000);
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/MembershipTransitions.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/MembershipTransitions.java
@@ -13,15 +13,16 @@
 import loadbalancer.testbed.modelcheck.MembershipModelChecker.InjectedBug;
 
 /**
- * The events of the model: messages arrive or are lost, time passes, members crash, start and
- * pause. The order of successors is fixed, as it decides what a seed visits. Immutable.
+ * The events of the membership model: messages arrive or are lost, time passes, and members crash,
+ * restart and pause. The order of successors is fixed because it determines which states a seed
+ * visits. Immutable.
  */
 final class MembershipTransitions implements ClusterTransitions<MembershipClusterState> {
-    /** By how much time advances in one step, in µs. */
+    /** Duration of one time step in µs. */
     static final long STEP_MICROS = 20_000;
 
     private static final long WALL_CLOCK_EPOCH_MS = 1_000_000;
-    // Of a start with the clock set back: peers know a higher incarnation
+    // The incarnation after a start with the clock set back; peers know a higher one.
     private static final long EARLY_INCARNATION = 1;
 
     private final int memberCount;
@@ -48,7 +49,7 @@
                 0,
                 maxFaults,
                 null,
-                "all start");
+                "all processes start");
     }
 
     private Membership newMember(int member, long incarnation, long nowMicros) {
@@ -68,14 +69,12 @@
         return successors;
     }
 
-    private static MembershipClusterBuilder changeByFault(MembershipClusterState state) {
+    private static MembershipClusterBuilder builderWithFault(MembershipClusterState state) {
         MembershipClusterBuilder builder = new MembershipClusterBuilder(state);
         builder.consumeFault();
         return builder;
     }
 
-    // ------------------------------------------------------------ messages
-
     @Override
     public boolean canArrive(MembershipClusterState state, int index) {
         return !state.paused()[state.inFlight().get(index).to()];
@@ -92,21 +91,21 @@
             builder.removeMessage(index);
         }
         if (state.down()[message.to()]) {
-            return builder.build(message + " finds nobody");
+            return builder.build(message + " is not received: recipient down");
         }
         Membership recipient = builder.copyMember(message.to());
         builder.perform(message.to(), receive(recipient, state.nowMicros(), message));
-        return builder.build(message + ClusterTransitions.arrival(duplicated));
+        return builder.build(message + ClusterTransitions.describeArrival(duplicated));
     }
 
     @Override
     public MembershipClusterState lose(MembershipClusterState state, int index) {
-        MembershipClusterBuilder builder = changeByFault(state);
+        MembershipClusterBuilder builder = builderWithFault(state);
         builder.removeMessage(index);
         return builder.build(state.inFlight().get(index) + " is lost");
     }
 
-    /** A member receives a message; injected bugs change what it gets to know of it. */
+    /** Delivers a message to a member; injected bugs remove updates from it or drop it. */
     List<Membership.Action> receive(Membership recipient, long nowMicros, InFlightMessage message) {
         MembershipMessage payload = message.payload();
         if (injectedBug == InjectedBug.NEVER_REFUTE) {
@@ -145,8 +144,6 @@
                 payload.updates().stream().filter(kept).toList());
     }
 
-    // ------------------------------------------------------------ time and processes
-
     private MembershipClusterState advanceTime(MembershipClusterState state) {
         MembershipClusterBuilder builder = new MembershipClusterBuilder(state);
         builder.advanceTime(STEP_MICROS);
@@ -170,17 +167,17 @@
     }
 
     private static MembershipClusterState crash(MembershipClusterState state, int member) {
-        MembershipClusterBuilder builder = changeByFault(state);
+        MembershipClusterBuilder builder = builderWithFault(state);
         builder.setDown(member, true);
         return builder.build("n" + member + " crashes");
     }
 
     private MembershipClusterState start(MembershipClusterState state, int member) {
-        // Each second start finds the clock set back.
+        // The clock is set back if the number of remaining faults is even.
         boolean clockSetBack = state.remainingFaults() % 2 == 0;
         long incarnation =
                 clockSetBack ? EARLY_INCARNATION : WALL_CLOCK_EPOCH_MS + state.nowMicros() / 1000;
-        MembershipClusterBuilder builder = changeByFault(state);
+        MembershipClusterBuilder builder = builderWithFault(state);
         builder.setDown(member, false);
         builder.setPaused(member, false);
         builder.replaceMember(member, newMember(member, incarnation, state.nowMicros()));
@@ -190,12 +187,12 @@
 
     private MembershipClusterState togglePause(MembershipClusterState state, int member) {
         boolean paused = !state.paused()[member];
-        MembershipClusterBuilder builder = changeByFault(state);
+        MembershipClusterBuilder builder = builderWithFault(state);
         builder.setPaused(member, paused);
         if (injectedBug == InjectedBug.LOSE_STATE && !paused) {
             builder.replaceMember(
                     member, newMember(member, WALL_CLOCK_EPOCH_MS, state.nowMicros()));
         }
-        return builder.build("n" + member + (paused ? " stands still" : " goes on"));
+        return builder.build("n" + member + (paused ? " is paused" : " is resumed"));
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/modelcheck/StateSpaceSearch.java
+++ b/testbed/src/main/java/loadbalancer/testbed/modelcheck/StateSpaceSearch.java
@@ -10,66 +10,74 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Visits the states that a model of some processes can reach, each once by its fingerprint. {@link
- * #explore} continues from the newest state as often as from a random one; {@link #randomWalk}
- * takes long paths from the start with an occasional fault, for violations that need a crash and
- * several lease durations to appear. One search per instance; not thread-safe.
+ * Visits the states that a model of some processes can reach. States with the same fingerprint are
+ * visited once. {@link #explore} continues from the newest state as often as from a random one.
+ * {@link #randomWalk} follows long paths from the initial state with occasional faults, to find
+ * violations that appear only after a crash and several lease durations. An instance runs one
+ * search and is used by one thread.
  *
- * @param <W> a state of the model
+ * @param <S> type of the model's states
  */
-final class StateSpaceSearch<W extends StateSpaceSearch.State<W>> {
-    // Of a random walk, on average
+final class StateSpaceSearch<S extends StateSpaceSearch.State<S>> {
+    // Average number of steps of a random walk per fault.
     private static final int STEPS_PER_FAULT = 8;
 
-    private final ClusterTransitions<W> transitions;
-    private final Model<W> model;
+    private final ClusterTransitions<S> transitions;
+    private final Model<S> model;
     private final Set<Long> visited = new HashSet<>();
     private long convergenceChecks;
 
     /** A state of all processes and of the messages between them. */
-    interface State<W> {
-        /** The state before, or null at the start. */
-        W previous();
+    interface State<S> {
+        /** Returns the preceding state, or null for the initial state. */
+        S previous();
 
-        /** Time of the model in µs. */
+        /** Returns the model's time in µs. */
         long nowMicros();
 
-        /** How many faults may still happen after this state. */
+        /** Returns the number of faults that may still happen after this state. */
         int remainingFaults();
 
-        /** The event that led here, for the trace. */
+        /** Returns the description of the event that led to this state, for the trace. */
         String step();
     }
 
-    /** What tells states apart, and the properties that must hold in them. */
-    interface Model<W> {
-        /** Identifies a state; two states with one fingerprint count as the same. */
-        long fingerprint(W state);
-
-        /** Describes the invariant that a state breaks after the one before; empty: none. */
-        String findViolation(W before, W state);
-
-        /** Describes what has not converged if no fault follows the state; empty: all has. */
-        String findConvergenceViolation(W state);
+    /** Computes the fingerprints of states and checks the properties that must hold in them. */
+    interface Model<S> {
+        /** Returns a fingerprint; states with the same fingerprint count as the same state. */
+        long fingerprint(S state);
+
+        /**
+         * Returns a description of the invariant that the step from one state to the next violates,
+         * or an empty string if there is none.
+         */
+        String findViolation(S before, S state);
+
+        /**
+         * Returns a description of what does not converge if no fault follows the state, or an
+         * empty string if everything converges.
+         */
+        String findConvergenceViolation(S state);
     }
 
-    StateSpaceSearch(ClusterTransitions<W> transitions, Model<W> model) {
+    StateSpaceSearch(ClusterTransitions<S> transitions, Model<S> model) {
         this.transitions = transitions;
         this.model = model;
     }
 
     /**
-     * Explores from the initial state until that many were visited or none is left.
+     * Explores from the initial state until {@code maxStates} states have been visited or none is
+     * left.
      *
-     * @param maxFaults upper bound of faults on one path
-     * @param convergenceCheckInterval convergence is checked from one state in that many
+     * @param maxFaults maximum number of faults on one path
+     * @param convergenceCheckInterval convergence is checked from one in this many states
      */
     CheckResult explore(long maxStates, int maxFaults, int convergenceCheckInterval, long seed) {
         UniformRandomProvider random = RandomStreams.stream(seed, "explorer");
-        List<W> frontier = new ArrayList<>(List.of(transitions.initialState(maxFaults)));
+        List<S> frontier = new ArrayList<>(List.of(transitions.initialState(maxFaults)));
         while (!frontier.isEmpty() && visited.size() < maxStates) {
-            W state = removeNewestOrRandom(frontier, random);
-            for (W successor : transitions.successors(state)) {
+            S state = removeNewestOrRandom(frontier, random);
+            for (S successor : transitions.successors(state)) {
                 if (visited.add(model.fingerprint(successor))) {
                     Optional<CheckResult> violation =
                             check(state, successor, convergenceCheckInterval);
@@ -83,7 +91,7 @@
         return new CheckResult(visited.size(), convergenceChecks, "", List.of());
     }
 
-    private W removeNewestOrRandom(List<W> frontier, UniformRandomProvider random) {
+    private S removeNewestOrRandom(List<S> frontier, UniformRandomProvider random) {
         int last = frontier.size() - 1;
         int chosen = random.nextBoolean() ? last : random.nextInt(last + 1);
         Collections.swap(frontier, chosen, last);
@@ -91,10 +99,11 @@
     }
 
     /**
-     * Explores by random walks from the initial state; the states beside a walk are checked too.
-     * See {@link #explore} for the other parameters.
+     * Explores by random walks from the initial state. All successors of each state on a walk are
+     * checked, not only the one from which the walk continues. The other parameters are those of
+     * {@link #explore}.
      *
-     * @param stepsPerWalk length of one walk
+     * @param stepsPerWalk number of steps of one walk
      */
     CheckResult randomWalk(
             long maxStates,
@@ -103,12 +112,12 @@
             int convergenceCheckInterval,
             long seed) {
         UniformRandomProvider random = RandomStreams.stream(seed, "walker");
-        W start = transitions.initialState(maxFaults);
+        S start = transitions.initialState(maxFaults);
         while (visited.size() < maxStates) {
-            W current = start;
+            S current = start;
             for (int i = 0; i < stepsPerWalk && visited.size() < maxStates; i++) {
-                List<W> successors = transitions.successors(current);
-                for (W successor : successors) {
+                List<S> successors = transitions.successors(current);
+                for (S successor : successors) {
                     Optional<CheckResult> violation =
                             visit(current, successor, convergenceCheckInterval);
                     if (violation.isPresent()) {
@@ -121,28 +130,28 @@
         return new CheckResult(visited.size(), convergenceChecks, "", List.of());
     }
 
-    private Optional<CheckResult> visit(W before, W state, int convergenceCheckInterval) {
+    private Optional<CheckResult> visit(S before, S state, int convergenceCheckInterval) {
         return visited.add(model.fingerprint(state))
                 ? check(before, state, convergenceCheckInterval)
                 : Optional.empty();
     }
 
-    private W chooseNext(W current, List<W> successors, UniformRandomProvider random) {
-        List<W> faultFree = new ArrayList<>();
-        List<W> faulty = new ArrayList<>();
-        for (W successor : successors) {
-            (isFaultTransition(current, successor) ? faulty : faultFree).add(successor);
+    private S chooseNext(S current, List<S> successors, UniformRandomProvider random) {
+        List<S> withoutFault = new ArrayList<>();
+        List<S> withFault = new ArrayList<>();
+        for (S successor : successors) {
+            (isFaultTransition(current, successor) ? withFault : withoutFault).add(successor);
         }
-        boolean withoutFault = faulty.isEmpty() || random.nextInt(STEPS_PER_FAULT) > 0;
-        List<W> candidates = withoutFault ? faultFree : faulty;
+        boolean chooseFaultFree = withFault.isEmpty() || random.nextInt(STEPS_PER_FAULT) > 0;
+        List<S> candidates = chooseFaultFree ? withoutFault : withFault;
         return candidates.get(random.nextInt(candidates.size()));
     }
 
-    private boolean isFaultTransition(W before, W state) {
+    private boolean isFaultTransition(S before, S state) {
         return state.remainingFaults() < before.remainingFaults();
     }
 
-    private Optional<CheckResult> check(W before, W state, int convergenceCheckInterval) {
+    private Optional<CheckResult> check(S before, S state, int convergenceCheckInterval) {
         String violation = model.findViolation(before, state);
         if (violation.isEmpty() && visited.size() % convergenceCheckInterval == 0) {
             convergenceChecks++;
@@ -155,9 +164,9 @@
                                 visited.size(), convergenceChecks, violation, traceTo(state)));
     }
 
-    private List<String> traceTo(W state) {
+    private List<String> traceTo(S state) {
         List<String> steps = new ArrayList<>();
-        for (W current = state; current != null; current = current.previous()) {
+        for (S current = state; current != null; current = current.previous()) {
             steps.add(current.nowMicros() / 1000 + " ms: " + current.step());
         }
         Collections.reverse(steps);
--- a/testbed/src/test/java/loadbalancer/testbed/modelcheck/AggregationModelCheckerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/modelcheck/AggregationModelCheckerTest.java
@@ -34,7 +34,7 @@
 
     @ParameterizedTest
     @EnumSource(value = InjectedBug.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
-    void plantedBugIsFoundWithTrace(InjectedBug injectedBug) {
+    void injectedBugIsFoundWithTrace(InjectedBug injectedBug) {
         CheckResult result =
                 new AggregationModelChecker(THREE_PAIRS, injectedBug)
                         .randomWalk(300_000, 12, 300, 50, 1);
--- a/testbed/src/test/java/loadbalancer/testbed/modelcheck/LeaseModelCheckerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/modelcheck/LeaseModelCheckerTest.java
@@ -35,7 +35,7 @@
 
     @ParameterizedTest
     @EnumSource(value = InjectedBug.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
-    void plantedBugIsFoundWithTrace(InjectedBug injectedBug) {
+    void injectedBugIsFoundWithTrace(InjectedBug injectedBug) {
         CheckResult result = null;
         for (int seed = 1; seed <= 4 && (result == null || result.violation().isEmpty()); seed++) {
             result =
--- a/testbed/src/test/java/loadbalancer/testbed/modelcheck/MembershipModelCheckerTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/modelcheck/MembershipModelCheckerTest.java
@@ -26,7 +26,7 @@
 
     @ParameterizedTest
     @EnumSource(value = InjectedBug.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
-    void plantedBugIsFoundWithTrace(InjectedBug injectedBug) {
+    void injectedBugIsFoundWithTrace(InjectedBug injectedBug) {
         CheckResult result =
                 new MembershipModelChecker(3, SHORT_TIMING, injectedBug).explore(300_000, 3, 50, 1);
         assertFalse(result.violation().isEmpty(), result.toString());
