--- a/testbed/src/main/java/loadbalancer/testbed/LeaseCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/LeaseCommand.java
@@ -98,12 +98,12 @@
         System.out.printf(
                 Locale.ROOT,
                 "slots with two holders at once: %d%s%n",
-                cluster.doubleHolders().size(),
-                cluster.doubleHolders().isEmpty()
+                cluster.doubleHoldings().size(),
+                cluster.doubleHoldings().isEmpty()
                         ? ""
-                        : ", first " + cluster.doubleHolders().get(0));
-        measurements.add(keyPrefix + "twice", cluster.doubleHolders().size());
-        return cluster.doubleHolders().size();
+                        : ", first " + cluster.doubleHoldings().get(0));
+        measurements.add(keyPrefix + "twice", cluster.doubleHoldings().size());
+        return cluster.doubleHoldings().size();
     }
 
     /** Measures the traffic of the leases while no member ends. */
@@ -132,7 +132,7 @@
     private void measureHandovers(LeaseSimulation cluster, boolean graceful, String keyPrefix) {
         cluster.transferTimes().reset();
         for (int i = 0; i < terminationCount; i++) {
-            int member = cluster.busiestMember();
+            int member = cluster.memberWithMostSlots();
             cluster.endProcess(member, graceful);
             cluster.runFor(DOWNTIME_MICROS);
             cluster.restart(member);
--- a/testbed/src/main/java/loadbalancer/testbed/MembershipCommand.java
+++ b/testbed/src/main/java/loadbalancer/testbed/MembershipCommand.java
@@ -191,7 +191,7 @@
         cluster.runFor(PARTITION_MICROS);
         double bytesBefore = cluster.meanBytesSent();
         cluster.heal();
-        long agreedAfterMicros = cluster.microsUntilConverged(MAX_HEALING_MICROS);
+        long agreedAfterMicros = cluster.runUntilConverged(MAX_HEALING_MICROS);
         double agreedAfterSeconds = toSeconds(agreedAfterMicros);
         System.out.printf(
                 Locale.ROOT, "views agree %.2f s after the partition healed%n", agreedAfterSeconds);
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/BalancerSettingsBuilder.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/BalancerSettingsBuilder.java
@@ -41,8 +41,8 @@
             long slowStartMicros,
             double overloadFactor,
             long overloadWindowMicros) {
-        /** Returns bounds with the site's response slack and drain grace. */
-        public static Bounds ofSite(
+        /** Returns bounds with the default response slack and drain grace. */
+        public static Bounds withDefaultSlackAndGrace(
                 double initialCapacityFraction,
                 long slowStartMicros,
                 double overloadFactor,
@@ -159,8 +159,8 @@
         return this;
     }
 
-    /** Sets the site's limits, with its timeout of idle connections. */
-    public BalancerSettingsBuilder siteLimits() {
+    /** Sets the default limits, with a timeout of idle connections. */
+    public BalancerSettingsBuilder defaultLimits() {
         Map<String, Object> limits =
                 limits(MAX_ATTEMPTS, CONNECT_TIMEOUT_MICROS, MAX_RETRY_AFTER_MICROS);
         limits.put("IdleClose", IDLE_TIMEOUT_MICROS);
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/DiscoveryEmulator.java
@@ -154,7 +154,7 @@
     }
 
     @Override
-    public void setDenied(boolean active) {
+    public void setRefusing(boolean active) {
         denyCount += active ? 1 : -1;
         listener.setState(
                 denyCount > 0
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPathHandler.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/NetworkPathHandler.java
@@ -58,7 +58,7 @@
                     Math.max(
                             lastReleaseMicros,
                             emulation.nowMicros()
-                                    + link.tcpDelayMicros(
+                                    + link.sampleTcpDelayMicros(
                                             emulation.nowMicros(), bytes.readableBytes()));
             delayed.add(new DelayedBytes(bytes, promise, lastReleaseMicros));
             bufferedBytes += bytes.readableBytes();
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/PeerNetworkEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/PeerNetworkEmulator.java
@@ -140,10 +140,10 @@
         long queueDelayMicros =
                 link.transmissionDelayMicros(
                         emulation.nowMicros(), packet.content().readableBytes());
-        if (link.dropsDatagram() || queueDelayMicros > MAX_QUEUE_DELAY_MICROS) {
+        if (link.sampleDatagramLoss() || queueDelayMicros > MAX_QUEUE_DELAY_MICROS) {
             return;
         }
-        for (long delayMicros : link.datagramDelaysMicros()) {
+        for (long delayMicros : link.sampleDatagramDelaysMicros()) {
             var copy = packet.content().copy();
             emulation
                     .eventLoop()
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/PlatformSettings.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/PlatformSettings.java
@@ -34,7 +34,7 @@
                         scenario.classes().stream().map(PlatformSettings::classSettings).toList())
                 .objective(OVER_QUOTA_WEIGHT_FACTOR, OBJECTIVE_WEIGHTS)
                 .costs(crossZoneCost, GOSSIP_COST)
-                .siteLimits()
+                .defaultLimits()
                 .bounds(bounds(scenario.upstreams()))
                 .tenants(scenario.tenants().stream().map(PlatformSettings::tenantSettings).toList())
                 .build();
@@ -61,7 +61,7 @@
     }
 
     private static BalancerSettingsBuilder.Bounds bounds(Scenario.Upstreams upstreams) {
-        return BalancerSettingsBuilder.Bounds.ofSite(
+        return BalancerSettingsBuilder.Bounds.withDefaultSlackAndGrace(
                 upstreams.slowStartInitialFraction(),
                 toMicros(1e3 * upstreams.slowStartWindowS()),
                 upstreams.overloadFactor(),
--- a/testbed/src/main/java/loadbalancer/testbed/fault/FaultInjector.java
+++ b/testbed/src/main/java/loadbalancer/testbed/fault/FaultInjector.java
@@ -64,7 +64,7 @@
             }
             case STALE -> forEachDiscoveryAgent(fault, agent -> agent.setStale(active));
             case SILENT -> forEachDiscoveryAgent(fault, agent -> agent.setSilent(active));
-            case DENY -> forEachDiscoveryAgent(fault, agent -> agent.setDenied(active));
+            case DENY -> forEachDiscoveryAgent(fault, agent -> agent.setRefusing(active));
         }
     }
 
--- a/testbed/src/main/java/loadbalancer/testbed/fault/FaultableDiscoveryAgent.java
+++ b/testbed/src/main/java/loadbalancer/testbed/fault/FaultableDiscoveryAgent.java
@@ -15,5 +15,5 @@
     void setSilent(boolean active);
 
     /** Starts or ends a fault during which the agent refuses connections. */
-    void setDenied(boolean active);
+    void setRefusing(boolean active);
 }
--- a/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintCase.java
+++ b/testbed/src/main/java/loadbalancer/testbed/footprint/FootprintCase.java
@@ -142,9 +142,9 @@
                                 BalancerSettingsBuilder.requestClass(
                                         "safe", "safe", LATENCY_OBJECTIVE_MICROS, DEADLINE_MICROS)))
                 .gossipCost(GOSSIP_COST)
-                .siteLimits()
+                .defaultLimits()
                 .bounds(
-                        BalancerSettingsBuilder.Bounds.ofSite(
+                        BalancerSettingsBuilder.Bounds.withDefaultSlackAndGrace(
                                 INITIAL_CAPACITY_FRACTION,
                                 SLOW_START_MICROS,
                                 OVERLOAD_FACTOR,
--- a/testbed/src/main/java/loadbalancer/testbed/network/NetworkLink.java
+++ b/testbed/src/main/java/loadbalancer/testbed/network/NetworkLink.java
@@ -141,7 +141,7 @@
      * Decides at random whether a datagram is lost. Avoids streams because it is called for each
      * datagram.
      */
-    public boolean dropsDatagram() {
+    public boolean sampleDatagramLoss() {
         for (LinkFault fault : faults) {
             if (fault.cut || occurs(fault.lossProbability)) {
                 return true;
@@ -154,7 +154,7 @@
      * Samples the delays in µs of a datagram and of its duplicates. A datagram that later ones may
      * overtake is delayed further.
      */
-    public List<Long> datagramDelaysMicros() {
+    public List<Long> sampleDatagramDelaysMicros() {
         List<Long> delaysMicros = new ArrayList<>(2);
         long delayMicros = sampleDelayMicros();
         for (LinkFault fault : faults) {
@@ -184,7 +184,7 @@
     }
 
     /** Samples the delay in µs of a number of bytes that are sent now on a TCP connection. */
-    public long tcpDelayMicros(long nowMicros, int bytes) {
+    public long sampleTcpDelayMicros(long nowMicros, int bytes) {
         long delayMicros = sampleDelayMicros() + transmissionDelayMicros(nowMicros, bytes);
         for (LinkFault fault : faults) {
             if (occurs(fault.lossProbability)) {
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/LeaseSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/LeaseSimulation.java
@@ -42,7 +42,7 @@
     // The member that holds each slot.
     private final int[] holderBySlot;
     private final Histogram transferTimes = new Histogram(HISTOGRAM_DIGITS);
-    private final List<String> doubleHolders = new ArrayList<>();
+    private final List<String> doubleHoldings = new ArrayList<>();
     private long processCount;
     private long bytesSent;
     private long datagramsSent;
@@ -192,7 +192,7 @@
         acquisitions++;
         for (int other = 0; other < leaseManagers.length; other++) {
             if (other != member && holds(other, slot)) {
-                recordDoubleHolder(slot, other, member);
+                recordDoubleHolding(slot, other, member);
             }
         }
         holderBySlot[slot] = member;
@@ -207,9 +207,9 @@
                 && leaseManagers[member].currentLease(scheduler.nowMicros(), slot).isPresent();
     }
 
-    private void recordDoubleHolder(int slot, int first, int second) {
-        if (doubleHolders.size() < MembershipSimulation.MAX_RECORDED_VIOLATIONS) {
-            doubleHolders.add(
+    private void recordDoubleHolding(int slot, int first, int second) {
+        if (doubleHoldings.size() < MembershipSimulation.MAX_RECORDED_VIOLATIONS) {
+            doubleHoldings.add(
                     String.format(
                             Locale.ROOT,
                             "slot %d by n%d and n%d at %.3f s",
@@ -221,7 +221,7 @@
     }
 
     /** Returns the member that holds the most slots, the lowest-numbered of several. */
-    public int busiestMember() {
+    public int memberWithMostSlots() {
         int[] slotCounts = new int[leaseManagers.length];
         Arrays.stream(holderBySlot)
                 .filter(member -> member != NO_HOLDER)
@@ -242,8 +242,8 @@
     }
 
     /** Returns descriptions of slots that two members held at the same time; at most 100. */
-    public List<String> doubleHolders() {
-        return doubleHolders;
+    public List<String> doubleHoldings() {
+        return doubleHoldings;
     }
 
     /** Returns the bytes of all messages that all members have sent. */
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/MembershipSimulation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/MembershipSimulation.java
@@ -19,7 +19,7 @@
  * costs. The seed determines the whole run. Used only by the thread that runs the simulation.
  */
 public final class MembershipSimulation {
-    /** The result of {@link #microsUntilConverged} if the views do not converge in time. */
+    /** The result of {@link #runUntilConverged} if the views do not converge in time. */
     public static final long NOT_CONVERGED = -1;
 
     /** The wall clock of all members at time 0 of the simulation, in ms since the epoch. */
@@ -285,7 +285,7 @@
      * the time in µs that this took, or {@link #NOT_CONVERGED} if it takes longer than {@code
      * maxMicros}.
      */
-    public long microsUntilConverged(long maxMicros) {
+    public long runUntilConverged(long maxMicros) {
         long startMicros = scheduler.nowMicros();
         while (scheduler.nowMicros() - startMicros <= maxMicros) {
             if (isConverged()) {
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/PeerDatagrams.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/PeerDatagrams.java
@@ -38,7 +38,9 @@
     void send(int sender, int recipient, byte[] payload) {
         for (int peer = 0; peer < balancers.size(); peer++) {
             boolean addressed = recipient < 0 || recipient == peer;
-            if (peer != sender && addressed && !network.peerLink(sender, peer).dropsDatagram()) {
+            if (peer != sender
+                    && addressed
+                    && !network.peerLink(sender, peer).sampleDatagramLoss()) {
                 transmit(sender, balancers.get(peer), payload);
             }
         }
@@ -46,7 +48,7 @@
 
     private void transmit(int sender, SimulatedBalancer recipient, byte[] payload) {
         for (long delayMicros :
-                network.peerLink(sender, recipient.number()).datagramDelaysMicros()) {
+                network.peerLink(sender, recipient.number()).sampleDatagramDelaysMicros()) {
             scheduler.scheduleAfter(delayMicros, () -> deliver(sender, recipient, payload));
         }
     }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedDiscoveryAgent.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedDiscoveryAgent.java
@@ -10,7 +10,7 @@
 
 /**
  * The discovery agent of one balancer in virtual time: tracks how many changes of the endpoint list
- * it has received and delivered. The faults stale, silent and denied all delay delivery until the
+ * it has received and delivered. The faults stale, silent and deny all delay delivery until the
  * fault ends. Used only by the thread that runs the simulation.
  */
 final class SimulatedDiscoveryAgent implements FaultableDiscoveryAgent {
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public void setDenied(boolean active) {
+    public void setRefusing(boolean active) {
         setMuted(active);
     }
 
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedNetwork.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedNetwork.java
@@ -129,14 +129,14 @@
     long forwardDelayMicros(int balancer, int upstream, long nowMicros) {
         return upstreamFaultChanges.isEmpty()
                 ? delaysMicros[balancer][upstream]
-                : linkPair(balancer, upstream).forward.tcpDelayMicros(nowMicros, 0);
+                : linkPair(balancer, upstream).forward.sampleTcpDelayMicros(nowMicros, 0);
     }
 
     /** Draws the one-way delay from an upstream to a balancer in µs. */
     long reverseDelayMicros(int balancer, int upstream, long nowMicros) {
         return upstreamFaultChanges.isEmpty()
                 ? delaysMicros[balancer][upstream]
-                : linkPair(balancer, upstream).reverse.tcpDelayMicros(nowMicros, 0);
+                : linkPair(balancer, upstream).reverse.sampleTcpDelayMicros(nowMicros, 0);
     }
 
     /** Returns whether the link is cut in at least one direction. */
--- a/testbed/src/test/java/loadbalancer/testbed/simulation/LeaseSimulationTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/simulation/LeaseSimulationTest.java
@@ -22,13 +22,13 @@
         fleet.runFor(10_000_000);
         assertEquals(LeaseTiming.DEFAULT.slotCount(), fleet.heldSlots());
         for (int i = 0; i < 6; i++) {
-            int member = fleet.busiestMember();
+            int member = fleet.memberWithMostSlots();
             fleet.endProcess(member, false);
             fleet.runFor(6_000_000);
             fleet.restart(member);
             fleet.runFor(6_000_000);
         }
-        assertEquals(List.of(), fleet.doubleHolders());
+        assertEquals(List.of(), fleet.doubleHoldings());
         assertTrue(
                 fleet.transferTimes().getTotalCount() >= 6,
                 fleet.transferTimes().getTotalCount() + " transfers");
