--- a/balancer/src/main/java/loadbalancer/proxy/ProxyRequest.java
+++ b/balancer/src/main/java/loadbalancer/proxy/ProxyRequest.java
@@ -11,7 +11,7 @@
  * @param body the buffered body; not copied, so neither the creator nor a reader may change it
  * @param requestClass the index of the request's class in the settings
  * @param tenant the index of the request's tenant; 0 if there are no tenants
- * @param key the key by which requests are ordered, or null
+ * @param key the key that the request is about, or null
  * @param timeLeftMicros the time in µs from the request's start to the client's deadline
  * @param workEstimate the client's estimate of the work, or -1
  * @param resubmission whether the client has sent the request before
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstreams.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedUpstreams.java
@@ -154,7 +154,7 @@
                     scheduler.nowMicros(),
                     "s"
                             + upstream.spec().number()
-                            + " was pushed over "
+                            + " exceeded its slow-start budget "
                             + sinceStartMicros / 1000
                             + " ms after its start");
             crash(upstream);
