--- a/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
+++ b/balancer/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
@@ -135,7 +135,7 @@
     private FakeHttpServer.ReceivedRequest tryAnswerNewestWatch(
             int revision, String payload, String expectedUpdate) throws InterruptedException {
         FakeHttpServer.ReceivedRequest watch = expectWatchFrom(revision);
-        while (!discoveryServer.isEmpty()) {
+        while (!discoveryServer.hasNoQueuedRequests()) {
             watch = expectWatchFrom(revision);
         }
         try {
@@ -165,7 +165,7 @@
         long openedAtNanos = System.nanoTime();
         expectWatchFrom(41);
         assertElapsedBelow(MAX_INITIAL_SILENCE, openedAtNanos);
-        assertTrue(silentWatch.isClosedByPeer(), "the silent watch is closed");
+        assertTrue(silentWatch.awaitClosedByPeer(), "the silent watch is closed");
         answerNewestWatch(41, listJson(51, true, "new") + "\n", "COMPLETE 51 [new]");
     }
 
@@ -239,7 +239,7 @@
                 SilencedWatch silenced = silenceAnsweredWatch(server);
                 FakeHttpServer.ReceivedRequest nextCall = silenced.nextCall();
                 for (int i = 0; i < timedOutCalls; i++) {
-                    assertTrue(nextCall.isClosedByPeer(), "call " + i + " timed out");
+                    assertTrue(nextCall.awaitClosedByPeer(), "call " + i + " timed out");
                     nextCall = server.nextRequest();
                 }
                 nextCall.reset();
@@ -333,7 +333,7 @@
         watch.sendRaw(chunk(listJson(46, false, "b") + "\n" + listJson(44, false, "old") + "\n"));
         assertEquals("DELTA 46 [b]", nextUpdate());
         fetch.respond(200, "", listJson(45, true, "old"));
-        assertTrue(fetch.isClosedByPeer(), "the fetch is complete");
+        assertTrue(fetch.awaitClosedByPeer(), "the fetch is complete");
         watch.sendRaw(chunk(listJson(47, false, "c") + "\n"));
         assertEquals("DELTA 47 [c]", nextUpdate());
     }
@@ -355,7 +355,7 @@
             FakeHttpServer.ReceivedRequest newWatch = newServer.nextRequest();
             assertEquals("GET /api/targets?watch=1&from=42 HTTP/1.1", newWatch.requestLine());
             if (oldWatchState.equals("silent")) {
-                assertTrue(watch.isClosedByPeer(), "the old watch is closed");
+                assertTrue(watch.awaitClosedByPeer(), "the old watch is closed");
             }
             newWatch.sendRaw(CHUNKED_HEAD + chunk(listJson(7, true, "elsewhere") + "\n"));
             // The new discovery counts revisions on its own, so a list with a lower revision is
--- a/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BalancerProcessTest.java
@@ -221,7 +221,7 @@
     private static List<FakeHttpServer.ReceivedRequest> takeRequests(FakeHttpServer server)
             throws InterruptedException {
         List<FakeHttpServer.ReceivedRequest> requests = new ArrayList<>();
-        while (!server.isEmpty()) {
+        while (!server.hasNoQueuedRequests()) {
             requests.add(server.nextRequest());
         }
         return requests;
@@ -268,7 +268,7 @@
                         () -> {
                             answerWatches(list);
                             retryIfRejected(client);
-                            return !otherUpstream.isEmpty();
+                            return !otherUpstream.hasNoQueuedRequests();
                         });
         otherUpstream.nextRequest().respond(200, "", "ok");
         assertEquals(200, client.readStatus());
--- a/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/BodyStreamingTest.java
@@ -186,7 +186,7 @@
             }
             assertEquals("OK closed", policy.nextEvent());
         }
-        assertTrue(upstream.isEmpty(), "the upstream received a further request");
+        assertTrue(upstream.hasNoQueuedRequests(), "the upstream received a further request");
     }
 
     /** The upstream resets its connection before any of the body could be forwarded. */
@@ -228,7 +228,7 @@
 
     /** The policy must not be told of an aborted response if the client disconnects during it. */
     @Test
-    void disconnectDuringResponseIsNotBlamed() throws Exception {
+    void clientDisconnectIsNotReportedAsAbortedResponse() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             FakeHttpServer.ReceivedRequest receivedRequest = upstream.nextRequest();
@@ -236,7 +236,7 @@
             receivedRequest.sendRaw(randomBytes(100_000));
             assertEquals("OK closed", policy.nextEvent());
             client.socket.close();
-            assertTrue(receivedRequest.isClosedByPeer(), "the balancer closes the connection");
+            assertTrue(receivedRequest.awaitClosedByPeer(), "the balancer closes the connection");
         }
         assertNull(policy.events.poll(NO_EVENT_WAIT_MS, TimeUnit.MILLISECONDS), "no further event");
     }
@@ -277,7 +277,7 @@
     }
 
     @Test
-    void disconnectDuringUploadNeverExecutes() throws Exception {
+    void uploadOfDisconnectedClientIsNotExecuted() throws Exception {
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(POST_HEAD + "Content-Length: 30000000\r\n\r\n");
             client.socket.getOutputStream().write(randomBytes(100_000));
@@ -285,7 +285,7 @@
         }
         assertEquals("gone", policy.nextEvent());
         assertEquals("NOT_SENT closed", policy.nextEvent());
-        assertTrue(upstream.isEmpty());
+        assertTrue(upstream.hasNoQueuedRequests());
     }
 
     /**
--- a/balancer/src/test/java/loadbalancer/server/ClientDisconnectTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ClientDisconnectTest.java
@@ -163,7 +163,7 @@
      * first, and the policy retries; the retry must not be sent.
      */
     @Test
-    void noRetryAfterDisconnectBetweenAttempts() throws Exception {
+    void retryAfterDisconnectIsNotSent() throws Exception {
         start();
         policy.retriesRejected = true;
         HttpTestClient disconnectedClient =
@@ -202,7 +202,7 @@
      */
     @ParameterizedTest(name = "cancelsOnDisconnect={0}")
     @ValueSource(booleans = {false, true})
-    void disconnectDuringConnectEventSendsNothing(boolean cancelsOnDisconnect) throws Exception {
+    void disconnectInIterationOfConnectSendsNothing(boolean cancelsOnDisconnect) throws Exception {
         try (FullBacklogListener backlogListener = new FullBacklogListener()) {
             HttpTestClient disconnectedClient =
                     startConnectingAttempt(backlogListener, cancelsOnDisconnect);
@@ -245,7 +245,7 @@
      * must close the client's connection.
      */
     @Test
-    void disconnectDuringResponseFreesConnection() throws Exception {
+    void unreadResetDuringResponseClosesConnection() throws Exception {
         start();
         policy.endpointId = null;
         HttpTestClient disconnectedClient =
@@ -271,7 +271,7 @@
         disconnectedClient.close();
         assertEquals("gone", policy.nextEvent());
         assertEquals("CANCELLED closed", policy.nextEvent());
-        assertTrue(firstRequest.isClosedByPeer(), "the first attempt's connection is closed");
+        assertTrue(firstRequest.awaitClosedByPeer(), "the first attempt's connection is closed");
         assertNextRequestIsServed();
     }
 
--- a/balancer/src/test/java/loadbalancer/server/EndpointConnectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/server/EndpointConnectionsTest.java
@@ -24,7 +24,7 @@
     private static final String EMPTY_LIST = "{\"rev\":50,\"all\":true,\"targets\":[]}";
 
     @Test
-    void idleConnectionsAreClosedInTime() throws IOException, InterruptedException {
+    void idleConnectionsAreClosedAfterIdleTimeout() throws IOException, InterruptedException {
         start(Map.of("IdleClose", 400_000), 1024);
         try (HttpTestClient client = new HttpTestClient(address)) {
             client.send(IDEMPOTENT_REQUEST);
@@ -118,7 +118,7 @@
                 await("the outcome of an attempt")
                         .until(
                                 () -> {
-                                    if (!upstream.isEmpty()) {
+                                    if (!upstream.hasNoQueuedRequests()) {
                                         upstream.nextRequest().respond(200, "", "ok");
                                     }
                                     return policy.events.poll();
--- a/balancer/src/test/java/loadbalancer/server/FakeHttpServer.java
+++ b/balancer/src/test/java/loadbalancer/server/FakeHttpServer.java
@@ -101,7 +101,7 @@
          * Waits until the peer closes or resets the connection. Returns false if it sends data
          * instead or does neither within the timeout.
          */
-        public boolean isClosedByPeer() {
+        public boolean awaitClosedByPeer() {
             try {
                 socket.setSoTimeout(TIMEOUT_MS);
                 return socket.getInputStream().read() < 0;
@@ -259,7 +259,7 @@
     }
 
     /** Returns whether the test has taken all requests received so far. */
-    public boolean isEmpty() {
+    public boolean hasNoQueuedRequests() {
         return receivedRequests.isEmpty();
     }
 
--- a/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestForwardingTest.java
@@ -137,7 +137,7 @@
             assertTrue(Integer.parseInt(receivedRequest.header("Req-Deadline-Ms")) <= 100);
             assertEquals("TIMEOUT", policy.nextEvent());
             assertEquals(502, client.readStatus());
-            assertTrue(receivedRequest.isClosedByPeer(), "the balancer closes the connection");
+            assertTrue(receivedRequest.awaitClosedByPeer(), "the balancer closes the connection");
         }
     }
 
@@ -149,7 +149,7 @@
         client.close();
         assertEquals("gone", policy.nextEvent());
         assertEquals("CANCELLED closed", policy.nextEvent());
-        assertTrue(receivedRequest.isClosedByPeer(), "the balancer closes the connection");
+        assertTrue(receivedRequest.awaitClosedByPeer(), "the balancer closes the connection");
     }
 
     /** The policy takes no action, so the balancer itself answers at the request's deadline. */
--- a/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/RequestFramingTest.java
@@ -104,7 +104,7 @@
         }
         assertEquals("uploading", policy.nextEvent());
         assertEquals("gone", policy.nextEvent());
-        assertTrue(upstream.isEmpty(), "no complete request reaches the upstream");
+        assertTrue(upstream.hasNoQueuedRequests(), "no complete request reaches the upstream");
     }
 
     @Test
--- a/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
+++ b/balancer/src/test/java/loadbalancer/server/ResponseFramingTest.java
@@ -60,7 +60,7 @@
             receivedRequest.sendRaw(response);
             assertEquals("RESET", policy.nextEvent());
             assertEquals(502, client.readStatus());
-            assertTrue(receivedRequest.isClosedByPeer(), "the balancer closes the connection");
+            assertTrue(receivedRequest.awaitClosedByPeer(), "the balancer closes the connection");
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(200, "", "its own");
             assertEquals(200, client.readStatus());
@@ -83,7 +83,7 @@
             receivedRequest.respond(200, "", "first");
             assertEquals(200, client.readStatus());
             receivedRequest.sendRaw(unsolicited);
-            assertTrue(receivedRequest.isClosedByPeer());
+            assertTrue(receivedRequest.awaitClosedByPeer());
             client.send(BalancerServerFixtures.IDEMPOTENT_REQUEST);
             receivedRequest = upstream.nextRequest();
             assertEquals(2, receivedRequest.connectionNumber());
@@ -106,7 +106,7 @@
                             + "Content-Length: 2\r\n\r\nho");
             assertEquals(200, client.readStatus());
             assertEquals("hi", client.bodyText());
-            assertTrue(receivedRequest.isClosedByPeer(), "the balancer closes the connection");
+            assertTrue(receivedRequest.awaitClosedByPeer(), "the balancer closes the connection");
         }
     }
 
--- a/balancer/src/test/java/loadbalancer/server/SlowClientTest.java
+++ b/balancer/src/test/java/loadbalancer/server/SlowClientTest.java
@@ -150,7 +150,7 @@
      * connections that have sent requests.
      */
     @Test
-    void unreadNewConnectionsAreKept() throws Exception {
+    void connectionsWithUnreadRequestsAreNotEvicted() throws Exception {
         startReady(FEW_SOCKETS);
         try (HttpTestClientGroup acceptedClients = new HttpTestClientGroup(address);
                 HttpTestClientGroup laterClients = new HttpTestClientGroup(address)) {
--- a/testbed/src/main/java/loadbalancer/testbed/client/ClientRequestLifecycle.java
+++ b/testbed/src/main/java/loadbalancer/testbed/client/ClientRequestLifecycle.java
@@ -87,7 +87,7 @@
     /** Ends a request with an outcome. Has no effect on a request that has already ended. */
     public void end(ClientRequest request, ClientRequest.Outcome outcome) {
         if (request.outcome() == null) {
-            request.outcome(outcome, clock.nowMicros());
+            request.end(outcome, clock.nowMicros());
             endListener.accept(request);
         }
     }
--- a/testbed/src/main/java/loadbalancer/testbed/emulation/ClientEmulator.java
+++ b/testbed/src/main/java/loadbalancer/testbed/emulation/ClientEmulator.java
@@ -236,7 +236,7 @@
             firstRequest = !used;
             used = true;
             WorkloadPlan.Arrival arrival = attempt.request().arrival();
-            emulation.invariants().accepted(attempt, pool.balancer, emulation.nowMicros());
+            emulation.invariants().attemptAccepted(attempt, pool.balancer, emulation.nowMicros());
             responseStarted = false;
             channel.writeAndFlush(
                     Unpooled.copiedBuffer(formatRequest(attempt), StandardCharsets.US_ASCII));
@@ -383,7 +383,8 @@
             }
             emulation
                     .invariants()
-                    .closedIncomplete(interrupted, responseStarted, emulation.nowMicros());
+                    .connectionClosedIncomplete(
+                            interrupted, responseStarted, emulation.nowMicros());
             lifecycle.retryOrEnd(interrupted, ClientRequest.Outcome.FAILED, 0);
         }
 
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/ClientRequest.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/ClientRequest.java
@@ -54,7 +54,7 @@
      *
      * @param nowMicros time in µs since the start of the run
      */
-    public void outcome(Outcome finalOutcome, long nowMicros) {
+    public void end(Outcome finalOutcome, long nowMicros) {
         if (outcome == null) {
             outcome = finalOutcome;
             latencyMicros = nowMicros - arrival.atMicros();
--- a/testbed/src/main/java/loadbalancer/testbed/invariant/RequestInvariants.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/RequestInvariants.java
@@ -83,7 +83,7 @@
     }
 
     /** Records that a client wrote an attempt to a connection that the balancer accepted. */
-    public void accepted(ClientAttempt clientAttempt, int balancer, long nowMicros) {
+    public void attemptAccepted(ClientAttempt clientAttempt, int balancer, long nowMicros) {
         attemptsById.put(clientAttempt.id(), clientAttempt);
         clientAttempt.markAccepted(balancer, nowMicros);
         trace(() -> clientAttempt.addTraceEvent(nowMicros, "client", "sent to n" + balancer));
@@ -91,7 +91,7 @@
     }
 
     /** Removes an attempt that no upstream can receive any more, unless tracing. */
-    public void forget(ClientAttempt clientAttempt) {
+    public void releaseAttempt(ClientAttempt clientAttempt) {
         if (!tracing) {
             attemptsById.remove(clientAttempt.id());
         }
@@ -162,7 +162,7 @@
      *
      * @param responseBegun whether the client had received a part of the response
      */
-    public void closedIncomplete(
+    public void connectionClosedIncomplete(
             ClientAttempt clientAttempt, boolean responseBegun, long nowMicros) {
         trace(
                 () ->
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedClients.java
@@ -65,7 +65,7 @@
             lifecycle.retryOrEnd(attempt, ClientRequest.Outcome.FAILED, 0);
             return;
         }
-        invariants.accepted(attempt, balancer, scheduler.nowMicros());
+        invariants.attemptAccepted(attempt, balancer, scheduler.nowMicros());
         balancers.get(balancer).accept(attempt);
         scheduleGiveUp(attempt, balancer);
     }
@@ -121,7 +121,7 @@
 
     /** Handles the close of an attempt's connection when the process of the balancer ends. */
     void onConnectionClosed(ClientAttempt attempt) {
-        invariants.closedIncomplete(attempt, false, scheduler.nowMicros());
+        invariants.connectionClosedIncomplete(attempt, false, scheduler.nowMicros());
         lifecycle.retryOrEnd(attempt, ClientRequest.Outcome.FAILED, 0);
     }
 }
--- a/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedDispatcher.java
+++ b/testbed/src/main/java/loadbalancer/testbed/simulation/SimulatedDispatcher.java
@@ -91,7 +91,7 @@
         exchanges.values().forEach(SimulatedDispatcher::cancelOpenAttempts);
         exchanges
                 .values()
-                .forEach(exchange -> context.invariants().forget(exchange.clientAttempt()));
+                .forEach(exchange -> context.invariants().releaseAttempt(exchange.clientAttempt()));
         exchanges.clear();
         transport.closeAll();
         openExchanges.forEach(
@@ -155,7 +155,7 @@
     private void removeIfFinished(SimulatedExchange exchange) {
         if (exchange.isFinished()) {
             exchanges.remove(exchange.requestId());
-            context.invariants().forget(exchange.clientAttempt());
+            context.invariants().releaseAttempt(exchange.clientAttempt());
         }
     }
 
--- a/testbed/src/test/java/loadbalancer/testbed/emulation/FaultInjectorTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/emulation/FaultInjectorTest.java
@@ -120,7 +120,7 @@
                         () ->
                                 emulation
                                         .invariants()
-                                        .accepted(
+                                        .attemptAccepted(
                                                 new ClientAttempt(
                                                         requestId,
                                                         new ClientRequest(
--- a/testbed/src/test/java/loadbalancer/testbed/invariant/RequestInvariantsTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/invariant/RequestInvariantsTest.java
@@ -44,7 +44,7 @@
                         new ClientRequest(
                                 new WorkloadPlan.Arrival(0, 0, classIndex, 0, 1000, false)),
                         1_000_000);
-        invariants.accepted(clientAttempt, 0, 1_000_000);
+        invariants.attemptAccepted(clientAttempt, 0, 1_000_000);
         return clientAttempt;
     }
 
@@ -69,7 +69,7 @@
         assertViolations("one answer");
         ClientAttempt attemptDuringOutage =
                 new ClientAttempt("r2", clientAttempt.request(), 1_000_000);
-        invariants.accepted(attemptDuringOutage, 1, 1_000_000);
+        invariants.attemptAccepted(attemptDuringOutage, 1, 1_000_000);
         invariants.outageStarted(1, 1_500_000);
         invariants.outageEnded(1, 1_600_000);
         invariants.responseOverdue(attemptDuringOutage, 2_500_000);
@@ -173,9 +173,9 @@
             ClientAttempt clientAttempt =
                     new ClientAttempt(
                             "c" + i, acceptRequest(IDEMPOTENCY_KEY_CLASS).request(), 1_000_000);
-            invariants.accepted(clientAttempt, 0, 1_000_000);
+            invariants.attemptAccepted(clientAttempt, 0, 1_000_000);
             if (i < 5) {
-                invariants.closedIncomplete(clientAttempt, false, 1_100_000);
+                invariants.connectionClosedIncomplete(clientAttempt, false, 1_100_000);
             }
         }
         invariants.runEnded(20_000_000);
@@ -184,7 +184,7 @@
 
     @Test
     void truncatedResponseIsAViolation() {
-        invariants.closedIncomplete(acceptRequest(NON_IDEMPOTENT_CLASS), true, 1_100_000);
+        invariants.connectionClosedIncomplete(acceptRequest(NON_IDEMPOTENT_CLASS), true, 1_100_000);
         assertViolations("one answer");
     }
 }
--- a/testbed/src/test/java/loadbalancer/testbed/statistics/ServiceWindowsTest.java
+++ b/testbed/src/test/java/loadbalancer/testbed/statistics/ServiceWindowsTest.java
@@ -27,7 +27,7 @@
             long arrivalMicros, ClientRequest.Outcome outcome, long latencyMicros) {
         ClientRequest clientRequest =
                 new ClientRequest(new WorkloadPlan.Arrival(arrivalMicros, 0, 0, 0, 1000, false));
-        clientRequest.outcome(outcome, arrivalMicros + latencyMicros);
+        clientRequest.end(outcome, arrivalMicros + latencyMicros);
         serviceWindows.record(clientRequest);
     }
 
