--- a/testbed/src/main/java/loadbalancer/testbed/invariant/Violation.java
+++ b/testbed/src/main/java/loadbalancer/testbed/invariant/Violation.java
@@ -20,7 +20,7 @@
     public String toString() {
         return String.format(
                 Locale.ROOT,
-                "%s violated at %.3f s%s: %s",
+                "%s broken at %.3f s%s: %s",
                 rule,
                 timeMicros / 1e6,
                 requestId == null ? "" : ", request " + requestId,
