--- a/regress.sh
+++ b/regress.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# The regression test: plays the panels of the operators' bench one after the other. Fails where the kit is absent,
-# where a panel ends with an error, where a day breaks a rule, crashes or scores 0, or where a gate fails.
-# Usage: ./regress.sh KIT [WHY]; not under nohup, which would leave SIGHUP ignored in all balancers.
+# The regression test: runs the panels of the operators' bench one after the other. Fails if the kit is absent, a panel
+# ends with an error, a gate fails, or a day breaks a rule, crashes or scores 0.
+# Usage: ./regress.sh KIT [WHY]. Don't run it under nohup: all balancers would start with SIGHUP ignored.
 set -euo pipefail
 cd "$(dirname "$0")"
 kit=${1:?usage: ./regress.sh KIT [WHY], KIT being the folder with sites/ and more/}
 why=${2:-regression test, no change}
 own_site=sites/rendeles-kozpont.toml
-# Of each panel: its name, the program that plays it, the site, and the program's further arguments. The seed of the
-# short days is random, so that no program can be fitted to them.
+# The panels: name, program that runs the panel, site, and further arguments of that program. The seed of the short
+# days is random, so that the balancer can't be tuned to one seed.
 panels=("ops more/ops/bin/lbreal $own_site --quick" "later more/ops/bin/lbreal $own_site --quick --panel later"
   "size more/bin/lbreal $own_site --quick" "mass more/mass/bin/lbreal $own_site --quick"
   "brink more/mass/bin/lbreal $own_site --panel brink --seed $((RANDOM + 1000))"
@@ -26,7 +26,7 @@
     failed+=("$name: the bench ended with an error")
   fi
   echo "$report"
-  # A short day may score 0, no more than random choice: there the gate alone counts.
+  # A short day may score 0, which is the score of random choice: for this panel only the gate counts.
   zero_score='|score 0\.00'
   [ "$name" = brink ] && zero_score=
   if grep -qE "BROKEN|crash|GATE failed$zero_score" <<<"$report"; then
